--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -3,6 +3,7 @@
 Baselines: equal weights over the whole list, and the weights of the start. Each has a fleet of its own; all three
 play at the same time on this machine. Bytes: all that relays were sent, against entries that changed alone.
 """
+
 import asyncio
 import json
 import os
@@ -13,8 +14,8 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.fronts.sasp import codec      # noqa: E402
-from indigodeck.standins.day import Play      # noqa: E402
+from indigodeck.fronts.sasp import codec  # noqa: E402
+from indigodeck.standins.day import Play  # noqa: E402
 
 
 class Changes:
@@ -40,26 +41,48 @@
 
 
 async def main():
-    script = json.loads((pathlib.Path(__file__).parent.parent / "examples/bad-day.json").read_text())
+    script = json.loads(
+        (pathlib.Path(__file__).parent.parent / "examples/bad-day.json").read_text()
+    )
     with tempfile.TemporaryDirectory() as folder:
-        plays = [Play(script, pathlib.Path(folder) / policy, policy) for policy in ("indigodeck", "equal", "frozen")]
+        plays = [
+            Play(script, pathlib.Path(folder) / policy, policy)
+            for policy in ("indigodeck", "equal", "frozen")
+        ]
         results = await asyncio.gather(*(play.play() for play in plays))
     changes = Changes()
     for seen in plays[0].tap.seen:
         if seen.what == "message":
             codec.dispatch(seen.data, changes)
     ours = results[0]["service"]["whole"]
-    kept = {"what": "the scripted bad day", "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
-            "hosts": script["hosts"]["many"], "relays": script["relays"]["many"], "rate": script["relays"]["rate"],
-            "policies": {result["policy"]: {
-                "service": result["service"]["whole"], "worst_10_s": result["service"]["worst_10_s"],
-                "worst_class": result["service"]["worst_class"], "by_5_s": result["service"]["by_5_s"],
+    kept = {
+        "what": "the scripted bad day",
+        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "hosts": script["hosts"]["many"],
+        "relays": script["relays"]["many"],
+        "rate": script["relays"]["rate"],
+        "policies": {
+            result["policy"]: {
+                "service": result["service"]["whole"],
+                "worst_10_s": result["service"]["worst_10_s"],
+                "worst_class": result["service"]["worst_class"],
+                "by_5_s": result["service"]["by_5_s"],
                 "rules_broken": [rule["rule"] for rule in result["rules"] if not rule["kept"]],
-                "lost_over_ours": round((1 - result["service"]["whole"]) / max(1e-9, 1 - ours), 2)} for result in results},
-            "bytes": {"all": plays[0].tap.bytes_sent, "entries": changes.all, "changed_entries": changes.changed,
-                      "entries_over_changed": round(changes.all / changes.changed, 2)}}
+                "lost_over_ours": round((1 - result["service"]["whole"]) / max(1e-9, 1 - ours), 2),
+            }
+            for result in results
+        },
+        "bytes": {
+            "all": plays[0].tap.bytes_sent,
+            "entries": changes.all,
+            "changed_entries": changes.changed,
+            "entries_over_changed": round(changes.all / changes.changed, 2),
+        },
+    }
     print(json.dumps(kept, indent=1))
-    (pathlib.Path(__file__).parent / "results/bad-day.json").write_text(json.dumps(kept, indent=1) + "\n")
+    (pathlib.Path(__file__).parent / "results/bad-day.json").write_text(
+        json.dumps(kept, indent=1) + "\n"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/full_size.py
+++ b/benchmarks/full_size.py
@@ -4,6 +4,7 @@
 
 Calls are the same every time; times are this machine's. No sockets: the desk, the relay's account and the assigner.
 """
+
 import cProfile
 import json
 import pathlib
@@ -16,23 +17,47 @@
 ROOT = pathlib.Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from rig import SECOND, Loop                        # noqa: E402
+from rig import SECOND, Loop  # noqa: E402
 
-from indigodeck.charter import charter_of           # noqa: E402
-from indigodeck.edge.codec import Words             # noqa: E402
-from indigodeck.edge.desk import Desk               # noqa: E402
-from indigodeck.edge.outbox import Outbox           # noqa: E402
+from indigodeck.charter import charter_of  # noqa: E402
+from indigodeck.edge.codec import Words  # noqa: E402
+from indigodeck.edge.desk import Desk  # noqa: E402
+from indigodeck.edge.outbox import Outbox  # noqa: E402
 
 ZONES = ["x", "y", "z"]
 
 
 def settings(proxies, planners):
     kind = {"name": "read", "aimMs": 800, "deadlineMs": 2000, "points": 1, "effect": "read_like"}
-    dear = dict(kind, name="write", points=3, effect="idempotency_key", dedupScope="cell", keyTtlMs=2500)
-    return {"nInstances": planners, "zones": ZONES, "hostTypes": ["m"], "limits": {"probes": True}, "classes": [kind, dear],
-            "domain": {"proxies": proxies, "linesPerS": 20000, "mostWaiting": 20000, "fixedCost": 3, "blackholeMs": 3000, "periodMs": 1000,
-                       "transitMs": 150, "pushDelayMaxMs": 430, "pushesAllowed": 20, "classOwnZone": [False, True]},
-            "rules": {"coldMs": 12000, "coldShare": 0.16, "drainGraceMs": 3000, "tipMultiple": 4, "fallMs": 3000}}
+    dear = dict(
+        kind, name="write", points=3, effect="idempotency_key", dedupScope="cell", keyTtlMs=2500
+    )
+    return {
+        "nInstances": planners,
+        "zones": ZONES,
+        "hostTypes": ["m"],
+        "limits": {"probes": True},
+        "classes": [kind, dear],
+        "domain": {
+            "proxies": proxies,
+            "linesPerS": 20000,
+            "mostWaiting": 20000,
+            "fixedCost": 3,
+            "blackholeMs": 3000,
+            "periodMs": 1000,
+            "transitMs": 150,
+            "pushDelayMaxMs": 430,
+            "pushesAllowed": 20,
+            "classOwnZone": [False, True],
+        },
+        "rules": {
+            "coldMs": 12000,
+            "coldShare": 0.16,
+            "drainGraceMs": 3000,
+            "tipMultiple": 4,
+            "fallMs": 3000,
+        },
+    }
 
 
 class Outside(Loop):
@@ -56,21 +81,40 @@
 
     def add(self, **changes):
         number, self.next = self.next, self.next + 1
-        self.servers[f"s-{number}"] = dict({
-            "host": f"s-{number}", "dial": "127.0.0.1:9", "site": ZONES[number % 3], "class": "m", "block": number // 4,
-            "health": "SERVING", "share": 1.0, "born_ms": 0}, **changes)
+        self.servers[f"s-{number}"] = dict(
+            {
+                "host": f"s-{number}",
+                "dial": "127.0.0.1:9",
+                "site": ZONES[number % 3],
+                "class": "m",
+                "block": number // 4,
+                "health": "SERVING",
+                "share": 1.0,
+                "born_ms": 0,
+            },
+            **changes,
+        )
         return f"s-{number}"
 
     def list(self, names, whole):
         self.version += 1
         entries = [self.servers[name] for name in names]
-        self.desk.listed(self.words.catalog({"seq": self.version, "whole": whole, "hosts": entries}), cached=self.version == 1)
+        self.desk.listed(
+            self.words.catalog({"seq": self.version, "whole": whole, "hosts": entries}),
+            cached=self.version == 1,
+        )
 
     def send(self):
         while self.relay.wait() is not None:
             call = json.loads(self.relay.call())
-            self.relay.answered(json.dumps({"id": call["id"], "result": {"accepted": len(call["params"]["ops"])}}).encode())
-            for mark in [order["nonce_out"] for order in call["params"]["ops"] if order["do"] == "fence"]:
+            self.relay.answered(
+                json.dumps(
+                    {"id": call["id"], "result": {"accepted": len(call["params"]["ops"])}}
+                ).encode()
+            )
+            for mark in [
+                order["nonce_out"] for order in call["params"]["ops"] if order["do"] == "fence"
+            ]:
                 self.desk.applied(self.own[0], mark, 1000)
 
     def start(self):
@@ -88,7 +132,9 @@
         for turn in range(4):
             for number in range(10):
                 name = names[(self.outside.now() // 1000 + number * 7) % len(names)]
-                self.desk.heard(number % 3, name, 12, 0, 150_000 + number * 900, SECOND, {"in_hand": 3.0})
+                self.desk.heard(
+                    number % 3, name, 12, 0, 150_000 + number * 900, SECOND, {"in_hand": 3.0}
+                )
             for number in range(5):
                 proxy = self.own[(self.outside.now() // 50_000 + number * 11) % len(self.own)]
                 self.desk.demand(proxy, number % 2, 2, 0, SECOND)
@@ -124,8 +170,18 @@
             getattr(counted, name)()
         profile.disable()
         calls = pstats.Stats(profile).total_calls // turns
-        click.echo(json.dumps({"what": name, "proxies": proxies, "servers": servers, "planners": planners, "calls": calls,
-                               "seconds": round(took, 3)}))
+        click.echo(
+            json.dumps(
+                {
+                    "what": name,
+                    "proxies": proxies,
+                    "servers": servers,
+                    "planners": planners,
+                    "calls": calls,
+                    "seconds": round(took, 3),
+                }
+            )
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -3,6 +3,7 @@
 All on this machine: 105 hosts, relays with their clients and the planner share its cores, so the figures are the
 planner process's own (utime and stime, resident set), from when all relays have joined to the end.
 """
+
 import asyncio
 import json
 import os
@@ -13,7 +14,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.standins.day import Play      # noqa: E402
+from indigodeck.standins.day import Play  # noqa: E402
 
 TICK = os.sysconf("SC_CLK_TCK")
 
@@ -21,12 +22,19 @@
 def spent(pid):
     """(processor seconds, resident MB) of a process."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK, int(fields[21]) * os.sysconf("SC_PAGESIZE") / 1e6
+    return (int(fields[11]) + int(fields[12])) / TICK, int(fields[21]) * os.sysconf(
+        "SC_PAGESIZE"
+    ) / 1e6
 
 
 async def main(relays, rate, seconds):
-    script = json.loads((pathlib.Path(__file__).parent.parent / "examples/bad-day.json").read_text())
-    script.update(seconds=seconds, troubles=[{"at": seconds / 2, "kind": "deploy", "part": 0.1, "size": 0.5, "seconds": 5}])
+    script = json.loads(
+        (pathlib.Path(__file__).parent.parent / "examples/bad-day.json").read_text()
+    )
+    script.update(
+        seconds=seconds,
+        troubles=[{"at": seconds / 2, "kind": "deploy", "part": 0.1, "size": 0.5, "seconds": 5}],
+    )
     script["hosts"].update(many=105, processes=3)
     script["relays"].update(many=relays, rate=rate, processes=4)
     script["charter"]["relays"] = {"rate": rate / relays, "strikes": 3}
@@ -47,13 +55,23 @@
         watch.cancel()
     samples = samples[:-2]
     cores = [(b[1] - a[1]) / (b[0] - a[0]) for a, b in zip(samples, samples[1:])]
-    kept = {"what": "planner at load", "machine": f"{os.cpu_count()} cores, {platform.python_version()}", "relays": relays, "hosts": 105,
-            "exchanges_a_second": round(result["service"]["asked"] / seconds), "cores_mean": round(sum(cores) / len(cores), 3),
-            "cores_worst_second": round(max(cores), 3), "resident_mb": round(max(line[2] for line in samples), 1),
-            "service": result["service"]["whole"], "rules_kept": all(rule["kept"] for rule in result["rules"]),
-            "wire_bytes": result["wire_bytes"]}
+    kept = {
+        "what": "planner at load",
+        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "relays": relays,
+        "hosts": 105,
+        "exchanges_a_second": round(result["service"]["asked"] / seconds),
+        "cores_mean": round(sum(cores) / len(cores), 3),
+        "cores_worst_second": round(max(cores), 3),
+        "resident_mb": round(max(line[2] for line in samples), 1),
+        "service": result["service"]["whole"],
+        "rules_kept": all(rule["kept"] for rule in result["rules"]),
+        "wire_bytes": result["wire_bytes"],
+    }
     print(json.dumps(kept))
-    (pathlib.Path(__file__).parent / f"results/load-{relays}.json").write_text(json.dumps(kept, indent=1) + "\n")
+    (pathlib.Path(__file__).parent / f"results/load-{relays}.json").write_text(
+        json.dumps(kept, indent=1) + "\n"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/lossy.py
+++ b/benchmarks/lossy.py
@@ -1,4 +1,5 @@
 """Schedules of lost, late and repeated messages, far more than CI plays: python benchmarks/lossy.py [MANY]"""
+
 import json
 import os
 import pathlib
@@ -10,8 +11,8 @@
 ROOT = pathlib.Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-import test_outlasting                              # noqa: E402
-import test_relays                                  # noqa: E402
+import test_outlasting  # noqa: E402
+import test_relays  # noqa: E402
 
 
 def played(play, seeds):
@@ -28,11 +29,26 @@
 def main(many):
     began, result = time.monotonic(), {}
     with ProcessPoolExecutor(4) as pool:
-        for name, play, most in (("relays", test_relays.schedule, many), ("controllers", test_outlasting.schedule, many // 4)):
-            parts = list(pool.map(played, [play] * 16, [range(10_000 + nth, 10_000 + most, 16) for nth in range(16)]))
-            result[name] = {"schedules": sum(part[0] for part in parts), "proved": sum(part[1] for part in parts),
-                            "broken": [part[2] for part in parts if part[2]]}
-    result.update(machine=f"{os.cpu_count()} cores, {platform.python_version()}", seconds=round(time.monotonic() - began))
+        for name, play, most in (
+            ("relays", test_relays.schedule, many),
+            ("controllers", test_outlasting.schedule, many // 4),
+        ):
+            parts = list(
+                pool.map(
+                    played,
+                    [play] * 16,
+                    [range(10_000 + nth, 10_000 + most, 16) for nth in range(16)],
+                )
+            )
+            result[name] = {
+                "schedules": sum(part[0] for part in parts),
+                "proved": sum(part[1] for part in parts),
+                "broken": [part[2] for part in parts if part[2]],
+            }
+    result.update(
+        machine=f"{os.cpu_count()} cores, {platform.python_version()}",
+        seconds=round(time.monotonic() - began),
+    )
     (ROOT / "benchmarks/results/lossy.json").write_text(json.dumps(result, indent=1) + "\n")
     print(json.dumps(result))
 
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -4,6 +4,7 @@
 running. Hosts drain one by one. Applied: from the order to withdraw a host to each holder's table without it.
 Acknowledged: from an order to the acknowledgement that the assigner hears (SASP: the relay's TCP; xDS: its ACK).
 """
+
 import asyncio
 import json
 import os
@@ -17,11 +18,11 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.clock import now                     # noqa: E402
-from indigodeck.planner.charter import Charter      # noqa: E402
-from indigodeck.serve import assemble               # noqa: E402
-from indigodeck.standins.day import Crew            # noqa: E402
-from indigodeck.standins.keeper import ListFile     # noqa: E402
+from indigodeck.clock import now  # noqa: E402
+from indigodeck.planner.charter import Charter  # noqa: E402
+from indigodeck.serve import assemble  # noqa: E402
+from indigodeck.standins.day import Crew  # noqa: E402
+from indigodeck.standins.keeper import ListFile  # noqa: E402
 
 HOSTS, DRAINS = 105, 40
 
@@ -31,14 +32,29 @@
 
 
 async def measure(wire, many):
-    document = json.loads((pathlib.Path(__file__).parent.parent / "examples/charter.json").read_text())
-    document["relays"] = {"most": many, "halls": [{"prefix": hall + "/", "hall": hall} for hall in document["halls"]]}
+    document = json.loads(
+        (pathlib.Path(__file__).parent.parent / "examples/charter.json").read_text()
+    )
+    document["relays"] = {
+        "most": many,
+        "halls": [{"prefix": hall + "/", "hall": hall} for hall in document["halls"]],
+    }
     document["reports"] = {"period_ms": 3_600_000, "probes_per_s": 0}
     document["channel"].update(messages_most=0)
     document["fronts"] = {wire: {"address": "127.0.0.1", "port": 0}}
     document["channel"].update(lines_per_s=20_000, waiting_most=40_000)
-    hosts = [{"id": f"host-{nth}", "address": "127.0.0.1", "port": 20_000 + nth, "hall": document["halls"][nth % 3],
-              "kind": "std-4", "weight": 4, "state": "ready"} for nth in range(HOSTS)]
+    hosts = [
+        {
+            "id": f"host-{nth}",
+            "address": "127.0.0.1",
+            "port": 20_000 + nth,
+            "hall": document["halls"][nth % 3],
+            "kind": "std-4",
+            "weight": 4,
+            "state": "ready",
+        }
+        for nth in range(HOSTS)
+    ]
     with tempfile.TemporaryDirectory() as folder:
         listed = ListFile(folder)
         document["roster"] = {"file": "roster.json", "look_every_ms": 20}
@@ -62,10 +78,19 @@
         classes = [dict(kind, share=0.5, work_ms=200) for kind in document["classes"]]
         for nth in range(many):
             uid = f"{document['halls'][nth % 3]}/relay-{nth}"
-            await crews[nth % 4].do(do="start", until=0, relay={
-                "uid": uid, "planners": [["127.0.0.1", service.fronts[0].port()]], "classes": classes, "rate": 0,
-                "wire": wire, "hall": document["halls"][nth % 3],
-                "planner_patience": 30})
+            await crews[nth % 4].do(
+                do="start",
+                until=0,
+                relay={
+                    "uid": uid,
+                    "planners": [["127.0.0.1", service.fronts[0].port()]],
+                    "classes": classes,
+                    "rate": 0,
+                    "wire": wire,
+                    "hall": document["halls"][nth % 3],
+                    "planner_patience": 30,
+                },
+            )
         while len(service.front_of) < many or service.desk.queue():
             await asyncio.sleep(0.1)
         await asyncio.sleep(2)
@@ -87,10 +112,24 @@
             await crew.end()
         service.cease()
         await asyncio.sleep(0.1)
-    memory = int(pathlib.Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGESIZE") / 1e6
-    return {"wire": wire, "relays": many, "hosts": HOSTS, "drains": DRAINS, "applied": len(took), "p50_ms": quantile(took, 0.5) / 1000,
-            "p99_ms": quantile(took, 0.99) / 1000, "ack_p50_ms": quantile(acknowledged, 0.5) / 1000, "ack_p99_ms": quantile(acknowledged, 0.99) / 1000,
-            "planner_cpu_s_per_drain": round(cpu / DRAINS, 4), "planner_mb": round(memory, 1)}
+    memory = (
+        int(pathlib.Path("/proc/self/statm").read_text().split()[1])
+        * os.sysconf("SC_PAGESIZE")
+        / 1e6
+    )
+    return {
+        "wire": wire,
+        "relays": many,
+        "hosts": HOSTS,
+        "drains": DRAINS,
+        "applied": len(took),
+        "p50_ms": quantile(took, 0.5) / 1000,
+        "p99_ms": quantile(took, 0.99) / 1000,
+        "ack_p50_ms": quantile(acknowledged, 0.5) / 1000,
+        "ack_p99_ms": quantile(acknowledged, 0.99) / 1000,
+        "planner_cpu_s_per_drain": round(cpu / DRAINS, 4),
+        "planner_mb": round(memory, 1),
+    }
 
 
 async def main(wire, sizes):
@@ -100,8 +139,14 @@
         results.append(await measure(wire, many))
         results[-1]["p99_over_first"] = round(results[-1]["p99_ms"] / results[0]["p99_ms"], 2)
         print(json.dumps(results[-1]), flush=True)
-    kept = {"what": f"order to applied over {wire}", "machine": f"{os.cpu_count()} cores, {platform.python_version()}", "results": results}
-    (pathlib.Path(__file__).parent / f"results/orders-{wire}.json").write_text(json.dumps(kept, indent=1) + "\n")
+    kept = {
+        "what": f"order to applied over {wire}",
+        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "results": results,
+    }
+    (pathlib.Path(__file__).parent / f"results/orders-{wire}.json").write_text(
+        json.dumps(kept, indent=1) + "\n"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -1,4 +1,5 @@
 """Schedules of takeovers explored on all cores: python benchmarks/schedules.py [HOW MANY]"""
+
 import json
 import multiprocessing
 import os
@@ -9,7 +10,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.takeover import model      # noqa: E402
+from indigodeck.takeover import model  # noqa: E402
 
 EACH = 250
 
@@ -23,13 +24,22 @@
     with multiprocessing.Pool() as pool:
         results = pool.map(some, range(0, many, EACH), chunksize=1)
     took = time.perf_counter() - began
-    caught = {mutant.__name__: model.explore(range(20_000), make=mutant)[0] for mutant in model.MUTANTS}
-    kept = {"what": "schedules of takeovers, 60 s of simulated time each", "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
-            "schedules": sum(played for played, _, _ in results), "takeovers": sum(seen for _, seen, _ in results),
-            "schedules_a_second": round(many / took, 1), "broken": [what for _, _, what in results if what],
-            "mutants_caught_after": caught}
+    caught = {
+        mutant.__name__: model.explore(range(20_000), make=mutant)[0] for mutant in model.MUTANTS
+    }
+    kept = {
+        "what": "schedules of takeovers, 60 s of simulated time each",
+        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "schedules": sum(played for played, _, _ in results),
+        "takeovers": sum(seen for _, seen, _ in results),
+        "schedules_a_second": round(many / took, 1),
+        "broken": [what for _, _, what in results if what],
+        "mutants_caught_after": caught,
+    }
     print(json.dumps(kept))
-    (pathlib.Path(__file__).parent / "results/schedules.json").write_text(json.dumps(kept, indent=1) + "\n")
+    (pathlib.Path(__file__).parent / "results/schedules.json").write_text(
+        json.dumps(kept, indent=1) + "\n"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -3,6 +3,7 @@
 Commits a second, one after the other and from 64 threads together, against plain appends with fsync to one file of the same bytes and
 against SQLite as it comes with Python, by turns in one run; recovery over the size of the log, with and without compaction; bytes written by compaction over bytes committed.
 """
+
 import json
 import os
 import pathlib
@@ -15,9 +16,9 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.store.files import Folder          # noqa: E402
-from indigodeck.store.log import Log               # noqa: E402
-from indigodeck.store.writer import Writer         # noqa: E402
+from indigodeck.store.files import Folder  # noqa: E402
+from indigodeck.store.log import Log  # noqa: E402
+from indigodeck.store.writer import Writer  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 BODY = {"lines": {f"host-{nth}": 1.25 + nth for nth in range(8)}, "cause": "server leaves"}
@@ -26,7 +27,11 @@
 
 def plain(folder):
     """Appends with fsync, one after the other, a second."""
-    file, many, data = os.open(folder / "plain", os.O_WRONLY | os.O_CREAT | os.O_APPEND), 0, json.dumps(BODY).encode()
+    file, many, data = (
+        os.open(folder / "plain", os.O_WRONLY | os.O_CREAT | os.O_APPEND),
+        0,
+        json.dumps(BODY).encode(),
+    )
     began = time.monotonic()
     while time.monotonic() - began < SECONDS:
         os.write(file, data)
@@ -53,14 +58,20 @@
     base.execute("create table held (key text primary key, value blob)")
     began = time.monotonic()
     while time.monotonic() - began < SECONDS:
-        base.execute("insert or replace into held values (?, ?)", (f"k{many % 500}", json.dumps(BODY)))
+        base.execute(
+            "insert or replace into held values (?, ?)", (f"k{many % 500}", json.dumps(BODY))
+        )
         many += 1
     base.close()
     return many / (time.monotonic() - began)
 
 
 def together(folder, threads, delay):
-    writer, done, waits = Writer(Folder(folder / f"together-{threads}-{delay}"), lambda *_, **__: None, delay), [], []
+    writer, done, waits = (
+        Writer(Folder(folder / f"together-{threads}-{delay}"), lambda *_, **__: None, delay),
+        [],
+        [],
+    )
     end = time.monotonic() + SECONDS
 
     def put(nth):
@@ -80,24 +91,42 @@
     commits = writer.commits
     writer.close()
     waits.sort()
-    return {"threads": threads, "delay_ms": delay * 1000, "changes_per_s": round(sum(done) / SECONDS), "changes_per_sync": round(sum(done) / commits, 1),
-            "wait_ms": {"p50": round(waits[len(waits) // 2] * 1000, 2), "p99": round(waits[int(len(waits) * 0.99)] * 1000, 2)}}
+    return {
+        "threads": threads,
+        "delay_ms": delay * 1000,
+        "changes_per_s": round(sum(done) / SECONDS),
+        "changes_per_sync": round(sum(done) / commits, 1),
+        "wait_ms": {
+            "p50": round(waits[len(waits) // 2] * 1000, 2),
+            "p99": round(waits[int(len(waits) * 0.99)] * 1000, 2),
+        },
+    }
 
 
 def recovery(folder, records, keys, compacted):
     log = Log(Folder(folder / f"r{records}-{keys}-{compacted}"))
     for first in range(0, records, 500):
-        log.commit([[(f"k{nth % keys}", {**BODY, "nth": nth})] for nth in range(first, first + 500)])
+        log.commit(
+            [[(f"k{nth % keys}", {**BODY, "nth": nth})] for nth in range(first, first + 500)]
+        )
         while compacted and log.due():
             log.compact()
     log.files.close()
-    kept = sum(path.stat().st_size for path in (folder / f"r{records}-{keys}-{compacted}").iterdir())
+    kept = sum(
+        path.stat().st_size for path in (folder / f"r{records}-{keys}-{compacted}").iterdir()
+    )
     began = time.monotonic()
     again = Log(Folder(folder / f"r{records}-{keys}-{compacted}"))
     took = time.monotonic() - began
     assert len(again.index) == keys and not again.lost
-    return {"records": records, "keys": keys, "compacted": compacted, "kept_mb": round(kept / 1e6, 2), "open_ms": round(took * 1000, 1),
-            "amplification": round(1 + log.copied_bytes / log.written, 2)}
+    return {
+        "records": records,
+        "keys": keys,
+        "compacted": compacted,
+        "kept_mb": round(kept / 1e6, 2),
+        "open_ms": round(took * 1000, 1),
+        "amplification": round(1 + log.copied_bytes / log.written, 2),
+    }
 
 
 def main():
@@ -105,13 +134,31 @@
         folder, rounds = pathlib.Path(made), []
         for nth in range(3):
             (folder / f"{nth}").mkdir()
-            rounds.append({"plain_fsync_per_s": round(plain(folder / f"{nth}")), "one_after_the_other_per_s": round(alone(folder / f"{nth}")),
-                           "sqlite_per_s": round(tables_in_sqlite(folder / f"{nth}"))})
-        groups = [together(folder, threads, delay) for threads, delay in ((1, 0.0), (8, 0.0), (64, 0.0), (64, 0.002))]
-        recovered = [recovery(folder, records, 500, compacted) for records in (2000, 20_000, 100_000) for compacted in (False, True)]
+            rounds.append(
+                {
+                    "plain_fsync_per_s": round(plain(folder / f"{nth}")),
+                    "one_after_the_other_per_s": round(alone(folder / f"{nth}")),
+                    "sqlite_per_s": round(tables_in_sqlite(folder / f"{nth}")),
+                }
+            )
+        groups = [
+            together(folder, threads, delay)
+            for threads, delay in ((1, 0.0), (8, 0.0), (64, 0.0), (64, 0.002))
+        ]
+        recovered = [
+            recovery(folder, records, 500, compacted)
+            for records in (2000, 20_000, 100_000)
+            for compacted in (False, True)
+        ]
         recovered += [recovery(folder, 20_000, keys, True) for keys in (50, 5000)]
-    result = {"what": "the store", "machine": f"{os.cpu_count()} cores, {platform.python_version()}", "record_bytes": len(json.dumps(BODY)),
-              "appends": rounds, "together": groups, "recovery": recovered}
+    result = {
+        "what": "the store",
+        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "record_bytes": len(json.dumps(BODY)),
+        "appends": rounds,
+        "together": groups,
+        "recovery": recovered,
+    }
     (ROOT / "benchmarks/results/store.json").write_text(json.dumps(result, indent=1) + "\n")
     print(json.dumps(result, indent=1))
 
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -4,6 +4,7 @@
 one in charge is stopped (SIGSTOP), and goes on after another has taken over. Elected: until another says that it is in charge.
 Served: until a relay holds what the new one says (a host drains right after the stop).
 """
+
 import asyncio
 import json
 import os
@@ -17,8 +18,8 @@
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.clock import now                          # noqa: E402
-from indigodeck.standins.controllers import Fleet         # noqa: E402
+from indigodeck.clock import now  # noqa: E402
+from indigodeck.standins.controllers import Fleet  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -48,8 +49,12 @@
                 wire = ("sasp", "xds")[nth % 2]
                 relays.append((wire, *fleet.relay(wire, f"hall-a/{wire}-{nth}")))
             out = 9000
-            holds = lambda tables: ("127.0.0.1", out) not in tables.lines["reading"] and tables.lines["reading"]      # noqa: E731
-            await until(lambda: all(tables.held_since["reading"] is not None for _, tables, *_ in relays))
+            holds = lambda tables: (
+                ("127.0.0.1", out) not in tables.lines["reading"] and tables.lines["reading"]
+            )  # noqa: E731
+            await until(
+                lambda: all(tables.held_since["reading"] is not None for _, tables, *_ in relays)
+            )
             for nth in range(takeovers):
                 old, began, out = fleet.holder(), now(), 9000 + nth % 2
                 fleet.keep(**{f"h{nth % 2}": "draining", f"h{1 - nth % 2}": "ready"})
@@ -70,8 +75,16 @@
             for _, _, client, _ in relays:
                 client.leave()
             await fleet.end()
-    return {"relays": many, "takeovers": takeovers, "elected_s": {"p50": quantile(elected, 0.5), "p99": quantile(elected, 0.99)},
-            **{f"served_{wire}_s": {"p50": quantile(times, 0.5), "p99": quantile(times, 0.99)} for wire, times in served.items() if times}}
+    return {
+        "relays": many,
+        "takeovers": takeovers,
+        "elected_s": {"p50": quantile(elected, 0.5), "p99": quantile(elected, 0.99)},
+        **{
+            f"served_{wire}_s": {"p50": quantile(times, 0.5), "p99": quantile(times, 0.99)}
+            for wire, times in served.items()
+            if times
+        },
+    }
 
 
 async def main(takeovers, sizes):
@@ -80,9 +93,21 @@
         results.append(await measure(takeovers, many))
         print(json.dumps(results[-1]), flush=True)
     size = "-".join(map(str, sizes))
-    kept = {"what": "takeovers of a stopped controller", "machine": f"{os.cpu_count()} cores, {platform.python_version()}", "lease_s": 0.6, "results": results}
-    (ROOT / f"benchmarks/results/takeover-{size}.json").write_text(json.dumps(kept, indent=1) + "\n")
+    kept = {
+        "what": "takeovers of a stopped controller",
+        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "lease_s": 0.6,
+        "results": results,
+    }
+    (ROOT / f"benchmarks/results/takeover-{size}.json").write_text(
+        json.dumps(kept, indent=1) + "\n"
+    )
 
 
 if __name__ == "__main__":
-    asyncio.run(main(int(sys.argv[1]) if len(sys.argv) > 1 else 200, [int(word) for word in sys.argv[2:]] or [31, 103, 303]))
+    asyncio.run(
+        main(
+            int(sys.argv[1]) if len(sys.argv) > 1 else 200,
+            [int(word) for word in sys.argv[2:]] or [31, 103, 303],
+        )
+    )
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -3,6 +3,7 @@
 FOLDER holds the earlier version (a worktree of this project). All three start as it; each is replaced by the present one, those not in charge
 first, while relays of both wires follow; after each, a host drains and all relays must learn it. Then one of the new is stopped.
 """
+
 import asyncio
 import json
 import os
@@ -15,7 +16,7 @@
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.standins.controllers import Fleet         # noqa: E402
+from indigodeck.standins.controllers import Fleet  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -37,11 +38,19 @@
             for name in fleet.members:
                 await fleet.start(name, earlier)
             await until(fleet.holder, "somebody is in charge")
-            relays = [fleet.relay(wire, f"hall-a/{wire}-{nth}") for nth in range(3) for wire in ("sasp", "xds")]
+            relays = [
+                fleet.relay(wire, f"hall-a/{wire}-{nth}")
+                for nth in range(3)
+                for wire in ("sasp", "xds")
+            ]
             hosts = set(range(8))
 
             def learned():
-                return all({port - 9000 for _, port in lines} == hosts for tables, *_ in relays for lines in tables.lines.values())
+                return all(
+                    {port - 9000 for _, port in lines} == hosts
+                    for tables, *_ in relays
+                    for lines in tables.lines.values()
+                )
 
             await until(learned, "relays hold tables")
             for tables, *_ in relays:
@@ -50,7 +59,10 @@
             for nth, name in enumerate(sorted(fleet.members, key=lambda name: name == first)):
                 await fleet.ended(name)
                 await fleet.start(name)
-                await until(lambda: fleet.holder() and fleet.processes[fleet.holder()].returncode is None, "somebody in charge")
+                await until(
+                    lambda: fleet.holder() and fleet.processes[fleet.holder()].returncode is None,
+                    "somebody in charge",
+                )
                 began = time.monotonic()
                 fleet.keep(**{f"h{nth}": "draining"})
                 hosts -= {nth}
@@ -64,7 +76,12 @@
             for _, client, _ in relays:
                 client.leave()
             await fleet.end()
-    result = {"what": "an upgrade one by one from an earlier version", "relays": 6, "drain_known_s_after_each": steps, "bare": len(bare)}
+    result = {
+        "what": "an upgrade one by one from an earlier version",
+        "relays": 6,
+        "drain_known_s_after_each": steps,
+        "bare": len(bare),
+    }
     print(json.dumps(result))
     (ROOT / "benchmarks/results/upgrade.json").write_text(json.dumps(result, indent=1) + "\n")
 
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -3,6 +3,7 @@
 A planner of its own, 48 hosts, relays half over each protocol with the client library in this process. Two versions are held by turns: from
 the operator's command to when a relay holds it. Then the bad day with a store: bytes and lines of what was kept and of whole sets.
 """
+
 import asyncio
 import json
 import os
@@ -15,18 +16,18 @@
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.client import Tables                       # noqa: E402
-from indigodeck.client.sasp import SaspClient              # noqa: E402
-from indigodeck.client.xds import XdsClient                # noqa: E402
-from indigodeck.clock import now                           # noqa: E402
-from indigodeck.standins.controllers import free_ports     # noqa: E402
-from indigodeck.standins.day import Play, printed          # noqa: E402
-from indigodeck.standins.keeper import ListFile            # noqa: E402
-from indigodeck.store.files import Folder                  # noqa: E402
-from indigodeck.store.log import Log                       # noqa: E402
-from indigodeck.takeover.peers import ask                  # noqa: E402
-from indigodeck.versions import sheets                     # noqa: E402
-from indigodeck.versions.ledger import Ledger              # noqa: E402
+from indigodeck.client import Tables  # noqa: E402
+from indigodeck.client.sasp import SaspClient  # noqa: E402
+from indigodeck.client.xds import XdsClient  # noqa: E402
+from indigodeck.clock import now  # noqa: E402
+from indigodeck.standins.controllers import free_ports  # noqa: E402
+from indigodeck.standins.day import Play, printed  # noqa: E402
+from indigodeck.standins.keeper import ListFile  # noqa: E402
+from indigodeck.store.files import Folder  # noqa: E402
+from indigodeck.store.log import Log  # noqa: E402
+from indigodeck.takeover.peers import ask  # noqa: E402
+from indigodeck.versions import sheets  # noqa: E402
+from indigodeck.versions.ledger import Ledger  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 KEY = b"a key for measurements, of sixteen bytes"
@@ -52,22 +53,48 @@
         listed = ListFile(folder)
 
         def keep(draining):
-            listed.keep([{"id": f"host-{nth}", "address": "127.0.0.1", "port": 9000 + nth, "weight": 4, "hall": f"hall-{'abc'[nth % 3]}",
-                          "state": "draining" if nth in draining else "ready"} for nth in range(HOSTS)])
+            listed.keep(
+                [
+                    {
+                        "id": f"host-{nth}",
+                        "address": "127.0.0.1",
+                        "port": 9000 + nth,
+                        "weight": 4,
+                        "hall": f"hall-{'abc'[nth % 3]}",
+                        "state": "draining" if nth in draining else "ready",
+                    }
+                    for nth in range(HOSTS)
+                ]
+            )
 
         keep(())
         charter = json.loads((ROOT / "examples/charter.json").read_text())
-        charter.update(roster={"file": "roster.json", "look_every_ms": 50}, store={"folder": "store"},
-                       fronts={"sasp": {"port": ports[0], "interval_s": 5}, "xds": {"port": ports[1]}},
-                       operators={"port": ports[2], "key_file": "key"}, reports={"period_ms": 1000, "probes_per_s": 0})
+        charter.update(
+            roster={"file": "roster.json", "look_every_ms": 50},
+            store={"folder": "store"},
+            fronts={"sasp": {"port": ports[0], "interval_s": 5}, "xds": {"port": ports[1]}},
+            operators={"port": ports[2], "key_file": "key"},
+            reports={"period_ms": 1000, "probes_per_s": 0},
+        )
         charter["relays"].update(most=relays, rate=120 / relays)
-        charter["channel"].update(lines_per_s=20_000, waiting_most=20_000, messages_most=200, answers_most=60)
+        charter["channel"].update(
+            lines_per_s=20_000, waiting_most=20_000, messages_most=200, answers_most=60
+        )
         (folder / "charter.json").write_text(json.dumps(charter))
         with open(folder / "log", "wb") as log:
-            planner = await asyncio.create_subprocess_exec(sys.executable, "-m", "indigodeck", "serve", "--charter", str(folder / "charter.json"),
-                                                           stdout=log, stderr=log)
+            planner = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "indigodeck",
+                "serve",
+                "--charter",
+                str(folder / "charter.json"),
+                stdout=log,
+                stderr=log,
+            )
             clients, gone = [], set(range(LEAVES))
             try:
+
                 async def wish(**fields):
                     return await ask(("127.0.0.1", ports[2]), KEY, "versions", wish=fields)
 
@@ -75,17 +102,38 @@
                 for nth in range(relays):
                     tables = Tables(["reading", "setpoint"], now)
                     kind, port = ((SaspClient, ports[0]), (XdsClient, ports[1]))[nth % 2]
-                    clients.append((tables, kind(f"hall-{'abc'[nth % 3]}/r{nth}", [("127.0.0.1", port)], tables, patience=3.0), ("sasp", "xds")[nth % 2]))
+                    clients.append(
+                        (
+                            tables,
+                            kind(
+                                f"hall-{'abc'[nth % 3]}/r{nth}",
+                                [("127.0.0.1", port)],
+                                tables,
+                                patience=3.0,
+                            ),
+                            ("sasp", "xds")[nth % 2],
+                        )
+                    )
                     asyncio.get_running_loop().create_task(clients[-1][1].run())
 
                 def holds(tables, without):
                     lines = {port - 9000 for _, port in tables.lines["reading"]}
-                    return tables.held_since["reading"] is not None and lines and bool(lines & gone) != without
+                    return (
+                        tables.held_since["reading"] is not None
+                        and lines
+                        and bool(lines & gone) != without
+                    )
 
                 def all_without():
-                    return not any(port - 9000 in gone for tables, *_ in clients for _, port in tables.lines["reading"])
-
-                await until(lambda: all(tables.held_since["reading"] is not None for tables, *_ in clients))
+                    return not any(
+                        port - 9000 in gone
+                        for tables, *_ in clients
+                        for _, port in tables.lines["reading"]
+                    )
+
+                await until(
+                    lambda: all(tables.held_since["reading"] is not None for tables, *_ in clients)
+                )
                 await asyncio.sleep(4)
                 full = (await wish(what="list"))["newest"]
                 # Only relays whose table holds one of them can tell the two versions apart.
@@ -105,11 +153,18 @@
                         raise RuntimeError(answer)
                     left = list(telling)
                     while left:
-                        for one in [one for one in left if bool({port - 9000 for _, port in one[0].lines["reading"]} & gone) != without]:
+                        for one in [
+                            one
+                            for one in left
+                            if bool({port - 9000 for _, port in one[0].lines["reading"]} & gone)
+                            != without
+                        ]:
                             each[one[2]].append(time.monotonic() - began)
                             left.remove(one)
                         if time.monotonic() - began > 30:
-                            raise RuntimeError(f"{len(left)} of {len(telling)} relays did not follow")
+                            raise RuntimeError(
+                                f"{len(left)} of {len(telling)} relays did not follow"
+                            )
                         await asyncio.sleep(0.002)
                     last.append(time.monotonic() - began)
                     await asyncio.sleep(0.5)
@@ -121,9 +176,17 @@
                 await planner.wait()
                 for one in held:
                     one.close()
-    return {"relays": relays, "that_tell_them_apart": len(telling), "rollbacks": rollbacks, "last_relay_s": {"p50": quantile(last, 0.5), "p99": quantile(last, 0.99)},
-            **{f"{wire}_s": {"p50": quantile(times, 0.5), "p99": quantile(times, 0.99)} for wire, times in each.items()},
-            "told_of_first": listed_relays["relays"][:2]}
+    return {
+        "relays": relays,
+        "that_tell_them_apart": len(telling),
+        "rollbacks": rollbacks,
+        "last_relay_s": {"p50": quantile(last, 0.5), "p99": quantile(last, 0.99)},
+        **{
+            f"{wire}_s": {"p50": quantile(times, 0.5), "p99": quantile(times, 0.99)}
+            for wire, times in each.items()
+        },
+        "told_of_first": listed_relays["relays"][:2],
+    }
 
 
 class Held:
@@ -152,11 +215,21 @@
     for number, version in ledger.versions.items():
         held = ledger.sheets_of(number)
         changes = json.loads(ledger.records[number])
-        kept, whole = kept + len(ledger.records[number]), whole + len(json.dumps(held, separators=(",", ":")))
+        kept, whole = (
+            kept + len(ledger.records[number]),
+            whole + len(json.dumps(held, separators=(",", ":"))),
+        )
         lines, all_lines = lines + sheets.lines_in(changes), all_lines + sheets.lines_in(held)
     print(printed(result))
-    return {"versions": len(ledger.versions), "bytes_kept": kept, "bytes_of_whole_sets": whole, "lines_kept": lines, "lines_of_whole_sets": all_lines,
-            "rules_kept": all(rule["kept"] for rule in result["rules"]), "service": result["service"]["whole"]}
+    return {
+        "versions": len(ledger.versions),
+        "bytes_kept": kept,
+        "bytes_of_whole_sets": whole,
+        "lines_kept": lines,
+        "lines_of_whole_sets": all_lines,
+        "rules_kept": all(rule["kept"] for rule in result["rules"]),
+        "service": result["service"]["whole"],
+    }
 
 
 async def main(relays, rollbacks):
@@ -169,4 +242,9 @@
 
 
 if __name__ == "__main__":
-    asyncio.run(main(int(sys.argv[1]) if len(sys.argv) > 1 else 303, int(sys.argv[2]) if len(sys.argv) > 2 else 60))
+    asyncio.run(
+        main(
+            int(sys.argv[1]) if len(sys.argv) > 1 else 303,
+            int(sys.argv[2]) if len(sys.argv) > 2 else 60,
+        )
+    )
--- a/benchmarks/wire_bytes.py
+++ b/benchmarks/wire_bytes.py
@@ -3,6 +3,7 @@
 The same planner and tables, three forms: xDS whole, xDS incremental, SASP with changed entries alone. Responses are made and
 measured as they would be written, without sockets; ratios are to the whole form.
 """
+
 import asyncio
 import json
 import os
@@ -15,12 +16,12 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from envoy.config.core.v3 import base_pb2                     # noqa: E402
+from envoy.config.core.v3 import base_pb2  # noqa: E402
 from indigodeck.fronts.sasp.conversation import Conversation  # noqa: E402
-from indigodeck.fronts.xds import codec                       # noqa: E402
-from indigodeck.planner.charter import Charter                # noqa: E402
-from indigodeck.serve import assemble                         # noqa: E402
-from indigodeck.standins.keeper import ListFile               # noqa: E402
+from indigodeck.fronts.xds import codec  # noqa: E402
+from indigodeck.planner.charter import Charter  # noqa: E402
+from indigodeck.serve import assemble  # noqa: E402
+from indigodeck.standins.keeper import ListFile  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 HOSTS = 105
@@ -31,7 +32,9 @@
 
     def __init__(self, front, uid, delta, names):
         self.delta, self.bytes, self.messages = delta, 0, 0
-        self.relay = front.introduced(base_pb2.Node(id=uid, locality=base_pb2.Locality(zone="hall-a")))
+        self.relay = front.introduced(
+            base_pb2.Node(id=uid, locality=base_pb2.Locality(zone="hall-a"))
+        )
         self.stream = self.relay.opened(self, delta)
         self.names = names
         for kind in codec.KINDS:
@@ -44,7 +47,11 @@
         pass
 
     def send(self, kind, version, nonce, resources, removed):
-        made = codec.changes(kind, version, nonce, resources, removed) if self.delta else codec.whole(kind, version, nonce, resources)
+        made = (
+            codec.changes(kind, version, nonce, resources, removed)
+            if self.delta
+            else codec.whole(kind, version, nonce, resources)
+        )
         self.bytes, self.messages = self.bytes + made.ByteSize(), self.messages + 1
         self.answer = kind, nonce
 
@@ -84,19 +91,34 @@
 
 async def measure(part):
     document = json.loads((ROOT / "examples/charter.json").read_text())
-    document.update(fronts={"xds": {"port": 0}, "sasp": {"port": 0}}, roster={"file": "roster.json", "look_every_ms": 10})
+    document.update(
+        fronts={"xds": {"port": 0}, "sasp": {"port": 0}},
+        roster={"file": "roster.json", "look_every_ms": 10},
+    )
     document["reports"] = {"period_ms": 3_600_000, "probes_per_s": 0}
     document["channel"].update(messages_most=0)
     halls = document["halls"]
-    hosts = [{"id": f"host-{nth}", "address": "127.0.0.1", "port": 20_000 + nth, "hall": halls[nth % 3], "weight": 4,
-              "state": "ready"} for nth in range(HOSTS)]
+    hosts = [
+        {
+            "id": f"host-{nth}",
+            "address": "127.0.0.1",
+            "port": 20_000 + nth,
+            "hall": halls[nth % 3],
+            "weight": 4,
+            "state": "ready",
+        }
+        for nth in range(HOSTS)
+    ]
     with tempfile.TemporaryDirectory() as folder:
         listed = ListFile(folder)
         listed.keep(hosts)
         service = assemble(Charter(document, folder))
         names = [kind["name"] for kind in document["classes"]]
-        meters = {"whole": Meter(service.fronts[0], "hall-a/whole", False, names),
-                  "incremental": Meter(service.fronts[0], "hall-a/delta", True, names), "sasp": SaspMeter(service.fronts[1], names)}
+        meters = {
+            "whole": Meter(service.fronts[0], "hall-a/whole", False, names),
+            "incremental": Meter(service.fronts[0], "hall-a/delta", True, names),
+            "sasp": SaspMeter(service.fronts[1], names),
+        }
 
         async def settle(seconds):
             for _ in range(round(seconds / 0.05)):
@@ -109,18 +131,26 @@
         for meter in meters.values():
             meter.bytes = meter.messages = 0
         # In waves of a fifth of those concerned, with cold successors, as a release goes.
-        going = hosts[:round(part * HOSTS)]
+        going = hosts[: round(part * HOSTS)]
         for wave in range(5):
             for host in going[wave::5]:
                 host["state"] = "draining"
-                hosts.append(dict(host, id=host["id"] + "-new", port=host["port"] + 1000, state="ready"))
+                hosts.append(
+                    dict(host, id=host["id"] + "-new", port=host["port"] + 1000, state="ready")
+                )
             listed.keep(hosts)
             await settle(3)
         service.cease()
         await asyncio.sleep(0.1)
-    return {"replaced": part, "first_laying": first, "bytes": {name: meter.bytes for name, meter in meters.items()},
-            "messages": {name: meter.messages for name, meter in meters.items()},
-            "over_whole": {name: round(meter.bytes / meters["whole"].bytes, 3) for name, meter in meters.items()}}
+    return {
+        "replaced": part,
+        "first_laying": first,
+        "bytes": {name: meter.bytes for name, meter in meters.items()},
+        "messages": {name: meter.messages for name, meter in meters.items()},
+        "over_whole": {
+            name: round(meter.bytes / meters["whole"].bytes, 3) for name, meter in meters.items()
+        },
+    }
 
 
 async def main():
@@ -128,7 +158,12 @@
     results = [await measure(part) for part in (0.1, 0.84)]
     for result in results:
         print(json.dumps(result))
-    kept = {"what": "bytes to one relay", "machine": f"{os.cpu_count()} cores, {platform.python_version()}", "hosts": HOSTS, "results": results}
+    kept = {
+        "what": "bytes to one relay",
+        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "hosts": HOSTS,
+        "results": results,
+    }
     (ROOT / "benchmarks/results/wire-bytes.json").write_text(json.dumps(kept, indent=1) + "\n")
 
 
--- a/indigodeck/charter.py
+++ b/indigodeck/charter.py
@@ -2,6 +2,7 @@
 
 The simulator and real planners are handed the same object; every host reads it here. The standard library only.
 """
+
 import json
 
 
@@ -15,7 +16,7 @@
 
 
 REQUIRED = object()
-TIME = 1000            # on the wire in milliseconds
+TIME = 1000  # on the wire in milliseconds
 # Our name, section of the settings, their name, scale of a number, what an absent one means.
 FACTS = (
     ("instances", "", "nInstances", 1, 1),
@@ -50,8 +51,14 @@
     ("repeat_window", "keyTtlMs", TIME, 0),
 )
 REPEATS = {"read_like": "safe", "idempotency_key": "keyed", "non_idempotent": "never"}
-LOADS = {"busy_reqs": "in_hand", "pending": "waiting", "cpu_share": "cores_busy", "svc_ms": "work_time",
-         "served_ps": "completed_per_s", "failed_ps": "failed_per_s"}
+LOADS = {
+    "busy_reqs": "in_hand",
+    "pending": "waiting",
+    "cpu_share": "cores_busy",
+    "svc_ms": "work_time",
+    "served_ps": "completed_per_s",
+    "failed_ps": "failed_per_s",
+}
 LEVELS = {"ratio": "share", "rps": "rate", "off": "none"}
 
 
@@ -86,9 +93,12 @@
     for name in ("zones", "hostTypes"):
         if not isinstance(given.get(name) or [], list):
             raise Malformed(f"settings: {name} is no list")
-    charter = {ours: fact(given[section] if section else given, theirs, scale, default,
-                          section and section + ".")
-               for ours, section, theirs, scale, default in FACTS}
+    charter = {
+        ours: fact(
+            given[section] if section else given, theirs, scale, default, section and section + "."
+        )
+        for ours, section, theirs, scale, default in FACTS
+    }
     domain, limits = given["domain"], given["limits"]
     charter["zones"] = len(given.get("zones") or [""])
     charter["zone_names"] = [str(name) for name in given.get("zones") or [""]]
@@ -99,7 +109,9 @@
     charter["gone_binds"] = given["rules"].get("drainBindsAlone") is not True
     charter["exclusive"] = domain.get("exclusive") is True
     charter["levels"] = LEVELS.get(domain.get("admission"), "share")
-    charter["load_columns"] = [LOADS.get(name, name) for name in given["loadInfo"].get("columns") or []]
+    charter["load_columns"] = [
+        LOADS.get(name, name) for name in given["loadInfo"].get("columns") or []
+    ]
     if not isinstance(given.get("classes"), list) or not given["classes"]:
         raise Malformed("settings: classes is missing")
     own_zone = domain.get("classOwnZone") or []
@@ -108,8 +120,10 @@
         where = f"classes[{place}]."
         if not isinstance(stated, dict):
             raise Malformed(f"settings: {where} is no object")
-        kept = {ours: fact(stated, theirs, scale, default, where)
-                for ours, theirs, scale, default in CLASS_FACTS}
+        kept = {
+            ours: fact(stated, theirs, scale, default, where)
+            for ours, theirs, scale, default in CLASS_FACTS
+        }
         kept["name"] = str(stated.get("name", place))
         kept["repeats"] = REPEATS.get(stated.get("effect"), "never")
         kept["repeat_scope"] = stated.get("dedupScope", "all")
--- a/indigodeck/choice.py
+++ b/indigodeck/choice.py
@@ -3,6 +3,7 @@
 Make one `Assigner` an instance, with a host (host.py), the charter (a map of what the deployment states) and
 a seed. Call the method for what has happened; it acts by calling the host. Times are whole microseconds.
 """
+
 from collections import defaultdict, deque
 from itertools import product
 from statistics import median
@@ -11,19 +12,30 @@
 from .host import CACHED, CHANGES, DRAINING, READY
 from .records import SECOND, Channel, Health, Proxies, Proxy, Table, quantile, weigh
 
-TURN = SECOND // 4          # between two looks at reports, shards and the channel
+TURN = SECOND // 4  # between two looks at reports, shards and the channel
 # Shards (the design's starting values, and what measuring has made of them).
 TARGET, TARGET_APART, LEAST_SERVERS, OVERLAP_MOST, DRAWS, PICKS = 3.0, 2.0, 4, 0.5, 5, 8
-GROUP = 10                  # proxies of a zone that share a table, where there are so many
+GROUP = 10  # proxies of a zone that share a table, where there are so many
 RESIZE_EVERY, RESIZE_BY = 10 * SECOND, 0.08
-HOT, COOL = 1.15, 0.95      # planned load by other shards, over the fleet's mean, that keeps a server out
-RAMP_FROM, RAMP_STEPS = 0.25, 3      # a newcomer's first weight; doublings spread over the cold time
-TIP_MARGIN = 0.4            # guard: part of what would tip a cold server that is planned for
+HOT, COOL = (
+    1.15,
+    0.95,
+)  # planned load by other shards, over the fleet's mean, that keeps a server out
+RAMP_FROM, RAMP_STEPS = 0.25, 3  # a newcomer's first weight; doublings spread over the cold time
+TIP_MARGIN = 0.4  # guard: part of what would tip a cold server that is planned for
 SLOW, FAILING, DEAD, ENOUGH, LOST = 2.2, 0.25, 0.85, 8, 0.125
-OUT_SLOW, OUT_FAILED = 0.2, 0.5      # share of listed weight that may be out for either cause
-SPELL, SPELL_MOST, FORGET, DOUBT = 8 * SECOND, 40 * SECOND, 20 * SECOND, SECOND   # FORGET: who has left
+OUT_SLOW, OUT_FAILED = 0.2, 0.5  # share of listed weight that may be out for either cause
+SPELL, SPELL_MOST, FORGET, DOUBT = (
+    8 * SECOND,
+    40 * SECOND,
+    20 * SECOND,
+    SECOND,
+)  # FORGET: who has left
 BUSY, CALM, ABLE_PART, FULL = 0.5, 0.4, 0.9, 1.2
-LINES_TURN, QUEUE_PART = 0.25, 0.45  # seconds of the channel an ordinary push may take; part of its limit
+LINES_TURN, QUEUE_PART = (
+    0.25,
+    0.45,
+)  # seconds of the channel an ordinary push may take; part of its limit
 
 
 class Valve:
@@ -43,21 +55,33 @@
         self.seen.append(busy)
         self.calmest = min(self.calmest, max(self.seen))
         # Failures tell of a jam only beside slower answers: who leaves early, or fails quickly, leaves those.
-        strain = busy + 4 * min(failing, 0.1) * min(1.0, max(0.0, busy / min(calmest, self.calmest) - 1))
+        strain = busy + 4 * min(failing, 0.1) * min(
+            1.0, max(0.0, busy / min(calmest, self.calmest) - 1)
+        )
         if self.open == 1 and (strain < CALM or not self.asked):
-            self.asked = tried          # later, repeats would count as demand
+            self.asked = tried  # later, repeats would count as demand
         # One period ahead: what is ordered now takes effect only then.
         strain += min(0.15, max(0.0, busy - self.seen[0]))
         slower = busy > 1.25 * self.calmest or failing > 0.02 or busy > 0.6
         if strain > BUSY and slower and may_cut and (settled or failing > self.failed + 0.15):
             # A little below it, to let queues drain; by all that fails, levels stayed shut long after a jam.
-            self.target, self.failed, self.cut = (ABLE_PART - min(0.15, failing)) * able, failing, True
+            self.target, self.failed, self.cut = (
+                (ABLE_PART - min(0.15, failing)) * able,
+                failing,
+                True,
+            )
             part = max(self.open * self.target / tried, 0.6 * self.target / self.asked)
             self.open = max(0.1, min(self.open, part))
         elif self.open < 1 and busy < CALM and (now >= self.turned_at + echo // 2 or self.cut):
             # A step, no further than was asked for: amid a release few accept, twice the flow is too much.
-            self.target, self.failed, self.cut = max(self.target * 1.06, ABLE_PART * able), 0.0, False
-            part = min(self.open * self.target / tried, max(self.open * 1.15, self.target / self.asked))
+            self.target, self.failed, self.cut = (
+                max(self.target * 1.06, ABLE_PART * able),
+                0.0,
+                False,
+            )
+            part = min(
+                self.open * self.target / tried, max(self.open * 1.15, self.target / self.asked)
+            )
             self.open = min(1.0, 1.5 * self.open, max(self.open * 1.06, part))
         self.turned_at = now if self.open != before else self.turned_at
         return self.open != before
@@ -75,7 +99,9 @@
         for place in [] if charter["slices"] else self.order:
             own, name = self.classes[place]["own_zone"], self.classes[place]["name"]
             for zone, part in product(range(zones) if own or apart else [None], range(self.parts)):
-                number = (part * len(self.order) + place) * (zones + 1) + (0 if zone is None else 1 + zone)
+                number = (part * len(self.order) + place) * (zones + 1) + (
+                    0 if zone is None else 1 + zone
+                )
                 name_here = f"{name} {zone} {part}" if apart else name
                 self.tables.append(Table(number, place, zone, own, name_here))
                 for near in range(zones) if zone is None else [zone]:
@@ -110,7 +136,9 @@
             if server.state not in (READY, DRAINING):
                 self._gone(server.index)
                 continue
-            self.fleet[server.index] = server if 0 < server.weight < 1e9 else server._replace(weight=1.0)
+            self.fleet[server.index] = (
+                server if 0 < server.weight < 1e9 else server._replace(weight=1.0)
+            )
             health = self.health.get(server.index)
             if health is None or health.started != server.started:
                 # A new process: what was held against the old one says nothing of it.
@@ -126,14 +154,21 @@
 
     def _gone(self, index):
         """Out at once, unless this deployment's list may be wrong in that: then it stays while it answers."""
-        if not self.charter["gone_binds"] and index in self.fleet and self.fleet[index].state == READY:
+        if (
+            not self.charter["gone_binds"]
+            and index in self.fleet
+            and self.fleet[index].state == READY
+        ):
             self.health[index].doubted, self.health[index].until = True, self.host.now()
         else:
             self.fleet.pop(index, None)
 
     def _ready(self, zone=None):
-        return {index: server for index, server in self.fleet.items()
-                if server.state == READY and zone in (None, server.zone)}
+        return {
+            index: server
+            for index, server in self.fleet.items()
+            if server.state == READY and zone in (None, server.zone)
+        }
 
     def proxy_joined(self, proxy, zone, rate, fresh):
         demand = self.proxies[proxy].demand if proxy in self.proxies else {}
@@ -141,7 +176,7 @@
         group, rate = Chance(proxy).below(self.parts), rate if 0 < rate < 1e9 else 1.0
         self.proxies[proxy] = Proxy((zone, group), rate, demand)
         if not self.joining:
-            self.host.wake(1, 2)        # with all that join at this moment: draws go by their demand
+            self.host.wake(1, 2)  # with all that join at this moment: draws go by their demand
         self.joining.append(proxy)
 
     def _bind(self):
@@ -150,7 +185,9 @@
         waiting = {proxy for proxy in self.joining if self.proxies[proxy].joined}
         for proxy in sorted(waiting, key=lambda p: (-self.proxies[p].rate, p)):
             tables, queue = self.proxies.tables_of(proxy), self.channel.queue(now)
-            lines = sum(2 + len(table.lines) + len(self.withdrawn & table.lines.keys()) for table in tables)
+            lines = sum(
+                2 + len(table.lines) + len(self.withdrawn & table.lines.keys()) for table in tables
+            )
             if rest or queue and queue + self.channel.cost({proxy}, lines) > limit:
                 rest.append(proxy)
                 continue
@@ -170,7 +207,9 @@
         self.heard_at = self.host.now()
         if tries and span:
             self.spans.append(span)
-            self.health[server].reports[zone].append((self.heard_at, tries, min(failed, tries), took, span))
+            self.health[server].reports[zone].append(
+                (self.heard_at, tries, min(failed, tries), took, span)
+            )
 
     def demand(self, proxy, place, exchanges, failed, span):
         if proxy in self.proxies and span:
@@ -181,7 +220,10 @@
 
     def probed(self, server, outcome, took, load):
         health = self.health[server]
-        health.probing, health.until = False, self.host.now() + (DOUBT if health.doubted else SPELL // 2)
+        health.probing, health.until = (
+            False,
+            self.host.now() + (DOUBT if health.doubted else SPELL // 2),
+        )
         if health.doubted and outcome not in ("ok", "full"):
             self.fleet.pop(server, None)
             self._act()
@@ -199,14 +241,21 @@
             self.host.wake(TURN, 0)
         for server in sorted(self.withdrawn - self.fleet.keys() if not self.joining else ()):
             # No table has it, and no late report can name it any more: who runs for long keeps nothing of it.
-            if now - self.health[server].until > FORGET and not any(server in t.lines for t in self.tables):
+            if now - self.health[server].until > FORGET and not any(
+                server in t.lines for t in self.tables
+            ):
                 self.withdrawn.remove(server)
                 del self.health[server]
                 self.host.forget(server)
-        if self.tables and self.heard_at > self.reviewed_at <= now - self.charter["report_period"] // 2:
+        if (
+            self.tables
+            and self.heard_at > self.reviewed_at <= now - self.charter["report_period"] // 2
+        ):
             self._review()
         for index, health in self.health.items():
-            asked = index in self.fleet and now >= health.until and (health.barred or health.doubted)
+            asked = (
+                index in self.fleet and now >= health.until and (health.barred or health.doubted)
+            )
             if asked and self.charter["probes"]:
                 if not health.probing:
                     health.probing = True
@@ -222,7 +271,7 @@
         if self.charter["slices"]:
             return self._settle_slices()
         if not self.proxies:
-            return      # draws go by planned load: without any, busy servers would be met by chance
+            return  # draws go by planned load: without any, busy servers would be met by chance
         expected = self.proxies.expected(self.host.now())
         self._resize(expected)
         self._shards(expected)
@@ -247,9 +296,14 @@
 
     def _resize(self, rates):
         now, total = self.host.now(), sum(rates.values())
-        if self.valves[None].open == 1 and total:       # else repeats of refused ones would count as demand
-            self.natural = {place: sum(rates[table.number] for table in self.tables if table.place == place)
-                            / total for place in self.order}
+        if (
+            self.valves[None].open == 1 and total
+        ):  # else repeats of refused ones would count as demand
+            self.natural = {
+                place: sum(rates[table.number] for table in self.tables if table.place == place)
+                / total
+                for place in self.order
+            }
         moved = max(abs(self.natural[place] - self.shares.get(place, 0)) for place in self.order)
         if not self.shares or moved > RESIZE_BY and now - self.shared_at > RESIZE_EVERY:
             self.shares, self.shared_at = self.natural, now
@@ -258,8 +312,11 @@
 
     def _pool(self, table):
         ready, full = self._ready(table.zone if table.bound else None), self._full()
-        fit = {index: server for index, server in ready.items() if not self.health[index].out and (
-            full or table.place not in self.health[index].barred)}
+        fit = {
+            index: server
+            for index, server in ready.items()
+            if not self.health[index].out and (full or table.place not in self.health[index].barred)
+        }
         # With most barred, doubtful servers beat too few: those left would be next.
         return fit if 2 * weigh(fit.values()) >= weigh(ready.values()) else ready
 
@@ -272,8 +329,10 @@
 
     def _spared(self, table, pool, loads, mean):
         """Without servers that zone-bound shards alone load above the mean: who may go elsewhere does."""
-        most = {index: (HOT if index in table.members else COOL) * mean * server.weight
-                for index, server in pool.items()}
+        most = {
+            index: (HOT if index in table.members else COOL) * mean * server.weight
+            for index, server in pool.items()
+        }
         spared = {index: server for index, server in pool.items() if loads[index] <= most[index]}
         enough = len(spared) >= LEAST_SERVERS and 2 * weigh(spared.values()) >= weigh(pool.values())
         return spared if enough else pool
@@ -289,19 +348,28 @@
             need = min(need, target * share * (whole if table.zone is not None else need))
         if not (table.bound or table.zone is None):
             part = (mean * close - asked[table.zone, True]) / max(1e-9, asked[table.zone, False])
-            part = round(max(0.0, min(1.0, part)) * 8) / 8      # in steps, for demand is never steady
+            part = round(max(0.0, min(1.0, part)) * 8) / 8  # in steps, for demand is never steady
         return (near, close, need * part), (far, distant, need * (1 - part))
 
     def _fill(self, table, shard, sides, loads, chance, slack):
         """Adds servers drawn at random, the least loaded of a few, until each side holds what it should."""
         for side, all_of_it, need in sides:
-            weight, half = weigh(side[m] for m in shard if m in side), slack * all_of_it / max(1, len(side))
+            weight, half = (
+                weigh(side[m] for m in shard if m in side),
+                slack * all_of_it / max(1, len(side)),
+            )
             lacks = weight < need - half or len(shard) < LEAST_SERVERS
-            left = sorted((side[i] for i in side.keys() - set(shard)), key=lambda s: s.raw) if lacks else []
+            left = (
+                sorted((side[i] for i in side.keys() - set(shard)), key=lambda s: s.raw)
+                if lacks
+                else []
+            )
             while left and (weight < need - half or len(shard) < LEAST_SERVERS):
                 draw = chance or Chance(seed_from(table.name, [server.raw for server in left]))
                 some = (left[draw.below(len(left))] for _ in range(PICKS))
-                server = min(some, key=lambda server: (loads[server.index] / server.weight, server.raw))
+                server = min(
+                    some, key=lambda server: (loads[server.index] / server.weight, server.raw)
+                )
                 left.remove(server)
                 shard.append(server.index)
                 weight += server.weight
@@ -309,12 +377,19 @@
 
     def _draw(self, table, pool, sides, loads):
         """A shard drawn at random, capped in its overlap with others."""
-        best, chance = None, Chance(seed_from(table.name, sorted(server.raw for server in pool.values())))
+        best, chance = (
+            None,
+            Chance(seed_from(table.name, sorted(server.raw for server in pool.values()))),
+        )
         others = [set(other.members) for other in self.tables if other is not table]
         for _ in range(DRAWS):
             shard = self._fill(table, [], sides, loads, chance, 0.5)
-            overlap = max((len(other.intersection(shard)) for other in others), default=0) / len(shard)
-            best = min(best or (2.0,), (overlap, max(loads[i] / pool[i].weight for i in shard), shard))
+            overlap = max((len(other.intersection(shard)) for other in others), default=0) / len(
+                shard
+            )
+            best = min(
+                best or (2.0,), (overlap, max(loads[i] / pool[i].weight for i in shard), shard)
+            )
             if overlap <= OVERLAP_MOST:
                 break
         return best[2]
@@ -350,22 +425,37 @@
                 table.members, table.drawn = self._draw(table, pool, sides, loads), True
             table.members = [member for member in table.members if member in pool]
             self._fill(table, table.members, sides, loads, None, 0.5)
-            for side, all_of_it, need in sides if now - table.resized_at > RESIZE_EVERY // 4 else ():
+            for side, all_of_it, need in (
+                sides if now - table.resized_at > RESIZE_EVERY // 4 else ()
+            ):
                 members = [m for m in table.members if m in side]
-                hot = max(members, key=lambda m: (loads[m] / pool[m].weight, pool[m].raw), default=None)
+                hot = max(
+                    members, key=lambda m: (loads[m] / pool[m].weight, pool[m].raw), default=None
+                )
                 over = weigh(side[m] for m in members) - (all_of_it / len(side) / 2 if need else 0)
-                if len(table.members) > LEAST_SERVERS and members and (not need or loads[hot] > 1e-6) and (
-                        over - pool[hot].weight > need - 1e-9):
+                if (
+                    len(table.members) > LEAST_SERVERS
+                    and members
+                    and (not need or loads[hot] > 1e-6)
+                    and (over - pool[hot].weight > need - 1e-9)
+                ):
                     table.members.remove(hot)
                     table.resized_at = now
             self._plan(table, rates, loads)
         covered = set().union(*(table.members for table in self.tables))
-        for server in sorted((s for i, s in self._ready().items() if i not in covered), key=lambda s: s.raw):
+        for server in sorted(
+            (s for i, s in self._ready().items() if i not in covered), key=lambda s: s.raw
+        ):
             open_to = [t for t in self.tables if server.index in pools[t.place, t.bound and t.zone]]
             if open_to:
-                max(open_to, key=lambda table: (
-                    table.zone in (None, server.zone), self._rate(table, rates) / max(1e-9, weigh(
-                        self.fleet[m] for m in table.members)))).members.append(server.index)
+                max(
+                    open_to,
+                    key=lambda table: (
+                        table.zone in (None, server.zone),
+                        self._rate(table, rates)
+                        / max(1e-9, weigh(self.fleet[m] for m in table.members)),
+                    ),
+                ).members.append(server.index)
 
     def resumed(self, held):
         """{table: [server]} as published before a start or takeover: gone on with, so that nothing moves."""
@@ -377,26 +467,44 @@
     def _ramp(self, server):
         now, born = self.host.now(), max(server.started, self.health[server.index].trial)
         doublings = (now - born) // (self.charter["cold_time"] // RAMP_STEPS)
-        return min(1.0, RAMP_FROM * 2 ** doublings) if born and now >= born else 1.0
+        return min(1.0, RAMP_FROM * 2**doublings) if born and now >= born else 1.0
 
     def _weigh(self, rates):
-        now, cold_time, share = self.host.now(), self.charter["cold_time"], self.charter["cold_share"]
+        now, cold_time, share = (
+            self.host.now(),
+            self.charter["cold_time"],
+            self.charter["cold_share"],
+        )
         # A warm server does at least what the fleet has lately completed for its weight; before anything is
         # heard, half of what proxies say: a planner may start over in a jam, where repeats swell that.
         shown, ready = sorted(self.valves[None].shown), self._ready()
-        pace = shown[-min(3, len(shown))] if shown else sum(
-            proxy.rate for proxy in self.proxies.values()) / max(1e-9, 2 * weigh(ready.values()))
+        pace = (
+            shown[-min(3, len(shown))]
+            if shown
+            else sum(proxy.rate for proxy in self.proxies.values())
+            / max(1e-9, 2 * weigh(ready.values()))
+        )
         pace *= self.charter["tip_multiple"] * TIP_MARGIN / self.charter["instances"]
         grown = (1 - share) / cold_time
-        budgets = {index: server.weight * pace * (share + grown * max(0, now - server.started))
-                   for index, server in ready.items() if server.started and now - server.started < cold_time}
+        budgets = {
+            index: server.weight * pace * (share + grown * max(0, now - server.started))
+            for index, server in ready.items()
+            if server.started and now - server.started < cold_time
+        }
         ramps = {index: server.weight * self._ramp(server) for index, server in ready.items()}
         for table in self.tables:
             # Beside few warm ones, or while less is let in, a cold server waits: were those lost or left, it
             # would be sent all they had before a report tells. Proxies step away where many tries are lost.
-            warm = [m for m in table.members if m not in budgets or now - ready[m].started > cold_time // 2]
-            few = warm and (len(warm) < LEAST_SERVERS or self.valves[None].open < 1 or (
-                self.charter["strikes"] and self.valves[None].lost > LOST))
+            warm = [
+                m
+                for m in table.members
+                if m not in budgets or now - ready[m].started > cold_time // 2
+            ]
+            few = warm and (
+                len(warm) < LEAST_SERVERS
+                or self.valves[None].open < 1
+                or (self.charter["strikes"] and self.valves[None].lost > LOST)
+            )
             table.want = {m: ramps[m] for m in (warm if few else table.members)}
         # Ramps are relative: so load on each cold server is bounded too, and levels keep out what is over.
         cold = [table for table in self.tables if table.want.keys() & budgets.keys()]
@@ -406,7 +514,9 @@
                 weight, rate = sum(table.want.values()), self._rate(table, rates)
                 for member, part in table.want.items():
                     loads[member] += rate * part / weight
-            over = {m: budget / loads[m] for m, budget in budgets.items() if loads[m] > budget * 1.02}
+            over = {
+                m: budget / loads[m] for m, budget in budgets.items() if loads[m] > budget * 1.02
+            }
             for table in cold if over and not last else ():
                 table.want = {m: w * over.get(m, 1.0) for m, w in table.want.items()}
         for table in self.tables:
@@ -425,7 +535,9 @@
         self.reviewed_at, since = self.host.now(), self.host.now() - self._cycle() * 5 // 4
         # Its kind: the same machine, heard of by proxies of one zone, for the same classes: work differs.
         recent, times, fails = {}, defaultdict(list), {}
-        serves = {i: frozenset(table.place for table in self.tables if i in table.lines) for i in ready}
+        serves = {
+            i: frozenset(table.place for table in self.tables if i in table.lines) for i in ready
+        }
         for index, server in ready.items():
             recent[index] = self.health[index].since(since)
             for zone, (at, tries, failed, took, span) in recent[index]:
@@ -447,8 +559,11 @@
             good = sum(report[1] - report[2] for _, report in reports)
             ratio = own = 0.0
             for zone, (_, tries, failed, took, _) in reports:
-                others = [sample[1:3] for sample in times[zone, ready[index].kind, serves[index]]
-                          if sample[0] != index]
+                others = [
+                    sample[1:3]
+                    for sample in times[zone, ready[index].kind, serves[index]]
+                    if sample[0] != index
+                ]
                 if tries > failed and took and len(others) >= 2:
                     ratio += (tries - failed) / good * took / quantile(0.5, others)
                     own += (tries - failed) / good * took
@@ -471,9 +586,16 @@
         if cause == "slow":
             # It still works: it leaves one shard, for a server not in it, and none while all are busy.
             most = 0 if busy or len(left) < 2 else 1
-            left = [place for place in left if any(
-                index in table.members and table.near(self._pool(table)).keys() - set(table.members)
-                for table in self.tables if table.place == place)][:most]
+            left = [
+                place
+                for place in left
+                if any(
+                    index in table.members
+                    and table.near(self._pool(table)).keys() - set(table.members)
+                    for table in self.tables
+                    if table.place == place
+                )
+            ][:most]
         if health.strikes < (1 if cause == "failing" or health.trial else 2) or not left:
             return
         longer = min(SPELL_MOST, health.spell * 2) if health.trial else SPELL
@@ -481,8 +603,10 @@
         self._bar(index, left, ready, cause)
 
     def _bar(self, index, places, ready, cause):
-        health, out = self.health[index], weigh(
-            server for i, server in ready.items() if self.health[i].barred or i == index)
+        health, out = (
+            self.health[index],
+            weigh(server for i, server in ready.items() if self.health[i].barred or i == index),
+        )
         if out > weigh(ready.values()) * (OUT_SLOW if cause == "slow" else OUT_FAILED):
             return
         health.barred, health.trial, health.strikes = health.barred | frozenset(places), 0, 0
@@ -490,12 +614,19 @@
         self.host.log(f"server {index} leaves classes {places}: {cause}")
 
     def _try_again(self, health):
-        health.barred, health.out, health.strikes, health.trial = frozenset(), False, 0, self.host.now()
+        health.barred, health.out, health.strikes, health.trial = (
+            frozenset(),
+            False,
+            0,
+            self.host.now(),
+        )
         health.judge_from = health.trial + self._echo()
 
     def _turn_valve(self, zone, valve, ready, everything, fails, agreed, fleet_busy):
         now, period = self.host.now(), self.charter["report_period"]
-        tried, done = (sum(flow) for flow in zip((0, 0), *(self.health[i].flow(now, period) for i in ready)))
+        tried, done = (
+            sum(flow) for flow in zip((0, 0), *(self.health[i].flow(now, period) for i in ready))
+        )
         weight = sum(server.weight * self._ramp(server) for server in ready.values())
         took = [sample[1:3] for sample in everything if sample[0] in ready]
         # Reports begun before the last turn arrived tell of what was before: cut by them, levels fell twice.
@@ -509,8 +640,11 @@
         # Two of five slow answers tell a flood from a few bad servers. No answer at all is the deepest jam.
         busy = quantile(0.6, told) / agreed if took else 2.0
         # In a jam the fleet's valve decides, unless a zone is far worse by the word of half its servers.
-        may_cut = (told is since or valve.open == 1) and (zone is None or 2 * len(failing) >= len(ready) and (
-            self.valves[None].open == 1 or fleet_busy < BUSY and busy > 1.5 * fleet_busy))
+        may_cut = (told is since or valve.open == 1) and (
+            zone is None
+            or 2 * len(failing) >= len(ready)
+            and (self.valves[None].open == 1 or fleet_busy < BUSY and busy > 1.5 * fleet_busy)
+        )
         calm = min(other.calmest for other in self.valves.values())
         if valve.turn(now, self._echo(), calm, busy, median(failing), tried, done, weight, may_cut):
             refuse = 1 - self.valves[None].open
@@ -523,18 +657,36 @@
 
     def _push(self):
         """Writes what has changed: what the rules need first, then the largest, as the channel allows."""
-        now, most, span = self.host.now(), self.charter["messages_most"], self.charter["messages_span"]
+        now, most, span = (
+            self.host.now(),
+            self.charter["messages_most"],
+            self.charter["messages_span"],
+        )
         ready, changes = self._ready(), []
         drained = pressing = self._withdraw(ready)
         for table in self.tables:
             for server in table.lines.keys() | table.want.keys():
                 old, new = table.lines.get(server, 0.0), round(table.want.get(server, 0.0), 4)
                 if abs(new - old) > 0.1 * max(new, old):
-                    cold = server in ready and now - ready[server].started < self.charter["cold_time"]
-                    changes.append((server in ready and not (cold and new < old), -abs(new - old),
-                                    table.number, server, new, table))
+                    cold = (
+                        server in ready and now - ready[server].started < self.charter["cold_time"]
+                    )
+                    changes.append(
+                        (
+                            server in ready and not (cold and new < old),
+                            -abs(new - old),
+                            table.number,
+                            server,
+                            new,
+                            table,
+                        )
+                    )
             level = min(table.guard, self._level(table))
-            if table.level is None or abs(level - table.level) > 0.03 or (level == 1.0 != table.level):
+            if (
+                table.level is None
+                or abs(level - table.level) > 0.03
+                or (level == 1.0 != table.level)
+            ):
                 changes.append((level >= (table.level or 0), -9e9, table.number, -1, level, table))
         pressing = pressing or any(not change[0] for change in changes)
         # Cold lines and levels move with each join: written at once they spent what a drain needed then.
@@ -546,7 +698,9 @@
             turn = self.charter["lines_per_s"] * self.channel.pace * LINES_TURN
             room = min(limit, turn) if ordinary else limit
             queue = self.channel.queue(now) + self.channel.cost(table.users, 1)
-            if table.users and (queue > room or not self._may_write(table.users, 5 if ordinary else 3)):
+            if table.users and (
+                queue > room or not self._may_write(table.users, 5 if ordinary else 3)
+            ):
                 continue
             self.channel.charge(self.proxies, table.users, 1, now)
             if server < 0:
@@ -562,11 +716,14 @@
 
     def _withdraw(self, ready):
         joined, now, before = self.proxies.joined(), self.host.now(), set(self.withdrawn)
-        stale = (self.health.keys() - ready.keys() - self.withdrawn) | (self.withdrawn & ready.keys())
+        stale = (self.health.keys() - ready.keys() - self.withdrawn) | (
+            self.withdrawn & ready.keys()
+        )
         for server in sorted(stale):
             # Those that hold it, or may, are written to; who can't be holds back no other tables' drains.
             holders = joined.intersection(self.joining).union(
-                *(t.users for t in self.tables if server in t.lines))
+                *(t.users for t in self.tables if server in t.lines)
+            )
             if not self._may_write(holders, 1):
                 continue
             self.host.withdraw(server, server not in ready)
@@ -578,8 +735,11 @@
     def _may_write(self, proxies, spare):
         """Whether so many messages more, beside this one, would stay under what each may be written."""
         most, now = self.charter["messages_most"], self.host.now()
-        return not most or all(self.channel.written(self.proxies[proxy], now) + spare < most
-                               for proxy in proxies if proxy not in self.channel.reached)
+        return not most or all(
+            self.channel.written(self.proxies[proxy], now) + spare < most
+            for proxy in proxies
+            if proxy not in self.channel.reached
+        )
 
     def _stated(self, table, level):
         if self.charter["levels"] != "rate":
@@ -599,7 +759,7 @@
             self.slices[table].add(server)
 
     def slice_demand(self, table, place, exchanges, failed, span):
-        pass        # slices are kept where they are; their demand decides nothing yet
+        pass  # slices are kept where they are; their demand decides nothing yet
 
     def _settle_slices(self):
         now, ready = self.host.now(), self._ready()
@@ -609,8 +769,14 @@
         rest = 2 * self.charter["way_longest"] + self.charter["settle_time"] if single else 0
         ranked = sorted(ready.values(), key=lambda server: server.raw)
         for table, held in sorted(self.slices.items()):
-            free = not held & ready.keys() and all(now >= self.health[old].until + rest for old in held)
-            if free and ranked and self.channel.queue(now) < self.charter["waiting_most"] * QUEUE_PART:
+            free = not held & ready.keys() and all(
+                now >= self.health[old].until + rest for old in held
+            )
+            if (
+                free
+                and ranked
+                and self.channel.queue(now) < self.charter["waiting_most"] * QUEUE_PART
+            ):
                 chance = Chance(seed_from(str(table), [server.raw for server in ranked]))
                 self.slices[table] = {ranked[chance.below(len(ranked))].index}
                 for server in ([] if single else sorted(held)) + list(self.slices[table]):
--- a/indigodeck/cli.py
+++ b/indigodeck/cli.py
@@ -1,5 +1,6 @@
 """The command `indigodeck`. Exit codes: 0 done; 1 something was found wrong (a rule broken, a document with faults);
 2 called wrongly, or a document that can't be read; 3 nothing could be reached."""
+
 import asyncio
 import json
 import os
@@ -20,11 +21,19 @@
 
 def log_as(form):
     """JSON lines on standard output for programs, coloured lines on standard error for people."""
-    shape = structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer(
-        colors=sys.stderr.isatty())
+    shape = (
+        structlog.processors.JSONRenderer()
+        if form == "json"
+        else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
+    )
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"), shape],
-        logger_factory=structlog.PrintLoggerFactory(sys.stdout if form == "json" else sys.stderr))
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            shape,
+        ],
+        logger_factory=structlog.PrintLoggerFactory(sys.stdout if form == "json" else sys.stderr),
+    )
 
 
 def fail(text, code=WRONG):
@@ -39,18 +48,28 @@
 
 
 @main.command()
-@click.option("--charter", "path", required=True, type=click.Path(dir_okay=False), help="What the planner is told at start (JSON).")
-@click.option("--log", "form", default="json", type=click.Choice(["json", "people"]), show_default=True)
+@click.option(
+    "--charter",
+    "path",
+    required=True,
+    type=click.Path(dir_okay=False),
+    help="What the planner is told at start (JSON).",
+)
+@click.option(
+    "--log", "form", default="json", type=click.Choice(["json", "people"]), show_default=True
+)
 @click.option("--policy", default="indigodeck", hidden=True)
 def serve(path, form, policy):
     """Run a planner until it is told to end."""
     from .choice import Assigner
     from .planner.charter import read
     from .serve import serve as run
+
     log_as(form)
     make = Assigner
     if policy != "indigodeck":
         from .standins.baselines import BASELINES
+
         make = BASELINES[policy]
     try:
         charter = read(path)
@@ -65,18 +84,33 @@
 def edge():
     """Run a planner on the platform, told by EDGE_CONFIG (docs/edge.md)."""
     from .edge.service import main as run
+
     sys.exit(run())
 
 
 @main.command()
 @click.argument("path", type=click.Path(dir_okay=False))
-@click.option("--against", multiple=True, type=click.Choice(["equal", "frozen"]), help="Play a baseline beside it.")
-@click.option("--keep", type=click.Path(file_okay=False), help="Keep receipts, outcomes and logs in this folder.")
+@click.option(
+    "--against",
+    multiple=True,
+    type=click.Choice(["equal", "frozen"]),
+    help="Play a baseline beside it.",
+)
+@click.option(
+    "--keep",
+    type=click.Path(file_okay=False),
+    help="Keep receipts, outcomes and logs in this folder.",
+)
 @click.option("--format", "shape", default="people", type=click.Choice(["people", "json"]))
-@click.option("--bench-troubles", type=click.Path(dir_okay=False), help="Troubles as found in a bench day, in place of the script's own.")
+@click.option(
+    "--bench-troubles",
+    type=click.Path(dir_okay=False),
+    help="Troubles as found in a bench day, in place of the script's own.",
+)
 def day(path, against, keep, shape, bench_troubles):
     """Play a scripted day on loopback and judge it by its sockets."""
     from .standins import day as days
+
     script = document(path)
     if bench_troubles:
         script["troubles"], left = days.from_bench(document(bench_troubles))
@@ -86,9 +120,19 @@
     if against_it:
         fail("\n".join(f"{path}: {line}" for line in against_it))
     began = time.monotonic()
-    results = asyncio.run(days.run(script, ("indigodeck", *against), keep, lambda text: click.echo(
-        f"{time.monotonic() - began:6.1f} s  {text}", err=True)))
-    click.echo(json.dumps(results) if shape == "json" else "\n".join(days.printed(result) for result in results))
+    results = asyncio.run(
+        days.run(
+            script,
+            ("indigodeck", *against),
+            keep,
+            lambda text: click.echo(f"{time.monotonic() - began:6.1f} s  {text}", err=True),
+        )
+    )
+    click.echo(
+        json.dumps(results)
+        if shape == "json"
+        else "\n".join(days.printed(result) for result in results)
+    )
     if not all(rule["kept"] for rule in results[0]["rules"]):
         sys.exit(FOUND)
 
@@ -106,6 +150,7 @@
     """Check charters, scripts and rosters against their schemas."""
     from .planner import charter, roster
     from .standins import day as days
+
     found = False
     for path in paths:
         given = document(path)
@@ -116,7 +161,11 @@
         else:
             kind, against = "charter", _against(lambda: charter.read(path))
         found = found or bool(against)
-        click.echo("\n".join(f"{path}: {line}" for line in against) if against else f"{path}: a {kind}, nothing wrong")
+        click.echo(
+            "\n".join(f"{path}: {line}" for line in against)
+            if against
+            else f"{path}: a {kind}, nothing wrong"
+        )
     sys.exit(FOUND if found else 0)
 
 
@@ -130,7 +179,13 @@
 
 @main.command()
 @click.argument("planner")
-@click.option("--class", "names", multiple=True, required=True, help="A class of exchanges; may be given again.")
+@click.option(
+    "--class",
+    "names",
+    multiple=True,
+    required=True,
+    help="A class of exchanges; may be given again.",
+)
 @click.option("--uid", default="indigodeck-weights", show_default=True, help="The relay to ask as.")
 @click.option("--wait", default=3.0, show_default=True, help="Seconds to wait for tables.")
 @click.option("--format", "shape", default="people", type=click.Choice(["people", "json"]))
@@ -138,6 +193,7 @@
     """Ask a running planner (ADDRESS:PORT) for the tables of classes, over SASP."""
     from .client import Tables, Unreachable
     from .client.sasp import SaspClient
+
     address, _, port = planner.rpartition(":")
     if not port.isdigit():
         fail(f"{planner}: not ADDRESS:PORT")
@@ -145,7 +201,9 @@
 
     async def ask():
         tables = Tables(names, now)
-        client = SaspClient(uid, [(address.strip("[]") or "127.0.0.1", int(port))], tables, failed=losses.append)
+        client = SaspClient(
+            uid, [(address.strip("[]") or "127.0.0.1", int(port))], tables, failed=losses.append
+        )
         task = asyncio.get_running_loop().create_task(client.run())
         until = time.monotonic() + wait
         while time.monotonic() < until and not all(tables.lines.values()) and not losses:
@@ -158,8 +216,14 @@
     if losses:
         fail(f"{planner}: {losses[0]}", UNREACHED if isinstance(losses[0], Unreachable) else FOUND)
     if shape == "json":
-        click.echo(json.dumps({name: {f"{a}:{p}": round(part, 6) for (a, p), part in sorted(lines.items())}
-                               for name, lines in shares.items()}))
+        click.echo(
+            json.dumps(
+                {
+                    name: {f"{a}:{p}": round(part, 6) for (a, p), part in sorted(lines.items())}
+                    for name, lines in shares.items()
+                }
+            )
+        )
     else:
         for name in names:
             click.echo(name if name in shares else f"{name}: no table")
@@ -175,16 +239,24 @@
     from .planner.charter import read
     from .serve import key_of
     from .takeover.peers import place_of
+
     try:
         charter = read(path)
         if not charter.takeover:
             fail(f"{path}: controllers share nothing here: no section takeover")
-        places, key = {name: place_of(place) for name, place in charter.takeover["members"].items()}, key_of(charter, charter.takeover["key_file"])
+        places, key = (
+            {name: place_of(place) for name, place in charter.takeover["members"].items()},
+            key_of(charter, charter.takeover["key_file"]),
+        )
     except (BadDocument, OSError) as error:
         fail(str(error))
     said = asyncio.run(_ask_all(places, key, "fleet"))
-    since = {name: place_of(member["place"]) for told in said.values() for name, member in told.get("members", {}).items()
-             if isinstance(member, dict) and name not in places}
+    since = {
+        name: place_of(member["place"])
+        for told in said.values()
+        for name, member in told.get("members", {}).items()
+        if isinstance(member, dict) and name not in places
+    }
     return {**places, **since}, key, {**said, **asyncio.run(_ask_all(since, key, "fleet"))}
 
 
@@ -228,8 +300,14 @@
     if all("unreached" in told for told in said.values()):
         sys.exit(UNREACHED)
     # A relay may be on its way from one to another while they are asked, one after the other.
-    twice = {relay for name in followed for relay, *_ in followed[name]
-             if any(relay in {other for other, *_ in followed[rest]} for rest in followed if rest != name)}
+    twice = {
+        relay
+        for name in followed
+        for relay, *_ in followed[name]
+        if any(
+            relay in {other for other, *_ in followed[rest]} for rest in followed if rest != name
+        )
+    }
     if twice:
         fail(f"named by two controllers, ask again: {', '.join(sorted(twice))}", FOUND)
 
@@ -240,7 +318,9 @@
     for name, place in places.items():
         held, more = [], True
         while more:
-            answer = (await _ask_all({name: place}, key, "followers", after=held[-1][0] if held else ""))[name]
+            answer = (
+                await _ask_all({name: place}, key, "followers", after=held[-1][0] if held else "")
+            )[name]
             held, more = held + answer.get("relays", []), answer.get("more", False)
         found[name] = held
     return found
@@ -250,24 +330,45 @@
     if "unreached" in told:
         yield f"{name:10} unreached: {told['unreached']}"
         return
-    number, lost = told.get("number", 0), [
-        f"{other} {member['state']}" for other, member in told["members"].items()
-        if isinstance(member, dict) and member["state"] != "alive"]
-    yield (f"{name:10} members by number {number}: {', '.join(sorted(told['members']))}"
-           f"{'; ' + ', '.join(lost) if lost else ''}{'' if told['settled'] else '; grants nothing yet'}"
-           f"{'; a change is under way' if told.get('under_way') else ''}")
+    number, lost = (
+        told.get("number", 0),
+        [
+            f"{other} {member['state']}"
+            for other, member in told["members"].items()
+            if isinstance(member, dict) and member["state"] != "alive"
+        ],
+    )
+    yield (
+        f"{name:10} members by number {number}: {', '.join(sorted(told['members']))}"
+        f"{'; ' + ', '.join(lost) if lost else ''}{'' if told['settled'] else '; grants nothing yet'}"
+        f"{'; a change is under way' if told.get('under_way') else ''}"
+    )
     for ward, state in told["wards"].items():
-        held = f"in charge under epoch {state['held']}, {state.get('followers', '?')} relays follow" if state["held"] else (
-            f"granted to {state['granted_to'] or 'nobody'} for {state['granted_for'] / 1e6:.1f} s more")
+        held = (
+            f"in charge under epoch {state['held']}, {state.get('followers', '?')} relays follow"
+            if state["held"]
+            else (
+                f"granted to {state['granted_to'] or 'nobody'} for {state['granted_for'] / 1e6:.1f} s more"
+            )
+        )
         yield f"{'':10} {ward:10} {held}"
 
 
 def _change(places, key, said, make):
     """Has whoever is in charge of the first ward change the members: `make({id: place})` gives the new ones."""
-    holder = next((name for name, told in said.items() if any(
-        state["held"] for state in list(told.get("wards", {}).values())[:1])), None)
+    holder = next(
+        (
+            name
+            for name, told in said.items()
+            if any(state["held"] for state in list(told.get("wards", {}).values())[:1])
+        ),
+        None,
+    )
     if holder is None:
-        fail("nobody that could be reached is in charge: start a majority, or see `fleet force`", UNREACHED)
+        fail(
+            "nobody that could be reached is in charge: start a majority, or see `fleet force`",
+            UNREACHED,
+        )
     if "number" not in said[holder]:
         fail(f"{holder} runs a program that knows no changes of members", FOUND)
     members = make({name: member["place"] for name, member in said[holder]["members"].items()})
@@ -277,12 +378,17 @@
         if {name: member["place"] for name, member in told.get("members", {}).items()} == members:
             click.echo(f"members by number {told['number']}: {', '.join(sorted(members))}")
             return
-        answer = asyncio.run(_ask_all({holder: places[holder]}, key, "change", members=members))[holder]
+        answer = asyncio.run(_ask_all({holder: places[holder]}, key, "change", members=members))[
+            holder
+        ]
         why_not = answer.get("why_not", answer.get("unreached"))
         if why_not not in (None, "another change is under way"):
             break
         time.sleep(0.2)
-    fail(f"not changed: {why_not or 'a majority did not agree in time; it may still come about'}", FOUND)
+    fail(
+        f"not changed: {why_not or 'a majority did not agree in time; it may still come about'}",
+        FOUND,
+    )
 
 
 @fleet.command()
@@ -301,18 +407,27 @@
 @click.pass_obj
 def remove(controllers, name):
     """Take one controller out, whether it runs or not."""
-    _change(*controllers, lambda members: {other: place for other, place in members.items() if other != name})
+    _change(
+        *controllers,
+        lambda members: {other: place for other, place in members.items() if other != name},
+    )
 
 
 @fleet.command()
 @click.argument("names", nargs=-1, required=True)
-@click.option("--others-are-gone", is_flag=True, help="Say that all others are ended and will not start again.")
+@click.option(
+    "--others-are-gone",
+    is_flag=True,
+    help="Say that all others are ended and will not start again.",
+)
 @click.pass_obj
 def force(controllers, names, others_are_gone):
     """Make NAMES the whole fleet without a majority, after the others are gone for good."""
     places, key, said = controllers
     if not others_are_gone:
-        fail("if any other still runs, two may be in charge at once: end them, then say --others-are-gone")
+        fail(
+            "if any other still runs, two may be in charge at once: end them, then say --others-are-gone"
+        )
     up = [name for name, told in said.items() if name in names and "members" in told]
     if not up:
         fail("none of them could be reached", UNREACHED)
@@ -321,7 +436,9 @@
     if set(names) - known.keys():
         fail(f"{', '.join(sorted(set(names) - known.keys()))}: not known to {asked}")
     members = {name: known[name] for name in names}
-    why_not = asyncio.run(_ask_all({asked: places[asked]}, key, "force", members=members))[asked].get("why_not", "unanswered")
+    why_not = asyncio.run(_ask_all({asked: places[asked]}, key, "force", members=members))[
+        asked
+    ].get("why_not", "unanswered")
     if why_not:
         fail(f"not forced: {why_not}", FOUND)
     click.echo(f"{asked} holds {', '.join(sorted(members))} to be the whole fleet")
@@ -331,15 +448,20 @@
     """({name: (address, port)}, key) of all that an operator's word on versions may be said to, by a charter."""
     from .planner.charter import read
     from .serve import key_of
+
     try:
         charter = read(path)
         if charter.takeover:
             places, key, _ = _controllers(path)
             return places, key
         if not charter.operators:
-            fail(f"{path}: neither a section operators nor takeover: this planner hears no operators")
+            fail(
+                f"{path}: neither a section operators nor takeover: this planner hears no operators"
+            )
         stated = charter.operators
-        return {charter.name: (stated.get("address", "127.0.0.1"), stated["port"])}, key_of(charter, stated["key_file"])
+        return {charter.name: (stated.get("address", "127.0.0.1"), stated["port"])}, key_of(
+            charter, stated["key_file"]
+        )
     except (BadDocument, OSError) as error:
         fail(str(error))
 
@@ -347,10 +469,20 @@
 def _wish(context, **wish):
     """The answer of whoever is in charge to a wish; ends with a code where there is none."""
     places, key = context
-    said = asyncio.run(_ask_all(places, key, "versions", wish={name: value for name, value in wish.items() if value is not None}))
+    said = asyncio.run(
+        _ask_all(
+            places,
+            key,
+            "versions",
+            wish={name: value for name, value in wish.items() if value is not None},
+        )
+    )
     heard = {name: told for name, told in said.items() if "unreached" not in told}
     if not heard:
-        fail("\n".join(f"{name}: unreached: {told['unreached']}" for name, told in said.items()), UNREACHED)
+        fail(
+            "\n".join(f"{name}: unreached: {told['unreached']}" for name, told in said.items()),
+            UNREACHED,
+        )
     done = [told for told in heard.values() if "why_not" not in told or "done" in told]
     if not done:
         fail("\n".join(f"{name}: {told['why_not']}" for name, told in heard.items()), FOUND)
@@ -364,7 +496,10 @@
     while answer.get("more"):
         page = _wish(context, **wish, **after(answer))
         held = answer[field]
-        answer = {**page, field: {**held, **page[field]} if isinstance(held, dict) else held + page[field]}
+        answer = {
+            **page,
+            field: {**held, **page[field]} if isinstance(held, dict) else held + page[field],
+        }
         if not page[field]:
             break
     return answer
@@ -398,10 +533,15 @@
         page = _wish(context, what="list", before=answer["versions"][-1]["number"])
         answer = {**answer, "versions": answer["versions"] + page["versions"], "more": page["more"]}
     answer["versions"] = answer["versions"][:most]
-    lines = [f"{one['number']:>10}  {_when(one['at'])}  {'pinned  ' if one['pinned'] else ''}{one['author'] + ': ' if one['author'] else ''}"
-             f"{one['cause']}" for one in answer["versions"]]
-    lines += [f"{name} held at {hold['number']} by {hold['author']} since {_when(hold['at'])}: {hold['reason']}"
-              for name, hold in sorted(answer["holds"].items())]
+    lines = [
+        f"{one['number']:>10}  {_when(one['at'])}  {'pinned  ' if one['pinned'] else ''}{one['author'] + ': ' if one['author'] else ''}"
+        f"{one['cause']}"
+        for one in answer["versions"]
+    ]
+    lines += [
+        f"{name} held at {hold['number']} by {hold['author']} since {_when(hold['at'])}: {hold['reason']}"
+        for name, hold in sorted(answer["holds"].items())
+    ]
     _say(shape, answer, lines + answer["overruled"])
 
 
@@ -411,13 +551,21 @@
 def show(obj, number):
     """A version's tables."""
     context, shape = obj
-    answer = _pages(context, "tables", lambda page: {"after": max(page["tables"])}, what="show", number=number)
+    answer = _pages(
+        context, "tables", lambda page: {"after": max(page["tables"])}, what="show", number=number
+    )
     one = answer["version"]
-    lines = [f"{one['number']} after {one['parent']}, {_when(one['at'])}, content {one['content']}", f"  {one['author'] or 'planner'}: {one['cause']}"]
+    lines = [
+        f"{one['number']} after {one['parent']}, {_when(one['at'])}, content {one['content']}",
+        f"  {one['author'] or 'planner'}: {one['cause']}",
+    ]
     for table, sheet in sorted(answer["tables"].items(), key=lambda held: int(held[0])):
         total = sum(sheet["lines"].values())
         lines.append(f"table {table}, {sheet['class']}, level {sheet['level'][0]:g}")
-        lines += [f"  {host:24} {weight:8.4f} {weight / total:7.2%}" for host, weight in sheet["lines"].items()]
+        lines += [
+            f"  {host:24} {weight:8.4f} {weight / total:7.2%}"
+            for host, weight in sheet["lines"].items()
+        ]
     _say(shape, answer, lines)
 
 
@@ -428,11 +576,24 @@
 def diff(obj, old, new):
     """What changed from one version to another."""
     context, shape = obj
-    answer = _pages(context, "tables", lambda page: {"after": max(page["tables"])}, what="diff", old=old, new=new)
+    answer = _pages(
+        context,
+        "tables",
+        lambda page: {"after": max(page["tables"])},
+        what="diff",
+        old=old,
+        new=new,
+    )
     lines = []
     for table, change in sorted(answer["tables"].items(), key=lambda held: int(held[0])):
-        lines.append(f"table {table}, {change['class']}" + (f", level {change['level']}" if change["level"][0] != change["level"][1] else ""))
-        lines += [f"  {host:24} {was if was is not None else '-'} -> {now if now is not None else '-'}" for host, (was, now) in change["lines"].items()]
+        lines.append(
+            f"table {table}, {change['class']}"
+            + (f", level {change['level']}" if change["level"][0] != change["level"][1] else "")
+        )
+        lines += [
+            f"  {host:24} {was if was is not None else '-'} -> {now if now is not None else '-'}"
+            for host, (was, now) in change["lines"].items()
+        ]
     _say(shape, answer, lines or ["nothing differs"])
 
 
@@ -442,8 +603,14 @@
     """Which version each relay holds, and whether that is the newest as far as its tables go."""
     context, shape = obj
     answer = _pages(context, "relays", lambda page: {"after": page["relays"][-1][0]}, what="relays")
-    _say(shape, answer, [f"{relay:32} {held:>10}{'' if newest else '  behind'}{'' if sure else '  (its machine has it)'}"
-                         for relay, held, newest, sure in answer["relays"]])
+    _say(
+        shape,
+        answer,
+        [
+            f"{relay:32} {held:>10}{'' if newest else '  behind'}{'' if sure else '  (its machine has it)'}"
+            for relay, held, newest, sure in answer["relays"]
+        ],
+    )
     if not all(newest for _, _, newest, _ in answer["relays"]):
         sys.exit(FOUND)
 
@@ -457,9 +624,19 @@
     said = asyncio.run(_ask_all(places, key, "versions", wish={"what": "trust"}))
     for name, told in said.items() if shape == "people" else ():
         held = told.get("trust")
-        click.echo(f"{name:10} " + (f"unreached: {told['unreached']}" if "unreached" in told else f"goes by list {told['list']}" if held is None else (
-            f"goes by list {told['list']}, kept {held['age_s']} s ago: of {held['named']} hosts {held['answer']} answer, {held['do_not']} do not; "
-            f"trust {held['trust']}")))
+        click.echo(
+            f"{name:10} "
+            + (
+                f"unreached: {told['unreached']}"
+                if "unreached" in told
+                else f"goes by list {told['list']}"
+                if held is None
+                else (
+                    f"goes by list {told['list']}, kept {held['age_s']} s ago: of {held['named']} hosts {held['answer']} answer, {held['do_not']} do not; "
+                    f"trust {held['trust']}"
+                )
+            )
+        )
     if shape == "json":
         click.echo(json.dumps(said))
     if all("unreached" in told for told in said.values()):
@@ -474,8 +651,12 @@
         fail(answer["why_not"], FOUND)
 
 
-CLASSES = click.option("--class", "classes", multiple=True, help="Only this class; may be given again.")
-AUTHOR = click.option("--author", envvar="USER", default="operator", show_default="$USER", help="Who says so.")
+CLASSES = click.option(
+    "--class", "classes", multiple=True, help="Only this class; may be given again."
+)
+AUTHOR = click.option(
+    "--author", envvar="USER", default="operator", show_default="$USER", help="Who says so."
+)
 REASON = click.option("--reason", required=True, help="Why: stands in the version's cause.")
 
 
@@ -487,7 +668,14 @@
 @click.pass_obj
 def rollback(obj, number, classes, author, reason):
     """Go back to a version and hold it until released. Rules come first: see docs/versions.md."""
-    _done(obj, what="rollback", number=number, classes=list(classes) or None, author=author, reason=reason)
+    _done(
+        obj,
+        what="rollback",
+        number=number,
+        classes=list(classes) or None,
+        author=author,
+        reason=reason,
+    )
 
 
 @versions.command()
@@ -517,7 +705,11 @@
     places, key, _ = _controllers(path)
     said = asyncio.run(_ask_all(places, key, "hand over", ward=ward))
     giver = [name for name, told in said.items() if told.get("handed_over")]
-    click.echo(f"{giver[0]} handed over {ward}" if giver else f"nobody that could be reached is in charge of {ward}")
+    click.echo(
+        f"{giver[0]} handed over {ward}"
+        if giver
+        else f"nobody that could be reached is in charge of {ward}"
+    )
     if not giver:
         sys.exit(UNREACHED if all("unreached" in told for told in said.values()) else FOUND)
 
@@ -534,17 +726,20 @@
     while line := await reader.readline():
         try:
             answer = await command(json.loads(line))
-        except Exception as error:      # said to who commands; the others go on
+        except Exception as error:  # said to who commands; the others go on
             answer = {"error": f"{type(error).__name__}: {error}"}
         click.echo(json.dumps(answer))
 
 
 @standin.command()
 @click.option("--receipts", required=True, type=click.Path(dir_okay=False))
-@click.option("--work", default="{}", help="Core time of an exchange by class, in microseconds (JSON).")
+@click.option(
+    "--work", default="{}", help="Core time of an exchange by class, in microseconds (JSON)."
+)
 def host(receipts, work):
     """Hosts over HTTP: {"do": "start", "host": "h1", "cores": 4, "slots": 8, "room": 64}."""
     from .standins.host import Yard
+
     with open(receipts, "w", buffering=1) as file:
         asyncio.run(_obey(Yard(now, file, json.loads(work)).command))
 
@@ -554,6 +749,7 @@
 def relay(outcomes):
     """Relays with their clients: {"do": "start", "until": .., "relay": {..}}."""
     from .standins.relay import Depot
+
     with open(outcomes, "w", buffering=1) as file:
         asyncio.run(_obey(Depot(now, file).command))
 
@@ -565,11 +761,30 @@
 @click.option("--class", "names", multiple=True, required=True)
 @click.option("--rate", default=50.0, show_default=True)
 @click.option("--seconds", default=10.0, show_default=True)
-@click.option("--concurrency", default=256, show_default=True, type=click.IntRange(1), help="Exchanges under way, at most.")
+@click.option(
+    "--concurrency",
+    default=256,
+    show_default=True,
+    type=click.IntRange(1),
+    help="Exchanges under way, at most.",
+)
 def stock(planner, uid, hall, names, rate, seconds, concurrency):
     """The stock gRPC client as a relay; writes an outcome for each exchange as a JSON line."""
     from .standins.stock import drive
-    asyncio.run(drive(planner, uid, hall, names, rate, seconds, concurrency, lambda line: click.echo(json.dumps(line)), now))
+
+    asyncio.run(
+        drive(
+            planner,
+            uid,
+            hall,
+            names,
+            rate,
+            seconds,
+            concurrency,
+            lambda line: click.echo(json.dumps(line)),
+            now,
+        )
+    )
 
 
 @standin.command()
@@ -589,5 +804,7 @@
             for entry in line.get("hosts", []):
                 keeper.set(entry)
             return {"version": keeper.version}
+
         await _obey(command)
+
     asyncio.run(keep())
--- a/indigodeck/client/dialling.py
+++ b/indigodeck/client/dialling.py
@@ -1,4 +1,5 @@
 """Following planners in turn, whichever protocol they speak: dial, follow until that breaks, wait, dial the next."""
+
 import asyncio
 
 from ..chance import Chance, seed_from
@@ -13,7 +14,7 @@
 
     `planners`: [(address, port), ..], or a call that gives them, asked at every dial; `failed(error)` is told of each loss."""
 
-    losses = ()     # the errors that mean a lost planner; others are faults of this program
+    losses = ()  # the errors that mean a lost planner; others are faults of this program
 
     def __init__(self, uid, planners, tables, patience, failed):
         self.tables, self.patience, self.failed = tables, patience, failed
--- a/indigodeck/client/sasp.py
+++ b/indigodeck/client/sasp.py
@@ -1,4 +1,5 @@
 """Keeps a relay's tables up to date over SASP (RFC 4678), on Tornado's streams."""
+
 from tornado.gen import sleep, with_timeout
 from tornado.ioloop import IOLoop
 from tornado.iostream import StreamClosedError
@@ -21,14 +22,18 @@
 
     def opening(self):
         """The first messages: who this is, and what it wants weights for."""
-        groups = [((self.uid, name.encode()), [codec.Member.at(*where) for where in self.members])
-                  for name in self.classes]
+        groups = [
+            ((self.uid, name.encode()), [codec.Member.at(*where) for where in self.members])
+            for name in self.classes
+        ]
         yield codec.set_balancer(self._asks("who it is"), self.uid, 0x7F, self.push, True, True)
         yield codec.register(self._asks("its groups"), True, groups)
 
     def asking(self):
         """A request for all weights: what a relay that polls lives by, and a sign of life for others."""
-        return codec.get_weights(self._asks("weights"), [(self.uid, name.encode()) for name in self.classes])
+        return codec.get_weights(
+            self._asks("weights"), [(self.uid, name.encode()) for name in self.classes]
+        )
 
     def _asks(self, what):
         self.number += 1
@@ -60,8 +65,18 @@
             if uid != self.uid or name not in self.classes:
                 continue
             self.brought = True
-            self.tables.told(name, [(entry.member.place(), entry.weight, bool(entry.flags & codec.CONFIDENT),
-                                     bool(entry.flags & codec.QUIESCED)) for entry in entries])
+            self.tables.told(
+                name,
+                [
+                    (
+                        entry.member.place(),
+                        entry.weight,
+                        bool(entry.flags & codec.CONFIDENT),
+                        bool(entry.flags & codec.QUIESCED),
+                    )
+                    for entry in entries
+                ],
+            )
 
     def _unasked(self, *_):
         raise Malfunction("a request, sent to a relay")
@@ -86,9 +101,13 @@
 
     async def _follow(self, place):
         loop = IOLoop.current()
-        self.stream = await TCPClient().connect(*place, timeout=self.patience, max_buffer_size=4 << 20)
+        self.stream = await TCPClient().connect(
+            *place, timeout=self.patience, max_buffer_size=4 << 20
+        )
         self.stream.set_nodelay(True)
-        talk = self.talk = Talk(self.uid, list(self.tables.lines), self.members, self.tables, self.push)
+        talk = self.talk = Talk(
+            self.uid, list(self.tables.lines), self.members, self.tables, self.push
+        )
         self.tables.opened()
         for message in talk.opening():
             await self.stream.write(message)
@@ -96,7 +115,9 @@
         try:
             while True:
                 # A planner that answers nothing it was asked, or stops within a message, is left.
-                due = loop.time() + (self.patience if talk.waiting else talk.interval + self.patience)
+                due = loop.time() + (
+                    self.patience if talk.waiting else talk.interval + self.patience
+                )
                 message = await with_timeout(due, self._message(), StreamClosedError)
                 talk.read(message)
         finally:
--- a/indigodeck/client/tables.py
+++ b/indigodeck/client/tables.py
@@ -36,11 +36,15 @@
     def __init__(self, classes, now, standing=(), changed=None):
         self.now, self.changed = now, changed
         self.lines = {name: {where: 1 for where in standing} for name in classes}
-        self.held_since = dict.fromkeys(classes)       # None: what it started with
-        self.passes, self.level, self.out = {name: {} for name in classes}, dict.fromkeys(classes, 0.0), set()
-        self.confirmed = set()      # classes whose table this connection has given
+        self.held_since = dict.fromkeys(classes)  # None: what it started with
+        self.passes, self.level, self.out = (
+            {name: {} for name in classes},
+            dict.fromkeys(classes, 0.0),
+            set(),
+        )
+        self.confirmed = set()  # classes whose table this connection has given
         self.let_in, self.versions = dict.fromkeys(classes, 1.0), {}
-        self.epoch = 0      # the highest under which an order came, where orders say
+        self.epoch = 0  # the highest under which an order came, where orders say
 
     def opened(self):
         """A new connection: what it first says of a class stands for the whole of its table."""
@@ -57,7 +61,10 @@
         change nothing of another."""
         before = dict(self.lines[name])
         # That somebody is out is no table: whole ones name who is in, or who has weight 0 beside them.
-        lines, sure = dict(before), [entry for entry in entries if entry[2] and not (entry[3] and entry[0])]
+        lines, sure = (
+            dict(before),
+            [entry for entry in entries if entry[2] and not (entry[3] and entry[0])],
+        )
         if sure and name not in self.confirmed:
             lines = {}
             self.confirmed.add(name)
@@ -72,7 +79,9 @@
 
     def _hold(self, name, lines):
         passes, self.lines[name] = self.passes[name], lines
-        self.passes[name] = {where: max(passes.get(where, 0.0), self.level[name]) for where in lines}
+        self.passes[name] = {
+            where: max(passes.get(where, 0.0), self.level[name]) for where in lines
+        }
         if self.changed:
             self.changed(name)
 
--- a/indigodeck/client/xds.py
+++ b/indigodeck/client/xds.py
@@ -1,4 +1,5 @@
 """Keeps a relay's tables up to date over xDS, incremental form, and reports what it met (LRS), on grpcio's loop."""
+
 import asyncio
 import ipaddress
 
@@ -13,8 +14,8 @@
 from .tables import Malfunction, Refused, Unreachable
 
 KIND = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-DRAINING = 3        # of envoy.config.core.v3.HealthStatus
-WHOLE = (None, 0, True, True)      # of nobody: says that what stands beside it is a whole table
+DRAINING = 3  # of envoy.config.core.v3.HealthStatus
+WHOLE = (None, 0, True, True)  # of nobody: says that what stands beside it is a whole table
 PARTS = {0: 100, 1: 10_000, 2: 1_000_000}
 
 
@@ -53,20 +54,25 @@
 
     def opening(self, node):
         return discovery_pb2.DeltaDiscoveryRequest(
-            node=node, type_url=KIND, resource_names_subscribe=sorted(self.tables.lines),
-            initial_resource_versions=self.tables.versions)
+            node=node,
+            type_url=KIND,
+            resource_names_subscribe=sorted(self.tables.lines),
+            initial_resource_versions=self.tables.versions,
+        )
 
     def read(self, response):
         """Takes a response; the request that acknowledges or refuses it, or None for one that came before."""
         self.waiting = False
         epoch, _, serial = response.system_version_info.partition(".")
-        epoch, serial = (int(part) if part.isascii() and part.isdigit() else 0 for part in (epoch, serial))
+        epoch, serial = (
+            int(part) if part.isascii() and part.isdigit() else 0 for part in (epoch, serial)
+        )
         if epoch < self.tables.epoch:
             # A controller that was replaced and does not know it: nothing of it may take effect.
             raise Refused(f"an order under epoch {epoch}, {self.tables.epoch} was seen", epoch)
         self.tables.epoch = epoch
         if serial and (epoch, serial) <= self.newest:
-            return None         # twice, or after one that was made later: what it says has been said
+            return None  # twice, or after one that was made later: what it says has been said
         self.newest = epoch, serial
         answer = discovery_pb2.DeltaDiscoveryRequest(type_url=KIND, response_nonce=response.nonce)
         taken = []
@@ -80,8 +86,13 @@
                 if resource.version != xxhash.xxh3_64_hexdigest(resource.resource.value):
                     raise ValueError(f"{resource.name!r} is not what its version says")
                 taken.append((resource.version, name, *rest))
-        except Exception as error:      # whatever the bytes hold: the last good tables stay, and the planner is told
-            answer.error_detail.code, answer.error_detail.message = 3, f"{type(error).__name__}: {error}"[:500]
+        except (
+            Exception
+        ) as error:  # whatever the bytes hold: the last good tables stay, and the planner is told
+            answer.error_detail.code, answer.error_detail.message = (
+                3,
+                f"{type(error).__name__}: {error}"[:500],
+            )
             return answer
         for version, name, entries, level, names in taken:
             self.brought = True
@@ -98,14 +109,25 @@
     """The same interface as `sasp.SaspClient`; `hall`: the relay's own. `report_to` takes exchanges' outcomes."""
 
     # grpcio has the last for a write on a stream whose connection was refused meanwhile.
-    losses = (grpc.aio.AioRpcError, Refused, asyncio.TimeoutError, OSError, asyncio.CancelledError, asyncio.InvalidStateError)
-
-    def __init__(self, uid, planners, tables, members=(), patience=3.0, failed=None, hall="", witness=None):
+    losses = (
+        grpc.aio.AioRpcError,
+        Refused,
+        asyncio.TimeoutError,
+        OSError,
+        asyncio.CancelledError,
+        asyncio.InvalidStateError,
+    )
+
+    def __init__(
+        self, uid, planners, tables, members=(), patience=3.0, failed=None, hall="", witness=None
+    ):
         super().__init__(uid, planners, tables, patience, failed)
         self.uid, self.names, self.channel = uid, {}, None
         self.node = base_pb2.Node(id=uid, locality=base_pb2.Locality(zone=hall))
-        self.witness = witness or (lambda what, tables: None)      # hears of each stream and each message
-        self.met = {}       # (class, place): [succeeded, failed, time]
+        self.witness = witness or (
+            lambda what, tables: None
+        )  # hears of each stream and each message
+        self.met = {}  # (class, place): [succeeded, failed, time]
 
     @staticmethod
     def _error(caught):
@@ -113,7 +135,9 @@
             return caught
         if not isinstance(caught, grpc.aio.AioRpcError):
             stopped = isinstance(caught, (asyncio.TimeoutError, OSError))
-            return Unreachable("the planner stopped answering" if stopped else "the stream was broken")
+            return Unreachable(
+                "the planner stopped answering" if stopped else "the stream was broken"
+            )
         details = caught.details() or str(caught.code())
         if caught.code() == grpc.StatusCode.RESOURCE_EXHAUSTED:
             return Refused(details)
@@ -127,14 +151,23 @@
         # counts as well: at 2 s beside a patience of 1 s, drains came too late to those that followed a stopped one. A ping is
         # answered by the library's own thread however busy the planner is, so half of the patience is long; a whole one
         # after 1 s left one of 303 relays with a drain that was 2.2 s old.
-        self.channel = grpc.aio.insecure_channel(target(place), options=[
-            ("grpc.keepalive_time_ms", max(1000, round(self.patience * 500))), ("grpc.http2.max_pings_without_data", 0),
-            ("grpc.keepalive_permit_without_calls", 1), ("grpc.http2.ping_timeout_ms", round(self.patience * 500)),
-            ("grpc.keepalive_timeout_ms", round(self.patience * 500)),
-            ("grpc.use_local_subchannel_pool", 1), ("grpc.enable_retries", 0)])
+        self.channel = grpc.aio.insecure_channel(
+            target(place),
+            options=[
+                ("grpc.keepalive_time_ms", max(1000, round(self.patience * 500))),
+                ("grpc.http2.max_pings_without_data", 0),
+                ("grpc.keepalive_permit_without_calls", 1),
+                ("grpc.http2.ping_timeout_ms", round(self.patience * 500)),
+                ("grpc.keepalive_timeout_ms", round(self.patience * 500)),
+                ("grpc.use_local_subchannel_pool", 1),
+                ("grpc.enable_retries", 0),
+            ],
+        )
         self.tables.opened()
         talk = self.talk = Talk(self.tables, self.names)
-        self.stream = ads_pb2_grpc.AggregatedDiscoveryServiceStub(self.channel).DeltaAggregatedResources()
+        self.stream = ads_pb2_grpc.AggregatedDiscoveryServiceStub(
+            self.channel
+        ).DeltaAggregatedResources()
         await asyncio.wait_for(self.stream.write(talk.opening(self.node)), self.patience)
         self.witness("joined", [])
         reporter = asyncio.get_running_loop().create_task(self._report())
@@ -149,7 +182,10 @@
                 answer = talk.read(response)
                 if answer is None:
                     continue
-                self.witness("message", [read(resource.resource.value)[:2] for resource in response.resources])
+                self.witness(
+                    "message",
+                    [read(resource.resource.value)[:2] for resource in response.resources],
+                )
                 await self.stream.write(answer)
         finally:
             self.witness("left", [])
@@ -166,7 +202,9 @@
             stream = lrs_pb2_grpc.LoadReportingServiceStub(self.channel).StreamLoadStats()
             await stream.write(lrs_pb2.LoadStatsRequest(node=self.node))
             asked = await stream.read()
-            period = asked.load_reporting_interval.ToMicroseconds() if asked is not grpc.aio.EOF else 0
+            period = (
+                asked.load_reporting_interval.ToMicroseconds() if asked is not grpc.aio.EOF else 0
+            )
             began = self.tables.now()
             while period > 0:
                 await asyncio.sleep(period / SECOND)
@@ -174,7 +212,7 @@
                 await stream.write(self._stats(met, now - began))
                 began = now
         except grpc.aio.AioRpcError:
-            pass        # tables matter more than reports: these go on with the next connection
+            pass  # tables matter more than reports: these go on with the next connection
 
     def _stats(self, met, span):
         request = lrs_pb2.LoadStatsRequest()
@@ -185,11 +223,19 @@
                 if kind == name:
                     hall, host = self.names.get(place, ("", ""))
                     group = stats.upstream_locality_stats.add(
-                        locality=base_pb2.Locality(zone=hall, sub_zone=host), total_successful_requests=good,
-                        total_error_requests=failed, total_issued_requests=good + failed)
+                        locality=base_pb2.Locality(zone=hall, sub_zone=host),
+                        total_successful_requests=good,
+                        total_error_requests=failed,
+                        total_issued_requests=good + failed,
+                    )
                     if good:
-                        group.load_metric_stats.append(load_report_pb2.EndpointLoadMetricStats(
-                            metric_name="took_ms", num_requests_finished_with_metric=good, total_metric_value=took / 1000))
+                        group.load_metric_stats.append(
+                            load_report_pb2.EndpointLoadMetricStats(
+                                metric_name="took_ms",
+                                num_requests_finished_with_metric=good,
+                                total_metric_value=took / 1000,
+                            )
+                        )
         return request
 
     async def _close(self):
--- a/indigodeck/clock.py
+++ b/indigodeck/clock.py
@@ -1,4 +1,5 @@
 """The machine's monotonic clock, the same for all processes on it."""
+
 import time
 
 
--- a/indigodeck/edge/bootstrap.py
+++ b/indigodeck/edge/bootstrap.py
@@ -1,4 +1,5 @@
 """What the platform tells a planner of its place: addresses, limits, the last known list and the charter."""
+
 import json
 import os
 import pathlib
@@ -33,7 +34,9 @@
         self.charter = charter_of(given.get("settings"))
         self.words = Words(self.charter)
         self.seed = seed_from(str(given.get("seed", "")), [])
-        self.known = self.words.catalog(self._object(given, "known")) if given.get("known") else None
+        self.known = (
+            self.words.catalog(self._object(given, "known")) if given.get("known") else None
+        )
         sockets = self._object(given, "limits").get("sockets")
         self.sockets = max(SOCKETS_LEAST, sockets) if isinstance(sockets, int) else 256
         self.peer_listen, self.peers, self.peers_all = None, [], None
--- a/indigodeck/edge/codec.py
+++ b/indigodeck/edge/codec.py
@@ -3,16 +3,17 @@
 Reading gives plain values under the project's own names, times in whole microseconds; what is not as the protocol
 says raises `Malformed`. Names of zones, kinds and classes become their places in the charter.
 """
+
 import json
 from typing import NamedTuple
 
 from ..charter import Malformed, micros
 from ..host import DRAINING, GONE, READY
 
-LINE_MOST = 1 << 20         # bytes of one message
-CALL_MOST = 60_000          # bytes of a call, all of its line: the relay turns longer ones away
-NAME_MOST = 256             # characters of an id
-MANY = 1_000_000_000        # above any count that a report can hold
+LINE_MOST = 1 << 20  # bytes of one message
+CALL_MOST = 60_000  # bytes of a call, all of its line: the relay turns longer ones away
+NAME_MOST = 256  # characters of an id
+MANY = 1_000_000_000  # above any count that a report can hold
 DAY_MS = 86_400_000
 EVERYTHING = "*"
 STATES = {"SERVING": READY, "DRAINING": DRAINING, "DELETED": GONE}
@@ -28,7 +29,7 @@
     """One JSON object from bytes, whatever these are."""
     try:
         given = json.loads(str(data, "utf-8"), parse_constant=_no_number)
-    except (ValueError, RecursionError) as error:       # a deep nesting must not end the program
+    except (ValueError, RecursionError) as error:  # a deep nesting must not end the program
         raise Malformed(f"no JSON: {type(error).__name__}") from error
     if not isinstance(given, dict):
         raise Malformed("no JSON object")
@@ -81,6 +82,7 @@
 
 class Entry(NamedTuple):
     """A server as the list has it. `born`: microseconds of Unix time, 0 for long ago."""
+
     name: str
     dial: tuple
     zone: int
@@ -93,6 +95,7 @@
 
 class Catalog(NamedTuple):
     """An answer of discovery. `spoilt`: names of entries that can't be used, as far as they have one."""
+
     version: int
     whole: bool
     entries: list
@@ -128,9 +131,20 @@
         """(zone, server's name, tries, failed, mean time of the others, span, load or None)"""
         tries = _count(given, "tries", MANY)
         failed = _count(given, "failed", tries)
-        took = 0 if failed == tries and given.get("mean_ms") is None else _number(given, "mean_ms", self.mean_most)
-        return (self._place(given, "zone", self.zones), _name(given, "server"), tries, failed, micros(took),
-                micros(_number(given, "span_ms", DAY_MS, 1)), self.load(given.get("load")))
+        took = (
+            0
+            if failed == tries and given.get("mean_ms") is None
+            else _number(given, "mean_ms", self.mean_most)
+        )
+        return (
+            self._place(given, "zone", self.zones),
+            _name(given, "server"),
+            tries,
+            failed,
+            micros(took),
+            micros(_number(given, "span_ms", DAY_MS, 1)),
+            self.load(given.get("load")),
+        )
 
     def load(self, given):
         """A load report by the project's names, or None where there is none."""
@@ -138,33 +152,56 @@
             return None
         if not isinstance(given, dict):
             raise Malformed("load is no object")
-        return {LOADS.get(name, name): float(_number(given, name, MANY)) for name in given if name in LOADS}
+        return {
+            LOADS.get(name, name): float(_number(given, name, MANY))
+            for name in given
+            if name in LOADS
+        }
 
     def demand(self, given):
         """(proxy, class's place, exchanges, failed, span)"""
         exchanges = _count(given, "tries", MANY)
-        return (self._proxy(given), self._place(given, "class", self.classes), exchanges,
-                _count(given, "failed", exchanges), micros(_number(given, "span_ms", DAY_MS, 1)))
+        return (
+            self._proxy(given),
+            self._place(given, "class", self.classes),
+            exchanges,
+            _count(given, "failed", exchanges),
+            micros(_number(given, "span_ms", DAY_MS, 1)),
+        )
 
     def hello(self, given):
         """(proxy, zone, rate, fresh)"""
-        return (self._proxy(given), self._place(given, "zone", self.zones), float(_number(given, "weight", MANY)),
-                _truth(given, "fresh"))
+        return (
+            self._proxy(given),
+            self._place(given, "zone", self.zones),
+            float(_number(given, "weight", MANY)),
+            _truth(given, "fresh"),
+        )
 
     def bye(self, given):
         return self._proxy(given)
 
     def ack(self, given):
         """(proxy, mark, time it took)"""
-        return self._proxy(given), _count(given, "mark", 65535), micros(_number(given, "took_ms", DAY_MS))
+        return (
+            self._proxy(given),
+            _count(given, "mark", 65535),
+            micros(_number(given, "took_ms", DAY_MS)),
+        )
 
     def entry(self, given):
         if not isinstance(given, dict):
             raise Malformed("a list entry is no object")
-        return Entry(_name(given, "host"), address(_field(given, "dial")), self._place(given, "site", self.zones),
-                     self._place(given, "class", self.kinds), _count(given, "block", 65535),
-                     float(_number(given, "share", MANY)), micros(_number(given, "born_ms", 1e14)),
-                     self._place(given, "health", STATES))
+        return Entry(
+            _name(given, "host"),
+            address(_field(given, "dial")),
+            self._place(given, "site", self.zones),
+            self._place(given, "class", self.kinds),
+            _count(given, "block", 65535),
+            float(_number(given, "share", MANY)),
+            micros(_number(given, "born_ms", 1e14)),
+            self._place(given, "health", STATES),
+        )
 
     def catalog(self, given):
         """A list answer as `Catalog`; an entry that can't be used is passed over alone."""
@@ -175,7 +212,11 @@
             try:
                 entries.append(self.entry(stated))
             except Malformed:
-                spoilt.add(stated.get("host") if isinstance(stated, dict) and isinstance(stated.get("host"), str) else "")
+                spoilt.add(
+                    stated.get("host")
+                    if isinstance(stated, dict) and isinstance(stated.get("host"), str)
+                    else ""
+                )
         return Catalog(_count(given, "seq", 1 << 53), _truth(given, "whole"), entries, spoilt)
 
     def _routes(self, classes):
@@ -199,7 +240,13 @@
         return {"do": "eject" if out else "uneject", "server": server}
 
     def gate(self, table, classes, level, tries):
-        return {"do": "gate", "group": table, **self._routes(classes), "admit": level, "policy": tries}
+        return {
+            "do": "gate",
+            "group": table,
+            **self._routes(classes),
+            "admit": level,
+            "policy": tries,
+        }
 
     @staticmethod
     def fence(number, everyone):
--- a/indigodeck/edge/desk.py
+++ b/indigodeck/edge/desk.py
@@ -3,6 +3,7 @@
 The orders of one call of the assigner are one call to the relay. An index is given up when nothing can name its server
 any more; it is never used again. A fault in the handling of one message is noted, and that message is lost, no more.
 """
+
 import traceback
 from typing import Protocol
 
@@ -10,7 +11,7 @@
 from ..host import CACHED, CHANGES, GONE, WHOLE, Server
 
 MARKS_MOST = 256
-AGAIN = 50_000          # between two looks whether the relay has caught up
+AGAIN = 50_000  # between two looks whether the relay has caught up
 
 
 class Outside(Protocol):
@@ -42,7 +43,11 @@
 
     def __init__(self, outside, words, outbox, charter, seed, make=Assigner):
         self.outside, self.words, self.outbox = outside, words, outbox
-        self.index_of, self.servers, self.count = {}, {}, 0      # {name: index}; {index: (entry, Server)}
+        self.index_of, self.servers, self.count = (
+            {},
+            {},
+            0,
+        )  # {name: index}; {index: (entry, Server)}
         self.orders, self.marks, self.passed_over = [], {}, 0
         self.assigner = make(self, charter, seed)
 
@@ -52,7 +57,9 @@
         self.outside.trace(method.__name__, given)
         try:
             method(*given)
-        except Exception:       # the assigner's state may have changed halfway; what it ordered until then stands
+        except (
+            Exception
+        ):  # the assigner's state may have changed halfway; what it ordered until then stands
             self.outside.note("a message was lost to a fault: " + traceback.format_exc(limit=-4))
         orders, self.orders = self.orders, []
         if orders:
@@ -63,11 +70,20 @@
     def listed(self, catalog, cached=False):
         """A list as the codec read it (`Catalog`)."""
         # Gone before it was ever known: nothing names it, so nothing would ever forget it.
-        servers = [self._server(entry) for entry in catalog.entries if entry.state != GONE or entry.name in self.index_of]
+        servers = [
+            self._server(entry)
+            for entry in catalog.entries
+            if entry.state != GONE or entry.name in self.index_of
+        ]
         if catalog.whole:
             # An entry that can't be read says nothing against the server it names.
-            servers += [self.servers[self.index_of[name]][1] for name in sorted(catalog.spoilt & self.index_of.keys())]
-        self._tell(self.assigner.listed, CACHED if cached else WHOLE if catalog.whole else CHANGES, servers)
+            servers += [
+                self.servers[self.index_of[name]][1]
+                for name in sorted(catalog.spoilt & self.index_of.keys())
+            ]
+        self._tell(
+            self.assigner.listed, CACHED if cached else WHOLE if catalog.whole else CHANGES, servers
+        )
 
     def _server(self, entry):
         index = self.index_of.get(entry.name)
@@ -76,8 +92,21 @@
             self.count += 1
         known = self.servers.get(index)
         # The same start has the same time however often it is listed; none lies ahead, as clocks may say.
-        started = known[1].started if known and known[0].born == entry.born else min(entry.born, self.outside.now())
-        server = Server(index, entry.name.encode(), entry.cell, entry.kind, entry.zone, entry.weight, started, entry.state)
+        started = (
+            known[1].started
+            if known and known[0].born == entry.born
+            else min(entry.born, self.outside.now())
+        )
+        server = Server(
+            index,
+            entry.name.encode(),
+            entry.cell,
+            entry.kind,
+            entry.zone,
+            entry.weight,
+            started,
+            entry.state,
+        )
         self.servers[index] = entry, server
         return server
 
--- a/indigodeck/edge/dialling.py
+++ b/indigodeck/edge/dialling.py
@@ -1,4 +1,5 @@
 """Outgoing connections of a planner on the platform: addresses are numbers here, and every wait has an end."""
+
 import socket
 import traceback
 from datetime import timedelta
@@ -43,7 +44,11 @@
 
 async def dial(place, patience):
     """A stream to (address, port), or one of `LOST`."""
-    stream = IOStream(socket.socket(family_of(place)), max_buffer_size=2 * LINE_MOST, max_write_buffer_size=LINE_MOST)
+    stream = IOStream(
+        socket.socket(family_of(place)),
+        max_buffer_size=2 * LINE_MOST,
+        max_write_buffer_size=LINE_MOST,
+    )
     try:
         await within(patience, stream.connect(place))
         stream.set_nodelay(True)
--- a/indigodeck/edge/discovery.py
+++ b/indigodeck/edge/discovery.py
@@ -3,6 +3,7 @@
 Watches are short: a connection that falls silent is found out soon, and the agent they are asked of answers at no cost.
 A list that turns the picture back, or leaves nothing of it, is asked for again before it is believed.
 """
+
 from tornado.httpclient import HTTPClientError, HTTPRequest
 from tornado.ioloop import IOLoop
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
@@ -12,20 +13,32 @@
 from .dialling import LOST, SECOND, Numbers, Pauses, for_good
 
 PATH = "/catalog/members"
-WAIT = SECOND               # of one watch; changes are told within it
-LATE = SECOND               # above that, and for a whole list
+WAIT = SECOND  # of one watch; changes are told within it
+LATE = SECOND  # above that, and for a whole list
 LARGEST = 8 << 20
-DOUBTS = 3                  # times in a row that a doubtful list is asked for again
+DOUBTS = 3  # times in a row that a doubtful list is asked for again
 
 
 class Discovery:
     """`listed(catalog)` is called for each answer; `words`: the codec's."""
 
     def __init__(self, place, words, listed, note, chance, filled=False):
-        self.place, self.words, self.listed, self.note, self.filled = place, words, listed, note, filled
+        self.place, self.words, self.listed, self.note, self.filled = (
+            place,
+            words,
+            listed,
+            note,
+            filled,
+        )
         self.pauses, self.turn = Pauses(chance), 0
-        self.version, self.newest, self.doubts = None, None, 0      # version: what the next watch goes on from
-        self.client = SimpleAsyncHTTPClient(force_instance=True, max_clients=4, max_body_size=LARGEST, resolver=Numbers())
+        self.version, self.newest, self.doubts = (
+            None,
+            None,
+            0,
+        )  # version: what the next watch goes on from
+        self.client = SimpleAsyncHTTPClient(
+            force_instance=True, max_clients=4, max_body_size=LARGEST, resolver=Numbers()
+        )
 
     def start(self):
         self.turn += 1
@@ -47,8 +60,13 @@
             query = "" if asked is None else f"?after={asked}&wait_ms={WAIT // 1000}"
             patience = (LATE if asked is None else WAIT + LATE) / SECOND
             try:
-                answer = await self.client.fetch(HTTPRequest(
-                    f"http://{authority(self.place)}{PATH}{query}", connect_timeout=LATE / SECOND, request_timeout=patience))
+                answer = await self.client.fetch(
+                    HTTPRequest(
+                        f"http://{authority(self.place)}{PATH}{query}",
+                        connect_timeout=LATE / SECOND,
+                        request_timeout=patience,
+                    )
+                )
                 catalog = self.words.catalog(read_object(answer.body))
             except (*LOST, HTTPClientError, Malformed) as error:
                 if turn == self.turn:
@@ -65,7 +83,7 @@
                 self.version = None
                 await self.pauses.rest()
                 continue
-            if self.version == asked:       # else the whole list was asked for meanwhile
+            if self.version == asked:  # else the whole list was asked for meanwhile
                 self.version = catalog.version
             self._take(catalog)
 
--- a/indigodeck/edge/listener.py
+++ b/indigodeck/edge/listener.py
@@ -3,6 +3,7 @@
 Who has not introduced itself within a second is let go, and first of all when room is short: strangers may come by the
 hundreds, and neither collectors nor `probe` may wait for them. Nothing is ever written to a collector.
 """
+
 from tornado.gen import sleep
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamBufferFullError
@@ -13,12 +14,14 @@
 from .codec import LINE_MOST, Malformed
 from .dialling import LOST, SECOND, next_line, within
 
-STRANGE = 12 * SECOND // 10     # for an introduction, and after each sign of life asked for
-STRANGE_LINE = 4096             # an introduction is short
-SILENCE = 30 * SECOND           # a collector that says nothing has vanished, or has nothing to say: it may come back
-COLLECTORS_MOST = 8             # of one zone; the longest silent gives way
-OWN = 48                        # descriptors for everything but this address
-LINES_AT_ONCE = 64              # of one connection, so that a flood gives way to the others
+STRANGE = 12 * SECOND // 10  # for an introduction, and after each sign of life asked for
+STRANGE_LINE = 4096  # an introduction is short
+SILENCE = (
+    30 * SECOND
+)  # a collector that says nothing has vanished, or has nothing to say: it may come back
+COLLECTORS_MOST = 8  # of one zone; the longest silent gives way
+OWN = 48  # descriptors for everything but this address
+LINES_AT_ONCE = 64  # of one connection, so that a flood gives way to the others
 BACKLOG = 1024
 
 
@@ -26,7 +29,12 @@
     """One connection; `zone` is None until it has introduced itself as a collector."""
 
     def __init__(self, listener, stream):
-        self.listener, self.stream, self.zone, self.heard_at = listener, stream, None, listener.now()
+        self.listener, self.stream, self.zone, self.heard_at = (
+            listener,
+            stream,
+            None,
+            listener.now(),
+        )
 
     async def run(self):
         lines = 0
@@ -55,7 +63,7 @@
             self.stream.write(codec.pack({"type": "error", "text": why[:100]}) + b"\n")
 
     def _read(self, data):
-        given = codec.read_object(data)      # what can't be read ends the connection, a collector's too
+        given = codec.read_object(data)  # what can't be read ends the connection, a collector's too
         kind = given.get("type")
         if kind == "probe" and self.zone is None:
             self.stream.write(codec.ALIVE)
--- a/indigodeck/edge/membership.py
+++ b/indigodeck/edge/membership.py
@@ -4,7 +4,8 @@
 Each joining of a proxy has a number; a connection's view is which joining it speaks of. So what two connections tell is
 taken once, and as long as one of them goes on, nobody has to be taken for newly joined when another begins anew.
 """
-FRESH = 1_500_000       # a connection heard of within this goes on: signs of life come every second
+
+FRESH = 1_500_000  # a connection heard of within this goes on: signs of life come every second
 
 
 class View:
@@ -38,8 +39,11 @@
         return source in self.views and self.views[source].whole
 
     def _others(self, source):
-        return [view for other, view in self.views.items()
-                if other is not source and self.now() - view.heard_at < FRESH]
+        return [
+            view
+            for other, view in self.views.items()
+            if other is not source and self.now() - view.heard_at < FRESH
+        ]
 
     def hello(self, source, proxy, zone, rate, fresh):
         view, known = self.views[source], self.numbers.get(proxy, 0)
@@ -48,7 +52,9 @@
             number = view.numbers.get(proxy, 0) + 1
         else:
             # It stands at the beginning. The same joining as another connection speaks of, or one that was missed.
-            same = proxy in self.joined and any(proxy in other.joined for other in self._others(source))
+            same = proxy in self.joined and any(
+                proxy in other.joined for other in self._others(source)
+            )
             number = known if same else known + 1
         view.numbers[proxy], view.joined[proxy] = number, (zone, rate, fresh)
         if number > known:
@@ -57,14 +63,16 @@
 
     def _join(self, proxy, zone, rate, fresh):
         if proxy in self.joined:
-            self.desk.proxy_left(proxy)     # its stream is a new one, which holds no table of ours
+            self.desk.proxy_left(proxy)  # its stream is a new one, which holds no table of ours
         self.joined.add(proxy)
         self.desk.proxy_joined(proxy, zone, rate, fresh)
 
     def bye(self, source, proxy):
         view = self.views[source]
         view.heard_at = self.now()
-        if view.joined.pop(proxy, None) is not None and view.numbers.get(proxy) == self.numbers.get(proxy):
+        if view.joined.pop(proxy, None) is not None and view.numbers.get(proxy) == self.numbers.get(
+            proxy
+        ):
             self._leave({proxy})
 
     def _leave(self, proxies):
--- a/indigodeck/edge/outbox.py
+++ b/indigodeck/edge/outbox.py
@@ -7,11 +7,12 @@
 
 What may wait is bounded by its keys: lines of tables, levels, proxies' tables, servers' withdrawals, one mark.
 """
+
 from . import codec
 from .codec import Malformed
 
-BEHIND = 300_000                        # an order this old still waits: the assigner's turns wait as well
-PAUSE, PAUSE_MOST = 50_000, 400_000     # after a call was turned away
+BEHIND = 300_000  # an order this old still waits: the assigner's turns wait as well
+PAUSE, PAUSE_MOST = 50_000, 400_000  # after a call was turned away
 
 
 def key_of(order):
@@ -29,7 +30,7 @@
 
     def __init__(self, now, note):
         self.now, self.note = now, note
-        self.waiting, self.under_way = {}, None       # {key: order}; the same, or None
+        self.waiting, self.under_way = {}, None  # {key: order}; the same, or None
         self.number, self.since = 0, None
         self.pause, self.not_before = PAUSE, 0
         self.bytes_most, self.unknown = codec.CALL_MOST, 0
@@ -39,9 +40,15 @@
         for order in orders:
             key = key_of(order)
             if order["do"] == "wipe":
-                for old in [old for old in self.waiting if old[0] in ("put", "gate") and old[1] == order["group"]]:
+                for old in [
+                    old
+                    for old in self.waiting
+                    if old[0] in ("put", "gate") and old[1] == order["group"]
+                ]:
                     del self.waiting[old]
-            self.waiting.pop(key, None)         # it moves to the end: the sequence is that of the newest orders
+            self.waiting.pop(
+                key, None
+            )  # it moves to the end: the sequence is that of the newest orders
             self.waiting[key] = order
         if orders and self.since is None:
             self.since = self.now()
@@ -53,7 +60,7 @@
                 if orders is self.waiting:
                     del orders[key]
                 else:
-                    orders[key] = None          # its place counts in the answer; it is not sent again
+                    orders[key] = None  # its place counts in the answer; it is not sent again
 
     def behind(self):
         return self.since is not None and self.now() - self.since > BEHIND
@@ -91,7 +98,7 @@
         self.pause, self.bytes_most = PAUSE, codec.CALL_MOST
         if taken < len(sent):
             self.note(f"the relay could not use {sent[taken][1] or sent[taken][0]}")
-            self._again(sent[taken + 1:])
+            self._again(sent[taken + 1 :])
         self.since = self.now() if self.waiting else None
 
     def _turned_away(self, word):
@@ -102,7 +109,9 @@
             orders = []
         elif word == "invalid":
             # Some order in it can't be read: smaller calls find it, and let the others pass.
-            self.bytes_most = max(1, min(self.bytes_most, len(codec.pack([order for _, order in orders]))) // 2)
+            self.bytes_most = max(
+                1, min(self.bytes_most, len(codec.pack([order for _, order in orders]))) // 2
+            )
         self.under_way = None
         self._again(orders)
         self.not_before, self.pause = self.now() + self.pause, min(2 * self.pause, PAUSE_MOST)
@@ -115,7 +124,9 @@
             self._again(orders)
 
     def _again(self, orders):
-        older = {key: order for key, order in orders if order is not None and key not in self.waiting}
+        older = {
+            key: order for key, order in orders if order is not None and key not in self.waiting
+        }
         self.waiting = {**older, **self.waiting}
         if not self.waiting:
             self.since = None
--- a/indigodeck/edge/peers.py
+++ b/indigodeck/edge/peers.py
@@ -1,19 +1,25 @@
 """Datagrams between planners."""
+
 import socket
 
 from tornado.ioloop import IOLoop
 
 from .dialling import family_of
 
-LONGEST = 256           # a longer one would end the run
-AT_ONCE = 64            # datagrams read in a row, so that a flood gives way to the rest
+LONGEST = 256  # a longer one would end the run
+AT_ONCE = 64  # datagrams read in a row, so that a flood gives way to the rest
 
 
 class Peers:
     """`told(number, data)` is called for what comes from a planner of the tier."""
 
     def __init__(self, bootstrap, told, note):
-        self.peers, self.everyone, self.told, self.note = bootstrap.peers, bootstrap.peers_all, told, note
+        self.peers, self.everyone, self.told, self.note = (
+            bootstrap.peers,
+            bootstrap.peers_all,
+            told,
+            note,
+        )
         self.numbers = {place: number for number, place in enumerate(bootstrap.peers)}
         self.socket = socket.socket(family_of(bootstrap.peer_listen), socket.SOCK_DGRAM)
         self.socket.setblocking(False)
@@ -31,10 +37,12 @@
                 self.told(number, data)
 
     def tell(self, peer, data):
-        place = self.everyone if peer is None else self.peers[peer] if peer < len(self.peers) else None
+        place = (
+            self.everyone if peer is None else self.peers[peer] if peer < len(self.peers) else None
+        )
         if place is None or len(data) > LONGEST:
             return self.note(f"a datagram of {len(data)} bytes has nowhere to go")
         try:
             self.socket.sendto(data, place)
-        except OSError as error:        # lost, as datagrams may be
+        except OSError as error:  # lost, as datagrams may be
             self.note(f"a datagram is lost: {error}")
--- a/indigodeck/edge/probes.py
+++ b/indigodeck/edge/probes.py
@@ -1,4 +1,5 @@
 """Probes of servers from this planner: its reach, with the load report as the answer's body."""
+
 from collections import deque
 
 from tornado.ioloop import IOLoop
@@ -21,7 +22,11 @@
 
     def report_in(self, answer):
         try:
-            return self.words.load(read_object(answer.body)) if answer.code == 200 and answer.body else None
+            return (
+                self.words.load(read_object(answer.body))
+                if answer.code == 200 and answer.body
+                else None
+            )
         except Malformed:
             return None
 
@@ -49,7 +54,7 @@
                 begun = self.now()
                 try:
                     outcome, load = await self.reach.exchange(dial, PATIENCE / SECOND)
-                except Exception:       # a probe that is never answered would be the server's last
+                except Exception:  # a probe that is never answered would be the server's last
                     outcome, load = "error", None
                 self.probed(asked, outcome, self.now() - begun, load)
         finally:
--- a/indigodeck/edge/relay_client.py
+++ b/indigodeck/edge/relay_client.py
@@ -1,4 +1,5 @@
 """The sockets to the relay: one for calls, two for news, so that one of them may break without anybody being missed."""
+
 from tornado.gen import sleep
 from tornado.ioloop import IOLoop
 from tornado.locks import Event
@@ -8,9 +9,11 @@
 from .dialling import LOST, SECOND, Pauses, dial, for_good, next_line, within
 
 CONNECT = SECOND // 2
-ANSWER = SECOND // 5        # the relay answers within 50 ms or never; the rest is for this planner's own stalls
-IDLE = SECOND               # the relay closes idle connections, and what is sent into that moment is lost
-SILENCE = 3 * SECOND        # signs of life come every second
+ANSWER = (
+    SECOND // 5
+)  # the relay answers within 50 ms or never; the rest is for this planner's own stalls
+IDLE = SECOND  # the relay closes idle connections, and what is sent into that moment is lost
+SILENCE = 3 * SECOND  # signs of life come every second
 SUBSCRIPTIONS = 2
 
 
@@ -24,7 +27,7 @@
         self.used_at = 0
 
     async def run(self):
-        self.outbox.lost()       # begun anew after a fault: nobody knows what became of a call
+        self.outbox.lost()  # begun anew after a fault: nobody knows what became of a call
         while True:
             wait = self.outbox.wait()
             if wait is None:
@@ -52,7 +55,9 @@
             self.outbox.lost()
             stream.close()
             self.note(f"a call's answer is lost: {error!r}")
-            await self.pauses.rest()        # what can't pass now would be written again as fast as this program can
+            await (
+                self.pauses.rest()
+            )  # what can't pass now would be written again as fast as this program can
 
     async def _connected(self):
         stale = self.dialled != self.place or self.now() - self.used_at > IDLE
@@ -69,14 +74,21 @@
     """One connection for news at one address, dialled again until it is retired. `whole()` is called with each sign of life."""
 
     def __init__(self, membership, desk, words, place, whole, note, chance):
-        self.membership, self.desk, self.words, self.place, self.whole, self.note = membership, desk, words, place, whole, note
+        self.membership, self.desk, self.words, self.place, self.whole, self.note = (
+            membership,
+            desk,
+            words,
+            place,
+            whole,
+            note,
+        )
         self.pauses, self.retired, self.ended, self.stream = Pauses(chance), False, False, None
 
     async def run(self):
         while not self.retired:
             try:
                 self.stream = await dial(self.place, CONNECT)
-                if self.ended:      # while it was dialling: there was no stream to close then
+                if self.ended:  # while it was dialling: there was no stream to close then
                     return
                 await within(CONNECT, self.stream.write(codec.call(0, "subscribe")))
                 await self._follow(self.stream)
@@ -128,7 +140,13 @@
     """All of the way to the relay, and its moves to other addresses."""
 
     def __init__(self, outbox, membership, desk, words, now, note, chance):
-        self.outbox, self.membership, self.desk, self.words, self.note = outbox, membership, desk, words, note
+        self.outbox, self.membership, self.desk, self.words, self.note = (
+            outbox,
+            membership,
+            desk,
+            words,
+            note,
+        )
         self.chance, self.subscriptions, self.former = chance, [], []
         self.calls = Calls(outbox, None, now, note, chance)
 
@@ -144,8 +162,12 @@
         for subscription in self.subscriptions:
             subscription.retired = True
         self.former += self.subscriptions
-        self.subscriptions = [Subscription(self.membership, self.desk, self.words, place, self._bridged, self.note, self.chance)
-                          for _ in range(SUBSCRIPTIONS)]
+        self.subscriptions = [
+            Subscription(
+                self.membership, self.desk, self.words, place, self._bridged, self.note, self.chance
+            )
+            for _ in range(SUBSCRIPTIONS)
+        ]
         for subscription in self.subscriptions:
             IOLoop.current().add_callback(for_good, subscription.run, self.note)
 
--- a/indigodeck/edge/service.py
+++ b/indigodeck/edge/service.py
@@ -1,4 +1,5 @@
 """Puts a planner on the platform together, and runs it until it is told to end."""
+
 import asyncio
 import json
 import logging
@@ -24,9 +25,11 @@
 from .outbox import Outbox
 
 SECOND = 1_000_000
-LAST = SECOND // 2      # for orders that wait when the program is told to end; who does not end is killed after 0.7 s
-LINES_MOST = 200        # of the log within ten seconds
-TRACE = "INDIGODECK_TRACE"      # set: all that the assigner is told and orders is written out, without a bound
+LAST = (
+    SECOND // 2
+)  # for orders that wait when the program is told to end; who does not end is killed after 0.7 s
+LINES_MOST = 200  # of the log within ten seconds
+TRACE = "INDIGODECK_TRACE"  # set: all that the assigner is told and orders is written out, without a bound
 
 
 class Bounded(logging.Filter):
@@ -60,8 +63,12 @@
         self.desk = Desk(self, words, self.outbox, bootstrap.charter, bootstrap.seed)
         self.membership = Membership(self.desk, self.now)
         self.listener = Listener(self.desk, words, self.now, bootstrap.sockets)
-        self.discovery = Discovery(bootstrap.discovery, words, self.desk.listed, self.note, chance, bool(bootstrap.known))
-        self.relay = RelayClient(self.outbox, self.membership, self.desk, words, self.now, self.note, chance)
+        self.discovery = Discovery(
+            bootstrap.discovery, words, self.desk.listed, self.note, chance, bool(bootstrap.known)
+        )
+        self.relay = RelayClient(
+            self.outbox, self.membership, self.desk, words, self.now, self.note, chance
+        )
         self.peers = Peers(bootstrap, self.desk.told, self.note) if bootstrap.peer_listen else None
 
     # What the desk may ask.
@@ -100,18 +107,26 @@
         self.listener.open(self.bootstrap.listen)
         self.discovery.start()
         self.relay.start(self.bootstrap.registry)
-        self.note(f"{self.bootstrap.name} listens on {self.bootstrap.listen[0]}:{self.bootstrap.listen[1]}")
+        self.note(
+            f"{self.bootstrap.name} listens on {self.bootstrap.listen[0]}:{self.bootstrap.listen[1]}"
+        )
 
     def reload(self):
         """A new configuration: discovery and the relay may be elsewhere. One that can't be read leaves the old standing."""
         try:
             bootstrap = Bootstrap(self.bootstrap.path)
-        except Exception as error:      # whatever is wrong with a file, it must not end a planner that serves
+        except (
+            Exception
+        ) as error:  # whatever is wrong with a file, it must not end a planner that serves
             return self.note(f"the configuration stays as it was: {error}")
         if (bootstrap.name, bootstrap.listen) != (self.bootstrap.name, self.bootstrap.listen):
-            return self.note(f"the configuration stays as it was: the new one is that of {bootstrap.name}")
+            return self.note(
+                f"the configuration stays as it was: the new one is that of {bootstrap.name}"
+            )
         if bootstrap.charter != self.bootstrap.charter:
-            self.note("the settings stay as they were at the start: tables made by others would not go with them")
+            self.note(
+                "the settings stay as they were at the start: tables made by others would not go with them"
+            )
         self.note(f"discovery at {bootstrap.discovery}, the relay at {bootstrap.registry}")
         self.discovery.move(bootstrap.discovery)
         self.relay.move(bootstrap.registry)
@@ -142,9 +157,11 @@
 def main():
     """Exit codes: 0 told to end, 2 the configuration can't be used."""
     early = []
-    signal.signal(signal.SIGHUP, lambda *_: early.append(True))     # its default would end the program
+    signal.signal(signal.SIGHUP, lambda *_: early.append(True))  # its default would end the program
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(logging.Formatter("%(asctime)s.%(msecs)03d %(name)s %(message)s", "%H:%M:%S"))
+    handler.setFormatter(
+        logging.Formatter("%(asctime)s.%(msecs)03d %(name)s %(message)s", "%H:%M:%S")
+    )
     handler.addFilter(Bounded())
     logging.basicConfig(level=logging.INFO, handlers=[handler])
     try:
--- a/indigodeck/fronts/sasp/codec.py
+++ b/indigodeck/fronts/sasp/codec.py
@@ -4,16 +4,27 @@
 the end write messages. Numbers are big-endian. docs/sasp.md names the section for each layout, and the
 readings that were chosen where the text was not at hand.
 """
+
 import ipaddress
 import struct
 from typing import NamedTuple
 
 VERSION = 1
-HEADER = struct.Struct("!HHBII")        # type, length, version, message length, message id
+HEADER = struct.Struct("!HHBII")  # type, length, version, message length, message id
 HEADER_TYPE = 0x2010
-(REGISTER, REGISTERED, DEREGISTER, DEREGISTERED, GET_WEIGHTS, WEIGHTS, SEND_WEIGHTS, SET_BALANCER,
- BALANCER_SET, SET_MEMBERS, MEMBERS_SET) = (0x1010, 0x1015, 0x1020, 0x1025, 0x1030, 0x1035, 0x1040, 0x1050,
-                                            0x1055, 0x1060, 0x1065)
+(
+    REGISTER,
+    REGISTERED,
+    DEREGISTER,
+    DEREGISTERED,
+    GET_WEIGHTS,
+    WEIGHTS,
+    SEND_WEIGHTS,
+    SET_BALANCER,
+    BALANCER_SET,
+    SET_MEMBERS,
+    MEMBERS_SET,
+) = (0x1010, 0x1015, 0x1020, 0x1025, 0x1030, 0x1035, 0x1040, 0x1050, 0x1055, 0x1060, 0x1065)
 MEMBER, GROUP, WEIGHT_ENTRY, MEMBER_STATE = 0x3010, 0x3011, 0x3012, 0x3013
 GROUP_OF_MEMBERS, GROUP_OF_WEIGHTS, GROUP_OF_STATES = 0x4010, 0x4011, 0x4012
 
@@ -22,14 +33,20 @@
 DUPLICATE_MEMBER, INVALID_GROUP, DUPLICATE_GROUP = 0x44, 0x45, 0x46
 GROUP_NAME_SIZE, BALANCER_SIZE, BALANCER_ABSENT = 0x50, 0x51, 0x61
 MEANINGS = {
-    DONE: "successful", NOT_UNDERSTOOD: "message not understood",
+    DONE: "successful",
+    NOT_UNDERSTOOD: "message not understood",
     NOT_ACCEPTED: "the manager will not accept this message from the sender",
-    ALREADY_REGISTERED: "member already registered", NOT_REGISTERED: "application or system not registered",
-    UNKNOWN_GROUP: "unknown group name", UNKNOWN_BALANCER: "unknown load balancer",
-    DUPLICATE_MEMBER: "duplicate member in request", INVALID_GROUP: "invalid group",
-    DUPLICATE_GROUP: "duplicate group in request", GROUP_NAME_SIZE: "invalid group name size",
+    ALREADY_REGISTERED: "member already registered",
+    NOT_REGISTERED: "application or system not registered",
+    UNKNOWN_GROUP: "unknown group name",
+    UNKNOWN_BALANCER: "unknown load balancer",
+    DUPLICATE_MEMBER: "duplicate member in request",
+    INVALID_GROUP: "invalid group",
+    DUPLICATE_GROUP: "duplicate group in request",
+    GROUP_NAME_SIZE: "invalid group name size",
     BALANCER_SIZE: "invalid load balancer id size",
-    BALANCER_ABSENT: "the load balancer of this member has not yet contacted the manager"}
+    BALANCER_ABSENT: "the load balancer of this member has not yet contacted the manager",
+}
 
 # Flags are read from the most significant bit down, as the diagrams of RFCs number bits (docs/sasp.md).
 PUSH, TRUST, NO_CHANGE = 0x80, 0x40, 0x20
@@ -51,6 +68,7 @@
 
 class Bounds(NamedTuple):
     """What one peer may send: bytes in a message, groups in it, members in a group."""
+
     message_bytes: int = 1 << 20
     groups: int = 64
     members: int = 1024
@@ -58,6 +76,7 @@
 
 class Member(NamedTuple):
     """A member: IP protocol number, port, address as 16 bytes (IPv4 as ::ffff:a.b.c.d), and a label."""
+
     protocol: int
     port: int
     address: bytes
@@ -66,18 +85,22 @@
     @classmethod
     def at(cls, address, port, label=b"", protocol=6):
         parsed = ipaddress.ip_address(address)
-        return cls(protocol, port, MAPPED + parsed.packed if parsed.version == 4 else parsed.packed, label)
+        return cls(
+            protocol, port, MAPPED + parsed.packed if parsed.version == 4 else parsed.packed, label
+        )
 
     def place(self):
         """(address, port): an IPv4 address is the same in its mapped and in its older compatible form."""
         mapped = self.address[:12] == MAPPED or (
-            self.address[:12] == bytes(12) and self.address[12:] > b"\0\0\0\1")
+            self.address[:12] == bytes(12) and self.address[12:] > b"\0\0\0\1"
+        )
         packed = self.address[12:] if mapped else self.address
         return str(ipaddress.ip_address(packed)), self.port
 
 
 class Entry(NamedTuple):
     """A member's weight: 0 to 65535, the opaque state that its agent last gave, and flags."""
+
     member: Member
     weight: int
     flags: int
@@ -86,6 +109,7 @@
 
 # Reading.
 
+
 class Reader:
     """Steps through one message and never past the end of what is open."""
 
@@ -98,7 +122,7 @@
     def take(self, size, what):
         if self.at + size > self.end:
             self.fail(f"{what} needs {size} bytes, {self.end - self.at} are left")
-        piece = self.data[self.at:self.at + size]
+        piece = self.data[self.at : self.at + size]
         self.at += size
         return piece
 
@@ -148,7 +172,11 @@
     def entry(self):
         outer = self.open(WEIGHT_ENTRY, "a weight entry")
         member = self.member()
-        state, flags, weight = self.number(1, "state"), self.number(1, "flags"), self.number(2, "weight")
+        state, flags, weight = (
+            self.number(1, "state"),
+            self.number(1, "flags"),
+            self.number(2, "weight"),
+        )
         self.close(outer, "a weight entry")
         return Entry(member, weight, flags, state)
 
@@ -175,8 +203,13 @@
         return [self.group() for _ in range(self.count(self.bounds.groups, "groups"))]
 
 
-REPLIES = {REGISTER: REGISTERED, DEREGISTER: DEREGISTERED, GET_WEIGHTS: WEIGHTS, SET_BALANCER: BALANCER_SET,
-           SET_MEMBERS: MEMBERS_SET}
+REPLIES = {
+    REGISTER: REGISTERED,
+    DEREGISTER: DEREGISTERED,
+    GET_WEIGHTS: WEIGHTS,
+    SET_BALANCER: BALANCER_SET,
+    SET_MEMBERS: MEMBERS_SET,
+}
 
 
 def head(data, bounds):
@@ -199,38 +232,77 @@
     set_members(id, by_balancer, groups of states); and for a load balancer: answered(id, reply type, code),
     weights(id, code, interval in seconds, groups of entries), sent_weights(id, groups of entries).
     """
-    whole, number = head(data[:HEADER.size], bounds)
+    whole, number = head(data[: HEADER.size], bounds)
     if whole != len(data):
         raise Malformed(f"a message of {len(data)} bytes states {whole}", 5)
     kind, length = struct.unpack_from("!HH", data, HEADER.size)
     reader = Reader(data, bounds, REPLIES.get(kind))
     reader.at = HEADER.size + 4
     # Whether a message component counts the groups in it is read both ways; nothing else is.
-    fixed = {REGISTER: 7, DEREGISTER: 8, GET_WEIGHTS: 6, WEIGHTS: 9, SEND_WEIGHTS: 6, SET_MEMBERS: 7}.get(kind)
+    fixed = {
+        REGISTER: 7,
+        DEREGISTER: 8,
+        GET_WEIGHTS: 6,
+        WEIGHTS: 9,
+        SEND_WEIGHTS: 6,
+        SET_MEMBERS: 7,
+    }.get(kind)
     if length not in (whole - HEADER.size, fixed):
-        reader.fail(f"a message component states {length} bytes, {whole - HEADER.size} follow the header")
+        reader.fail(
+            f"a message component states {length} bytes, {whole - HEADER.size} follow the header"
+        )
     if kind == REGISTER:
         by_balancer = bool(reader.number(1, "flags") & FROM_BALANCER)
-        call = handler.register, by_balancer, reader.groups(GROUP_OF_MEMBERS, reader.member, "a group of members")
+        call = (
+            handler.register,
+            by_balancer,
+            reader.groups(GROUP_OF_MEMBERS, reader.member, "a group of members"),
+        )
     elif kind == DEREGISTER:
-        by_balancer, reason = bool(reader.number(1, "flags") & FROM_BALANCER), reader.number(1, "reason")
+        by_balancer, reason = (
+            bool(reader.number(1, "flags") & FROM_BALANCER),
+            reader.number(1, "reason"),
+        )
         groups = reader.groups(GROUP_OF_MEMBERS, reader.member, "a group of members")
         call = handler.deregister, by_balancer, reason, groups
     elif kind == GET_WEIGHTS:
         call = handler.get_weights, reader.names()
     elif kind == SET_BALANCER:
-        uid, health, flags = reader.text("load balancer's id"), reader.number(1, "health"), reader.number(1, "flags")
-        call = handler.set_balancer, uid, health, bool(flags & PUSH), bool(flags & TRUST), bool(flags & NO_CHANGE)
+        uid, health, flags = (
+            reader.text("load balancer's id"),
+            reader.number(1, "health"),
+            reader.number(1, "flags"),
+        )
+        call = (
+            handler.set_balancer,
+            uid,
+            health,
+            bool(flags & PUSH),
+            bool(flags & TRUST),
+            bool(flags & NO_CHANGE),
+        )
     elif kind == SET_MEMBERS:
         by_balancer = bool(reader.number(1, "flags") & FROM_BALANCER)
-        call = handler.set_members, by_balancer, reader.groups(GROUP_OF_STATES, reader.state, "a group of states")
+        call = (
+            handler.set_members,
+            by_balancer,
+            reader.groups(GROUP_OF_STATES, reader.state, "a group of states"),
+        )
     elif kind in (REGISTERED, DEREGISTERED, BALANCER_SET, MEMBERS_SET):
         call = handler.answered, kind, reader.number(1, "return code")
     elif kind == WEIGHTS:
         code, interval = reader.number(1, "return code"), reader.number(2, "interval")
-        call = handler.weights, code, interval, reader.groups(GROUP_OF_WEIGHTS, reader.entry, "a group of weights")
+        call = (
+            handler.weights,
+            code,
+            interval,
+            reader.groups(GROUP_OF_WEIGHTS, reader.entry, "a group of weights"),
+        )
     elif kind == SEND_WEIGHTS:
-        call = handler.sent_weights, reader.groups(GROUP_OF_WEIGHTS, reader.entry, "a group of weights")
+        call = (
+            handler.sent_weights,
+            reader.groups(GROUP_OF_WEIGHTS, reader.entry, "a group of weights"),
+        )
     else:
         reader.fail(f"unknown message type {kind:#06x}")
     if reader.at != reader.end:
@@ -241,11 +313,12 @@
 
 def introduces(data):
     """Whether this message, whole or not, is one in which a load balancer says who it is."""
-    return data[HEADER.size:HEADER.size + 2] == struct.pack("!H", SET_BALANCER)
+    return data[HEADER.size : HEADER.size + 2] == struct.pack("!H", SET_BALANCER)
 
 
 # Writing.
 
+
 def component(kind, *parts):
     body = b"".join(parts)
     if len(body) > LONGEST - 4:
@@ -265,7 +338,12 @@
 
 
 def member_bytes(member):
-    return component(MEMBER, struct.pack("!BH", member.protocol, member.port), member.address, short(member.label))
+    return component(
+        MEMBER,
+        struct.pack("!BH", member.protocol, member.port),
+        member.address,
+        short(member.label),
+    )
 
 
 def group_bytes(named):
@@ -273,8 +351,11 @@
 
 
 def entry_bytes(entry):
-    return component(WEIGHT_ENTRY, member_bytes(entry.member), struct.pack("!BBH", entry.state, entry.flags,
-                                                                           entry.weight))
+    return component(
+        WEIGHT_ENTRY,
+        member_bytes(entry.member),
+        struct.pack("!BBH", entry.state, entry.flags, entry.weight),
+    )
 
 
 def state_bytes(stated):
@@ -283,19 +364,29 @@
 
 
 def many(kind, groups, one):
-    parts = [component(kind, struct.pack("!H", len(held)), group_bytes(named), *map(one, held))
-             for named, held in groups]
+    parts = [
+        component(kind, struct.pack("!H", len(held)), group_bytes(named), *map(one, held))
+        for named, held in groups
+    ]
     return struct.pack("!H", len(parts)) + b"".join(parts)
 
 
 def register(number, by_balancer, groups):
-    return message(number, REGISTER, bytes([FROM_BALANCER if by_balancer else 0]),
-                   many(GROUP_OF_MEMBERS, groups, member_bytes))
+    return message(
+        number,
+        REGISTER,
+        bytes([FROM_BALANCER if by_balancer else 0]),
+        many(GROUP_OF_MEMBERS, groups, member_bytes),
+    )
 
 
 def deregister(number, by_balancer, reason, groups):
-    return message(number, DEREGISTER, bytes([FROM_BALANCER if by_balancer else 0, reason]),
-                   many(GROUP_OF_MEMBERS, groups, member_bytes))
+    return message(
+        number,
+        DEREGISTER,
+        bytes([FROM_BALANCER if by_balancer else 0, reason]),
+        many(GROUP_OF_MEMBERS, groups, member_bytes),
+    )
 
 
 def get_weights(number, names):
@@ -308,8 +399,12 @@
 
 
 def set_members(number, by_balancer, groups):
-    return message(number, SET_MEMBERS, bytes([FROM_BALANCER if by_balancer else 0]),
-                   many(GROUP_OF_STATES, groups, state_bytes))
+    return message(
+        number,
+        SET_MEMBERS,
+        bytes([FROM_BALANCER if by_balancer else 0]),
+        many(GROUP_OF_STATES, groups, state_bytes),
+    )
 
 
 def answer(number, kind, code):
@@ -320,7 +415,12 @@
 
 
 def weights(number, code, interval, groups):
-    return message(number, WEIGHTS, struct.pack("!BH", code, interval), many(GROUP_OF_WEIGHTS, groups, entry_bytes))
+    return message(
+        number,
+        WEIGHTS,
+        struct.pack("!BH", code, interval),
+        many(GROUP_OF_WEIGHTS, groups, entry_bytes),
+    )
 
 
 def send_weights(number, groups):
--- a/indigodeck/fronts/sasp/conversation.py
+++ b/indigodeck/fronts/sasp/conversation.py
@@ -4,15 +4,37 @@
 table as the desk holds it for that proxy. Nothing is weighed here: what can't be told by a weight is said by
 a flag, and where there is no table yet, that there is no opinion (docs/sasp.md).
 """
+
 from . import codec
-from .codec import (ALREADY_REGISTERED, BALANCER_ABSENT, BALANCER_SET, BALANCER_SIZE, BY_BALANCER, CONFIDENT, CONTACT,
-                    DEREGISTERED, DONE, DUPLICATE_GROUP, DUPLICATE_MEMBER, GROUP_NAME_SIZE, INVALID_GROUP,
-                    MEMBERS_SET, NOT_ACCEPTED, NOT_REGISTERED, QUIESCED, REGISTERED, UNKNOWN_BALANCER, UNKNOWN_GROUP,
-                    Entry, Malformed, Member)
+from .codec import (
+    ALREADY_REGISTERED,
+    BALANCER_ABSENT,
+    BALANCER_SET,
+    BALANCER_SIZE,
+    BY_BALANCER,
+    CONFIDENT,
+    CONTACT,
+    DEREGISTERED,
+    DONE,
+    DUPLICATE_GROUP,
+    DUPLICATE_MEMBER,
+    GROUP_NAME_SIZE,
+    INVALID_GROUP,
+    MEMBERS_SET,
+    NOT_ACCEPTED,
+    NOT_REGISTERED,
+    QUIESCED,
+    REGISTERED,
+    UNKNOWN_BALANCER,
+    UNKNOWN_GROUP,
+    Entry,
+    Malformed,
+    Member,
+)
 from ...planner.weights import scaled
 
-QUARREL = 3        # times that one id may be taken over within the span that messages are counted in
-NEUTRAL = 1        # the weight of a member of which nothing is known: the same for all
+QUARREL = 3  # times that one id may be taken over within the span that messages are counted in
+NEUTRAL = 1  # the weight of a member of which nothing is known: the same for all
 
 
 class Group:
@@ -20,7 +42,7 @@
 
     def __init__(self):
         self.members, self.by_balancer, self.quiet, self.states = {}, set(), set(), {}
-        self.told = {}      # (address, port): (weight, flags, state), as last written
+        self.told = {}  # (address, port): (weight, flags, state), as last written
 
 
 class Office:
@@ -70,7 +92,7 @@
         self.office, self.desk, self.line = office, office.desk, line
         self.uid = self.proxy = None
         self.push = self.trust = self.no_change = False
-        self.groups = {}        # class's place: Group
+        self.groups = {}  # class's place: Group
 
     # What comes in. Each request is answered once.
 
@@ -106,9 +128,13 @@
             return DONE
         proxy = self.office.clerk.proxy(uid)
         if proxy is None or not self.office.claim(uid, self):
-            self.office.clerk.note("refused", peer=uid.decode("utf-8", "replace"),
-                                   why="not in charge of it, or too many relays" if proxy is None
-                                   else "its id is taken over by turns")
+            self.office.clerk.note(
+                "refused",
+                peer=uid.decode("utf-8", "replace"),
+                why="not in charge of it, or too many relays"
+                if proxy is None
+                else "its id is taken over by turns",
+            )
             return NOT_ACCEPTED
         self.uid, self.proxy = uid, proxy
         self.office.clerk.joined(proxy, uid)
@@ -202,7 +228,9 @@
 
     def get_weights(self, number, names):
         code, places = DONE, []
-        for uid, name in names or [(self.uid, self.office.names[place]) for place in sorted(self.groups)]:
+        for uid, name in names or [
+            (self.uid, self.office.names[place]) for place in sorted(self.groups)
+        ]:
             place = self.office.places.get(name)
             if not uid or uid != self.uid or self.proxy is None:
                 code = UNKNOWN_BALANCER if uid else BALANCER_SIZE
@@ -228,8 +256,12 @@
             group = speaker.groups.get(self.office.places.get(named[1]))
             if group is None:
                 return UNKNOWN_GROUP
-            known = group.members.keys() if not speaker.trust else group.members.keys() | {
-                self.office.clerk.address(server) for server in self._lines(named[1], speaker)}
+            known = (
+                group.members.keys()
+                if not speaker.trust
+                else group.members.keys()
+                | {self.office.clerk.address(server) for server in self._lines(named[1], speaker)}
+            )
             if any(member.place() not in known for member, _, _ in states):
                 return NOT_REGISTERED
             changes.append((speaker, group, states))
@@ -269,8 +301,11 @@
             told = dict(self.groups[place].told)
             named, entries = self._whole(place)
             if self.no_change:
-                entries = [entry for entry in entries
-                           if told.get(entry.member.place()) != (entry.weight, entry.flags, entry.state)]
+                entries = [
+                    entry
+                    for entry in entries
+                    if told.get(entry.member.place()) != (entry.weight, entry.flags, entry.state)
+                ]
             if entries:
                 groups.append((named, entries))
         return codec.send_weights(self.office.next_number(), groups) if groups else None
@@ -281,9 +316,12 @@
         entries = self._no_table(group) if lines is None else self._table(group, lines)
         for entry in entries:
             group.told[entry.member.place()] = entry.weight, entry.flags, entry.state
-        for where in [where for where, told in group.told.items()
-                      if told and told[0] == 0 and where not in group.members]:
-            del group.told[where]        # said once that it is out; it was never registered
+        for where in [
+            where
+            for where, told in group.told.items()
+            if told and told[0] == 0 and where not in group.members
+        ]:
+            del group.told[where]  # said once that it is out; it was never registered
         return (self.uid, self.office.names[place]), entries
 
     def _entry(self, group, where, weight, server):
@@ -293,7 +331,9 @@
         if server is not None:
             flags |= CONFIDENT | (CONTACT if self.office.clerk.in_contact(server) else 0)
         weight = 0 if flags & QUIESCED else weight
-        return Entry(group.members.get(where) or Member.at(*where), weight, flags, group.states.get(where, 0))
+        return Entry(
+            group.members.get(where) or Member.at(*where), weight, flags, group.states.get(where, 0)
+        )
 
     def _table(self, group, lines):
         clerk, weights = self.office.clerk, scaled(lines)
@@ -303,9 +343,14 @@
             if lines and not at:
                 # None that it may use is in the table: that says nothing of those that it has.
                 return self._no_table(group)
-        entries = [self._entry(group, where, weights[server], server) for where, server in sorted(at.items())]
+        entries = [
+            self._entry(group, where, weights[server], server)
+            for where, server in sorted(at.items())
+        ]
         rest = (group.members.keys() | group.told.keys()) - at.keys()
-        return entries + [self._entry(group, where, 0, clerk.server_at(where)) for where in sorted(rest)]
+        return entries + [
+            self._entry(group, where, 0, clerk.server_at(where)) for where in sorted(rest)
+        ]
 
     def _no_table(self, group):
         """No opinion: all alike and not confident, but for those that drain or are gone."""
--- a/indigodeck/fronts/sasp/server.py
+++ b/indigodeck/fronts/sasp/server.py
@@ -1,4 +1,5 @@
 """The sockets of the SASP front, on Tornado's streams: one coroutine reads, one writes, each message whole."""
+
 import fcntl
 import struct
 import termios
@@ -42,7 +43,9 @@
     def _close(self):
         # After what was answered has left: a refusal is worth nothing if it never arrives.
         if not self.stream.closed():
-            self.front.note("cut off", peer=self.conversation.name() or self.address[0], why=self.closing)
+            self.front.note(
+                "cut off", peer=self.conversation.name() or self.address[0], why=self.closing
+            )
             self.stream.close()
 
     # The two coroutines.
@@ -62,7 +65,9 @@
         except TooLate:
             self.close("a message was begun and not ended in time")
         except codec.Malformed as error:
-            self.front.note("malformed", peer=self.conversation.name(), why=str(error), code=error.code)
+            self.front.note(
+                "malformed", peer=self.conversation.name(), why=str(error), code=error.code
+            )
             self.close(str(error))
         finally:
             writer.cancel()
@@ -73,9 +78,13 @@
         """One whole message. It may be long in coming; once begun, it must end in time."""
         first = await self.stream.read_bytes(1)
         deadline = IOLoop.current().time() + self.front.message_time
-        rest = await with_timeout(deadline, self.stream.read_bytes(codec.HEADER.size - 1), StreamClosedError)
+        rest = await with_timeout(
+            deadline, self.stream.read_bytes(codec.HEADER.size - 1), StreamClosedError
+        )
         whole, _ = codec.head(first + rest, self.front.office.bounds)
-        body = await with_timeout(deadline, self.stream.read_bytes(whole - codec.HEADER.size), StreamClosedError)
+        body = await with_timeout(
+            deadline, self.stream.read_bytes(whole - codec.HEADER.size), StreamClosedError
+        )
         return first + rest + body
 
     async def _allowed(self):
@@ -87,7 +96,7 @@
         if not await self.front.service.admitted():
             self.close("too many relays wait to join")
         if self.stream.closed() or self.closing is not None:
-            raise StreamClosedError         # it did not wait for its turn, and would be told all for nothing
+            raise StreamClosedError  # it did not wait for its turn, and would be told all for nothing
 
     def _allowance(self):
         return self.front.allowance(self.conversation.uid or self.address)
@@ -104,7 +113,11 @@
             # Another may be in charge by now: asked here and not before, for much may have passed since it was queued.
             raise StreamClosedError
         # A peer that reads nothing holds up its own connection, and not for ever.
-        await with_timeout(IOLoop.current().time() + self.front.deaf_time, self.stream.write(data), StreamClosedError)
+        await with_timeout(
+            IOLoop.current().time() + self.front.deaf_time,
+            self.stream.write(data),
+            StreamClosedError,
+        )
 
     async def _write(self):
         try:
@@ -154,10 +167,15 @@
         super().__init__(max_buffer_size=2 * charter.fronts["sasp"].get("message_bytes", 1 << 20))
         stated = charter.fronts["sasp"]
         self.service, self.desk = service, service.desk
-        bounds = codec.Bounds(stated.get("message_bytes", 1 << 20), stated.get("groups", 64),
-                              stated.get("members", 1024))
+        bounds = codec.Bounds(
+            stated.get("message_bytes", 1 << 20),
+            stated.get("groups", 64),
+            stated.get("members", 1024),
+        )
         self.span = charter.stated["messages_span"]
-        self.office = Office(self.desk, self, charter.classes, bounds, stated.get("interval_s", 5), self.span)
+        self.office = Office(
+            self.desk, self, charter.classes, bounds, stated.get("interval_s", 5), self.span
+        )
         self.connections = stated.get("connections", 4096)
         self.message_time = stated.get("message_ms", 5000) / 1000
         self.deaf_time = stated.get("deaf_ms", 60_000) / 1000
@@ -208,8 +226,10 @@
         """Something about these servers changed that no table tells: flags, or who may be told of them."""
         for conversation in self.office.balancers.values():
             if conversation.push and any(
-                    where in group.members or where in group.told
-                    for group in conversation.groups.values() for where in places):
+                where in group.members or where in group.told
+                for group in conversation.groups.values()
+                for where in places
+            ):
                 conversation.line.due()
 
     def cease(self):
