--- a/indigodeck/fronts/xds/reach.py
+++ b/indigodeck/fronts/xds/reach.py
@@ -2,6 +2,7 @@
 
 Reports come over the OpenRcaService's stream, at the period that is asked for; the last one is what `report` gives.
 """
+
 import asyncio
 
 import grpc
@@ -10,10 +11,13 @@
 
 from ...planner.evidence import report_of
 
-OUTCOMES = {grpc.StatusCode.DEADLINE_EXCEEDED: "silent", grpc.StatusCode.UNAVAILABLE: "unreachable",
-            grpc.StatusCode.RESOURCE_EXHAUSTED: "full"}
+OUTCOMES = {
+    grpc.StatusCode.DEADLINE_EXCEEDED: "silent",
+    grpc.StatusCode.UNAVAILABLE: "unreachable",
+    grpc.StatusCode.RESOURCE_EXHAUSTED: "full",
+}
 STREAM = "/xds.service.orca.v3.OpenRcaService/StreamCoreMetrics"
-PAUSE = 1.0        # between two calls for reports of a host that does not give them
+PAUSE = 1.0  # between two calls for reports of a host that does not give them
 
 
 class GrpcReach:
@@ -26,7 +30,9 @@
         held = self.hosts.get(where)
         if held is None:
             address = f"[{where[0]}]" if ":" in where[0] else where[0]
-            channel = grpc.aio.insecure_channel(f"{address}:{where[1]}", options=[("grpc.enable_retries", 0)])
+            channel = grpc.aio.insecure_channel(
+                f"{address}:{where[1]}", options=[("grpc.enable_retries", 0)]
+            )
             held = self.hosts[where] = {"channel": channel, "last": None, "used": 0, "task": None}
             held["task"] = asyncio.get_running_loop().create_task(self._follow(held))
         held["used"] = asyncio.get_running_loop().time()
@@ -39,8 +45,11 @@
         request.report_interval.FromMicroseconds(self.period)
         while loop.time() - held["used"] < rest:
             try:
-                call = held["channel"].unary_stream(STREAM, orca_pb2.OrcaLoadReportRequest.SerializeToString,
-                                                    orca_load_report_pb2.OrcaLoadReport.FromString)
+                call = held["channel"].unary_stream(
+                    STREAM,
+                    orca_pb2.OrcaLoadReportRequest.SerializeToString,
+                    orca_load_report_pb2.OrcaLoadReport.FromString,
+                )
                 async for message in call(request):
                     held["last"] = self._read(message)
                     if loop.time() - held["used"] >= rest:
@@ -63,7 +72,9 @@
 
     async def exchange(self, where, patience):
         held = self._host(where)
-        call = held["channel"].unary_unary(self.method)(b"", timeout=patience, metadata=[("relay", "planner")])
+        call = held["channel"].unary_unary(self.method)(
+            b"", timeout=patience, metadata=[("relay", "planner")]
+        )
         try:
             await call
             outcome = "ok"
@@ -77,7 +88,7 @@
                 message = orca_load_report_pb2.OrcaLoadReport()
                 try:
                     message.ParseFromString(value)
-                except Exception:       # a host's own bytes: unreadable ones say nothing
+                except Exception:  # a host's own bytes: unreadable ones say nothing
                     return None
                 return self._read(message) if message.rps_fractional else None
         return None
--- a/indigodeck/fronts/xds/server.py
+++ b/indigodeck/fronts/xds/server.py
@@ -1,4 +1,5 @@
 """The xDS front's server, on grpcio's asyncio loop: aggregated discovery in both forms, and load reports."""
+
 import asyncio
 
 import grpc
@@ -22,8 +23,11 @@
     # What the stream may do.
 
     def send(self, kind, version, nonce, resources, removed):
-        self.outbox = (codec.changes(kind, version, nonce, resources, removed) if self.delta
-                       else codec.whole(kind, version, nonce, resources))
+        self.outbox = (
+            codec.changes(kind, version, nonce, resources, removed)
+            if self.delta
+            else codec.whole(kind, version, nonce, resources)
+        )
 
     def due(self):
         self.wanted.set()
@@ -65,13 +69,24 @@
                 self.relay = self.front.introduced(request.node)
                 self.stream = self.relay.opened(self, self.delta)
                 self.writer = asyncio.get_running_loop().create_task(self._write())
-            error = request.error_detail.message or "refused without a reason" if request.HasField("error_detail") else None
+            error = (
+                request.error_detail.message or "refused without a reason"
+                if request.HasField("error_detail")
+                else None
+            )
             if self.delta:
-                self.stream.asked_changes(request.type_url, request.resource_names_subscribe,
-                                          request.resource_names_unsubscribe, dict(request.initial_resource_versions),
-                                          request.response_nonce, error)
+                self.stream.asked_changes(
+                    request.type_url,
+                    request.resource_names_subscribe,
+                    request.resource_names_unsubscribe,
+                    dict(request.initial_resource_versions),
+                    request.response_nonce,
+                    error,
+                )
             else:
-                self.stream.asked_whole(request.type_url, request.resource_names, request.response_nonce, error)
+                self.stream.asked_whole(
+                    request.type_url, request.resource_names, request.response_nonce, error
+                )
             # A flood of requests from one relay gives way to the others after each.
             await asyncio.sleep(0)
 
@@ -84,7 +99,7 @@
                 allowance = self.front.service.allowance(self.relay.uid)
                 while wait := allowance.order_in(self.front.service.now()):
                     await asyncio.sleep(wait / SECOND)
-                self.relay.take()       # the newest, after whatever it waited for
+                self.relay.take()  # the newest, after whatever it waited for
                 # Answers to subscriptions have a part of the limit: a relay that asks for ever delays no order to it.
                 wait = allowance.answer_in(self.front.service.now())
                 kind = self.stream.news(only=(codec.ENDPOINTS,) if wait else codec.KINDS)
@@ -101,7 +116,9 @@
                 await self.context.write(answer)
 
 
-class XdsFront(ads_pb2_grpc.AggregatedDiscoveryServiceServicer, lrs_pb2_grpc.LoadReportingServiceServicer):
+class XdsFront(
+    ads_pb2_grpc.AggregatedDiscoveryServiceServicer, lrs_pb2_grpc.LoadReportingServiceServicer
+):
     """`service`: the program around (planner/service.py)."""
 
     def __init__(self, service, charter):
@@ -109,13 +126,19 @@
         self.service, self.desk, self.charter = service, service.desk, charter
         self.bounds = streams.Bounds(stated.get("names", 256), stated.get("streams", 16))
         self.most = stated.get("relays", 4096)
-        self.shelf = streams.Shelf(self.desk, self, {name: place for place, name in enumerate(charter.classes)}, scaled)
-        self.known, self.relays = {}, {}       # by id; by proxy
+        self.shelf = streams.Shelf(
+            self.desk, self, {name: place for place, name in enumerate(charter.classes)}, scaled
+        )
+        self.known, self.relays = {}, {}  # by id; by proxy
         keep = round(stated.get("keepalive_ms", 10_000))
         self.options = [
             ("grpc.max_receive_message_length", stated.get("message_bytes", 1 << 20)),
-            ("grpc.keepalive_time_ms", keep), ("grpc.keepalive_timeout_ms", keep), ("grpc.so_reuseport", 0),
-            ("grpc.http2.min_ping_interval_without_data_ms", 300), ("grpc.keepalive_permit_without_calls", 1)]
+            ("grpc.keepalive_time_ms", keep),
+            ("grpc.keepalive_timeout_ms", keep),
+            ("grpc.so_reuseport", 0),
+            ("grpc.http2.min_ping_interval_without_data_ms", 300),
+            ("grpc.keepalive_permit_without_calls", 1),
+        ]
         self.server, self.bound, self.address, self.reports_read = None, None, None, 0
         self.open, self.turning = True, asyncio.Lock()
 
@@ -188,7 +211,9 @@
         proxy = self.service.proxy_number(uid.encode()) if len(self.known) < self.most else None
         if proxy is None:
             raise streams.TooMuch("too many relays")
-        relay = self.known[uid] = self.relays[proxy] = streams.Relay(uid, proxy, self.shelf, self.desk, self, self.bounds)
+        relay = self.known[uid] = self.relays[proxy] = streams.Relay(
+            uid, proxy, self.shelf, self.desk, self, self.bounds
+        )
         self.service.joined(self, proxy, uid, hall)
         return relay
 
@@ -221,10 +246,17 @@
                 for name, span, refused, met in codec.reports_in(request):
                     if known is not None and name in places:
                         self.reports_read += self.service.told(
-                            known.proxy, places[name], span,
+                            known.proxy,
+                            places[name],
+                            span,
                             # What was issued and has not ended is neither good nor bad yet: a hung host would look well.
-                            [(host, good + failed, failed, took) for host, _, _, good, failed, took in met],
-                            refused, mine)
+                            [
+                                (host, good + failed, failed, took)
+                                for host, _, _, good, failed, took in met
+                            ],
+                            refused,
+                            mine,
+                        )
                 await asyncio.sleep(0)
         finally:
             self.service.sums.stream_ended(mine)
--- a/indigodeck/fronts/xds/streams.py
+++ b/indigodeck/fronts/xds/streams.py
@@ -4,14 +4,17 @@
 and its tables. Each stream keeps, for each type, what it subscribes to, what it was sent, what it acknowledged and what
 it refused. (The xDS REST and gRPC protocol, as published with the data plane API; docs/xds.md.)
 """
+
 from collections import OrderedDict
 
 from . import codec
 from .codec import CLUSTER, ENDPOINTS, KINDS, LISTENER, ROUTE
 from ...host import DRAINING
 
-ANSWERED_WITHIN = 10_000_000      # microseconds; a relay that answers a response no sooner is let go, and comes back with what it holds
-UNDERWAY_MOST = 3      # responses of one type that may wait for their acknowledgement; then the newest state waits
+ANSWERED_WITHIN = 10_000_000  # microseconds; a relay that answers a response no sooner is let go, and comes back with what it holds
+UNDERWAY_MOST = (
+    3  # responses of one type that may wait for their acknowledgement; then the newest state waits
+)
 WILDCARD = "*"
 
 
@@ -47,14 +50,20 @@
         if place is None:
             return None
         if kind in (CLUSTER, LISTENER):
-            return self._made((kind, name), None, lambda: (codec.cluster if kind == CLUSTER else codec.listener)(name))
+            return self._made(
+                (kind, name),
+                None,
+                lambda: (codec.cluster if kind == CLUSTER else codec.listener)(name),
+            )
         edition, (level, way) = self.desk.edition(proxy, place), self.desk.level(proxy, place)
         if kind == ROUTE:
             return self._made((kind, name, way), None, lambda: codec.route(name, max(0, way - 1)))
         if edition is None:
-            return None         # no table yet: the relay keeps what it has
+            return None  # no table yet: the relay keeps what it has
         # Proxies that share a table share its bytes: made once, whoever asks first.
-        return self._made((kind, name, edition[0]), edition, lambda: self._endpoints(name, place, proxy, level))
+        return self._made(
+            (kind, name, edition[0]), edition, lambda: self._endpoints(name, place, proxy, level)
+        )
 
     def _made(self, key, edition, make):
         held = self.fixed.get(key)
@@ -66,8 +75,13 @@
         lines = self.desk.view(proxy, place)
         weights = self.scaled(lines)
         told = [host + (weights[server],) for server in lines if (host := self.clerk.host(server))]
-        out = [host + (0,) for server in self.desk.withdrawn if self.desk.standing(server) is not None
-               and self.desk.standing(server).state == DRAINING and (host := self.clerk.host(server))]
+        out = [
+            host + (0,)
+            for server in self.desk.withdrawn
+            if self.desk.standing(server) is not None
+            and self.desk.standing(server).state == DRAINING
+            and (host := self.clerk.host(server))
+        ]
         return codec.endpoints(name, told, out, min(1.0, max(0.0, level)))
 
 
@@ -76,10 +90,10 @@
 
     def __init__(self):
         self.asked, self.wild, self.begun = set(), False, False
-        self.sent, self.held, self.refused = {}, {}, {}        # {name: version}
-        self.underway = OrderedDict()      # nonce: ({name: version}, [removed], [parcels])
-        self.absent = set()        # names that were told not to exist
-        self.turn = False      # something was asked that wants an answer even if nothing changed
+        self.sent, self.held, self.refused = {}, {}, {}  # {name: version}
+        self.underway = OrderedDict()  # nonce: ({name: version}, [removed], [parcels])
+        self.absent = set()  # names that were told not to exist
+        self.turn = False  # something was asked that wants an answer even if nothing changed
 
 
 class Stream:
@@ -97,10 +111,10 @@
         """A state-of-the-world request: a subscription, an acknowledgement or a refusal, often two at once."""
         held = self.types.get(kind)
         if held is None:
-            return      # a type that is not served: never answered, as the protocol has it
+            return  # a type that is not served: never answered, as the protocol has it
         self._bound(len(names), held)
         if nonce and not self._settled(kind, held, nonce, error):
-            return      # an older response's: what it asks for was asked before that one was read
+            return  # an older response's: what it asks for was asked before that one was read
         if not held.begun:
             held.refused.update(self.relay.refused_before(kind))
         if names:
@@ -137,7 +151,7 @@
             held.wild = False
         held.asked |= set(subscribe) - {WILDCARD}
         held.asked -= set(unsubscribe)
-        held.absent -= set(subscribe)      # asked anew: told anew
+        held.absent -= set(subscribe)  # asked anew: told anew
         for name in unsubscribe:
             for known in (held.sent, held.held, held.refused):
                 known.pop(name, None)
@@ -154,7 +168,7 @@
         only then does a subscription of the whole form that came with it count."""
         if nonce not in held.underway:
             return False
-        before, unsure = list(held.underway)[:list(held.underway).index(nonce)], []
+        before, unsure = list(held.underway)[: list(held.underway).index(nonce)], []
         if self.delta:
             for number in before:
                 unsure += self._lost(held, *held.underway.pop(number))
@@ -212,11 +226,17 @@
         """Whether something that may still lead to resources of this type is to be sent or acknowledged first."""
         if kind in (LISTENER, ROUTE):
             return False
-        return any(self.types[user].underway or any(
-            self.types[user].sent.get(name) != found[0]
-            for name in self._existing(self.types[user])
-            if (found := self._resource(user, name)) and self.types[user].refused.get(name) != found[0]
-        ) or self.types[user].sent.keys() - self.relay.shelf.names() for user in (LISTENER, ROUTE))
+        return any(
+            self.types[user].underway
+            or any(
+                self.types[user].sent.get(name) != found[0]
+                for name in self._existing(self.types[user])
+                if (found := self._resource(user, name))
+                and self.types[user].refused.get(name) != found[0]
+            )
+            or self.types[user].sent.keys() - self.relay.shelf.names()
+            for user in (LISTENER, ROUTE)
+        )
 
     def _existing(self, held):
         return sorted(name for name in self.relay.shelf.names() if self._wants(held, name))
@@ -228,14 +248,30 @@
         held = self.types[kind]
         if not held.begun or len(held.underway) >= UNDERWAY_MOST:
             return False
-        found = {name: resource for name in self._existing(held) if (resource := self._resource(kind, name))}
-        changed = [name for name, (version, _) in found.items()
-                   if held.sent.get(name) != version and held.refused.get(name) != version]
+        found = {
+            name: resource
+            for name in self._existing(held)
+            if (resource := self._resource(kind, name))
+        }
+        changed = [
+            name
+            for name, (version, _) in found.items()
+            if held.sent.get(name) != version and held.refused.get(name) != version
+        ]
         gone = sorted(name for name in held.sent if name not in self.relay.shelf.names())
         if gone and self._later(kind):
             gone = []
-        absent = sorted(name for name in held.asked if name not in self.relay.shelf.names()
-                        and name not in held.absent and name not in held.sent) if self.delta else []
+        absent = (
+            sorted(
+                name
+                for name in held.asked
+                if name not in self.relay.shelf.names()
+                and name not in held.absent
+                and name not in held.sent
+            )
+            if self.delta
+            else []
+        )
         # Listeners and clusters come whole in this form: what is left out is removed.
         entire = not self.delta and kind in (CLUSTER, LISTENER)
         if not (changed or gone or absent or (held.turn and entire)):
@@ -245,10 +281,12 @@
             return False
         if not self.delta and not entire and not changed:
             for name in gone:
-                del held.sent[name]        # there is no way to say so; it goes with its cluster
+                del held.sent[name]  # there is no way to say so; it goes with its cluster
             return False
         names = sorted(found) if entire else changed
-        resources = [(name, *found[name]) for name in names if held.refused.get(name) != found[name][0]]
+        resources = [
+            (name, *found[name]) for name in names if held.refused.get(name) != found[name][0]
+        ]
         self.number += 1
         nonce, versions = str(self.number), {name: version for name, version, _ in resources}
         self.line.send(kind, self.relay.version(), nonce, resources, gone + absent)
@@ -261,11 +299,14 @@
         held.underway[nonce] = versions, gone, self.relay.parcels_out() if kind == ENDPOINTS else []
         return True
 
-
     def _lacks_nothing(self, held, found):
         """A relay that comes with what it should hold is sent nothing and answers nothing: what waited to be told to it is
         with it all the same."""
-        holds = {self.relay.shelf.classes[name] for name, (version, _) in found.items() if held.held.get(name) == version}
+        holds = {
+            self.relay.shelf.classes[name]
+            for name, (version, _) in found.items()
+            if held.held.get(name) == version
+        }
         waiting = self.relay.parcels_out()
         self.relay.parcels = [parcel for parcel in waiting if not parcel.places <= holds]
         self.relay.settled([parcel for parcel in waiting if parcel.places <= holds], True)
@@ -276,7 +317,14 @@
     `refused(uid, class, version)`, `refusals(uid)`: {class: version} of earlier streams, here or elsewhere."""
 
     def __init__(self, uid, proxy, shelf, desk, clerk, bounds):
-        self.uid, self.proxy, self.shelf, self.desk, self.clerk, self.bounds = uid, proxy, shelf, desk, clerk, bounds
+        self.uid, self.proxy, self.shelf, self.desk, self.clerk, self.bounds = (
+            uid,
+            proxy,
+            shelf,
+            desk,
+            clerk,
+            bounds,
+        )
         self.streams = []
         self.serial, self.parcels = 0, []
 
@@ -296,8 +344,13 @@
         return f"{self.clerk.epoch(self.proxy)}.{self.serial}"
 
     def refused(self, kind, versions, error):
-        self.clerk.note("refused by a relay", relay=self.uid, kind=kind.rpartition(".")[2], why=error[:500],
-                        resources=sorted(versions))
+        self.clerk.note(
+            "refused by a relay",
+            relay=self.uid,
+            kind=kind.rpartition(".")[2],
+            why=error[:500],
+            resources=sorted(versions),
+        )
         if kind == ENDPOINTS:
             for name, version in versions.items():
                 self.clerk.refused(self.uid, name, version)
--- a/indigodeck/host.py
+++ b/indigodeck/host.py
@@ -3,22 +3,24 @@
 Times are whole microseconds. Servers, proxies, classes, zones and kinds are small indices; the host
 maps its own ids to them. A table is a number that the assigner chooses.
 """
+
 from typing import NamedTuple, Protocol, Sequence
 
 DRAINING, READY, GONE = "draining", "ready", "gone"
 WHOLE, CHANGES, CACHED = "whole", "changes", "cached"
-EVERYONE = -1          # a level set for this "table" holds for all joined proxies
+EVERYONE = -1  # a level set for this "table" holds for all joined proxies
 
 
 class Server(NamedTuple):
     """One entry of the list. `raw` is the id as the host knows it, only to sort and seed by."""
+
     index: int
     raw: bytes
     cell: int
     kind: int
     zone: int
     weight: float
-    started: int       # 0: long ago
+    started: int  # 0: long ago
     state: str
 
 
--- a/indigodeck/planner/allowance.py
+++ b/indigodeck/planner/allowance.py
@@ -4,6 +4,7 @@
 orders; this one is of all messages that leave, answers to the relay's own requests among them, and is what
 binds. Answers have a part of their own, so that a relay that asks too often delays itself and no drain.
 """
+
 from collections import deque
 
 
@@ -31,7 +32,11 @@
     def answer_in(self, now):
         """Microseconds until a request may be answered."""
         self._forget(now)
-        own = self._wait(now, [at for at, answer in self.written if answer], self.answers) if self.most else 0
+        own = (
+            self._wait(now, [at for at, answer in self.written if answer], self.answers)
+            if self.most
+            else 0
+        )
         return max(own, self.order_in(now))
 
     def wrote(self, now, answer=False):
--- a/indigodeck/planner/arrivals.py
+++ b/indigodeck/planner/arrivals.py
@@ -4,14 +4,15 @@
 came, 303 of them put 15,500 lines into a channel that may hold 4,500 (docs/takeover.md). Who waits here holds its tables
 and goes on; what it sends meanwhile stays in its own socket. First come, first served.
 """
+
 from collections import OrderedDict
 from typing import Protocol
 
-PART = 0.4              # of the lines that may wait: what arrivals fill; the rest is for drains and swaps
+PART = 0.4  # of the lines that may wait: what arrivals fill; the rest is for drains and swaps
 # Between two looks at the queue while somebody waits. Each look's arrivals are one moment to the assigner, which goes through all
 # of its tables once for them: one by one, 303 relays over xDS were let in at 50 a second, and drains came too late.
 TURN = 50_000
-AT_LEAST = 200_000      # a queue that a deaf relay's lines keep long must not shut everybody out: one in so long may come
+AT_LEAST = 200_000  # a queue that a deaf relay's lines keep long must not shut everybody out: one in so long may come
 WAITING_MOST = 65_535
 
 
@@ -69,5 +70,8 @@
     def _room(self, now):
         waiting, one = self.host.queue() + self.coming, self.host.arrival()
         # An empty channel takes anybody, however small it is stated to be.
-        return not waiting or waiting + one <= PART * self.most or (
-            now - self.let_in_at >= AT_LEAST and waiting + one <= self.most)
+        return (
+            not waiting
+            or waiting + one <= PART * self.most
+            or (now - self.let_in_at >= AT_LEAST and waiting + one <= self.most)
+        )
--- a/indigodeck/planner/belief.py
+++ b/indigodeck/planner/belief.py
@@ -9,14 +9,17 @@
 A list from its keeper ends the belief at once, but for one that is older than what was kept: its keeper may have come back from
 an old copy. Then what it names more is tried like the rest, and what was kept goes on counting until a list is newer.
 """
+
 from typing import Protocol
 
 SECOND = 1_000_000
-PATIENCE = 1 * SECOND           # for the list itself, before anything is gone by
-AT_ONCE = 32                    # hosts that are tried at one time
-AGAIN = 5 * SECOND              # until who did not answer is tried again
-ENOUGH = 0.5                    # of the weight that was kept
-HALF_LIFE = 24 * 3600 * SECOND  # of trust by age alone: what is told to people, and for who can't be tried
+PATIENCE = 1 * SECOND  # for the list itself, before anything is gone by
+AT_ONCE = 32  # hosts that are tried at one time
+AGAIN = 5 * SECOND  # until who did not answer is tried again
+ENOUGH = 0.5  # of the weight that was kept
+HALF_LIFE = (
+    24 * 3600 * SECOND
+)  # of trust by age alone: what is told to people, and for who can't be tried
 
 
 class Surroundings(Protocol):
@@ -42,8 +45,16 @@
 
     def __init__(self, host, kept, tries=True):
         self.host, self.tries, self.kept_at = host, tries, kept["at"]
-        self.entries = {entry["id"]: dict(entry) for entry in kept["hosts"] if entry["state"] != "gone"}
-        self.there, self.missing, self.underway, self.told, self.over = set(), {}, set(), None, False
+        self.entries = {
+            entry["id"]: dict(entry) for entry in kept["hosts"] if entry["state"] != "gone"
+        }
+        self.there, self.missing, self.underway, self.told, self.over = (
+            set(),
+            {},
+            set(),
+            None,
+            False,
+        )
         host.later(PATIENCE, self._begin)
 
     def _begin(self):
@@ -68,9 +79,16 @@
         if self.over:
             return
         now = self.host.now()
-        due = [name for name in self._ready() if name not in self.there and name not in self.underway
-               and now - self.missing.get(name, -AGAIN) >= AGAIN]
-        for name in sorted(due, key=lambda name: (name in self.missing, name))[:AT_ONCE - len(self.underway)]:
+        due = [
+            name
+            for name in self._ready()
+            if name not in self.there
+            and name not in self.underway
+            and now - self.missing.get(name, -AGAIN) >= AGAIN
+        ]
+        for name in sorted(due, key=lambda name: (name in self.missing, name))[
+            : AT_ONCE - len(self.underway)
+        ]:
             self.underway.add(name)
             self.host.prove(self.entries[name])
         self.host.later(SECOND // 4, self._turn)
@@ -97,8 +115,12 @@
 
     def _more(self):
         """Those that wait for their turn are tried as soon as others have been."""
-        untried = [name for name in self._ready() if name not in self.there and name not in self.missing and name not in self.underway]
-        for name in sorted(untried)[:AT_ONCE - len(self.underway)]:
+        untried = [
+            name
+            for name in self._ready()
+            if name not in self.there and name not in self.missing and name not in self.underway
+        ]
+        for name in sorted(untried)[: AT_ONCE - len(self.underway)]:
             self.underway.add(name)
             self.host.prove(self.entries[name])
 
@@ -106,7 +128,11 @@
         ready = self._ready()
         if not self.told and not at_once:
             tried = len(self.there) + len(self.missing) >= len(ready)
-            if not self.there or self._weight(self.there) < ENOUGH * self._weight(ready) and not tried:
+            if (
+                not self.there
+                or self._weight(self.there) < ENOUGH * self._weight(ready)
+                and not tried
+            ):
                 return
         draining = [entry for entry in self.entries.values() if entry["state"] == "draining"]
         first = not self.told
@@ -126,15 +152,25 @@
             return
         self.over = True
         if self.told is None:
-            return      # in time: nothing was gone by
-        self.host.note("the list has come", more=len(hosts.keys() - self.entries.keys()),
-                       fewer=len(self.entries.keys() - hosts.keys()), **self.figures())
+            return  # in time: nothing was gone by
+        self.host.note(
+            "the list has come",
+            more=len(hosts.keys() - self.entries.keys()),
+            fewer=len(self.entries.keys() - hosts.keys()),
+            **self.figures(),
+        )
 
     def older(self, hosts):
         """A list that is older than what was kept: {id: entry}. What it names more may be there: it is tried."""
-        more = {name: entry for name, entry in hosts.items() if name not in self.entries and entry["state"] == "ready"}
+        more = {
+            name: entry
+            for name, entry in hosts.items()
+            if name not in self.entries and entry["state"] == "ready"
+        }
         if more and not self.over:
-            self.host.note("a list older than the one that was kept names more", hosts=sorted(more)[:20])
+            self.host.note(
+                "a list older than the one that was kept names more", hosts=sorted(more)[:20]
+            )
             self.entries.update((name, dict(entry)) for name, entry in more.items())
 
     # What people are told.
@@ -148,5 +184,10 @@
         return round(self._weight(self.there) / ready, 3) if ready else 0.0
 
     def figures(self):
-        return {"age_s": max(0, self.host.wall() - self.kept_at) // SECOND, "named": len(self.entries),
-                "answer": len(self.there), "do_not": len(self.missing), "trust": self.trust()}
+        return {
+            "age_s": max(0, self.host.wall() - self.kept_at) // SECOND,
+            "named": len(self.entries),
+            "answer": len(self.there),
+            "do_not": len(self.missing),
+            "trust": self.trust(),
+        }
--- a/indigodeck/planner/charter.py
+++ b/indigodeck/planner/charter.py
@@ -1,10 +1,11 @@
 """The charter: what a planner is told at start, as JSON, and the plain map that the assigner picks from."""
+
 import pathlib
 
 from ..schema import BadDocument, load, shipped, wrong
 
 SCHEMA = shipped(__file__, "charter.schema.json")
-TIME = 1000        # stated in milliseconds, kept in whole microseconds
+TIME = 1000  # stated in milliseconds, kept in whole microseconds
 
 
 def read(path):
@@ -25,11 +26,21 @@
         self.halls, self.kinds = document["halls"], document.get("kinds", [])
         self.relays, self.reports = document.get("relays", {}), document.get("reports", {})
         self.roster, self.fronts = document["roster"], document["fronts"]
-        self.channel = dict({"head_lines": 6, "way_mean_ms": 50, "way_longest_ms": 500, "messages_most": 0,
-                             "messages_span_ms": 10_000}, **document["channel"])
+        self.channel = dict(
+            {
+                "head_lines": 6,
+                "way_mean_ms": 50,
+                "way_longest_ms": 500,
+                "messages_most": 0,
+                "messages_span_ms": 10_000,
+            },
+            **document["channel"],
+        )
         # Unless stated, a third of what may be written to a relay answers what it asks itself.
         self.channel.setdefault("answers_most", max(1, self.channel["messages_most"] // 3))
-        self.takeover, self.store, self.operators = (document.get(name) for name in ("takeover", "store", "operators"))
+        self.takeover, self.store, self.operators = (
+            document.get(name) for name in ("takeover", "store", "operators")
+        )
         self.classes = [kind["name"] for kind in document["classes"]]
         self.stated = self._stated()
 
@@ -67,31 +78,50 @@
         planners, relays = document.get("planners", {}), self.relays
         most = channel["messages_most"]
         return {
-            "instances": planners.get("many", 1), "own_number": planners.get("number", 0),
-            "zones": len(self.halls), "own_zone": self.halls.index(document.get("hall", self.halls[0])),
-            "lines_per_s": channel["lines_per_s"], "waiting_most": channel["waiting_most"],
-            "head_lines": channel["head_lines"], "way_mean": round(channel["way_mean_ms"] * TIME),
+            "instances": planners.get("many", 1),
+            "own_number": planners.get("number", 0),
+            "zones": len(self.halls),
+            "own_zone": self.halls.index(document.get("hall", self.halls[0])),
+            "lines_per_s": channel["lines_per_s"],
+            "waiting_most": channel["waiting_most"],
+            "head_lines": channel["head_lines"],
+            "way_mean": round(channel["way_mean_ms"] * TIME),
             "way_longest": round(channel["way_longest_ms"] * TIME),
             # Answers to a relay's own requests come off what the assigner may order.
             "messages_most": most - channel["answers_most"] if most else 0,
             "messages_span": round(channel["messages_span_ms"] * TIME),
             "report_period": round(self.reports.get("period_ms", 1000) * TIME),
-            "proxies": relays.get("most", 0), "strikes": relays.get("strikes", 0),
-            "bare_time": round(rules["bare_ms"] * TIME), "cold_time": round(rules["cold_ms"] * TIME),
-            "cold_share": rules["cold_share"], "drain_grace": round(rules["drain_grace_ms"] * TIME),
-            "tip_multiple": rules["tip_multiple"], "tip_time": round(rules["tip_ms"] * TIME),
+            "proxies": relays.get("most", 0),
+            "strikes": relays.get("strikes", 0),
+            "bare_time": round(rules["bare_ms"] * TIME),
+            "cold_time": round(rules["cold_ms"] * TIME),
+            "cold_share": rules["cold_share"],
+            "drain_grace": round(rules["drain_grace_ms"] * TIME),
+            "tip_multiple": rules["tip_multiple"],
+            "tip_time": round(rules["tip_ms"] * TIME),
             "gone_binds": rules.get("gone_binds", True),
-            "probes": self.reports.get("probes_per_s", 20) > 0, "list_asked": self.roster.get("asked", False),
-            "slices": 0, "exclusive": False, "settle_time": 0, "load_columns": [],
+            "probes": self.reports.get("probes_per_s", 20) > 0,
+            "list_asked": self.roster.get("asked", False),
+            "slices": 0,
+            "exclusive": False,
+            "settle_time": 0,
+            "load_columns": [],
             # Levels hold for relays that can be told of them.
             "levels": "share" if "xds" in self.fronts else "none",
-            "classes": [{
-                "name": kind["name"], "agreed_time": round(kind["agreed_time_ms"] * TIME),
-                "patience": round(kind["patience_ms"] * TIME), "credit": kind.get("credit", 1),
-                "late_credit": kind.get("late_credit", 0), "repeats": kind.get("repeats", "safe"),
-                "repeat_window": round(kind.get("repeat_window_ms", 0) * TIME),
-                "repeat_scope": kind.get("repeat_scope", "all"), "own_zone": kind.get("own_hall", False),
-            } for kind in document["classes"]],
+            "classes": [
+                {
+                    "name": kind["name"],
+                    "agreed_time": round(kind["agreed_time_ms"] * TIME),
+                    "patience": round(kind["patience_ms"] * TIME),
+                    "credit": kind.get("credit", 1),
+                    "late_credit": kind.get("late_credit", 0),
+                    "repeats": kind.get("repeats", "safe"),
+                    "repeat_window": round(kind.get("repeat_window_ms", 0) * TIME),
+                    "repeat_scope": kind.get("repeat_scope", "all"),
+                    "own_zone": kind.get("own_hall", False),
+                }
+                for kind in document["classes"]
+            ],
         }
 
     def relay(self, uid):
--- a/indigodeck/planner/desk.py
+++ b/indigodeck/planner/desk.py
@@ -4,6 +4,7 @@
 waiting, and hands over the newest state when a proxy can be written to: what was ordered in between is
 never sent. Fronts read it through `take`, `view` and `standing`; times are whole microseconds.
 """
+
 from typing import NamedTuple, Protocol
 
 from ..choice import Assigner
@@ -31,6 +32,7 @@
 class Parcel(NamedTuple):
     """What a proxy is handed at one time: the classes that changed (by place), since when the oldest order
     waited, the marks to acknowledge with the time of each, and the version that it is brought to."""
+
     proxy: int
     places: frozenset
     since: int
@@ -73,9 +75,12 @@
         self.tables, self.levels, self.withdrawn = {}, {}, set()
         self.holdings, self.servers = {}, {}
         self.reached, self.marked, self.most_waiting = set(), [], 0
-        self.editions, self.withdrawals = {}, 0        # by table; how often what is withdrawn has changed
-        self.place_of, self.changed = {}, True         # {table: class's place}; whether books have something to look at
-        self.books = None       # versions of what is published, where they are kept (versions/books.py)
+        self.editions, self.withdrawals = {}, 0  # by table; how often what is withdrawn has changed
+        self.place_of, self.changed = (
+            {},
+            True,
+        )  # {table: class's place}; whether books have something to look at
+        self.books = None  # versions of what is published, where they are kept (versions/books.py)
         self.assigner = None
         self.assigner = make(self, stated, seed)
         self._settle("start")
@@ -84,7 +89,7 @@
 
     def listed(self, kind, servers):
         self.servers.update((server.index, server) for server in servers)
-        self.withdrawals += 1       # what is told of a withdrawn server goes by the list
+        self.withdrawals += 1  # what is told of a withdrawn server goes by the list
         self.changed = True
         self.assigner.listed(kind, servers)
         self._settle("a list")
@@ -140,12 +145,16 @@
 
     def _settle(self, event):
         """Orders of one call travel together: the outside hears of each proxy once."""
-        if self.books is not None and (self.changed or self.books.holds.old or self.books.holds.lines):
+        if self.books is not None and (
+            self.changed or self.books.holds.old or self.books.holds.lines
+        ):
             self.changed = False
             self.books.settle(event)
         reached, self.reached = sorted(self.reached & self.holdings.keys()), set()
         for proxy in reached:
-            self.holdings[proxy].marks.extend((number, self.outside.now()) for number in self.marked)
+            self.holdings[proxy].marks.extend(
+                (number, self.outside.now()) for number in self.marked
+            )
             # A proxy that reads nothing would gather marks for ever; the newest say all that is asked.
             del self.holdings[proxy].marks[:-64]
         self.marked = []
@@ -175,8 +184,13 @@
         holding = self.holdings.get(proxy)
         if holding is None or not holding.waiting:
             return None
-        parcel = Parcel(proxy, frozenset(holding.waiting), holding.since, tuple(holding.marks),
-                        self.books.newest() if self.books is not None else None)
+        parcel = Parcel(
+            proxy,
+            frozenset(holding.waiting),
+            holding.since,
+            tuple(holding.marks),
+            self.books.newest() if self.books is not None else None,
+        )
         holding.waiting, holding.since, holding.marks = {}, None, []
         return parcel
 
@@ -187,7 +201,11 @@
         table = holding.bound.get(place) if holding else None
         if table is None:
             return None
-        return {server: weight for server, weight in self._lines(table).items() if server not in self.withdrawn}
+        return {
+            server: weight
+            for server, weight in self._lines(table).items()
+            if server not in self.withdrawn
+        }
 
     def _lines(self, table):
         """A table's lines as they are published: the assigner's, or what an operator holds it at."""
@@ -210,13 +228,20 @@
 
     def resume(self, held):
         """{table: [server]} as published before: only while nobody holds anything, for then nothing moves by it."""
-        if not self.holdings and hasattr(self.assigner, "resumed"):      # baselines have no shards
+        if not self.holdings and hasattr(self.assigner, "resumed"):  # baselines have no shards
             self.assigner.resumed(held)
 
     def published(self):
         """{table: (class's place, {server: weight}, (level, way), edition)} as the assigner has them."""
-        return {table: (place, self.tables.get(table, {}), self.levels.get((table, place), (1.0, 0)),
-                        self.editions.get(table, 0)) for table, place in self.place_of.items()}
+        return {
+            table: (
+                place,
+                self.tables.get(table, {}),
+                self.levels.get((table, place), (1.0, 0)),
+                self.editions.get(table, 0),
+            )
+            for table, place in self.place_of.items()
+        }
 
     def users(self, table):
         """How many proxies are bound to a table."""
--- a/indigodeck/planner/evidence.py
+++ b/indigodeck/planner/evidence.py
@@ -15,6 +15,7 @@
 Times are whole microseconds, rates a second. Nothing here does I/O: the shell asks `due` whom to ask, tells what
 came back, and calls `turn` once a period.
 """
+
 from collections import deque
 from itertools import zip_longest
 from typing import NamedTuple
@@ -34,6 +35,7 @@
 class Report(NamedTuple):
     """A host's load report: part of its cores busy, exchanges in hand, work time in microseconds, exchanges
     completed and failed a second (None where not told), the same by class."""
+
     cores_busy: float
     in_hand: float
     work_time: int
@@ -44,14 +46,30 @@
 
 def report_of(given, named):
     """A report from the fields of an ORCA load report and its named metrics; what they hold may be of any type."""
-    by_class = {name.removeprefix("rps."): float(value) for name, value in named.items() if name.startswith("rps.")}
+    by_class = {
+        name.removeprefix("rps."): float(value)
+        for name, value in named.items()
+        if name.startswith("rps.")
+    }
     failed, rps = float(given.get("eps", 0.0)), given.get("rps_fractional")
-    figures = [float(given.get("cpu_utilization", 0.0)), float(named.get("inflight", 0.0)),
-               float(named.get("latency_ms", 0.0)), failed, 0.0 if rps is None else float(rps), *by_class.values()]
+    figures = [
+        float(given.get("cpu_utilization", 0.0)),
+        float(named.get("inflight", 0.0)),
+        float(named.get("latency_ms", 0.0)),
+        failed,
+        0.0 if rps is None else float(rps),
+        *by_class.values(),
+    ]
     if not all(0 <= figure < 1e9 for figure in figures):
         raise ValueError("a figure that can't be")
-    return Report(figures[0], figures[1], round(figures[2] * 1000),
-                  None if rps is None else max(0.0, figures[4] - failed), failed, by_class)
+    return Report(
+        figures[0],
+        figures[1],
+        round(figures[2] * 1000),
+        None if rps is None else max(0.0, figures[4] - failed),
+        failed,
+        by_class,
+    )
 
 
 class Case:
@@ -70,7 +88,7 @@
         self.rate, self.at_once = probes_per_s, probes_at_once
         self.cases, self.proxies, self.turned_at, self.spent = {}, [], desk.now(), 0.0
         self.budget_at = desk.now()
-        self.woke_at = -(1 << 60)       # when the planner last went on after it had stood still
+        self.woke_at = -(1 << 60)  # when the planner last went on after it had stood still
 
     # The fleet and the relays, as they come and go.
 
@@ -133,10 +151,14 @@
         well = sorted(server for server, case in self.cases.items() if case.good) if doubted else []
         for server, case in self.cases.items():
             closely = case.suspect or server in well[:WITNESSES]
-            if now - case.tried_at >= (period // CLOSELY if closely else period) and (closely or not case.out):
+            if now - case.tried_at >= (period // CLOSELY if closely else period) and (
+                closely or not case.out
+            ):
                 (suspects if case.suspect else others).append((case.tried_at, server))
         # By turns: a fleet full of suspects must not keep the others from being tried at all.
-        wanted = [pick for pair in zip_longest(sorted(suspects), sorted(others)) for pick in pair if pick]
+        wanted = [
+            pick for pair in zip_longest(sorted(suspects), sorted(others)) for pick in pair if pick
+        ]
         chosen = []
         for _, server in wanted:
             if out + len(chosen) >= self.at_once or self.spent + 1 > max(1.0, self.rate):
@@ -152,7 +174,11 @@
     def took(self, server):
         """How long exchanges lately took at a host, in microseconds, by its report and by probes; 0 if nothing tells."""
         case = self.cases.get(server)
-        return self._met(case, self.desk.now() - 2 * self.stated["report_period"], SECOND)[2] if case else 0
+        return (
+            self._met(case, self.desk.now() - 2 * self.stated["report_period"], SECOND)[2]
+            if case
+            else 0
+        )
 
     def turn(self, heard=(), tells=lambda proxy: False):
         """Once a period: what each host met since the last turn, and what relays are taken to bring. `heard`: servers
@@ -166,7 +192,9 @@
             tries, failed, took = self._met(case, since, span)
             # Relays hear of a hung host only when their own patience ends; probes that fail are told beside that.
             if tries and (server not in heard or case.suspect and failed):
-                self.desk.heard(self.stated["own_zone"], server, tries, failed, took, span, self._load(case))
+                self.desk.heard(
+                    self.stated["own_zone"], server, tries, failed, took, span, self._load(case)
+                )
             fresh = self._fresh(case, now)
             if fresh and fresh.completed is not None:
                 total += fresh.completed + fresh.failed
@@ -183,8 +211,11 @@
 
     def _load(self, case):
         report = case.reports[-1][1] if case.reports else None
-        return report and {"cores_busy": report.cores_busy, "in_hand": report.in_hand,
-                           "work_time": report.work_time}
+        return report and {
+            "cores_busy": report.cores_busy,
+            "in_hand": report.in_hand,
+            "work_time": report.work_time,
+        }
 
     def _met(self, case, since, span):
         """(tries, failed, mean time of good ones) of one host in this period."""
@@ -193,7 +224,10 @@
         good_times = [took for good, took in probes if good]
         report, done, bad, took = self._fresh(case, self.desk.now()), 0, 0, 0
         if report is not None and report.completed is not None:
-            done, bad = round(report.completed * span / SECOND), round(report.failed * span / SECOND)
+            done, bad = (
+                round(report.completed * span / SECOND),
+                round(report.failed * span / SECOND),
+            )
             if report.completed:
                 took = max(report.work_time, round(report.in_hand / report.completed * SECOND))
             if lost and not good_times and not done:
@@ -209,8 +243,11 @@
     def _spread(self, total, by_class, told, span, tells):
         """Demand by relay and class. With several planners hosts tell of all relays, this planner's among
         them, so each relay counts as one of all that the charter states."""
-        everyone = len(self.proxies) if self.stated["instances"] == 1 else max(
-            len(self.proxies), self.stated["proxies"])
+        everyone = (
+            len(self.proxies)
+            if self.stated["instances"] == 1
+            else max(len(self.proxies), self.stated["proxies"])
+        )
         if not everyone or not total:
             return
         places = range(len(self.stated["classes"]))
--- a/indigodeck/planner/publishing.py
+++ b/indigodeck/planner/publishing.py
@@ -1,4 +1,5 @@
 """What the books of versions may ask, answered by the desk, the list and the store: plain look-ups, free of I/O."""
+
 from ..host import READY
 from ..versions import holds
 from ..versions.books import Books
@@ -12,7 +13,7 @@
         self.service, self.desk, self.store, self.held = service, desk, store, held
         self.stated, self.changed = stated, changed
         self.books = Books(self, classes, most, age)
-        self.held = {}          # read once
+        self.held = {}  # read once
 
     def now(self):
         return self.service.now()
--- a/indigodeck/planner/reach.py
+++ b/indigodeck/planner/reach.py
@@ -2,6 +2,7 @@
 
 Reports are read in the JSON form of an ORCA header, `endpoint-load-metrics: JSON {..}`. Over gRPC see fronts/xds/reach.py.
 """
+
 import json
 
 from tornado.httpclient import HTTPClientError, HTTPRequest
@@ -21,8 +22,13 @@
     """`reports`: the charter's section; `safe`: a class whose exchanges may be done twice."""
 
     def __init__(self, reports, safe):
-        self.path, self.probe = reports.get("path", "/load"), reports.get("probe_path", f"/exchange/{safe}")
-        self.client = SimpleAsyncHTTPClient(force_instance=True, max_clients=512, max_body_size=1 << 20)
+        self.path, self.probe = (
+            reports.get("path", "/load"),
+            reports.get("probe_path", f"/exchange/{safe}"),
+        )
+        self.client = SimpleAsyncHTTPClient(
+            force_instance=True, max_clients=512, max_body_size=1 << 20
+        )
 
     async def exchange(self, where, patience):
         """(outcome as the assigner knows them, report or None)"""
@@ -32,8 +38,12 @@
         return (await self._fetch(where, self.path, patience))[1]
 
     async def _fetch(self, where, path, patience):
-        request = HTTPRequest(f"http://{authority(where)}{path}", connect_timeout=min(patience, 1.0),
-                              request_timeout=patience, headers={"Relay": "planner"})
+        request = HTTPRequest(
+            f"http://{authority(where)}{path}",
+            connect_timeout=min(patience, 1.0),
+            request_timeout=patience,
+            headers={"Relay": "planner"},
+        )
         try:
             answer = await self.client.fetch(request, raise_error=False)
         except HTTPTimeoutError:
--- a/indigodeck/planner/roster.py
+++ b/indigodeck/planner/roster.py
@@ -3,6 +3,7 @@
 Lists come from a file or a service, whole or as changes, late, twice or out of order. A list older than the
 one held is left aside; changes that don't follow on it are asked for again as a whole.
 """
+
 from ..host import CACHED, CHANGES, DRAINING, GONE, READY, WHOLE, Server
 from ..schema import BadDocument, parse, shipped
 
@@ -32,16 +33,24 @@
         self.halls = {name: place for place, name in enumerate(halls)}
         self.kinds = {name: place for place, name in enumerate(kinds)}
         self.version, self.epoch = None, 0
-        self.floor = None       # (version, epoch) of a list that was kept: an older one is no first list either
+        self.floor = (
+            None  # (version, epoch) of a list that was kept: an older one is no first list either
+        )
         self.hosts, self.quiet = {}, set()
 
     def whole(self, document):
-        version, epoch = self.floor or (-1, 0) if self.version is None else (self.version, self.epoch)
+        version, epoch = (
+            self.floor or (-1, 0) if self.version is None else (self.version, self.epoch)
+        )
         # A service that starts again may count from the start again; its epoch says so.
         if document["version"] < version and document.get("epoch", 0) <= epoch:
             self.host.older({host["id"]: host for host in document["hosts"]})
             return self.host.note(f"list {document['version']} is older than {version}: left aside")
-        first, self.version, self.epoch = self.version is None, document["version"], document.get("epoch", 0)
+        first, self.version, self.epoch = (
+            self.version is None,
+            document["version"],
+            document.get("epoch", 0),
+        )
         self.hosts = {host["id"]: host for host in document["hosts"] if host["state"] != "gone"}
         self.quiet &= self.hosts.keys()
         # The first list after a start says nothing of what changed: processes in it may be long up.
@@ -50,7 +59,7 @@
     def changes(self, document):
         if self.version is None or document["version"] != self.version + 1:
             if self.version is not None and document["version"] <= self.version:
-                return      # sent twice
+                return  # sent twice
             return self.host.ask()
         self.version = document["version"]
         for host in document["hosts"]:
@@ -62,7 +71,12 @@
 
     def kept(self):
         """What of the list should outlast a restart."""
-        return {"version": self.version, "epoch": self.epoch, "hosts": list(self.hosts.values()), "quiet": sorted(self.quiet)}
+        return {
+            "version": self.version,
+            "epoch": self.epoch,
+            "hosts": list(self.hosts.values()),
+            "quiet": sorted(self.quiet),
+        }
 
     def believed(self, kept, hosts, fresh):
         """Entries of a list that was kept, as far as they are believed. Lists older than it are left aside as ever."""
@@ -87,7 +101,18 @@
         started = host.get("started_ms", 0) * 1000
         # Before the planner's own clock began, or long ago: the same to the assigner.
         started = max(0, started - self.clock_gap) if started else 0
-        state = DRAINING if host["id"] in self.quiet and host["state"] == "ready" else STATES[host["state"]]
-        return Server(self.door.index(host["id"]), host["id"].encode(), host.get("cell", 0),
-                      self.kinds.get(host.get("kind"), len(self.kinds)), self.halls.get(host.get("hall"), 0),
-                      float(host.get("weight", 1.0)), started, state)
+        state = (
+            DRAINING
+            if host["id"] in self.quiet and host["state"] == "ready"
+            else STATES[host["state"]]
+        )
+        return Server(
+            self.door.index(host["id"]),
+            host["id"].encode(),
+            host.get("cell", 0),
+            self.kinds.get(host.get("kind"), len(self.kinds)),
+            self.halls.get(host.get("hall"), 0),
+            float(host.get("weight", 1.0)),
+            started,
+            state,
+        )
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -4,6 +4,7 @@
 choice.py; what waits for whom is in desk.py; which list counts is in roster.py; what hosts' reports mean is in
 evidence.py.
 """
+
 import asyncio
 import contextlib
 import logging
@@ -31,13 +32,20 @@
 from .sums import Sums
 
 SECOND = 1_000_000
-RELAYS_MOST = 65535        # numbers of relays are small; one that has been met keeps its number
+RELAYS_MOST = 65535  # numbers of relays are small; one that has been met keeps its number
 LARGEST_LIST = 16 << 20
 STARTS_AHEAD = 1 << 16
-RETRY = 5 * SECOND          # until a start is tried to be written down again
+RETRY = 5 * SECOND  # until a start is tried to be written down again
 # What another controller's word on versions is to `Copies`.
-COPIES = {"book": Copies.booked.__name__, "version": Copies.told.__name__, "wishes": Copies.wished.__name__, "ask wishes": Copies.asked_wishes.__name__,
-          "noted": Copies.note.__name__, "want": Copies.wanted.__name__, "sheets": Copies.came.__name__}
+COPIES = {
+    "book": Copies.booked.__name__,
+    "version": Copies.told.__name__,
+    "wishes": Copies.wished.__name__,
+    "ask wishes": Copies.asked_wishes.__name__,
+    "noted": Copies.note.__name__,
+    "want": Copies.wanted.__name__,
+    "sheets": Copies.came.__name__,
+}
 
 
 class Others:
@@ -70,21 +78,31 @@
         self.desk, self.asking, self.ending = None, False, False
         self.desk = Desk(self, charter.stated, charter.seed, make)
         reports = charter.reports
-        self.changes = []       # servers that the desk has not been told of yet, in the order they came
-        self.evidence = Evidence(self.desk, charter.stated, reports.get("probes_per_s", 20),
-                                 reports.get("probes_at_once", 16))
-        self.sums = Sums(self.desk, reports.get("lines_per_s", 500), charter.stated["report_period"])
+        self.changes = []  # servers that the desk has not been told of yet, in the order they came
+        self.evidence = Evidence(
+            self.desk,
+            charter.stated,
+            reports.get("probes_per_s", 20),
+            reports.get("probes_at_once", 16),
+        )
+        self.sums = Sums(
+            self.desk, reports.get("lines_per_s", 500), charter.stated["report_period"]
+        )
         self.allowances, self.arrivals = {}, Arrivals(self, charter.stated["waiting_most"])
         # A probe is a real exchange, so one that may be done twice.
         safe = [kind["name"] for kind in charter.stated["classes"] if kind["repeats"] == "safe"]
         self.reach = reach or HttpReach(reports, (safe or charter.classes)[0])
         self.patience = min(kind["patience"] for kind in charter.stated["classes"])
-        self.client = SimpleAsyncHTTPClient(force_instance=True, max_clients=8, max_body_size=LARGEST_LIST)
+        self.client = SimpleAsyncHTTPClient(
+            force_instance=True, max_clients=8, max_body_size=LARGEST_LIST
+        )
         self.tasks, self.last_text = [], None
         self.seen = None
-        self.peers = None       # the other controllers, where there are any (serve.py)
-        self.store = self.books = self.counter = self.copies = None     # what outlasts a restart, where it is kept (`keep_books`)
-        self.belief = self.kept = None          # a list that was kept, as long as nothing newer has come
+        self.peers = None  # the other controllers, where there are any (serve.py)
+        self.store = self.books = self.counter = self.copies = (
+            None  # what outlasts a restart, where it is kept (`keep_books`)
+        )
+        self.belief = self.kept = None  # a list that was kept, as long as nothing newer has come
         self.keeping, self.from_keeper = False, True
 
     # What the desk may ask of the program.
@@ -114,7 +132,9 @@
     def ward(self, hall):
         """The ward that a relay in this hall (its place) belongs to."""
         wards = self.peers.charge.wards
-        return self.charter.halls[hall] if self.charter.takeover.get("wards") == "halls" else wards[0]
+        return (
+            self.charter.halls[hall] if self.charter.takeover.get("wards") == "halls" else wards[0]
+        )
 
     def epoch(self, hall):
         """The epoch under which orders to a hall's relays may leave now; 0 where controllers share nothing, None while
@@ -132,8 +152,14 @@
     def followers(self):
         """[(relay, front, ward)] of all that are spoken to from here."""
         names = {id(front): name for front, name in zip(self.fronts, self.charter.fronts)}
-        return [(str(self.relays.id_of[proxy], "utf-8", "replace"), names.get(id(front), ""), self.ward(self.hall_of[proxy]))
-                for proxy, front in self.front_of.items()]
+        return [
+            (
+                str(self.relays.id_of[proxy], "utf-8", "replace"),
+                names.get(id(front), ""),
+                self.ward(self.hall_of[proxy]),
+            )
+            for proxy, front in self.front_of.items()
+        ]
 
     def refusals(self, uid):
         """{class: content} that a relay is known to have refused, here or with another controller."""
@@ -166,7 +192,9 @@
                 front.doors(False)
 
     def holds_any(self):
-        return self.peers is None or any(self.peers.charge.holds(ward) is not None for ward in self.peers.charge.wards)
+        return self.peers is None or any(
+            self.peers.charge.holds(ward) is not None for ward in self.peers.charge.wards
+        )
 
     # What outlasts a restart.
 
@@ -175,8 +203,16 @@
         stated = self.charter.store.get("versions", {})
         self.store = store
         self.books = self.desk.books = Publishing(
-            self, self.desk, store, held, self.charter.stated, self.charter.classes, stated.get("most", 1000),
-            round(stated.get("days", 30) * 86_400 * SECOND), self._wishes_changed).books
+            self,
+            self.desk,
+            store,
+            held,
+            self.charter.stated,
+            self.charter.classes,
+            stated.get("most", 1000),
+            round(stated.get("days", 30) * 86_400 * SECOND),
+            self._wishes_changed,
+        ).books
         self.counter = Counter(self.books)
         if self.peers is not None:
             self.copies = Copies(Others(self), self.books)
@@ -188,10 +224,12 @@
 
     def _keep_list(self):
         """What the list says now, once a second at most."""
+
         def later():
             self.keeping = False
             if not self.ending:
                 self.store.put([("roster", {**self.roster.kept(), "at": self.wall()})])
+
         if self.store is not None and not self.keeping:
             self.keeping = True
             self.later(SECOND, later)
@@ -206,7 +244,9 @@
 
     async def _prove(self, host):
         """An exchange of the planner's own, at a host that no list names yet."""
-        outcome, _ = await self.reach.exchange((host["address"], host["port"]), self.patience / SECOND)
+        outcome, _ = await self.reach.exchange(
+            (host["address"], host["port"]), self.patience / SECOND
+        )
         (self.belief.proved if outcome in ("ok", "full") else self.belief.disproved)(host["id"])
 
     def believed(self, hosts, fresh):
@@ -229,6 +269,7 @@
 
     def _count_start(self, nth):
         """Numbers of versions go by starts where nobody grants epochs; none is given before the start is written down."""
+
         def written(told):
             if told.exception() is None:
                 self.books.in_charge(nth)
@@ -236,6 +277,7 @@
                 self.desk.changed = True
             elif not self.ending:
                 self.later(RETRY, lambda: self._count_start(nth))
+
         IOLoop.current().add_future(self.store.put([("starts", nth)]), written)
 
     def _wishes_changed(self, document):
@@ -250,8 +292,12 @@
     async def asked(self, wish):
         """An operator's word on versions."""
         if wish == {"what": "trust"}:
-            return {"trust": self.belief.figures() if self.belief is not None and not self.belief.over else None,
-                    "list": self.roster.version}
+            return {
+                "trust": self.belief.figures()
+                if self.belief is not None and not self.belief.over
+                else None,
+                "list": self.roster.version,
+            }
         if self.counter is None:
             return {"why_not": "no store is stated in the charter: versions are not kept"}
         answer = self.counter.answer(wish)
@@ -263,8 +309,11 @@
             if self.copies.kept_by(answer["serial"]) > many // 2:
                 return answer
             await sleep(0.05)
-        return {**answer, "why_not": f"carried out, but only {self.copies.kept_by(answer['serial'])} of {many} controllers have it: "
-                                     "a takeover now may forget it"}
+        return {
+            **answer,
+            "why_not": f"carried out, but only {self.copies.kept_by(answer['serial'])} of {many} controllers have it: "
+            "a takeover now may forget it",
+        }
 
     # What arrivals may ask of the program.
 
@@ -303,8 +352,12 @@
             for name in [name for name, held in self.allowances.items() if held.idle(self.now())]:
                 del self.allowances[name]
             stated, channel = self.charter.stated, self.charter.channel
-            found = self.allowances[who] = Allowance(channel["messages_most"], stated["messages_span"],
-                                                     channel["answers_most"], stated["way_longest"])
+            found = self.allowances[who] = Allowance(
+                channel["messages_most"],
+                stated["messages_span"],
+                channel["answers_most"],
+                stated["way_longest"],
+            )
         return found
 
     def joined(self, front, proxy, uid, hall=None):
@@ -335,16 +388,25 @@
 
     def told(self, proxy, place, span, met, refused, stream):
         """A relay's own report: [(host's id, issued, failed, mean time of good ones)]."""
-        known = [(self.servers.index_of[name], tries, failed, took) for name, tries, failed, took in met
-                 if name in self.servers.index_of]
-        return self.sums.told(proxy, self.hall_of.get(proxy, 0), place, span, known, refused, stream)
+        known = [
+            (self.servers.index_of[name], tries, failed, took)
+            for name, tries, failed, took in met
+            if name in self.servers.index_of
+        ]
+        return self.sums.told(
+            proxy, self.hall_of.get(proxy, 0), place, span, known, refused, stream
+        )
 
     def host(self, server):
         """(hall, id, address, port) of a server, or None."""
         entry = self.roster.hosts.get(self.servers.id_of[server]) if server in self.places else None
         if entry is not None:
             return entry.get("hall", ""), entry["id"], *self.places[server]
-        return ("", self.servers.id_of[server], *self.places[server]) if server in self.places else None
+        return (
+            ("", self.servers.id_of[server], *self.places[server])
+            if server in self.places
+            else None
+        )
 
     def server_at(self, where):
         return self.numbers_of.get(where)
@@ -354,7 +416,10 @@
 
     def in_contact(self, server):
         """Whether the host has answered of late."""
-        return self.now() - self.contact.get(server, -10 * SECOND) < 3 * self.charter.stated["report_period"]
+        return (
+            self.now() - self.contact.get(server, -10 * SECOND)
+            < 3 * self.charter.stated["report_period"]
+        )
 
     def quiesced(self, where, on):
         """A host's own word, which says nothing of the list."""
@@ -377,8 +442,12 @@
                 self.evidence.unlisted(server)
         self.evidence.listed(servers)
         states = [server.state for server in servers]
-        self.note("listed", kind=kind, version=self.roster.version,
-                  **{state: states.count(state) for state in sorted(set(states))})
+        self.note(
+            "listed",
+            kind=kind,
+            version=self.roster.version,
+            **{state: states.count(state) for state in sorted(set(states))},
+        )
         if self.from_keeper:
             if self.belief is not None:
                 self.belief.listed(self.roster.hosts)
@@ -401,7 +470,7 @@
 
     def _told_of(self, kind, servers):
         if kind == lists.CACHED and self.books is not None:
-            self.books.resume()     # who is named in what was published last is known from here on
+            self.books.resume()  # who is named in what was published last is known from here on
         self.desk.listed(kind, servers)
         changed = [self.places[server.index] for server in servers if server.index in self.places]
         for front in self.fronts:
@@ -433,7 +502,9 @@
 
     async def _ask(self):
         try:
-            answer = await self.client.fetch(self.charter.roster["service"] + "/roster", request_timeout=2)
+            answer = await self.client.fetch(
+                self.charter.roster["service"] + "/roster", request_timeout=2
+            )
             self.roster.whole(lists.read(answer.body))
             if self.charter.roster.get("asked") and not self.ending:
                 # It tells only who asks, so a subscription is a question again and again; after a failure the
@@ -461,11 +532,21 @@
                 for line in filter(None, lines):
                     good = True
                     document = lists.read(line)
-                    (self.roster.changes if document.get("kind") == "changes" else self.roster.whole)(document)
+                    (
+                        self.roster.changes
+                        if document.get("kind") == "changes"
+                        else self.roster.whole
+                    )(document)
 
             try:
-                await self.client.fetch(HTTPRequest(self.charter.roster["service"] + "/watch", streaming_callback=line_in,
-                                                    request_timeout=0, connect_timeout=2))
+                await self.client.fetch(
+                    HTTPRequest(
+                        self.charter.roster["service"] + "/watch",
+                        streaming_callback=line_in,
+                        request_timeout=0,
+                        connect_timeout=2,
+                    )
+                )
             except (OSError, UnicodeDecodeError, BadDocument, HTTPClientError) as error:
                 self.log.warning("list not followed", why=str(error))
             pause = 0.2 if good else min(5.0, pause * 2)
@@ -504,7 +585,9 @@
     def _reported(self, server, report, at):
         if report is not None:
             places = {name: place for place, name in enumerate(self.charter.classes)}
-            by_class = {places[name]: rate for name, rate in report.by_class.items() if name in places}
+            by_class = {
+                places[name]: rate for name, rate in report.by_class.items() if name in places
+            }
             self.evidence.reported(server, report._replace(by_class=by_class), at)
 
     # Its life.
@@ -516,7 +599,9 @@
         period = self.charter.stated["report_period"] / SECOND
         for nth, server in enumerate(servers):
             # Spread over half of the period, so that answers don't all come at once.
-            IOLoop.current().call_later(period * nth / (2 * len(servers)), self._spawn, self._load, server)
+            IOLoop.current().call_later(
+                period * nth / (2 * len(servers)), self._spawn, self._load, server
+            )
 
     def _try(self):
         for server in self.evidence.due(self.now()):
@@ -530,15 +615,23 @@
         if self.kept is not None:
             stated = self.charter.reports
             self.roster.floor = self.kept["version"], self.kept["epoch"]
-            self.belief = Belief(self, self.kept, bool(stated.get("probes_per_s", 20) and stated.get("probes_at_once", 16)))
+            self.belief = Belief(
+                self,
+                self.kept,
+                bool(stated.get("probes_per_s", 20) and stated.get("probes_at_once", 16)),
+            )
         if "file" in self.charter.roster:
             self._look()
-            self.tasks.append(PeriodicCallback(self._look, self.charter.roster.get("look_every_ms", 200)))
+            self.tasks.append(
+                PeriodicCallback(self._look, self.charter.roster.get("look_every_ms", 200))
+            )
         elif self.charter.roster.get("asked"):
             self.ask()
         else:
             IOLoop.current().add_callback(self._follow)
-        self.tasks.append(PeriodicCallback(self._period, self.charter.stated["report_period"] / 1000))
+        self.tasks.append(
+            PeriodicCallback(self._period, self.charter.stated["report_period"] / 1000)
+        )
         if self.evidence.rate and self.evidence.at_once:
             self.tasks.append(PeriodicCallback(self._try, 50))
         for task in self.tasks:
@@ -556,7 +649,9 @@
     def cease(self):
         self.ending = True
         # What is cut off in the middle now is cut off on purpose: no library needs to tell of it.
-        logging.getLogger("tornado").disabled = logging.getLogger("tornado.application").disabled = True
+        logging.getLogger("tornado").disabled = logging.getLogger(
+            "tornado.application"
+        ).disabled = True
         for task in self.tasks:
             task.stop()
         if self.peers is not None:
--- a/indigodeck/planner/sums.py
+++ b/indigodeck/planner/sums.py
@@ -4,6 +4,7 @@
 most so many lines a second, the oldest first; what has to wait adds up with what comes meanwhile, so nothing is lost
 and nothing is queued twice. Bounded by servers times halls and relays times classes.
 """
+
 SECOND = 1_000_000
 
 
@@ -17,7 +18,7 @@
 
     def __init__(self, desk, lines_per_s, report_period):
         self.desk, self.rate, self.period = desk, lines_per_s, report_period
-        self.met, self.brought = {}, {}        # (zone, server): Sum; (proxy, place): Sum
+        self.met, self.brought = {}, {}  # (zone, server): Sum; (proxy, place): Sum
         self.spent, self.spent_at = 0.0, desk.now()
         self.spans, self.known, self.dropped = {}, {}, 0
 
@@ -38,9 +39,16 @@
             came, lost = came + tries, lost + failed
             if tries:
                 held = self.met.setdefault((zone, server), Sum(now))
-                held.tries, held.failed, held.span = held.tries + tries, held.failed + failed, max(held.span, span)
+                held.tries, held.failed, held.span = (
+                    held.tries + tries,
+                    held.failed + failed,
+                    max(held.span, span),
+                )
                 if took and tries > failed:
-                    held.took, held.good = held.took + took * (tries - failed), held.good + tries - failed
+                    held.took, held.good = (
+                        held.took + took * (tries - failed),
+                        held.good + tries - failed,
+                    )
         held = self.brought.setdefault((proxy, place), Sum(now))
         held.tries, held.failed, held.span = held.tries + came, held.failed + lost, held.span + span
         self.known[proxy] = now
@@ -66,8 +74,10 @@
         self.spent = max(0.0, self.spent - (now - self.spent_at) * self.rate / SECOND)
         self.spent_at = now
         room = int(max(0.0, self.rate * self.period / SECOND - self.spent))
-        oldest = sorted([(held.since, 0, key) for key, held in self.met.items()]
-                        + [(held.since, 1, key) for key, held in self.brought.items()])
+        oldest = sorted(
+            [(held.since, 0, key) for key, held in self.met.items()]
+            + [(held.since, 1, key) for key, held in self.brought.items()]
+        )
         heard = set()
         for since, which, key in oldest[:room]:
             held = (self.brought if which else self.met).pop(key)
@@ -77,7 +87,13 @@
                 self.desk.demand(*key, held.tries, held.failed, max(held.span, 1))
             elif fresh(key[1]):
                 heard.add(key[1])
-                took = held.took // held.good if held.good else usual(key[1]) if held.tries > held.failed else 0
+                took = (
+                    held.took // held.good
+                    if held.good
+                    else usual(key[1])
+                    if held.tries > held.failed
+                    else 0
+                )
                 self.desk.heard(*key, held.tries, held.failed, took, span, None)
         return heard
 
--- a/indigodeck/records.py
+++ b/indigodeck/records.py
@@ -1,4 +1,5 @@
 """What the assigner keeps, and figures worked out from it; what follows from them stands in choice.py."""
+
 from collections import Counter, defaultdict, deque
 
 SECOND = 1_000_000
@@ -27,12 +28,17 @@
 
     def near(self, servers):
         """Of these servers, those in the zone of the table's proxies."""
-        return {index: server for index, server in servers.items() if self.zone in (None, server.zone)}
+        return {
+            index: server for index, server in servers.items() if self.zone in (None, server.zone)
+        }
 
     def halves(self, pool):
         """Near servers and the others, each with the weight of all."""
         near = self.near(pool)
-        return [(half, weigh(half.values())) for half in (near, {i: pool[i] for i in pool if i not in near})]
+        return [
+            (half, weigh(half.values()))
+            for half in (near, {i: pool[i] for i in pool if i not in near})
+        ]
 
 
 class Proxy:
@@ -77,9 +83,9 @@
                 mean, top = proxy.asked(table.place, len(self.charter["classes"]))
                 rates[table.number] += mean
                 if peak and table.bound:
-                    rises[table.number] += (top - mean) ** 2        # many proxies' peaks seldom meet
+                    rises[table.number] += (top - mean) ** 2  # many proxies' peaks seldom meet
         for number, squares in rises.items():
-            rates[number] += squares ** 0.5
+            rates[number] += squares**0.5
         return rates
 
     def expected(self, now):
@@ -101,20 +107,31 @@
 
     def __init__(self, started=0, judge_from=0, spell=0):
         self.started, self.falls, self.judge_from, self.spell = started, 0, judge_from, spell
-        self.reports, self.strikes, self.until, self.trial = defaultdict(lambda: deque(maxlen=4)), 0, 0, 0
+        self.reports, self.strikes, self.until, self.trial = (
+            defaultdict(lambda: deque(maxlen=4)),
+            0,
+            0,
+            0,
+        )
         self.barred, self.out, self.doubted, self.probing = frozenset(), False, False, False
 
     def since(self, moment):
         """Reports that came later and can reflect the last order, with the zone of their proxies."""
-        return [(zone, report) for zone, reports in self.reports.items() for report in reports
-                if report[0] > max(moment, self.judge_from)]
+        return [
+            (zone, report)
+            for zone, reports in self.reports.items()
+            for report in reports
+            if report[0] > max(moment, self.judge_from)
+        ]
 
     def flow(self, now, period):
         """Exchanges a second, tried and completed, by the last reports that are not long past."""
         last = [reports[-1] for reports in self.reports.values() if reports]
         fresh = [report for report in last if now - report[0] < 2 * report[4] + period]
-        return (sum(tries * SECOND / span for _, tries, _, _, span in fresh),
-                sum((tries - failed) * SECOND / span for _, tries, failed, _, span in fresh))
+        return (
+            sum(tries * SECOND / span for _, tries, _, _, span in fresh),
+            sum((tries - failed) * SECOND / span for _, tries, failed, _, span in fresh),
+        )
 
 
 class Channel:
@@ -122,7 +139,13 @@
     `marks`: {number: (when ordered, how long orders up to it should take at most, lines until then)}."""
 
     def __init__(self, charter, now, forget):
-        self.charter, self.forget, self.waiting, self.waited_at, self.pace = charter, forget, 0.0, now, 1.0
+        self.charter, self.forget, self.waiting, self.waited_at, self.pace = (
+            charter,
+            forget,
+            0.0,
+            now,
+            1.0,
+        )
         self.reached, self.marks, self.number = set(), {}, 0
         self.ordered, self.gone, self.lateness, self.answered_at = 0.0, 0.0, 0, now
 
@@ -135,7 +158,9 @@
 
     def late(self, now):
         """How much longer than promised orders take, by the last answer and by marks that wait for one."""
-        waits = (now - at - promised for at, promised, _ in self.marks.values() if now - at < self.forget)
+        waits = (
+            now - at - promised for at, promised, _ in self.marks.values() if now - at < self.forget
+        )
         return max(0, self.lateness - (now - self.answered_at), *waits)
 
     def cost(self, proxies, lines):
--- a/indigodeck/schema.py
+++ b/indigodeck/schema.py
@@ -1,4 +1,5 @@
 """JSON documents read and checked against schemas; what is wrong is told by its place in the document."""
+
 import json
 import pathlib
 
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -1,4 +1,5 @@
 """Puts a planner together: the charter's service with its fronts, until it is told to end."""
+
 import asyncio
 import signal
 import time
@@ -15,8 +16,10 @@
     """A front by its name; each one's libraries are loaded only where the charter names it."""
     if name == "xds":
         from .fronts.xds.server import XdsFront
+
         return XdsFront(service, charter)
     from .fronts.sasp.server import SaspFront
+
     return SaspFront(service, charter)
 
 
@@ -25,8 +28,11 @@
     reach = None
     if charter.reports.get("over") == "grpc":
         from .fronts.xds.reach import GrpcReach
+
         safe = [kind["name"] for kind in charter.stated["classes"] if kind["repeats"] == "safe"]
-        method = charter.reports.get("probe_path", f"/exchange.Hosts/{(safe or charter.classes)[0]}")
+        method = charter.reports.get(
+            "probe_path", f"/exchange.Hosts/{(safe or charter.classes)[0]}"
+        )
         reach = GrpcReach(method, charter.stated["report_period"])
     service = Service(charter, make, reach)
     store, held = opened(charter, service.note) if charter.store else (None, {})
@@ -36,11 +42,18 @@
         service.keep_books(store, held)
     if charter.operators:
         from .takeover.operators import Operators
+
         service.operators = Operators(service, key_of(charter, charter.operators["key_file"]))
-        service.operators.hear(charter.operators["port"], charter.operators.get("address", "127.0.0.1"))
+        service.operators.hear(
+            charter.operators["port"], charter.operators.get("address", "127.0.0.1")
+        )
     for name, stated in charter.fronts.items():
-        service.open(front(name, service, charter), name, stated.get("port", USUAL_PORTS[name]),
-                     stated.get("address", "127.0.0.1"))
+        service.open(
+            front(name, service, charter),
+            name,
+            stated.get("port", USUAL_PORTS[name]),
+            stated.get("address", "127.0.0.1"),
+        )
     service.start()
     return service
 
@@ -49,7 +62,12 @@
     """(the planner's store, {key: value} of all that it holds)"""
     from .store.files import Folder
     from .store.writer import Writer
-    store = Writer(Folder(charter.folder / charter.store["folder"]), note, charter.store.get("delay_ms", 0) / 1000)
+
+    store = Writer(
+        Folder(charter.folder / charter.store["folder"]),
+        note,
+        charter.store.get("delay_ms", 0) / 1000,
+    )
     held = store.ask(lambda log: {key: log.get(key) for key in log.keys()}).result()
     note("store opened", records=len(held), lost=store.log.lost)
     return store, held
@@ -67,18 +85,42 @@
     from .takeover.apart import Apart
     from .takeover.peers import Peers
     from .takeover.record import InStore, RecordFile, entries_of, pack_entries, unpack_entries
+
     stated = charter.takeover
     wards = charter.halls if stated.get("wards") == "halls" else ["fleet"]
-    path, lease = charter.folder / stated.get("record", "none"), round(stated.get("lease_ms", 3000) * 1000)
-    record, refused = RecordFile(path), RecordFile(path.with_name(path.name + ".refused"), pack_entries, unpack_entries)
+    path, lease = (
+        charter.folder / stated.get("record", "none"),
+        round(stated.get("lease_ms", 3000) * 1000),
+    )
+    record, refused = (
+        RecordFile(path),
+        RecordFile(path.with_name(path.name + ".refused"), pack_entries, unpack_entries),
+    )
     if store is not None:
         # A file from before there was a store is read once more, for its epochs must not be forgotten.
-        record, refused = InStore(store, held, "charge", record), InStore(store, held, "refused", refused, list, entries_of)
-    return Apart(service, lambda surroundings: Peers(
-        surroundings, stated["me"], stated["members"], wards, lease, stated.get("drift", 0.01),
-        key_of(charter, stated["key_file"]), record, refused,
-        Chance(seed_from(stated["me"], [str(charter.seed).encode()])), int(time.time() * 10),
-        stated.get("speaks", 3), stated.get("joins", False)), lease)
+        record, refused = (
+            InStore(store, held, "charge", record),
+            InStore(store, held, "refused", refused, list, entries_of),
+        )
+    return Apart(
+        service,
+        lambda surroundings: Peers(
+            surroundings,
+            stated["me"],
+            stated["members"],
+            wards,
+            lease,
+            stated.get("drift", 0.01),
+            key_of(charter, stated["key_file"]),
+            record,
+            refused,
+            Chance(seed_from(stated["me"], [str(charter.seed).encode()])),
+            int(time.time() * 10),
+            stated.get("speaks", 3),
+            stated.get("joins", False),
+        ),
+        lease,
+    )
 
 
 async def serve(charter, make=Assigner):
@@ -92,4 +134,4 @@
     finally:
         service.note("ending", relays=len(service.front_of), most_waiting=service.desk.most_waiting)
         service.cease()
-        await asyncio.sleep(0.05)       # what closes says so
+        await asyncio.sleep(0.05)  # what closes says so
--- a/indigodeck/simhost/__main__.py
+++ b/indigodeck/simhost/__main__.py
@@ -1,4 +1,5 @@
 """python -m indigodeck.simhost: batches on standard input, one reply each on standard output."""
+
 import sys
 
 from .adapter import Adapter
--- a/indigodeck/simhost/adapter.py
+++ b/indigodeck/simhost/adapter.py
@@ -1,4 +1,5 @@
 """Turns the simulator's events straight into calls on an assigner, and its orders into records."""
+
 import struct
 
 from ..charter import read_charter
@@ -119,7 +120,7 @@
 
 
 def load_map(columns, data):
-    return dict(zip(columns, struct.unpack_from("<4f", data, 1)[:data[0]])) if data[0] else None
+    return dict(zip(columns, struct.unpack_from("<4f", data, 1)[: data[0]])) if data[0] else None
 
 
 def read_entries(data, count):
@@ -136,14 +137,22 @@
     def __init__(self, make=Assigner):
         self.make, self.reply, self.desks, self.lists = make, Reply(), {}, {}
         self.read = {
-            1000: (struct.Struct("<III"), None), 1010: (struct.Struct("<IIB"), self.members),
-            1020: (struct.Struct("<H"), self.left), 1030: (struct.Struct("<"), self.stop),
-            1040: (struct.Struct("<HII"), self.memo), 1050: (struct.Struct("<QII"), self.start),
-            1060: (struct.Struct("<HId"), self.applied), 1070: (struct.Struct("<6sfH"), self.held),
-            1080: (struct.Struct("<HBIId"), self.heat), 1090: (struct.Struct("<6sHd17s"), self.probed),
-            1100: (struct.Struct("<Q"), self.woken), 1110: (struct.Struct("<BH"), self.given),
-            1120: (struct.Struct("<B6sIIdd17s"), self.heard), 1130: (struct.Struct("<BdIHI"), self.demand),
-            1140: (struct.Struct("<HBfB"), self.joined), 1150: (struct.Struct("<H"), None),
+            1000: (struct.Struct("<III"), None),
+            1010: (struct.Struct("<IIB"), self.members),
+            1020: (struct.Struct("<H"), self.left),
+            1030: (struct.Struct("<"), self.stop),
+            1040: (struct.Struct("<HII"), self.memo),
+            1050: (struct.Struct("<QII"), self.start),
+            1060: (struct.Struct("<HId"), self.applied),
+            1070: (struct.Struct("<6sfH"), self.held),
+            1080: (struct.Struct("<HBIId"), self.heat),
+            1090: (struct.Struct("<6sHd17s"), self.probed),
+            1100: (struct.Struct("<Q"), self.woken),
+            1110: (struct.Struct("<BH"), self.given),
+            1120: (struct.Struct("<B6sIIdd17s"), self.heard),
+            1130: (struct.Struct("<BdIHI"), self.demand),
+            1140: (struct.Struct("<HBfB"), self.joined),
+            1150: (struct.Struct("<H"), None),
         }
 
     def batch(self, clock, count, body):
@@ -158,7 +167,7 @@
             fields = shape.unpack_from(body, at + 2)
             try:
                 if code == 1150:
-                    chosen, = fields
+                    (chosen,) = fields
                 elif code == 1000:
                     number, offset, entries = fields
                     data = tail_slice(body, count, offset, entries * ENTRY_SIZE, f"list {number}")
@@ -172,13 +181,17 @@
                     raise Malformed(f"code {code} for instance {chosen}, which has not started")
                 elif code == 1040:
                     peer, offset, length = fields
-                    self.memo(self.desks[chosen], peer, tail_slice(body, count, offset, length, "memo"))
+                    self.memo(
+                        self.desks[chosen], peer, tail_slice(body, count, offset, length, "memo")
+                    )
                 else:
                     call(self.desks[chosen], *fields)
             except Malformed as error:
                 raise Malformed(f"record {place}: {error}") from error
-            except Exception as error:      # the decision code failed: the wire has an action for that
-                Desk(chosen, self.reply).crash(f"{type(error).__name__}: {error} (record {place}, code {code})")
+            except Exception as error:  # the decision code failed: the wire has an action for that
+                Desk(chosen, self.reply).crash(
+                    f"{type(error).__name__}: {error} (record {place}, code {code})"
+                )
         return self.reply.take()
 
     def start(self, number, seed, data):
@@ -198,8 +211,10 @@
             raise Malformed(f"unknown kind of list {kind}")
         if number not in self.lists:
             raise Malformed(f"list {number} was not declared")
-        servers = [Server(desk.index(raw), raw, cell, machine, zone, weight, started, state)
-                   for cell, machine, weight, raw, started, state, zone in self.lists[number]]
+        servers = [
+            Server(desk.index(raw), raw, cell, machine, zone, weight, started, state)
+            for cell, machine, weight, raw, started, state, zone in self.lists[number]
+        ]
         desk.assigner.listed(LIST_KINDS[kind], servers)
 
     def left(self, desk, proxy):
@@ -225,15 +240,26 @@
         desk.assigner.slice_demand(table, place, exchanges, failed, micros(span))
 
     def probed(self, desk, raw, outcome, took, load):
-        desk.assigner.probed(desk.index(raw), OUTCOMES.get(outcome, "error"), micros(took),
-                             load_map(desk.columns, load))
+        desk.assigner.probed(
+            desk.index(raw),
+            OUTCOMES.get(outcome, "error"),
+            micros(took),
+            load_map(desk.columns, load),
+        )
 
     def woken(self, desk, token):
         desk.assigner.woken(token)
 
     def heard(self, desk, zone, raw, tries, failed, took, span, load):
-        desk.assigner.heard(zone, desk.index(raw), tries, failed, micros(took), micros(span),
-                            load_map(desk.columns, load))
+        desk.assigner.heard(
+            zone,
+            desk.index(raw),
+            tries,
+            failed,
+            micros(took),
+            micros(span),
+            load_map(desk.columns, load),
+        )
 
     def demand(self, desk, place, span, failed, proxy, exchanges):
         self.check_class(desk, place)
--- a/indigodeck/simhost/codec.py
+++ b/indigodeck/simhost/codec.py
@@ -1,4 +1,5 @@
 """The simulator's binary frames: layouts and bounds."""
+
 import struct
 
 from ..charter import Malformed, micros
@@ -34,4 +35,4 @@
     start = count * EVENT_SIZE + offset
     if start + length > len(body):
         raise Malformed(f"{what}: bytes {offset} to {offset + length} lie outside the tail")
-    return body[start:start + length]
+    return body[start : start + length]
--- a/indigodeck/standins/audit.py
+++ b/indigodeck/standins/audit.py
@@ -4,6 +4,7 @@
 when planners started, all with times of one clock in microseconds. A verdict is kept or broken by figures, with
 the moment and who was concerned.
 """
+
 import json
 from collections import defaultdict
 from typing import NamedTuple
@@ -16,6 +17,7 @@
 
 class Verdict(NamedTuple):
     """`worst` against `limit`, in `unit`; `cases`: (moment in microseconds, who, what), the first few."""
+
     rule: str
     kept: bool
     worst: float
@@ -38,8 +40,18 @@
 
     def sent_weights(self, number, groups):
         for (_, name), entries in groups:
-            self.tables.told(name.decode(), [(entry.member.place(), entry.weight, bool(entry.flags & codec.CONFIDENT),
-                                              bool(entry.flags & codec.QUIESCED)) for entry in entries])
+            self.tables.told(
+                name.decode(),
+                [
+                    (
+                        entry.member.place(),
+                        entry.weight,
+                        bool(entry.flags & codec.CONFIDENT),
+                        bool(entry.flags & codec.QUIESCED),
+                    )
+                    for entry in entries
+                ],
+            )
 
 
 class Count(Ear):
@@ -67,7 +79,7 @@
     def __init__(self, figures, classes, begun):
         self.figures, self.classes, self.begun = figures, classes, begun
         self.receipts, self.outcomes, self.seen, self.told, self.starts = [], [], [], [], []
-        self.charges = []      # (when it said so, epoch, controller), where there are several
+        self.charges = []  # (when it said so, epoch, controller), where there are several
 
     def moment(self, at):
         return (at - self.begun) / SECOND
@@ -83,8 +95,14 @@
     def verdict(self, rule, found, limit, unit):
         """`found`: (figure, moment, who, what); broken where a figure is over the limit."""
         broken = sorted((line for line in found if line[0] > limit), key=lambda line: line[1])
-        return Verdict(rule, not broken, max((line[0] for line in found), default=0), limit, unit,
-                       [(at, who, what) for _, at, who, what in broken[:5]])
+        return Verdict(
+            rule,
+            not broken,
+            max((line[0] for line in found), default=0),
+            limit,
+            unit,
+            [(at, who, what) for _, at, who, what in broken[:5]],
+        )
 
     # No proxy is left without a server.
 
@@ -92,8 +110,10 @@
         """Time that a joined relay's table for a class names nobody, while a warm host is listed as ready."""
         clock, ears, joined, since, found = [0], {}, set(), {}, []
         ready, limit = {}, self.figures["bare_time"]
-        events = sorted([(seen.at, 0, seen) for seen in self.seen] + [(line[0], 1, line) for line in self.told],
-                        key=lambda event: event[:2])
+        events = sorted(
+            [(seen.at, 0, seen) for seen in self.seen] + [(line[0], 1, line) for line in self.told],
+            key=lambda event: event[:2],
+        )
         events.append((events[-1][0] + 1 if events else 0, 2, None))
         last_warm = False
         for at, kind, event in events:
@@ -116,18 +136,29 @@
                 elif isinstance(event.data, bytes):
                     codec.dispatch(event.data, ear)
                 else:
-                    for name, entries in event.data:        # of a stream that the relay itself told of
+                    for name, entries in event.data:  # of a stream that the relay itself told of
                         ear.tables.confirmed.discard(name)
-                        ear.tables.told(name, [(None, 0, True, True)] + [(tuple(where), *rest) for where, *rest in entries])
+                        ear.tables.told(
+                            name,
+                            [(None, 0, True, True)]
+                            + [(tuple(where), *rest) for where, *rest in entries],
+                        )
                 for name in self.classes:
-                    empty = (event.relay in joined and ear.tables.held_since[name] is not None
-                             and not ear.tables.lines[name])
+                    empty = (
+                        event.relay in joined
+                        and ear.tables.held_since[name] is not None
+                        and not ear.tables.lines[name]
+                    )
                     if empty:
                         since.setdefault((event.relay, name), 0)
                     elif (event.relay, name) in since:
-                        found.append((since.pop((event.relay, name)), at, event.relay, f"nobody for {name}"))
+                        found.append(
+                            (since.pop((event.relay, name)), at, event.relay, f"nobody for {name}")
+                        )
             last_warm = any(at - started > self.figures["cold_time"] for started in ready.values())
-        found += [(held, clock[0], relay, f"nobody for {name}") for (relay, name), held in since.items()]
+        found += [
+            (held, clock[0], relay, f"nobody for {name}") for (relay, name), held in since.items()
+        ]
         # Clients know as well: a relay with nobody to pick says so to each of them.
         runs = defaultdict(list)
         for line in self.outcomes:
@@ -135,8 +166,12 @@
         for (relay, name), lines in runs.items():
             first = None
             for line in lines:
-                first = None if line["outcome"] != "nowhere" else line["at"] if first is None else first
-                if first is not None and any(self.moment(at) >= 0 and at <= first for at, *_ in self.told):
+                first = (
+                    None if line["outcome"] != "nowhere" else line["at"] if first is None else first
+                )
+                if first is not None and any(
+                    self.moment(at) >= 0 and at <= first for at, *_ in self.told
+                ):
                     found.append((line["at"] - first, line["at"], relay, f"nowhere for {name}"))
         return self.verdict("no proxy without a server", found, limit, "us")
 
@@ -147,15 +182,22 @@
         for line in self.receipts:
             if line["state"] in ("begun", "silent") and line["key"]:
                 begun[line["key"]].append(line)
-        found = [(len(lines), lines[1]["at"], lines[0]["relay"],
-                  f"{key} at {', '.join(line['host'] for line in lines)}")
-                 for key, lines in begun.items() if len(lines) > 1]
+        found = [
+            (
+                len(lines),
+                lines[1]["at"],
+                lines[0]["relay"],
+                f"{key} at {', '.join(line['host'] for line in lines)}",
+            )
+            for key, lines in begun.items()
+            if len(lines) > 1
+        ]
         return self.verdict("no effect twice", found or [(1, 0, "", "")], 1, "times")
 
     # Drains are kept.
 
     def drains(self):
-        spans = defaultdict(list)       # relay: [joined, left]
+        spans = defaultdict(list)  # relay: [joined, left]
         for seen in self.seen:
             if seen.what == "joined":
                 spans[seen.relay].append([seen.at, None])
@@ -169,18 +211,33 @@
             if line["relay"] not in spans or line["host"] not in told:
                 continue
             at = line["at"]
-            joined = max((span[0] for span in spans[line["relay"]]
-                          if span[0] <= at and (span[1] is None or at < span[1])), default=None)
+            joined = max(
+                (
+                    span[0]
+                    for span in spans[line["relay"]]
+                    if span[0] <= at and (span[1] is None or at < span[1])
+                ),
+                default=None,
+            )
             if joined is None:
-                continue        # cut off: it goes on with what it holds
+                continue  # cut off: it goes on with what it holds
             start = max((started for started in self.starts if started <= joined), default=0)
             out = None
             for when, state in told[line["host"]]:
                 # Where gone alone does not bind, only what was said to drain counts as told.
-                if start <= when <= at and (state != "gone" or self.figures["gone_binds"] or out is not None):
+                if start <= when <= at and (
+                    state != "gone" or self.figures["gone_binds"] or out is not None
+                ):
                     out = None if state == "ready" else when if out is None else out
             if out is not None:
-                found.append((at - max(out, joined), at, line["relay"], f"sent to {line['host']}, which is out"))
+                found.append(
+                    (
+                        at - max(out, joined),
+                        at,
+                        line["relay"],
+                        f"sent to {line['host']}, which is out",
+                    )
+                )
         return self.verdict("drains kept", found, self.figures["drain_grace"], "us")
 
     # No cold server is pushed over.
@@ -202,10 +259,19 @@
                     work -= lines[first]["work"]
                     first += 1
                 # Before a planner could know of the start, no order of its own can have brought this.
-                if line["at"] - known.get(host, line["at"]) > self.figures["drain_grace"] or line["state"] == "fallen":
+                if (
+                    line["at"] - known.get(host, line["at"]) > self.figures["drain_grace"]
+                    or line["state"] == "fallen"
+                ):
                     able = (lines[first]["able"] + line["able"]) / 2
-                    found.append((round(work / (able * span), 3), line["at"], host,
-                                  f"{work / (able * span):.2f} times what it can do, by {line['relay']} last"))
+                    found.append(
+                        (
+                            round(work / (able * span), 3),
+                            line["at"],
+                            host,
+                            f"{work / (able * span):.2f} times what it can do, by {line['relay']} last",
+                        )
+                    )
         # A little slack for chance, as the count is a budget over the whole window.
         return self.verdict("no cold server pushed over", found, round(multiple * 1.1, 3), "times")
 
@@ -216,7 +282,9 @@
         for seen in self.seen:
             if seen.what == "message":
                 # The limit is on what one planner writes: one that started anew knows nothing of another's messages.
-                written[seen.relay, seen.by, sum(started <= seen.at for started in self.starts)].append(seen.at)
+                written[
+                    seen.relay, seen.by, sum(started <= seen.at for started in self.starts)
+                ].append(seen.at)
         most, span = self.figures["messages_all"], self.figures["messages_span"]
         for (relay, *_), times in written.items():
             first = 0
@@ -236,21 +304,40 @@
                 joined[seen.relay] = seen.by
             elif seen.what == "message":
                 if joined.get(seen.relay, seen.by) != seen.by:
-                    found.append((1, seen.at, seen.relay, f"told by {seen.by}, follows {joined[seen.relay]}"))
+                    found.append(
+                        (1, seen.at, seen.relay, f"told by {seen.by}, follows {joined[seen.relay]}")
+                    )
                 if seen.epoch < epochs.get(seen.relay, 0):
-                    found.append((1, seen.at, seen.relay, f"under {seen.epoch}, after {epochs[seen.relay]}"))
+                    found.append(
+                        (1, seen.at, seen.relay, f"under {seen.epoch}, after {epochs[seen.relay]}")
+                    )
                 epochs[seen.relay] = max(seen.epoch, epochs.get(seen.relay, 0))
         return self.verdict("each relay follows one controller", found, 0, "orders")
 
     def ordered(self):
         """How long after another controller was in charge an order of the one before still left."""
         charges, found, nth = sorted(self.charges), [(0, 0, "", "")], 0
-        held = None        # the charge of the highest epoch so far
+        held = None  # the charge of the highest epoch so far
         for seen in self.seen:
             while nth < len(charges) and charges[nth][0] <= seen.at:
-                held, nth = max(held or charges[nth], charges[nth], key=lambda charge: charge[1]), nth + 1
-            if seen.what == "message" and held is not None and seen.by != held[2] and entries(seen.data):
-                found.append((seen.at - held[0], seen.at, seen.by, f"told {seen.relay} while {held[2]} is in charge"))
+                held, nth = (
+                    max(held or charges[nth], charges[nth], key=lambda charge: charge[1]),
+                    nth + 1,
+                )
+            if (
+                seen.what == "message"
+                and held is not None
+                and seen.by != held[2]
+                and entries(seen.data)
+            ):
+                found.append(
+                    (
+                        seen.at - held[0],
+                        seen.at,
+                        seen.by,
+                        f"told {seen.relay} while {held[2]} is in charge",
+                    )
+                )
         # So long may a tap take to read what has left, on a machine that is busy.
         return self.verdict("one controller in charge", found, SECOND // 10, "us")
 
@@ -258,22 +345,31 @@
 
     def service(self, worst_span=10):
         """Credit earned over credit asked for: whole, the worst 10 s, the worst class, and each 5 s."""
+
         def part(lines):
             asked = sum(line["asked"] for line in lines)
             return sum(line["earned"] for line in lines) / asked if asked else 1.0
+
         by_class, by_window = defaultdict(list), defaultdict(list)
         for line in self.outcomes:
             by_class[line["class"]].append(line)
             by_window[int(self.moment(line["at"]) // 5)].append(line)
-        windows = [part(by_window[nth] + by_window[nth + 1]) for nth in sorted(by_window) if nth + 1 in by_window]
+        windows = [
+            part(by_window[nth] + by_window[nth + 1])
+            for nth in sorted(by_window)
+            if nth + 1 in by_window
+        ]
         counts = defaultdict(int)
         for line in self.outcomes:
             counts[line["outcome"]] += 1
-        return {"asked": len(self.outcomes), "whole": round(part(self.outcomes), 4),
-                "worst_10_s": round(min(windows, default=1.0), 4),
-                "worst_class": round(min((part(lines) for lines in by_class.values()), default=1.0), 4),
-                "by_5_s": [round(part(by_window[nth]), 3) for nth in sorted(by_window)],
-                "outcomes": dict(sorted(counts.items()))}
+        return {
+            "asked": len(self.outcomes),
+            "whole": round(part(self.outcomes), 4),
+            "worst_10_s": round(min(windows, default=1.0), 4),
+            "worst_class": round(min((part(lines) for lines in by_class.values()), default=1.0), 4),
+            "by_5_s": [round(part(by_window[nth]), 3) for nth in sorted(by_window)],
+            "outcomes": dict(sorted(counts.items())),
+        }
 
 
 def lines_of(path):
--- a/indigodeck/standins/baselines.py
+++ b/indigodeck/standins/baselines.py
@@ -1,4 +1,5 @@
 """Policies to measure against, hosted by the same desk: none of them decides anything."""
+
 from ..host import CHANGES, READY
 
 
--- a/indigodeck/standins/controllers.py
+++ b/indigodeck/standins/controllers.py
@@ -1,4 +1,5 @@
 """Real controllers in processes of their own, and relays of both protocols that know them all."""
+
 import asyncio
 import json
 import pathlib
@@ -17,14 +18,25 @@
 
 def section(me, members, lease, **more):
     """A charter's section `takeover`, for controllers at these ports that share a folder with the file `key`."""
-    return {"me": me, "members": {name: f"127.0.0.1:{port}" for name, port in members.items()}, "key_file": "key",
-            "record": f"{me}.record", "lease_ms": lease, "drift": 0.02, **more}
+    return {
+        "me": me,
+        "members": {name: f"127.0.0.1:{port}" for name, port in members.items()},
+        "key_file": "key",
+        "record": f"{me}.record",
+        "lease_ms": lease,
+        "drift": 0.02,
+        **more,
+    }
 
 
 def charges_in(path):
     """What a controller logged of its charge: [(in or out, epoch, wall clock as written)]"""
     lines = [json.loads(line) for line in path.read_text().splitlines() if line.startswith("{")]
-    return [(line["event"], line["epoch"], line["timestamp"]) for line in lines if line["event"] in ("in charge", "out of charge")]
+    return [
+        (line["event"], line["epoch"], line["timestamp"])
+        for line in lines
+        if line["event"] in ("in charge", "out of charge")
+    ]
 
 
 def free_ports(many):
@@ -41,7 +53,13 @@
     """A way to one port on which nothing may pass, or only so many bytes more of what is answered."""
 
     def __init__(self, target):
-        self.target, self.shut, self.answered_most, self.writers, self.server = target, False, None, set(), None
+        self.target, self.shut, self.answered_most, self.writers, self.server = (
+            target,
+            False,
+            None,
+            set(),
+            None,
+        )
 
     async def open(self, port=0):
         self.server = await asyncio.start_server(self._pass, "127.0.0.1", port)
@@ -53,15 +71,22 @@
         except OSError:
             return writer.close()
         self.writers |= {writer, far_writer}
-        await asyncio.wait([asyncio.ensure_future(self._copy(reader, far_writer, False)),
-                            asyncio.ensure_future(self._copy(far_reader, writer, True))])
+        await asyncio.wait(
+            [
+                asyncio.ensure_future(self._copy(reader, far_writer, False)),
+                asyncio.ensure_future(self._copy(far_reader, writer, True)),
+            ]
+        )
         self.writers -= {writer, far_writer}
 
     async def _copy(self, reader, writer, answers):
         try:
             while data := await reader.read(65536):
                 if self.answered_most is not None and answers:
-                    data, self.answered_most = data[:self.answered_most], max(0, self.answered_most - len(data))
+                    data, self.answered_most = (
+                        data[: self.answered_most],
+                        max(0, self.answered_most - len(data)),
+                    )
                 # Held back, not refused: messages are lost while both ends think that they are connected.
                 if not self.shut and data:
                     writer.write(data)
@@ -82,30 +107,48 @@
 
     def __init__(self, folder, charter, members=3, lease=600, spare=0, stated=None, store=False):
         self.folder, self.processes, self.logs, self.gates = pathlib.Path(folder), {}, {}, {}
-        self.place = lambda nth: 9000 + nth        # of a host that need not exist
+        self.place = lambda nth: 9000 + nth  # of a host that need not exist
         charter = json.loads(json.dumps(charter))
         all_of_them = members + spare
         ports, self.held = free_ports(3 * all_of_them)
         self.members = {f"c{nth}": ports[nth] for nth in range(all_of_them)}
-        self.wires = {f"c{nth}": {"sasp": ports[all_of_them + nth], "xds": ports[2 * all_of_them + nth]}
-                      for nth in range(all_of_them)}
+        self.wires = {
+            f"c{nth}": {"sasp": ports[all_of_them + nth], "xds": ports[2 * all_of_them + nth]}
+            for nth in range(all_of_them)
+        }
         self.first = [f"c{nth}" for nth in range(members)]
         (self.folder / "key").write_text("a key for tests, shared by all of them")
         self.listed, self.states = ListFile(folder), {nth: "ready" for nth in range(8)}
         self.keep()
         for name in self.members:
             charter = json.loads(json.dumps(charter))
-            charter.update(name=name, roster={"file": "roster.json", "look_every_ms": 50},
-                           fronts={wire: {"address": "127.0.0.1", "port": port} for wire, port in self.wires[name].items()},
-                           takeover=section(name, {other: port for other, port in self.members.items()
-                                                   if other in self.first or other == name}, lease,
-                                            **({} if name in self.first else {"joins": True}), **(stated or {})))
+            charter.update(
+                name=name,
+                roster={"file": "roster.json", "look_every_ms": 50},
+                fronts={
+                    wire: {"address": "127.0.0.1", "port": port}
+                    for wire, port in self.wires[name].items()
+                },
+                takeover=section(
+                    name,
+                    {
+                        other: port
+                        for other, port in self.members.items()
+                        if other in self.first or other == name
+                    },
+                    lease,
+                    **({} if name in self.first else {"joins": True}),
+                    **(stated or {}),
+                ),
+            )
             if store:
                 charter["store"] = {"folder": f"{name}.store"}
             charter["fronts"]["sasp"]["interval_s"] = 1
             charter["reports"] = {"period_ms": 1000, "probes_per_s": 0}
             charter["rules"]["gone_binds"] = True
-            charter["channel"].update(messages_most=60, answers_most=30)     # relays that ask once a second are answered
+            charter["channel"].update(
+                messages_most=60, answers_most=30
+            )  # relays that ask once a second are answered
             (self.folder / f"{name}.json").write_text(json.dumps(charter))
 
     def state(self, name, **more):
@@ -131,16 +174,34 @@
 
     def keep(self, **states):
         self.states.update({int(name[1:]): state for name, state in states.items()})
-        self.listed.keep([
-            {"id": f"host-{nth}", "address": "127.0.0.1", "port": self.place(nth), "state": state, "weight": 4, "hall": "hall-a"}
-            for nth, state in self.states.items()])
+        self.listed.keep(
+            [
+                {
+                    "id": f"host-{nth}",
+                    "address": "127.0.0.1",
+                    "port": self.place(nth),
+                    "state": state,
+                    "weight": 4,
+                    "hall": "hall-a",
+                }
+                for nth, state in self.states.items()
+            ]
+        )
 
     async def start(self, name, program=ROOT):
         """`program`: the folder of another version of it."""
         self.logs[name] = open(self.folder / f"{name}.log", "ab")
         self.processes[name] = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "indigodeck", "serve", "--charter", str(self.folder / f"{name}.json"),
-            stdout=self.logs[name], stderr=self.logs[name], cwd=program)
+            sys.executable,
+            "-m",
+            "indigodeck",
+            "serve",
+            "--charter",
+            str(self.folder / f"{name}.json"),
+            stdout=self.logs[name],
+            stderr=self.logs[name],
+            cwd=program,
+        )
 
     def told(self, name):
         """What a controller logged of its charge: [(in or out, epoch)]"""
@@ -148,7 +209,11 @@
 
     def holder(self):
         """Who says last, under the highest epoch, that it is in charge."""
-        held = [(told[-1][1], name) for name in self.members if (told := self.told(name)) and told[-1][0] == "in charge"]
+        held = [
+            (told[-1][1], name)
+            for name in self.members
+            if (told := self.told(name)) and told[-1][0] == "in charge"
+        ]
         return max(held)[1] if held else None
 
     def signal(self, name, number):
@@ -162,15 +227,28 @@
     async def command(self, *words, of="c0"):
         """(exit code, what it said) of an operator's command, by the charter of one controller."""
         ran = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "indigodeck", words[0], "--charter", str(self.folder / f"{of}.json"), *words[1:],
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT, cwd=ROOT)
+            sys.executable,
+            "-m",
+            "indigodeck",
+            words[0],
+            "--charter",
+            str(self.folder / f"{of}.json"),
+            *words[1:],
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.STDOUT,
+            cwd=ROOT,
+        )
         said, _ = await ran.communicate()
         return ran.returncode, said.decode().strip()
 
     def relay(self, wire, uid, known=None):
         tables = Tables(["reading", "setpoint"], now)
         client = {"sasp": SaspClient, "xds": XdsClient}[wire](
-            uid, known or [("127.0.0.1", ports[wire]) for ports in self.wires.values()], tables, patience=0.5)
+            uid,
+            known or [("127.0.0.1", ports[wire]) for ports in self.wires.values()],
+            tables,
+            patience=0.5,
+        )
         client.redial.first, client.redial.most = 50_000, 300_000
         return tables, client, asyncio.get_running_loop().create_task(client.run())
 
--- a/indigodeck/standins/conversation.py
+++ b/indigodeck/standins/conversation.py
@@ -5,6 +5,7 @@
 `restart`: it ends and another starts; `classes`: the charter's from the next restart on. Each step ends when all clients hold
 the tables that `until` states by hosts, or met the error that it names; then a line is printed for each.
 """
+
 import asyncio
 import pathlib
 import time
@@ -29,15 +30,27 @@
     def __init__(self, wire, names, planner):
         self.tap = Tap(now, planner, False)
         self.tables, self.errors = Tables(names, now), []
-        self.client = CLIENTS[wire](f"party-{wire}", [("127.0.0.1", self.tap.open())], self.tables, patience=0.5,
-                                    failed=lambda error: self.errors.append(type(error).__name__))
+        self.client = CLIENTS[wire](
+            f"party-{wire}",
+            [("127.0.0.1", self.tap.open())],
+            self.tables,
+            patience=0.5,
+            failed=lambda error: self.errors.append(type(error).__name__),
+        )
         self.client.redial = Redial(Chance(7), 50_000, 200_000)
         self.task = asyncio.get_running_loop().create_task(self.client.run())
 
     def told(self, ports):
         """Tables in words: hosts and their shares, by class."""
-        return {name: " ".join(f"{ports[port]}:{part:.2f}" for (_, port), part in sorted(self.tables.shares(name).items()))
-                if lines else "nobody" for name, lines in self.tables.lines.items()}
+        return {
+            name: " ".join(
+                f"{ports[port]}:{part:.2f}"
+                for (_, port), part in sorted(self.tables.shares(name).items())
+            )
+            if lines
+            else "nobody"
+            for name, lines in self.tables.lines.items()
+        }
 
 
 class Talkers:
@@ -49,13 +62,28 @@
         self.classes = script["charter"]["classes"]
 
     def keep(self):
-        self.listed.keep([
-            {"id": name, "address": "127.0.0.1", "port": self.places[name], "state": state, "weight": 4,
-             "hall": self.script["charter"]["halls"][0]} for name, state in self.hosts.items() if state != "gone"])
+        self.listed.keep(
+            [
+                {
+                    "id": name,
+                    "address": "127.0.0.1",
+                    "port": self.places[name],
+                    "state": state,
+                    "weight": 4,
+                    "hall": self.script["charter"]["halls"][0],
+                }
+                for name, state in self.hosts.items()
+                if state != "gone"
+            ]
+        )
 
     def start(self):
-        document = dict(self.script["charter"], classes=self.classes, roster={"file": "roster.json", "look_every_ms": 20},
-                        fronts={wire: {"address": "127.0.0.1", "port": 0} for wire in CLIENTS})
+        document = dict(
+            self.script["charter"],
+            classes=self.classes,
+            roster={"file": "roster.json", "look_every_ms": 20},
+            fronts={wire: {"address": "127.0.0.1", "port": 0} for wire in CLIENTS},
+        )
         self.service = assemble(Charter(document, self.folder))
 
     async def stop(self):
@@ -63,7 +91,10 @@
         await asyncio.sleep(0.2)
 
     def port(self, wire):
-        return lambda: ("127.0.0.1", dict(zip(self.service.charter.fronts, self.service.fronts))[wire].port())
+        return lambda: (
+            "127.0.0.1",
+            dict(zip(self.service.charter.fronts, self.service.fronts))[wire].port(),
+        )
 
     async def play(self):
         """The trace of each protocol: a list of lines."""
@@ -93,7 +124,10 @@
             for party in parties.values():
                 party.tap.mode = step["way"]
         if "classes" in step:
-            self.classes = [dict(kind, name=step["classes"].get(kind["name"], kind["name"])) for kind in self.classes]
+            self.classes = [
+                dict(kind, name=step["classes"].get(kind["name"], kind["name"]))
+                for kind in self.classes
+            ]
         if "restart" in step:
             await self.stop()
             self.start()
@@ -105,10 +139,18 @@
         wanted, error, ended = step.get("until"), step.get("error"), time.monotonic() + 10
         for wire, party in parties.items():
             while time.monotonic() < ended:
-                held = {self.ports[port] for lines in party.tables.lines.values() for _, port in lines}
-                if (wanted is None or held == set(wanted)) and (error is None or error in party.errors):
+                held = {
+                    self.ports[port] for lines in party.tables.lines.values() for _, port in lines
+                }
+                if (wanted is None or held == set(wanted)) and (
+                    error is None or error in party.errors
+                ):
                     break
                 await asyncio.sleep(0.01)
             errors = " ".join(dict.fromkeys(party.errors)) if error else "none"
-            self.printed[wire].append(f"{step['name']}: errors {errors}; " + "; ".join(
-                f"{name} {told}" for name, told in sorted(party.told(self.ports).items())))
+            self.printed[wire].append(
+                f"{step['name']}: errors {errors}; "
+                + "; ".join(
+                    f"{name} {told}" for name, told in sorted(party.told(self.ports).items())
+                )
+            )
--- a/indigodeck/standins/day.py
+++ b/indigodeck/standins/day.py
@@ -3,6 +3,7 @@
 One process each for the planner, for groups of hosts and for groups of relays with their clients; the list's
 keeper and the tap on the relays' streams are in this one. Every process is ended by its own id.
 """
+
 import asyncio
 import json
 import pathlib
@@ -24,9 +25,20 @@
 SECOND = 1_000_000
 SCHEMA = shipped(__file__, "day.schema.json")
 # What a bench day calls its troubles, and which of ours each is; the others have no counterpart on sockets.
-FROM_BENCH = {"crash": "crash", "vanish": "silent", "hang": "hang", "fast_errors": "errors", "neighbour": "slow",
-              "deploy": "deploy", "shrink": "shrink", "discovery_stale": "roster_late", "wrong_list": "roster_wrong",
-              "balancer_roll": "planner_killed", "balancer_stall": "planner_stalled", "counter_down": "relay_cut"}
+FROM_BENCH = {
+    "crash": "crash",
+    "vanish": "silent",
+    "hang": "hang",
+    "fast_errors": "errors",
+    "neighbour": "slow",
+    "deploy": "deploy",
+    "shrink": "shrink",
+    "discovery_stale": "roster_late",
+    "wrong_list": "roster_wrong",
+    "balancer_roll": "planner_killed",
+    "balancer_stall": "planner_stalled",
+    "counter_down": "relay_cut",
+}
 
 
 def from_bench(troubles):
@@ -38,8 +50,15 @@
         if kind is None:
             left.append(trouble["kind"])
             continue
-        ours.append({"kind": kind, "at": trouble["at"], "seconds": max(0.1, trouble.get("len", 5)),
-                     "part": min(1.0, trouble.get("part") or 0.2), "size": trouble.get("size") or 0.2})
+        ours.append(
+            {
+                "kind": kind,
+                "at": trouble["at"],
+                "seconds": max(0.1, trouble.get("len", 5)),
+                "part": min(1.0, trouble.get("part") or 0.2),
+                "size": trouble.get("size") or 0.2,
+            }
+        )
     return ours, left
 
 
@@ -56,7 +75,9 @@
             against.append(f"classes: {sorted(names)}, the charter has {sorted(charter.classes)}")
         for place, trouble in enumerate(script.get("troubles", [])):
             if trouble.get("hall") not in (None, *charter.halls):
-                against.append(f"troubles/{place}/hall: {trouble['hall']!r} is none of the halls {charter.halls}")
+                against.append(
+                    f"troubles/{place}/hall: {trouble['hall']!r} is none of the halls {charter.halls}"
+                )
     return against
 
 
@@ -64,9 +85,13 @@
     charter = json.loads(json.dumps(script["charter"]))
     charter["roster"] = {"service": f"http://127.0.0.1:{keeper_port}"}
     wire = script["relays"].get("wire", "sasp")
-    charter["fronts"] = {wire: dict(charter.get("fronts", {}).get(wire, {}), address="127.0.0.1", port=0)}
+    charter["fronts"] = {
+        wire: dict(charter.get("fronts", {}).get(wire, {}), address="127.0.0.1", port=0)
+    }
     charter.setdefault("relays", {}).setdefault("most", script["relays"]["many"])
-    charter["relays"].setdefault("halls", [{"prefix": hall + "/", "hall": hall} for hall in charter["halls"]])
+    charter["relays"].setdefault(
+        "halls", [{"prefix": hall + "/", "hall": hall} for hall in charter["halls"]]
+    )
     return charter
 
 
@@ -78,9 +103,17 @@
 
     @classmethod
     async def start(cls, *words):
-        return cls(await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "indigodeck", *words, stdin=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.PIPE, limit=1 << 24))
+        return cls(
+            await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "indigodeck",
+                *words,
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                limit=1 << 24,
+            )
+        )
 
     async def do(self, **command):
         async with self.turn:
@@ -115,8 +148,14 @@
         self.chance, self.hosts, self.crews, self.depots = Chance(script.get("seed", 1)), {}, [], []
         self.planner, self.port, self.starts, self.serial, self.told = None, None, [], 0, []
         self.log = open(self.folder / "planner.log", "ab")
-        self.keeper, self.tap = Keeper(self._told), Tap(
-            now, lambda: self.port and ("127.0.0.1", self.port), script["relays"].get("wire", "sasp") == "sasp")
+        self.keeper, self.tap = (
+            Keeper(self._told),
+            Tap(
+                now,
+                lambda: self.port and ("127.0.0.1", self.port),
+                script["relays"].get("wire", "sasp") == "sasp",
+            ),
+        )
         self.keeper.late = round(script.get("roster", {}).get("late_ms", 0) * 1000)
         self.charter = Charter(charter_of(script, self.keeper.listen()))
         (self.folder / "charter.json").write_text(json.dumps(self.charter.document))
@@ -137,7 +176,9 @@
         return [self.planner] if self.planner is not None else []
 
     def _told(self, host, state):
-        self.told.append((now(), host, state, self.hosts[host]["born"] if host in self.hosts else 0))
+        self.told.append(
+            (now(), host, state, self.hosts[host]["born"] if host in self.hosts else 0)
+        )
 
     # The fleet.
 
@@ -147,14 +188,32 @@
         name, stated, rules = f"host-{self.serial}", self.script["hosts"], self.charter.stated
         crew = self.crews[self.serial % len(self.crews)]
         cores, born = stated.get("cores", 4), now() if cold else 0
-        answer = await crew.do(do="start", host=name, cores=cores, slots=stated.get("slots", 2 * cores),
-                               room=stated.get("room", 16 * cores), started=born, cold_time=rules["cold_time"],
-                               cold_share=rules["cold_share"], tip_multiple=rules["tip_multiple"],
-                               tip_time=rules["tip_time"])
-        self.hosts[name] = {"crew": crew, "born": born, "entry": {
-            "id": name, "address": "127.0.0.1", "port": answer["port"], "hall": hall, "weight": float(cores),
-            "kind": (self.charter.kinds or ["std"])[0], "state": "ready",
-            "started_ms": time.time_ns() // 1_000_000 if cold else 0}}
+        answer = await crew.do(
+            do="start",
+            host=name,
+            cores=cores,
+            slots=stated.get("slots", 2 * cores),
+            room=stated.get("room", 16 * cores),
+            started=born,
+            cold_time=rules["cold_time"],
+            cold_share=rules["cold_share"],
+            tip_multiple=rules["tip_multiple"],
+            tip_time=rules["tip_time"],
+        )
+        self.hosts[name] = {
+            "crew": crew,
+            "born": born,
+            "entry": {
+                "id": name,
+                "address": "127.0.0.1",
+                "port": answer["port"],
+                "hall": hall,
+                "weight": float(cores),
+                "kind": (self.charter.kinds or ["std"])[0],
+                "state": "ready",
+                "started_ms": time.time_ns() // 1_000_000 if cold else 0,
+            },
+        }
         return name
 
     def entry(self, name, state):
@@ -164,7 +223,9 @@
         """A host drains and ends; its successor, if it has one, is there from the start, cold."""
         self.keeper.set(self.entry(name, "draining"))
         if successor:
-            self.keeper.set(self.entry(await self.host(self.hosts[name]["entry"]["hall"], True), "ready"))
+            self.keeper.set(
+                self.entry(await self.host(self.hosts[name]["entry"]["hall"], True), "ready")
+            )
         await sleep(drained)
         await self.gone(name)
 
@@ -175,8 +236,11 @@
         self.hosts[name]["over"] = True
 
     def running(self, hall=None):
-        return [name for name, host in self.hosts.items()
-                if not host.get("over") and hall in (None, host["entry"]["hall"])]
+        return [
+            name
+            for name, host in self.hosts.items()
+            if not host.get("over") and hall in (None, host["entry"]["hall"])
+        ]
 
     def struck(self, names, part):
         """So many of them, by chance, one at least."""
@@ -191,7 +255,14 @@
         words = ["serve", "--charter", str(self.folder / "charter.json"), "--log", "json"]
         words += ["--policy", self.policy] if self.policy != "indigodeck" else []
         self.planner = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "indigodeck", *words, stdout=asyncio.subprocess.PIPE, stderr=self.log, limit=1 << 20)
+            sys.executable,
+            "-m",
+            "indigodeck",
+            *words,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=self.log,
+            limit=1 << 20,
+        )
         self.starts.append(now())
         asyncio.get_running_loop().create_task(self._read_log(self.planner))
         for _ in range(200):
@@ -231,7 +302,7 @@
             batch = max(1, round(len(names) * min(1.0, size)))
             waves = -(-len(names) // batch)
             for wave in range(waves):
-                for name in names[wave * batch:(wave + 1) * batch]:
+                for name in names[wave * batch : (wave + 1) * batch]:
                     self._spawn(self.replace, name, 6.0, kind == "deploy")
                 await sleep(seconds / waves)
         elif kind == "roster_late":
@@ -239,7 +310,9 @@
             await sleep(seconds)
             self.keeper.late -= round(size * SECOND)
         elif kind == "roster_wrong":
-            names = [name for name in self.struck(self.running(), part) if name in self.keeper.hosts]
+            names = [
+                name for name in self.struck(self.running(), part) if name in self.keeper.hosts
+            ]
             self.keeper.say([self.entry(name, "gone") for name in names])
             await sleep(seconds)
             self.keeper.say([self.entry(name, "ready") for name in names if name in self.running()])
@@ -284,33 +357,69 @@
         tasks, problems = [], []
         try:
             for nth in range(hosts.get("processes", 2)):
-                self.crews.append(await Crew.start("standin", "host", "--receipts", str(self.folder / f"receipts-{nth}"),
-                                                   "--work", json.dumps(work)))
+                self.crews.append(
+                    await Crew.start(
+                        "standin",
+                        "host",
+                        "--receipts",
+                        str(self.folder / f"receipts-{nth}"),
+                        "--work",
+                        json.dumps(work),
+                    )
+                )
             halls = self.charter.halls
-            first = [await self.host(halls[nth % len(halls)], False) for nth in range(hosts["many"])]
+            first = [
+                await self.host(halls[nth % len(halls)], False) for nth in range(hosts["many"])
+            ]
             self.keeper.say([self.entry(name, "ready") for name in first])
             places = self.open_taps()
             await self.start_planner()
             for nth in range(relays.get("processes", 2)):
-                self.depots.append(await Crew.start("standin", "relay", "--outcomes", str(self.folder / f"outcomes-{nth}")))
+                self.depots.append(
+                    await Crew.start(
+                        "standin", "relay", "--outcomes", str(self.folder / f"outcomes-{nth}")
+                    )
+                )
             begun = now()
             until = begun + round(script["seconds"] * SECOND)
-            classes = [dict(stated, **kind) for kind in script["classes"]
-                       for stated in script["charter"]["classes"] if stated["name"] == kind["name"]]
+            classes = [
+                dict(stated, **kind)
+                for kind in script["classes"]
+                for stated in script["charter"]["classes"]
+                if stated["name"] == kind["name"]
+            ]
             # A few relays carry far more than the others.
             parts = [1 / (1 + nth) ** 0.5 for nth in range(relays["many"])]
             for nth in range(relays["many"]):
                 hall = halls[nth % len(halls)]
-                uid, near = f"{hall}/relay-{nth}", [name for name in first if self.hosts[name]["entry"]["hall"] == hall]
-                standing = self.struck(near if len(near) >= 3 else first, 1.0)[:relays.get("standing", 5)]
+                uid, near = (
+                    f"{hall}/relay-{nth}",
+                    [name for name in first if self.hosts[name]["entry"]["hall"] == hall],
+                )
+                standing = self.struck(near if len(near) >= 3 else first, 1.0)[
+                    : relays.get("standing", 5)
+                ]
                 depot = self.relay_of[uid] = self.depots[nth % len(self.depots)]
-                await depot.do(do="start", until=until, relay={
-                    "uid": uid, "planners": places, "classes": classes, "seed": script.get("seed", 1),
-                    "wire": relays.get("wire", "sasp"), "hall": hall,
-                    "planner_patience": 3.0 if len(places) == 1 else 1.0,
-                    "standing": [["127.0.0.1", self.hosts[name]["entry"]["port"]] for name in standing],
-                    "rate": relays["rate"] * parts[nth] / sum(parts), "retries": relays.get("retries", 0),
-                    "strikes": relays.get("strikes", 0), "unruly": relays.get("unruly", {}).get(uid)})
+                await depot.do(
+                    do="start",
+                    until=until,
+                    relay={
+                        "uid": uid,
+                        "planners": places,
+                        "classes": classes,
+                        "seed": script.get("seed", 1),
+                        "wire": relays.get("wire", "sasp"),
+                        "hall": hall,
+                        "planner_patience": 3.0 if len(places) == 1 else 1.0,
+                        "standing": [
+                            ["127.0.0.1", self.hosts[name]["entry"]["port"]] for name in standing
+                        ],
+                        "rate": relays["rate"] * parts[nth] / sum(parts),
+                        "retries": relays.get("retries", 0),
+                        "strikes": relays.get("strikes", 0),
+                        "unruly": relays.get("unruly", {}).get(uid),
+                    },
+                )
             for trouble in script.get("troubles", []):
                 tasks.append(self._spawn(self._at, begun, trouble, problems))
             while now() < until + 2 * SECOND:
@@ -339,7 +448,9 @@
         try:
             await sleep(max(0.0, (begun - now()) / SECOND + trouble["at"]))
             await self.trouble(trouble)
-        except Exception as error:      # the day ends with it: a script that can't be played proves nothing
+        except (
+            Exception
+        ) as error:  # the day ends with it: a script that can't be played proves nothing
             problems.append(error)
 
     def judged(self, begun):
@@ -352,24 +463,60 @@
                 lines = audit.lines_of(path)
                 day.outcomes += [line for line in lines if "seen" not in line]
                 names = [tap.by for tap in self.taps()]
-                day.seen += [Seen(line["at"], line["relay"], line["seen"], line["tables"], names[line["to"]], line["epoch"])
-                             for line in lines if "seen" in line]
+                day.seen += [
+                    Seen(
+                        line["at"],
+                        line["relay"],
+                        line["seen"],
+                        line["tables"],
+                        names[line["to"]],
+                        line["epoch"],
+                    )
+                    for line in lines
+                    if "seen" in line
+                ]
         day.told, day.starts, day.charges = self.told, self.starts, self.charges()
         day.seen += [seen for tap in self.taps() for seen in tap.seen if seen.relay]
         self.audited = day
         verdicts, service = day.verdicts(), day.service()
-        waiting = [json.loads(line).get("most_waiting", 0) for path in sorted(self.folder.glob("*.log"))
-                   for line in path.read_text().splitlines() if line.startswith("{") and "most_waiting" in line]
-        return {"policy": self.policy, "wire": self.script["relays"].get("wire", "sasp"), "seconds": self.script["seconds"],
-                "rules": [{"rule": verdict.rule, "kept": verdict.kept, "worst": verdict.worst, "limit": verdict.limit,
-                           "unit": verdict.unit, "cases": [{"at_s": round(day.moment(at), 3), "who": who, "what": what}
-                                                           for at, who, what in verdict.cases]}
-                          for verdict in verdicts] + [
-                    {"rule": "a short queue (the planner's own count)", "kept": max(waiting, default=0)
-                     <= self.charter.stated["waiting_most"], "worst": max(waiting, default=0),
-                     "limit": self.charter.stated["waiting_most"], "unit": "lines", "cases": []}],
-                "service": service, "wire_bytes": sum(tap.bytes_sent for tap in self.taps()),
-                "wire_messages": sum(seen.what == "message" for seen in day.seen)}
+        waiting = [
+            json.loads(line).get("most_waiting", 0)
+            for path in sorted(self.folder.glob("*.log"))
+            for line in path.read_text().splitlines()
+            if line.startswith("{") and "most_waiting" in line
+        ]
+        return {
+            "policy": self.policy,
+            "wire": self.script["relays"].get("wire", "sasp"),
+            "seconds": self.script["seconds"],
+            "rules": [
+                {
+                    "rule": verdict.rule,
+                    "kept": verdict.kept,
+                    "worst": verdict.worst,
+                    "limit": verdict.limit,
+                    "unit": verdict.unit,
+                    "cases": [
+                        {"at_s": round(day.moment(at), 3), "who": who, "what": what}
+                        for at, who, what in verdict.cases
+                    ],
+                }
+                for verdict in verdicts
+            ]
+            + [
+                {
+                    "rule": "a short queue (the planner's own count)",
+                    "kept": max(waiting, default=0) <= self.charter.stated["waiting_most"],
+                    "worst": max(waiting, default=0),
+                    "limit": self.charter.stated["waiting_most"],
+                    "unit": "lines",
+                    "cases": [],
+                }
+            ],
+            "service": service,
+            "wire_bytes": sum(tap.bytes_sent for tap in self.taps()),
+            "wire_messages": sum(seen.what == "message" for seen in day.seen),
+        }
 
 
 def printed(result):
@@ -377,22 +524,41 @@
     lines = [f"{result['policy']}: {result['seconds']:g} s, {result['service']['asked']} exchanges"]
     for rule in result["rules"]:
         scale, unit = (1e6, "s") if rule["unit"] == "us" else (1, rule["unit"])
-        lines.append(f"  {'kept  ' if rule['kept'] else 'BROKEN'}  {rule['rule']}: {rule['worst'] / scale:.3g} "
-                     f"of {rule['limit'] / scale:.3g} {unit}")
-        lines += [f"          {case['at_s']:.2f} s  {case['who']}: {case['what']}" for case in rule["cases"]]
+        lines.append(
+            f"  {'kept  ' if rule['kept'] else 'BROKEN'}  {rule['rule']}: {rule['worst'] / scale:.3g} "
+            f"of {rule['limit'] / scale:.3g} {unit}"
+        )
+        lines += [
+            f"          {case['at_s']:.2f} s  {case['who']}: {case['what']}"
+            for case in rule["cases"]
+        ]
     service = result["service"]
-    lines.append(f"  service {service['whole']:.3f}, worst 10 s {service['worst_10_s']:.3f}, "
-                 f"worst class {service['worst_class']:.3f}")
+    lines.append(
+        f"  service {service['whole']:.3f}, worst 10 s {service['worst_10_s']:.3f}, "
+        f"worst class {service['worst_class']:.3f}"
+    )
     lines.append("  by 5 s  " + " ".join(f"{part:.2f}" for part in service["by_5_s"]))
-    lines.append("  " + ", ".join(f"{outcome} {count}" for outcome, count in service["outcomes"].items()))
-    lines.append(f"  to relays over {result['wire']}: {result['wire_messages']} messages, {result['wire_bytes']} bytes")
+    lines.append(
+        "  " + ", ".join(f"{outcome} {count}" for outcome, count in service["outcomes"].items())
+    )
+    lines.append(
+        f"  to relays over {result['wire']}: {result['wire_messages']} messages, {result['wire_bytes']} bytes"
+    )
     return "\n".join(lines)
 
 
 async def run(script, policies=("indigodeck",), folder=None, say=lambda text: None):
     """Plays a day, under several policies side by side if asked; a result for each."""
     with tempfile.TemporaryDirectory() as made:
-        plays = [Play(script, pathlib.Path(folder or made) / policy, policy,
-                      lambda text, policy=policy: say(text if len(policies) == 1 else f"{policy}: {text}"))
-                 for policy in policies]
+        plays = [
+            Play(
+                script,
+                pathlib.Path(folder or made) / policy,
+                policy,
+                lambda text, policy=policy: say(
+                    text if len(policies) == 1 else f"{policy}: {text}"
+                ),
+            )
+            for policy in policies
+        ]
         return await asyncio.gather(*(play.play() for play in plays))
--- a/indigodeck/standins/disk.py
+++ b/indigodeck/standins/disk.py
@@ -15,9 +15,16 @@
 
     def __init__(self, chance, cut_at=None, fails=()):
         self.chance, self.cut_at, self.fails, self.done = chance, cut_at, dict(fails), 0
-        self.named, self.held = {}, {}      # {name: file's number}; {file's number: bytes}, as a running process sees them
+        self.named, self.held = (
+            {},
+            {},
+        )  # {name: file's number}; {file's number: bytes}, as a running process sees them
         self.safe, self.safe_size = {}, {}  # as they are on the disk: names; how much of each file
-        self.pending, self.changes, self.nth = {}, [], 0     # writes not synced: {number: [(start, end)]}; names' changes
+        self.pending, self.changes, self.nth = (
+            {},
+            [],
+            0,
+        )  # writes not synced: {number: [(start, end)]}; names' changes
 
     def _operation(self, do, part=None):
         """Counts one operation; the power may go, or it may fail, when a part of it is done."""
@@ -39,7 +46,7 @@
         return bytes(self._bytes(name))
 
     def read_at(self, name, start, size):
-        return bytes(self._bytes(name)[start:start + size])
+        return bytes(self._bytes(name)[start : start + size])
 
     def _bytes(self, name):
         if name not in self.named:
@@ -50,7 +57,11 @@
         def write(most):
             if name not in self.named:
                 self.nth += 1
-                self.named[name], self.held[self.nth], self.pending[self.nth] = self.nth, bytearray(), []
+                self.named[name], self.held[self.nth], self.pending[self.nth] = (
+                    self.nth,
+                    bytearray(),
+                    [],
+                )
                 self.changes.append(("made", name, self.nth))
             number = self.named[name]
             start = len(self.held[number])
@@ -105,7 +116,7 @@
                 names.pop(name, None)
         next_one = Disk(self.chance, cut_at, fails)
         for name, number in names.items():
-            kept = bytearray(self.held[number][:self.safe_size.get(number, 0)])
+            kept = bytearray(self.held[number][: self.safe_size.get(number, 0)])
             for start, end in self.pending.get(number, ()):
                 for first, last in self._landed(start, end):
                     kept += bytes(max(0, first - len(kept)))
@@ -136,7 +147,11 @@
     def _holds(self, name, data):
         self.nth += 1
         self.named[name] = self.safe[name] = self.nth
-        self.held[self.nth], self.safe_size[self.nth], self.pending[self.nth] = bytearray(data), len(data), []
+        self.held[self.nth], self.safe_size[self.nth], self.pending[self.nth] = (
+            bytearray(data),
+            len(data),
+            [],
+        )
 
     def put(self, name, data):
         """Makes a file be so, synced: for tests that cut and flip."""
--- a/indigodeck/standins/fleet_day.py
+++ b/indigodeck/standins/fleet_day.py
@@ -1,4 +1,5 @@
 """A scripted day with several controllers, which are stopped, wake, and hand over while relays and hosts are at work."""
+
 import asyncio
 import datetime
 import json
@@ -30,8 +31,10 @@
             document["fronts"][wire]["port"] = ports[many + nth]
             document["takeover"] = section(name, self.ports, lease_ms)
             (self.folder / f"{name}.json").write_text(json.dumps(document))
-        self.all_taps = [Tap(now, lambda port=ports[many + nth]: ("127.0.0.1", port), wire == "sasp", name)
-                         for nth, name in enumerate(self.names)]
+        self.all_taps = [
+            Tap(now, lambda port=ports[many + nth]: ("127.0.0.1", port), wire == "sasp", name)
+            for nth, name in enumerate(self.names)
+        ]
         self.processes = {}
 
     def open_taps(self):
@@ -48,8 +51,15 @@
         for name in self.names:
             with open(self.folder / f"{name}.log", "wb") as log:
                 self.processes[name] = await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "indigodeck", "serve", "--charter", str(self.folder / f"{name}.json"),
-                    stdout=log, stderr=self.log)
+                    sys.executable,
+                    "-m",
+                    "indigodeck",
+                    "serve",
+                    "--charter",
+                    str(self.folder / f"{name}.json"),
+                    stdout=log,
+                    stderr=self.log,
+                )
         for _ in range(400):
             await sleep(0.05)
             if self.charges():
@@ -79,8 +89,15 @@
             return await super().trouble(stated)
         held = max(self.charges(), key=lambda charge: charge[1])[2]
         if kind == "handover":
-            ran = await asyncio.create_subprocess_exec(sys.executable, "-m", "indigodeck", "handover", "--charter",
-                                                       str(self.folder / "c0.json"), stdout=asyncio.subprocess.DEVNULL)
+            ran = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "indigodeck",
+                "handover",
+                "--charter",
+                str(self.folder / "c0.json"),
+                stdout=asyncio.subprocess.DEVNULL,
+            )
             return await ran.wait()
         name = held if kind == "takeover" else self.struck(self.names, 0.01)[0]
         self.say(f"{kind}: {name} stops for {seconds:.1f} s")
@@ -92,7 +109,19 @@
         """For each charge, what its controller told relays in its first 3 s: (moment, controller, relays, messages, lines)."""
         found = []
         for at, _, name in self.charges():
-            told = [one for one in seen if one.by == name and one.what == "message" and at <= one.at < at + span]
+            told = [
+                one
+                for one in seen
+                if one.by == name and one.what == "message" and at <= one.at < at + span
+            ]
             lines = sum(audit.entries(one.data) for one in told)
-            found.append((at, name, len({one.relay for one in told}), sum(1 for one in told if audit.entries(one.data)), lines))
+            found.append(
+                (
+                    at,
+                    name,
+                    len({one.relay for one in told}),
+                    sum(1 for one in told if audit.entries(one.data)),
+                    lines,
+                )
+            )
         return found
--- a/indigodeck/standins/host.py
+++ b/indigodeck/standins/host.py
@@ -3,6 +3,7 @@
 `Works` is the model, free of I/O; `Yard` runs many hosts in one process and is told to start, stop and hurt them.
 Each exchange leaves a receipt, a JSON line, as it comes to the host.
 """
+
 import json
 from collections import deque
 
@@ -18,7 +19,18 @@
 class Works:
     """One host's capacity. Times in microseconds; work in microseconds of one core at full speed."""
 
-    def __init__(self, now, cores, slots, room, started=0, cold_time=0, cold_share=1.0, tip_multiple=0, tip_time=0):
+    def __init__(
+        self,
+        now,
+        cores,
+        slots,
+        room,
+        started=0,
+        cold_time=0,
+        cold_share=1.0,
+        tip_multiple=0,
+        tip_time=0,
+    ):
         self.cores, self.slots, self.room = cores, slots, room
         self.started, self.cold_time, self.cold_share = started, cold_time, cold_share
         self.tip_multiple, self.tip_time = tip_multiple, tip_time
@@ -38,7 +50,10 @@
             while self.brought and self.brought[0][0] < now - self.tip_time:
                 self.brought.popleft()
             able = self.cores * self.warmth(now) * self.tip_time
-            self.fallen = self.fallen or sum(part for _, part in self.brought) > self.tip_multiple * able * 1.1
+            self.fallen = (
+                self.fallen
+                or sum(part for _, part in self.brought) > self.tip_multiple * able * 1.1
+            )
         return not self.fallen
 
     def took(self, now, work):
@@ -51,13 +66,20 @@
         while self.done and self.done[0][0] < now - SECOND:
             self.done.popleft()
         good = [took for _, _, fine, took in self.done if fine]
-        named = {"inflight": self.busy + len(self.waiting),
-                 "latency_ms": round(sum(good) / len(good) / 1000, 1) if good else 0.0}
+        named = {
+            "inflight": self.busy + len(self.waiting),
+            "latency_ms": round(sum(good) / len(good) / 1000, 1) if good else 0.0,
+        }
         for name in names:
             named[f"rps.{name}"] = sum(1 for _, kind, _, _ in self.done if kind == name)
-        return "JSON " + json.dumps({"cpu_utilization": min(1.0, round(self.busy / self.cores, 3)),
-                                     "rps_fractional": len(self.done), "eps": len(self.done) - len(good),
-                                     "named_metrics": named})
+        return "JSON " + json.dumps(
+            {
+                "cpu_utilization": min(1.0, round(self.busy / self.cores, 3)),
+                "rps_fractional": len(self.done),
+                "eps": len(self.done) - len(good),
+                "named_metrics": named,
+            }
+        )
 
 
 class Host:
@@ -73,8 +95,15 @@
     def open(self, port):
         sockets = bind_sockets(port, "127.0.0.1", reuse_port=False)
         self.port = sockets[0].getsockname()[1]
-        self.server = HTTPServer(Application([(r"/exchange/([a-z-]+)", Exchange, {"host": self}),
-                                              (r"/load", Load, {"host": self})], log_function=lambda handler: None))
+        self.server = HTTPServer(
+            Application(
+                [
+                    (r"/exchange/([a-z-]+)", Exchange, {"host": self}),
+                    (r"/load", Load, {"host": self}),
+                ],
+                log_function=lambda handler: None,
+            )
+        )
         self.server.add_sockets(sockets)
 
     async def shut(self):
@@ -83,10 +112,20 @@
 
     def receipt(self, kind, work, headers, state):
         now = self.yard.now()
-        self.yard.write({"at": now, "host": self.name, "relay": headers.get("Relay", ""),
-                         "key": headers.get("Exchange", ""), "try": int(headers.get("Try", 0)), "class": kind,
-                         "work": work, "able": self.works.cores * self.works.warmth(now),
-                         "cold": self.works.warmth(now) < 1, "state": state})
+        self.yard.write(
+            {
+                "at": now,
+                "host": self.name,
+                "relay": headers.get("Relay", ""),
+                "key": headers.get("Exchange", ""),
+                "try": int(headers.get("Try", 0)),
+                "class": kind,
+                "work": work,
+                "able": self.works.cores * self.works.warmth(now),
+                "cold": self.works.warmth(now) < 1,
+                "state": state,
+            }
+        )
 
     async def exchange(self, handler, kind):
         works, headers = self.works, handler.request.headers
--- a/indigodeck/standins/keeper.py
+++ b/indigodeck/standins/keeper.py
@@ -2,6 +2,7 @@
 
 `GET /roster` gives the whole list, `GET /watch` the whole one and then each change as a JSON line.
 """
+
 import json
 import pathlib
 
@@ -57,17 +58,22 @@
         self.news.notify_all()
 
     def whole(self):
-        return json.dumps({"version": self.version, "kind": "whole", "hosts": list(self.hosts.values())})
+        return json.dumps(
+            {"version": self.version, "kind": "whole", "hosts": list(self.hosts.values())}
+        )
 
     def listen(self, port=0):
         sockets = bind_sockets(port, "127.0.0.1")
         self.port = sockets[0].getsockname()[1]
-        self.server = HTTPServer(Application([("/roster", Whole, {"keeper": self}), ("/watch", Watch, {"keeper": self})],
-                                             log_function=lambda handler: None))
+        self.server = HTTPServer(
+            Application(
+                [("/roster", Whole, {"keeper": self}), ("/watch", Watch, {"keeper": self})],
+                log_function=lambda handler: None,
+            )
+        )
         self.server.add_sockets(sockets)
         return self.port
 
-
     def shut(self):
         """Refuses connections, and ends those that stand, until `listen` on the same port."""
         self.refusing = True
@@ -104,7 +110,10 @@
                 for version, hosts in list(self.keeper.changes):
                     if version > known:
                         known = version
-                        self.write(json.dumps({"version": version, "kind": "changes", "hosts": hosts}) + "\n")
+                        self.write(
+                            json.dumps({"version": version, "kind": "changes", "hosts": hosts})
+                            + "\n"
+                        )
                 await self.flush()
         except StreamClosedError:
             pass
--- a/indigodeck/standins/relay.py
+++ b/indigodeck/standins/relay.py
@@ -4,6 +4,7 @@
 tries one further host only on proof that the first never ran, and stays away for a while from a host at which
 its own tries keep failing. Outcomes are written as JSON lines.
 """
+
 import json
 import math
 
@@ -34,8 +35,15 @@
         patience = stated.get("planner_patience", 3.0)
         if stated.get("wire") == "xds":
             from ..client.xds import XdsClient
-            self.wire = XdsClient(self.uid, planners, self.tables, patience=patience, hall=stated.get("hall", ""),
-                                  witness=self._seen)
+
+            self.wire = XdsClient(
+                self.uid,
+                planners,
+                self.tables,
+                patience=patience,
+                hall=stated.get("hall", ""),
+                witness=self._seen,
+            )
         else:
             self.wire = SaspClient(self.uid, planners, self.tables, standing, patience=patience)
         self.strikes, self.away, self.count, self.unruly = {}, {}, 0, stated.get("unruly")
@@ -48,8 +56,16 @@
 
     def _seen(self, what, tables):
         """What passed the relay's own end of a stream that no tap can read."""
-        self.write({"at": self.now(), "relay": self.uid, "seen": what, "tables": tables, "epoch": self.tables.epoch,
-                    "to": self.wire.dials % len(self.stated["planners"])})
+        self.write(
+            {
+                "at": self.now(),
+                "relay": self.uid,
+                "seen": what,
+                "tables": tables,
+                "epoch": self.tables.epoch,
+                "to": self.wire.dials % len(self.stated["planners"]),
+            }
+        )
 
     def _gap(self):
         return -math.log((1 + self.chance.below(1 << 30)) / (1 << 30)) / self.stated["rate"]
@@ -73,23 +89,44 @@
         outcome, tries = "nowhere", 0
         for nth in range(1 + self.stated.get("retries", 0)):
             left = kind["patience_ms"] * 1000 - (self.now() - begun)
-            if left <= 0 or (nth and kind["repeats"] != "safe" and outcome not in ("nowhere", "full", "refused")):
+            if left <= 0 or (
+                nth and kind["repeats"] != "safe" and outcome not in ("nowhere", "full", "refused")
+            ):
                 break
             tries += 1
-            outcome = await self.forward(name, f"{key}/{nth}", work, min(left, kind["patience_ms"] * 600))
+            outcome = await self.forward(
+                name, f"{key}/{nth}", work, min(left, kind["patience_ms"] * 600)
+            )
             if outcome == "ok":
                 break
         took = self.now() - begun
-        self.write({"at": begun, "relay": self.uid, "class": name, "key": key, "outcome": outcome, "took": took,
-                    "tries": tries, "asked": kind["credit"],
-                    "earned": 0 if outcome != "ok" else kind["credit"] if took <= kind["agreed_time_ms"] * 1000
-                    else kind["credit"] * kind.get("late_credit", 0) if took <= kind["patience_ms"] * 1000 else 0})
+        self.write(
+            {
+                "at": begun,
+                "relay": self.uid,
+                "class": name,
+                "key": key,
+                "outcome": outcome,
+                "took": took,
+                "tries": tries,
+                "asked": kind["credit"],
+                "earned": 0
+                if outcome != "ok"
+                else kind["credit"]
+                if took <= kind["agreed_time_ms"] * 1000
+                else kind["credit"] * kind.get("late_credit", 0)
+                if took <= kind["patience_ms"] * 1000
+                else 0,
+            }
+        )
 
     async def forward(self, name, key, work, patience):
         """One try of a client, which the relay may send on once more on proof that the first never ran."""
         tried, outcome, begun = [], "nowhere", self.now()
         # A client that comes again is refused again: by what it asks, and not by a new draw.
-        if not self.tables.admits(name, Chance(seed_from(key.rpartition("/")[0], [])).below(1 << 20) / (1 << 20)):
+        if not self.tables.admits(
+            name, Chance(seed_from(key.rpartition("/")[0], [])).below(1 << 20) / (1 << 20)
+        ):
             return "refused"
         for nth in range(2):
             shunned = [where for where, until in self.away.items() if until > self.now()]
@@ -101,11 +138,15 @@
                 return outcome
             tried.append(where)
             sent = self.now()
-            outcome = await self._send(where, name, key, nth, work, (patience - (self.now() - begun)) / SECOND)
+            outcome = await self._send(
+                where, name, key, nth, work, (patience - (self.now() - begun)) / SECOND
+            )
             self._judge(where, outcome)
             if self.stated.get("wire") == "xds":
                 self.wire.report(name, where, outcome == "ok", self.now() - sent)
-            if outcome not in ("unreachable",) and not (self.unruly == "repeats" and outcome != "ok"):
+            if outcome not in ("unreachable",) and not (
+                self.unruly == "repeats" and outcome != "ok"
+            ):
                 return outcome
         return outcome
 
@@ -122,9 +163,12 @@
     async def _send(self, where, name, key, nth, work, patience):
         if patience <= 0.01:
             return "late"
-        request = HTTPRequest(f"http://{where[0]}:{where[1]}/exchange/{name}", connect_timeout=min(0.25, patience),
-                              request_timeout=patience,
-                              headers={"Relay": self.uid, "Exchange": key, "Work": str(work), "Try": str(nth)})
+        request = HTTPRequest(
+            f"http://{where[0]}:{where[1]}/exchange/{name}",
+            connect_timeout=min(0.25, patience),
+            request_timeout=patience,
+            headers={"Relay": self.uid, "Exchange": key, "Work": str(work), "Try": str(nth)},
+        )
         try:
             answer = await self.client.fetch(request, raise_error=False)
         except HTTPTimeoutError as error:
@@ -132,7 +176,7 @@
         except ConnectionRefusedError:
             return "unreachable"
         except (OSError, HTTPClientError):
-            return "broken"     # nothing is known of the try
+            return "broken"  # nothing is known of the try
         return "ok" if answer.code < 400 else "full" if answer.code == 503 else "error"
 
     def _judge(self, where, outcome):
@@ -155,6 +199,7 @@
             lines = relay.tables.lines[name]
             self.lost += [(self.now(), port) for _, port in before[name] - lines.keys()]
             before[name] = set(lines)
+
         return changed
 
     def write(self, outcome):
@@ -163,13 +208,20 @@
     async def command(self, line):
         do = line["do"]
         if do == "start":
-            relay = self.relays[line["relay"]["uid"]] = Relay(self.now, self.write, line["relay"], line["until"])
+            relay = self.relays[line["relay"]["uid"]] = Relay(
+                self.now, self.write, line["relay"], line["until"]
+            )
             relay.start()
         elif do == "drop":
             self.relays[line["uid"]].wire.drop()
         elif do == "tables":
-            return {uid: {name: [[*where, weight] for where, weight in sorted(lines.items())]
-                          for name, lines in relay.tables.lines.items()} for uid, relay in self.relays.items()}
+            return {
+                uid: {
+                    name: [[*where, weight] for where, weight in sorted(lines.items())]
+                    for name, lines in relay.tables.lines.items()
+                }
+                for uid, relay in self.relays.items()
+            }
         elif do == "changes":
             # Since the last such command: when each relay's tables lost a server, by its port.
             lost, self.lost = self.lost, []
--- a/indigodeck/standins/stock.py
+++ b/indigodeck/standins/stock.py
@@ -2,6 +2,7 @@
 
 `GrpcYard` serves exchanges over gRPC on hosts' ports; `drive` sends them as a client that knows nothing but its bootstrap.
 """
+
 import asyncio
 import json
 import os
@@ -20,7 +21,11 @@
 
     def __init__(self, now, name, work):
         self.now, self.name, self.work, self.receipts = now, name, work, []
-        self.server, self.port, self.hung = grpc.aio.server(options=[("grpc.so_reuseport", 0)]), None, False
+        self.server, self.port, self.hung = (
+            grpc.aio.server(options=[("grpc.so_reuseport", 0)]),
+            None,
+            False,
+        )
 
     async def open(self):
         self.server.add_generic_rpc_handlers([self])
@@ -32,7 +37,9 @@
         while True:
             since = self.now() - SECOND
             lately = [kind for at, relay, kind in self.receipts if at > since]
-            report = orca_load_report_pb2.OrcaLoadReport(cpu_utilization=0.1, rps_fractional=len(lately) or 1e-9)
+            report = orca_load_report_pb2.OrcaLoadReport(
+                cpu_utilization=0.1, rps_fractional=len(lately) or 1e-9
+            )
             report.named_metrics["latency_ms"] = self.work / 1000
             for kind in set(lately):
                 report.named_metrics["rps." + kind] = lately.count(kind)
@@ -42,8 +49,10 @@
     def service(self, details):
         if details.method == REPORTS:
             return grpc.unary_stream_rpc_method_handler(
-                self.reports, orca_pb2.OrcaLoadReportRequest.FromString,
-                orca_load_report_pb2.OrcaLoadReport.SerializeToString)
+                self.reports,
+                orca_pb2.OrcaLoadReportRequest.FromString,
+                orca_load_report_pb2.OrcaLoadReport.SerializeToString,
+            )
         if not details.method.startswith(METHOD):
             return None
         kind = details.method.removeprefix(METHOD)
@@ -54,7 +63,9 @@
             await asyncio.sleep(3600 if self.hung else self.work / SECOND)
             report = orca_load_report_pb2.OrcaLoadReport(cpu_utilization=0.1)
             report.named_metrics["took_ms"] = (self.now() - begun) / 1000
-            context.set_trailing_metadata([("endpoint-load-metrics-bin", report.SerializeToString())])
+            context.set_trailing_metadata(
+                [("endpoint-load-metrics-bin", report.SerializeToString())]
+            )
             return b""
 
         return grpc.unary_unary_rpc_method_handler(exchange)
@@ -62,9 +73,18 @@
 
 def bootstrap(planner, uid, hall):
     """What a stock client is given: where the planner is, and who it is itself."""
-    return json.dumps({"xds_servers": [{"server_uri": planner, "channel_creds": [{"type": "insecure"}],
-                                        "server_features": ["xds_v3"]}],
-                       "node": {"id": uid, "locality": {"zone": hall}}})
+    return json.dumps(
+        {
+            "xds_servers": [
+                {
+                    "server_uri": planner,
+                    "channel_creds": [{"type": "insecure"}],
+                    "server_features": ["xds_v3"],
+                }
+            ],
+            "node": {"id": uid, "locality": {"zone": hall}},
+        }
+    )
 
 
 async def drive(planner, uid, hall, names, rate, seconds, concurrency, write, now):
@@ -78,7 +98,9 @@
     async def one(name, nth):
         at, outcome = now(), "ok"
         try:
-            await calls[name](b"", timeout=5, metadata=[("relay", uid)], wait_for_ready=nth < len(names))
+            await calls[name](
+                b"", timeout=5, metadata=[("relay", uid)], wait_for_ready=nth < len(names)
+            )
         except grpc.aio.AioRpcError as error:
             outcome = f"{error.code().name}: {error.details()}"
         write({"at": at, "relay": uid, "class": name, "outcome": outcome, "took": now() - at})
--- a/indigodeck/standins/tap.py
+++ b/indigodeck/standins/tap.py
@@ -2,6 +2,7 @@
 
 Relays dial the tap, which stays where it is while planners come and go.
 """
+
 from typing import NamedTuple
 
 from tornado.gen import sleep
@@ -19,15 +20,16 @@
 
 class Seen(NamedTuple):
     """One thing that passed: "joined", "left" or "message" (planner to relay, with its bytes)."""
+
     at: int
     relay: str
     what: str
     data: bytes
-    by: str = ""       # which controller, where there are several
-    epoch: int = 0     # under which an order came, where orders say
+    by: str = ""  # which controller, where there are several
+    epoch: int = 0  # under which an order came, where orders say
 
 
-ARRIVALS = 4096        # that may wait to be accepted: more are sent away by the kernel, unheard, and come again a second later
+ARRIVALS = 4096  # that may wait to be accepted: more are sent away by the kernel, unheard, and come again a second later
 
 
 class Tap(TCPServer):
@@ -36,7 +38,7 @@
     def __init__(self, now, planner, legible=True, by=""):
         super().__init__()
         self.by = by
-        self.legible = legible      # whether what passes is SASP, and can be read
+        self.legible = legible  # whether what passes is SASP, and can be read
         self.now, self.planner, self.seen, self.streams, self.deaf = now, planner, [], {}, {}
         self.bytes_sent, self.mode, self.everyone = 0, "pass", set()
 
@@ -50,7 +52,13 @@
         relay.set_close_callback(lambda: self.everyone.discard(relay))
         if self.mode != "pass":
             # What a planner may do that is not well: hang up, say nothing for ever, or talk nonsense.
-            return relay.close() if self.mode == "refuse" else relay.write(NONSENSE) if self.mode == "nonsense" else None
+            return (
+                relay.close()
+                if self.mode == "refuse"
+                else relay.write(NONSENSE)
+                if self.mode == "nonsense"
+                else None
+            )
         where = self.planner()
         try:
             planner = await TCPClient().connect(*where, timeout=1) if where else None
@@ -69,7 +77,7 @@
                     self.bytes_sent += len(data)
                 await relay.write(data)
                 while self.now() < self.deaf.get(said["uid"], 0):
-                    await sleep(0.05)       # reads nothing more: the planner's bytes stay where they are
+                    await sleep(0.05)  # reads nothing more: the planner's bytes stay where they are
         except StreamClosedError:
             pass
         finally:
@@ -85,7 +93,7 @@
                 data = await relay.read_bytes(65536, partial=True)
                 if self.legible and said["uid"] is None and len(data) > 18:
                     # The first message says who speaks: a byte of length after the header and the type.
-                    said["uid"] = data[18:18 + data[17]].decode()
+                    said["uid"] = data[18 : 18 + data[17]].decode()
                     self.streams[said["uid"]] = relay
                 await planner.write(data)
         except StreamClosedError:
--- a/indigodeck/store/files.py
+++ b/indigodeck/store/files.py
@@ -1,4 +1,5 @@
 """The folder of a store on a real disk. One process holds it at a time, by a lock that ends with it."""
+
 import fcntl
 import os
 import pathlib
@@ -16,7 +17,7 @@
         except OSError as error:
             os.close(self.lock)
             raise OSError(error.errno, "another process holds it", str(self.path)) from error
-        self.open = None        # (name, file) that was appended to last
+        self.open = None  # (name, file) that was appended to last
 
     def names(self):
         return sorted(entry.name for entry in self.path.iterdir())
@@ -33,12 +34,15 @@
         file, left = self._file(name), memoryview(data)
         while left:
             # A short write is no error of its own; the next one says why.
-            left = left[os.write(file, left):]
+            left = left[os.write(file, left) :]
 
     def _file(self, name):
         if self.open is None or self.open[0] != name:
             self._close()
-            self.open = name, os.open(self.path / name, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
+            self.open = (
+                name,
+                os.open(self.path / name, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644),
+            )
         return self.open[1]
 
     def _close(self):
--- a/indigodeck/store/frames.py
+++ b/indigodeck/store/frames.py
@@ -8,6 +8,7 @@
 `synced` tells two ends apart that look alike: a frame that is bad though a later one says that it was synced has been
 damaged; one that nothing vouches for was never acknowledged, and may be torn or missing without any harm.
 """
+
 import struct
 from typing import NamedTuple
 
@@ -20,7 +21,7 @@
 NUMBERS = struct.Struct("<IQQ")
 LONGEST = 16 << 20
 PLAIN, COMPRESSED = 1, 2
-WORTH_IT = 256          # shorter bodies gain nothing from compression
+WORTH_IT = 256  # shorter bodies gain nothing from compression
 
 
 class Unreadable(Exception):
@@ -29,6 +30,7 @@
 
 class Frame(NamedTuple):
     """One frame as found: where it begins and ends, its numbers, and its body, still packed."""
+
     start: int
     end: int
     sequence: int
@@ -54,8 +56,10 @@
     """The value in a whole frame's body."""
     try:
         if body[0] == COMPRESSED:
-            return msgpack.unpackb(zstandard.ZstdDecompressor().decompress(body[1:], max_output_size=8 * LONGEST),
-                                   strict_map_key=False)
+            return msgpack.unpackb(
+                zstandard.ZstdDecompressor().decompress(body[1:], max_output_size=8 * LONGEST),
+                strict_map_key=False,
+            )
         if body[0] == PLAIN:
             return msgpack.unpackb(body[1:], strict_map_key=False)
     except (ValueError, msgpack.UnpackException, zstandard.ZstdError) as error:
@@ -72,7 +76,10 @@
     body = packed(value)
     if len(body) > LONGEST:
         raise ValueError(f"a record of {len(body)} bytes, {LONGEST} at most")
-    return HEAD.pack(MARK, len(body), _sum(salt, len(body), sequence, synced, body), sequence, synced) + body
+    return (
+        HEAD.pack(MARK, len(body), _sum(salt, len(body), sequence, synced, body), sequence, synced)
+        + body
+    )
 
 
 def at(salt, data, start=0):
@@ -83,7 +90,7 @@
     end = start + HEAD.size + length
     if mark != MARK or not 0 < length <= LONGEST or end > len(data):
         return None
-    body = bytes(data[start + HEAD.size:end])
+    body = bytes(data[start + HEAD.size : end])
     if checksum != _sum(salt, length, sequence, synced, body):
         return None
     return Frame(start, end, sequence, synced, body)
--- a/indigodeck/store/log.py
+++ b/indigodeck/store/log.py
@@ -12,15 +12,19 @@
 - After any error of the disk writing stops (a failed sync may have dropped what it did not write: A. Rebello and others, "Can
   Applications Recover from fsync Failures?", ATC 2020); it goes on only in a new log, with what was not acknowledged.
 """
+
 from typing import NamedTuple, Protocol
 
 from . import frames
 
-SEGMENT = 1 << 20          # a log this long is followed by a new one
-GARBAGE, AT_LEAST = 2, 256 << 10     # logs since the base, over what is live, that are worth compacting; bytes of them at least
-LOGS_MOST = 24             # a start leaves a log behind, however short
+SEGMENT = 1 << 20  # a log this long is followed by a new one
+GARBAGE, AT_LEAST = (
+    2,
+    256 << 10,
+)  # logs since the base, over what is live, that are worth compacting; bytes of them at least
+LOGS_MOST = 24  # a start leaves a log behind, however short
 KIND = b"indigo 1"
-PREFIX = len(KIND) + 16    # and the store's own bytes
+PREFIX = len(KIND) + 16  # and the store's own bytes
 HEAD_LONG = PREFIX + frames.HEAD.size + len(frames.packed({}))
 KEY_LONGEST = 512
 
@@ -56,6 +60,7 @@
 
 class Place(NamedTuple):
     """Something that was found wrong: the file, from which byte, and what it means."""
+
     name: str
     start: int
     why: str
@@ -63,6 +68,7 @@
 
 class Entry(NamedTuple):
     """Where the newest value of a key stands; `part`: its share of the frame's bytes."""
+
     name: str
     start: int
     end: int
@@ -74,7 +80,14 @@
     """A compaction under way: what is left to copy, and where the copies stand."""
 
     def __init__(self, number, covers, keys):
-        self.number, self.covers, self.left, self.copied, self.size, self.since = number, covers, keys, {}, 0, 0
+        self.number, self.covers, self.left, self.copied, self.size, self.since = (
+            number,
+            covers,
+            keys,
+            {},
+            0,
+            0,
+        )
 
 
 def name_of(number, kind):
@@ -93,8 +106,10 @@
 
     def __init__(self, files):
         self.files, self.index, self.wrong, self.lost = files, {}, [], False
-        self.why = self.foreign = self.undone = None    # why nothing can be written; or for good; or compacted
-        self.live, self.behind = 0.0, 0         # bytes of live records; of logs since the base
+        self.why = self.foreign = self.undone = (
+            None  # why nothing can be written; or for good; or compacted
+        )
+        self.live, self.behind = 0.0, 0  # bytes of live records; of logs since the base
         self.sequence = self.synced = self.number = 0
         self.copying, self.written, self.copied_bytes = None, 0, 0
         self._recover()
@@ -140,8 +155,12 @@
     def _identity(self, name):
         """The store's 16 bytes, by a head that is whole: it vouches for itself, being salted with what it says."""
         held = self._data(name)
-        claimed = held[len(KIND):PREFIX]
-        return claimed if held[:len(KIND)] == KIND and frames.at(frames.salt_of(claimed, name), held, PREFIX) else None
+        claimed = held[len(KIND) : PREFIX]
+        return (
+            claimed
+            if held[: len(KIND)] == KIND and frames.at(frames.salt_of(claimed, name), held, PREFIX)
+            else None
+        )
 
     def _scan(self, name):
         """(whole frames, bad places) of a file."""
@@ -166,10 +185,17 @@
         for number, name in reversed(self.bases.items()):
             found, bad = read[name] = self._scan(name)
             foot = self._value(name, found[-1]) if found else None
-            if not bad and len(found) > 1 and isinstance(foot, dict) and foot.get("count") == len(found) - 2:
+            if (
+                not bad
+                and len(found) > 1
+                and isinstance(foot, dict)
+                and foot.get("count") == len(found) - 2
+            ):
                 self._load(name, found[:-1])
                 return number
-            self.wrong.append(Place(name, bad[0][0] if bad else len(self._data(name)), "a base that is not whole"))
+            self.wrong.append(
+                Place(name, bad[0][0] if bad else len(self._data(name)), "a base that is not whole")
+            )
         # None is whole: what can be read is proved record by record, but what is missing is not known.
         self.lost = self.lost or bool(read)
         for name in self.bases.values():
@@ -209,7 +235,7 @@
         # What the frames of all logs vouch for: a number up to this that is missing was acknowledged once.
         vouched = max([frame.synced for found, _ in read.values() for frame in found], default=0)
         for nth, name in enumerate(logs):
-            until = next((follows[later] for later in logs[nth + 1:] if later in follows), None)
+            until = next((follows[later] for later in logs[nth + 1 :] if later in follows), None)
             self.behind += len(self._data(name))
             self._from_log(name, *read[name], follows.get(name), until, vouched)
 
@@ -223,7 +249,12 @@
             if not self.sequence < frame.sequence <= (frame.sequence if until is None else until):
                 continue
             if frame.sequence > self.sequence + 1 and not self._missing(
-                    name, bad, self.sequence + 1, frame.sequence - 1, vouched if until is None else until):
+                name,
+                bad,
+                self.sequence + 1,
+                frame.sequence - 1,
+                vouched if until is None else until,
+            ):
                 break
             self._take(name, frame)
             self.sequence = frame.sequence
@@ -239,7 +270,11 @@
         if vouched < first:
             return False
         self.lost = True
-        self.wrong.append(Place(name, bad[0][0] if bad else 0, f"records {first} to {last} are damaged or missing"))
+        self.wrong.append(
+            Place(
+                name, bad[0][0] if bad else 0, f"records {first} to {last} are damaged or missing"
+            )
+        )
         return True
 
     # Writing.
@@ -249,7 +284,7 @@
         if self.foreign is not None:
             self.why = self.foreign
             return
-        self.number += 1        # never used again, whether the file comes to be or not
+        self.number += 1  # never used again, whether the file comes to be or not
         name, head = name_of(self.number, "log"), self._head(name_of(self.number, "log"), {})
         try:
             self.files.append(name, head)
@@ -262,7 +297,9 @@
         self.size, self.sequence, self.why = len(head), self.synced, None
 
     def _head(self, name, says):
-        return KIND + self.store + frames.frame(frames.salt_of(self.store, name), 0, self.synced, says)
+        return (
+            KIND + self.store + frames.frame(frames.salt_of(self.store, name), 0, self.synced, says)
+        )
 
     def _stop(self, name, error):
         self.why = f"{name}: {error}"
@@ -273,10 +310,16 @@
         acknowledged when this returns; raises Stopped where they may be there or not, ValueError where nothing was
         written as something is too long."""
         if self.why is not None:
-            self._begin()       # after an error: in a new log, or not at all
+            self._begin()  # after an error: in a new log, or not at all
         if self.why is not None:
             raise Stopped(self.why)
-        salt, sequence, parts, places, at = frames.salt_of(self.store, self.name), self.sequence, [], [], self.size
+        salt, sequence, parts, places, at = (
+            frames.salt_of(self.store, self.name),
+            self.sequence,
+            [],
+            [],
+            self.size,
+        )
         for changes in batches:
             if any(not isinstance(key, str) or len(key) > KEY_LONGEST for key, _ in changes):
                 raise ValueError(f"a key is a text of {KEY_LONGEST} characters at most")
@@ -325,8 +368,15 @@
     # Compaction, a little at a time, between commits.
 
     def due(self):
-        return self.why is None and self.undone is None and (self.copying is not None or len(self.logs) > LOGS_MOST or (
-            self.behind > max(AT_LEAST, GARBAGE * self.live)))
+        return (
+            self.why is None
+            and self.undone is None
+            and (
+                self.copying is not None
+                or len(self.logs) > LOGS_MOST
+                or (self.behind > max(AT_LEAST, GARBAGE * self.live))
+            )
+        )
 
     def compact(self, most=64 << 10):
         """Goes on with a compaction, or begins one, for about so many bytes; True once it is whole and in place."""
@@ -349,7 +399,9 @@
         if name in self.files.names():
             self.files.remove(name)
         self.files.append(name, head)
-        self.copying = Copying(number, self.synced, sorted(self.index, key=lambda key: self.index[key].sequence))
+        self.copying = Copying(
+            number, self.synced, sorted(self.index, key=lambda key: self.index[key].sequence)
+        )
         self.copying.size, self.copying.since = len(head), self.behind
 
     def _copy(self, most):
@@ -360,12 +412,14 @@
             key = copying.left.pop(0)
             entry = self.index.get(key)
             if entry is None or entry.sequence > copying.covers:
-                continue        # changed since: the logs that stay have it
+                continue  # changed since: the logs that stay have it
             value = self.get(key)
             if value is None:
                 raise OSError(f"{entry.name}: the record of {key!r} can't be read")
             data = frames.frame(salt, entry.sequence, copying.covers, [[key, value]])
-            copying.copied[key] = Entry(base, copying.size, copying.size + len(data), entry.sequence, len(data))
+            copying.copied[key] = Entry(
+                base, copying.size, copying.size + len(data), entry.sequence, len(data)
+            )
             copying.size += len(data)
             parts.append(data)
             done += len(data)
@@ -374,7 +428,9 @@
             self.copied_bytes += done
         if copying.left:
             return False
-        self.files.append(name, frames.frame(salt, copying.covers, copying.covers, {"count": len(copying.copied)}))
+        self.files.append(
+            name, frames.frame(salt, copying.covers, copying.covers, {"count": len(copying.copied)})
+        )
         self.files.sync(name)
         self._switch(copying, name)
         return True
@@ -392,8 +448,10 @@
         self.bases[copying.number] = base
         self.copying, self.behind = None, self.behind - copying.since
         # The base before and the logs since are kept: should this one go bad, everything is there still.
-        for held in ({number: old for number, old in self.bases.items() if number < before},
-                     {number: old for number, old in self.logs.items() if number <= before}):
+        for held in (
+            {number: old for number, old in self.bases.items() if number < before},
+            {number: old for number, old in self.logs.items() if number <= before},
+        ):
             for number, old in held.items():
                 self.files.remove(old)
                 (self.bases if old.endswith("base") else self.logs).pop(number)
--- a/indigodeck/store/writer.py
+++ b/indigodeck/store/writer.py
@@ -5,6 +5,7 @@
 `delay` of the first that waits, is written and synced together; each stays a record of its own, there whole or not at all. A
 delay helped nowhere it was measured (64 at a time: 8,760 changes a second without, 5,912 with 2 ms), so there is none unless stated.
 """
+
 import queue
 import threading
 import time
@@ -12,10 +13,10 @@
 
 from .log import Log, Stopped
 
-WAITING_MOST = 4096         # changes that may wait to be written; what comes then is refused at once
+WAITING_MOST = 4096  # changes that may wait to be written; what comes then is refused at once
 TOGETHER_MOST = 256
-PATIENCE = 5                # seconds for what waits to be written at the end; a disk that hangs must not keep a planner from ending
-IDLE = 0.05                 # seconds without anything to write, after which a compaction goes on
+PATIENCE = 5  # seconds for what waits to be written at the end; a disk that hangs must not keep a planner from ending
+IDLE = 0.05  # seconds without anything to write, after which a compaction goes on
 
 
 class Writer:
@@ -25,9 +26,19 @@
     def __init__(self, files, note, delay=0.0):
         self.note, self.delay, self.files = note, delay, files
         self.log = Log(files)
-        self.waiting, self.ending, self.stopped, self.commits = queue.Queue(WAITING_MOST), False, None, 0
+        self.waiting, self.ending, self.stopped, self.commits = (
+            queue.Queue(WAITING_MOST),
+            False,
+            None,
+            0,
+        )
         for place in self.log.wrong:
-            note("store damaged" if self.log.lost else "store cut off", file=place.name, byte=place.start, why=place.why)
+            note(
+                "store damaged" if self.log.lost else "store cut off",
+                file=place.name,
+                byte=place.start,
+                why=place.why,
+            )
         self.thread = threading.Thread(target=self._run, name="store", daemon=True)
         self.thread.start()
 
@@ -59,7 +70,11 @@
                 raise queue.Full
             self.waiting.put_nowait((changes, call, told))
         except queue.Full:
-            told.set_exception(Stopped("the store is closed" if self.ending else f"{WAITING_MOST} changes wait already"))
+            told.set_exception(
+                Stopped(
+                    "the store is closed" if self.ending else f"{WAITING_MOST} changes wait already"
+                )
+            )
         return told
 
     def close(self):
@@ -114,8 +129,12 @@
             else:
                 batch[0][2].set_exception(error)
             return
-        except Exception as error:      # whatever it is, whoever waits must be told, and the thread must go on
-            error = error if isinstance(error, Stopped) else Stopped(f"{type(error).__name__}: {error}")
+        except (
+            Exception
+        ) as error:  # whatever it is, whoever waits must be told, and the thread must go on
+            error = (
+                error if isinstance(error, Stopped) else Stopped(f"{type(error).__name__}: {error}")
+            )
             if self.stopped is None:
                 self.note("store stopped", why=str(error))
             self.stopped = str(error)
@@ -132,7 +151,7 @@
     def _answer(told, call):
         try:
             told.set_result(call())
-        except Exception as error:      # whoever asked is told, whatever it is; the thread goes on
+        except Exception as error:  # whoever asked is told, whatever it is; the thread goes on
             told.set_exception(error)
 
     def _compact(self):
@@ -140,7 +159,7 @@
             return
         try:
             done = self.log.compact()
-        except Exception as error:      # the logs hold everything: it is left until the next start
+        except Exception as error:  # the logs hold everything: it is left until the next start
             self.log.undone, done = f"{type(error).__name__}: {error}", False
         if done:
             self.note("store compacted", bytes=round(self.log.live), records=len(self.log.index))
--- a/indigodeck/takeover/apart.py
+++ b/indigodeck/takeover/apart.py
@@ -8,13 +8,14 @@
 What the planner asks as bytes leave (`Charge.holds`) is read across: the member changes a bid so that it is never held
 with another's epoch or time, and every loss is at once `held = False`.
 """
+
 import asyncio
 import concurrent.futures
 import threading
 
 from tornado.ioloop import IOLoop, PeriodicCallback
 
-ENDING = 0.1        # seconds for what is handed over to leave
+ENDING = 0.1  # seconds for what is handed over to leave
 
 
 class Apart:
@@ -37,7 +38,9 @@
         self.loop = IOLoop.current()
         try:
             made.set_result(self.make(self))
-        except Exception as error:       # told to who waits for it: an address in use, a key that is none
+        except (
+            Exception
+        ) as error:  # told to who waits for it: an address in use, a key that is none
             made.set_exception(error)
             return
         self.loop.start()
@@ -92,8 +95,11 @@
     async def followers(self):
         async def asked():
             return self.service.followers()
+
         return await self._there(asked())
 
     def _there(self, coroutine):
         """Runs something on the planner's loop, for as long as that takes."""
-        return asyncio.wrap_future(asyncio.run_coroutine_threadsafe(coroutine, self.main.asyncio_loop))
+        return asyncio.wrap_future(
+            asyncio.run_coroutine_threadsafe(coroutine, self.main.asyncio_loop)
+        )
