--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,5 @@
 """The live planner without sockets: desk, roster, evidence, allowances, and conversations with relays."""
+
 import copy
 import json
 import pathlib
@@ -94,7 +95,9 @@
         for (_, name), entries in groups:
             told = " ".join(
                 f"{entry.member.place()[1] - PORT}:{entry.weight}{'q' if entry.flags & codec.QUIESCED else ''}"
-                f"{'' if entry.flags & codec.CONFIDENT else '?'}" for entry in entries)
+                f"{'' if entry.flags & codec.CONFIDENT else '?'}"
+                for entry in entries
+            )
             self.clerk.note(f"{name.decode()}: {told}")
 
     def ask(self, *messages):
@@ -117,8 +120,12 @@
 
 
 def hello(uid=b"r1", push=True, trust=True, names=(b"read", b"write"), members=(0, 1)):
-    return (codec.set_balancer(1, uid, 127, push, trust, True),
-            codec.register(2, True, [((uid, name), [member(index) for index in members]) for name in names]))
+    return (
+        codec.set_balancer(1, uid, 127, push, trust, True),
+        codec.register(
+            2, True, [((uid, name), [member(index) for index in members]) for name in names]
+        ),
+    )
 
 
 class Conversations(TraceCase):
@@ -142,19 +149,41 @@
         wire, agent = Wire(clerk), Wire(clerk)
         read, other = (b"r1", b"read"), (b"r1", b"nothing")
         agent.ask(codec.register(1, False, [(read, [member(4)])]))
-        wire.ask(codec.register(2, True, [(read, [member(0)])]), codec.set_balancer(3, b"", 1, True, True, True),
-                 *hello(trust=False), codec.set_balancer(4, b"r2", 1, True, True, True))
-        for groups in ([(read, [member(1)])], [(other, [member(1)])], [((b"r1", b""), [])], [((b"", b"read"), [])],
-                       [((b"r9", b"read"), [])], [(read, [member(5), member(5)])],
-                       [(read, [member(index) for index in range(2, 6)] * 20)]):
+        wire.ask(
+            codec.register(2, True, [(read, [member(0)])]),
+            codec.set_balancer(3, b"", 1, True, True, True),
+            *hello(trust=False),
+            codec.set_balancer(4, b"r2", 1, True, True, True),
+        )
+        for groups in (
+            [(read, [member(1)])],
+            [(other, [member(1)])],
+            [((b"r1", b""), [])],
+            [((b"", b"read"), [])],
+            [((b"r9", b"read"), [])],
+            [(read, [member(5), member(5)])],
+            [(read, [member(index) for index in range(2, 6)] * 20)],
+        ):
             wire.ask(codec.register(5, True, groups))
-        wire.ask(codec.get_weights(6, [other]), codec.get_weights(7, [read, read]),
-                 codec.get_weights(8, [(b"r9", b"read")]), codec.deregister(9, True, 0, [(read, [member(5)])]),
-                 codec.deregister(10, True, 0, [(other, [])]), codec.set_members(11, True, [(read, [(member(5), 1, True)])]))
-        agent.ask(codec.register(12, False, [(read, [member(4)])]), codec.set_members(13, False, [(read, [(member(4), 1, True)])]))
+        wire.ask(
+            codec.get_weights(6, [other]),
+            codec.get_weights(7, [read, read]),
+            codec.get_weights(8, [(b"r9", b"read")]),
+            codec.deregister(9, True, 0, [(read, [member(5)])]),
+            codec.deregister(10, True, 0, [(other, [])]),
+            codec.set_members(11, True, [(read, [(member(5), 1, True)])]),
+        )
+        agent.ask(
+            codec.register(12, False, [(read, [member(4)])]),
+            codec.set_members(13, False, [(read, [(member(4), 1, True)])]),
+        )
         self.assertEqual(clerk.quiet, [(4, True)])
-        wire.ask(codec.deregister(14, True, 0, [(read, [])]), codec.get_weights(15, [read]),
-                 codec.deregister(16, True, 0, []), codec.get_weights(17, []))
+        wire.ask(
+            codec.deregister(14, True, 0, [(read, [])]),
+            codec.get_weights(15, [read]),
+            codec.deregister(16, True, 0, []),
+            codec.get_weights(17, []),
+        )
         wire.ask(codec.answer(18, codec.REGISTERED, 0))
         self.compare("sasp-codes", clerk)
 
@@ -162,7 +191,11 @@
         clerk = Clerk()
         wire = Wire(clerk)
         wire.ask(*hello(names=(b"read",)))
-        wire.ask(codec.register(3, True, [((b"r1", b"write"), [member(0)]), ((b"r1", b"read"), [member(0)])]))
+        wire.ask(
+            codec.register(
+                3, True, [((b"r1", b"write"), [member(0)]), ((b"r1", b"read"), [member(0)])]
+            )
+        )
         self.assertEqual(sorted(wire.talk.groups), [0])
 
     def test_rosters_that_are_empty_or_name_none_of_a_relays_members(self):
@@ -241,10 +274,23 @@
         self.assertGreater(messages, 8)
         self.assertTrue(deaf.push())
         self.assertFalse(deaf.push())
-        self.assertEqual([group.told for group in deaf.talk.groups.values()][0].keys() & {("127.0.0.1", PORT + 4)}, set())
+        self.assertEqual(
+            [group.told for group in deaf.talk.groups.values()][0].keys()
+            & {("127.0.0.1", PORT + 4)},
+            set(),
+        )
         for place in (0, 1):
-            told = {where: entry[0] for where, entry in deaf.talk.groups[place].told.items() if entry[0]}
-            self.assertEqual(told, {where: entry[0] for where, entry in other.talk.groups[place].told.items() if entry[0]})
+            told = {
+                where: entry[0] for where, entry in deaf.talk.groups[place].told.items() if entry[0]
+            }
+            self.assertEqual(
+                told,
+                {
+                    where: entry[0]
+                    for where, entry in other.talk.groups[place].told.items()
+                    if entry[0]
+                },
+            )
 
     def test_old_tables_are_bound_by_drains_before_a_table_is_given(self):
         clerk = Clerk(servers=0)
@@ -254,7 +300,7 @@
         clerk.run(0.1)
         late = Wire(clerk)
         late.ask(*hello(uid=b"r2", members=(1, 2)))
-        late.push()       # before its tables are bound
+        late.push()  # before its tables are bound
         # One that registered nobody hears of drains first, too. Found with controllers that all restarted: it took that
         # for its whole table, and had nobody left until the next message.
         bare = Wire(clerk)
@@ -267,19 +313,43 @@
         self.compare("sasp-old-tables", clerk)
 
     @settings(max_examples=150, deadline=None)
-    @given(some.lists(some.tuples(some.sampled_from(
-        ["hello", "register", "leave", "ask", "state", "agent", "rubbish", "drain", "ready", "push", "run", "other"]),
-        some.integers(0, 7)), max_size=30))
+    @given(
+        some.lists(
+            some.tuples(
+                some.sampled_from(
+                    [
+                        "hello",
+                        "register",
+                        "leave",
+                        "ask",
+                        "state",
+                        "agent",
+                        "rubbish",
+                        "drain",
+                        "ready",
+                        "push",
+                        "run",
+                        "other",
+                    ]
+                ),
+                some.integers(0, 7),
+            ),
+            max_size=30,
+        )
+    )
     def test_any_order_of_requests_is_answered_once_each_and_drains_are_told(self, steps):
         clerk = Clerk(servers=8)
         wire, agent = Wire(clerk), Wire(clerk)
         read = (b"r1", b"read")
         for step, nth in steps:
-            asked = {"hello": [codec.set_balancer(1, b"r1", 1, nth % 2 == 0, nth % 3 > 0, nth < 6)],
-                     "register": [codec.register(2, True, [(read, [member(nth), member(nth + 1)])])],
-                     "leave": [codec.deregister(3, True, 0, [(read, [member(nth)][:nth % 2])])],
-                     "ask": [codec.get_weights(4, [read][:nth])], "rubbish": [codec.register(5, True, [(read, [member(1)] * 65)])],
-                     "state": [codec.set_members(6, True, [(read, [(member(nth), 1, nth % 2 == 0)])])]}.get(step, [])
+            asked = {
+                "hello": [codec.set_balancer(1, b"r1", 1, nth % 2 == 0, nth % 3 > 0, nth < 6)],
+                "register": [codec.register(2, True, [(read, [member(nth), member(nth + 1)])])],
+                "leave": [codec.deregister(3, True, 0, [(read, [member(nth)][: nth % 2])])],
+                "ask": [codec.get_weights(4, [read][:nth])],
+                "rubbish": [codec.register(5, True, [(read, [member(1)] * 65)])],
+                "state": [codec.set_members(6, True, [(read, [(member(nth), 1, nth % 2 == 0)])])],
+            }.get(step, [])
             before = sum("answer" in line for line in clerk.printed)
             wire.ask(*asked)
             self.assertEqual(sum("answer" in line for line in clerk.printed) - before, len(asked))
@@ -329,8 +399,16 @@
         self.calls.append(text)
 
     def document(self, version, *hosts, **more):
-        return dict({"version": version, "hosts": [
-            {"id": name, "address": "127.0.0.1", "port": 9000, "state": state, "hall": "b"} for name, state in hosts]}, **more)
+        return dict(
+            {
+                "version": version,
+                "hosts": [
+                    {"id": name, "address": "127.0.0.1", "port": 9000, "state": state, "hall": "b"}
+                    for name, state in hosts
+                ],
+            },
+            **more,
+        )
 
     def test_lists_late_twice_and_out_of_order(self):
         self.roster.changes(self.document(3, ("x", "ready")))
@@ -340,22 +418,35 @@
         self.roster.changes(self.document(7, ("y", "gone")))
         self.roster.whole(self.document(2, ("y", "ready")))
         self.roster.whole(self.document(1, ("y", "ready"), epoch=1))
-        self.assertEqual(self.calls, [
-            "ask", ("cached", [("x", READY, 0), ("y", READY, 0)]), ("changes", [("x", DRAINING, 0)]), "ask",
-            "list 2 is older than 5: left aside", ("whole", [("y", READY, 0)])])
+        self.assertEqual(
+            self.calls,
+            [
+                "ask",
+                ("cached", [("x", READY, 0), ("y", READY, 0)]),
+                ("changes", [("x", DRAINING, 0)]),
+                "ask",
+                "list 2 is older than 5: left aside",
+                ("whole", [("y", READY, 0)]),
+            ],
+        )
 
     def test_a_host_that_says_it_is_quiet_drains_at_once_and_until_it_says_otherwise(self):
         self.roster.whole(self.document(1, ("x", "ready")))
         self.assertTrue(self.roster.quiesced("127.0.0.1", 9000, True))
         self.roster.whole(self.document(2, ("x", "ready")))
         self.roster.quiesced("127.0.0.1", 9000, False)
-        self.assertEqual([servers[0][1] for _, servers in self.calls], [READY, DRAINING, DRAINING, READY])
+        self.assertEqual(
+            [servers[0][1] for _, servers in self.calls], [READY, DRAINING, DRAINING, READY]
+        )
 
     def test_bad_documents_say_the_place(self):
-        for text, said in (('{"version": 1}', "roster: 'hosts' is a required property"), ("{", "roster: no JSON"),
-                           (json.dumps(self.document(1, ("x", "ready"), ("x", "ready"))), "hosts/1/id"),
-                           (json.dumps(self.document(1, ("x", "up"))), "hosts/0/state"),
-                           (json.dumps(dict(self.document(1), colour=1)), "'colour' was unexpected")):
+        for text, said in (
+            ('{"version": 1}', "roster: 'hosts' is a required property"),
+            ("{", "roster: no JSON"),
+            (json.dumps(self.document(1, ("x", "ready"), ("x", "ready"))), "hosts/1/id"),
+            (json.dumps(self.document(1, ("x", "up"))), "hosts/0/state"),
+            (json.dumps(dict(self.document(1), colour=1)), "'colour' was unexpected"),
+        ):
             with self.assertRaises(BadDocument) as caught:
                 read(text)
             self.assertIn(said, str(caught.exception))
@@ -363,9 +454,14 @@
     def test_charters_name_the_place_of_what_is_wrong(self):
         text = (pathlib.Path(__file__).parent.parent / "examples/charter.json").read_text()
         self.assertEqual(Charter(json.loads(text)).stated["messages_most"], 20)
-        for place, value, said in ((("hall",), "hall-z", "hall: 'hall-z'"), (("classes", 0, "patience_ms"), 1, "classes/0/patience_ms"),
-                                   (("rules", "colour"), 1, "rules: Additional"), (("channel", "answers_most"), 30, "channel/answers_most"),
-                                   (("classes", 1, "name"), "reading", "classes/1/name"), (("seed",), "x", "seed")):
+        for place, value, said in (
+            (("hall",), "hall-z", "hall: 'hall-z'"),
+            (("classes", 0, "patience_ms"), 1, "classes/0/patience_ms"),
+            (("rules", "colour"), 1, "rules: Additional"),
+            (("channel", "answers_most"), 30, "channel/answers_most"),
+            (("classes", 1, "name"), "reading", "classes/1/name"),
+            (("seed",), "x", "seed"),
+        ):
             broken = spot = json.loads(text)
             for step in place[:-1]:
                 spot = spot[step]
@@ -396,10 +492,22 @@
             self.clock += SECOND // 20
             for index in self.evidence.due(self.clock):
                 hung = index == 3
-                self.evidence.tried(index, "silent" if hung else "ok", 2 * SECOND if hung else 300_000, self.clock)
+                self.evidence.tried(
+                    index, "silent" if hung else "ok", 2 * SECOND if hung else 300_000, self.clock
+                )
         for index in range(6):
-            self.evidence.reported(index, Report(0.01 if index == 3 else 0.5, 9 if index == 3 else 4, 200_000,
-                                                 0.0 if index == 3 else 16.0, 0.0, {} if index == 3 else {0: 12.0, 1: 4.0}), self.clock)
+            self.evidence.reported(
+                index,
+                Report(
+                    0.01 if index == 3 else 0.5,
+                    9 if index == 3 else 4,
+                    200_000,
+                    0.0 if index == 3 else 16.0,
+                    0.0,
+                    {} if index == 3 else {0: 12.0, 1: 4.0},
+                ),
+                self.clock,
+            )
         self.met.clear()
         self.evidence.turn()
 
@@ -422,7 +530,13 @@
             self.evidence.joined(proxy)
         self.second()
         self.second()
-        self.assertEqual([sum(many for (_, place), many in self.brought.items() if place == wanted) for wanted in (0, 1)], [60, 20])
+        self.assertEqual(
+            [
+                sum(many for (_, place), many in self.brought.items() if place == wanted)
+                for wanted in (0, 1)
+            ],
+            [60, 20],
+        )
 
     def test_suspects_are_tried_more_closely_and_all_within_the_budget(self):
         self.evidence.rate, sent = 8, []
@@ -439,7 +553,7 @@
     def test_answers_that_waited_for_a_planner_that_stood_still_say_nothing_of_hosts(self):
         self.second()
         asked = self.evidence.due(self.clock + SECOND // 10)
-        self.clock += 3 * SECOND        # stopped, with probes under way
+        self.clock += 3 * SECOND  # stopped, with probes under way
         for index in asked:
             self.evidence.tried(index, "ok", 3 * SECOND, self.clock)
         self.evidence.due(self.clock)
@@ -491,7 +605,7 @@
         self.assertLessEqual(most, 400)
 
     def test_a_queue_that_never_empties_lets_one_in_now_and_then_and_is_never_overfilled(self):
-        self.waiting = 700          # of relays that read nothing
+        self.waiting = 700  # of relays that read nothing
         for relay in range(20):
             self.arrivals.came(relay)
         self.loop.run(10)
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -1,25 +1,26 @@
 """Relays whose messages are dropped, late, twice and out of order: none ever serves from what was not published."""
+
 import os
 import unittest
 import unittest.mock
 
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
-import xxhash                                                            # noqa: E402
-from envoy.config.core.v3 import base_pb2                                # noqa: E402
-from envoy.service.discovery.v3 import discovery_pb2                     # noqa: E402
-
-from indigodeck.chance import Chance                                     # noqa: E402
-from indigodeck.client import Tables                                     # noqa: E402
-from indigodeck.client.xds import Refused, Talk                          # noqa: E402
-from indigodeck.fronts.xds import codec                                  # noqa: E402
-from indigodeck.fronts.xds.streams import Bounds, Relay, Shelf, Stream   # noqa: E402
-from indigodeck.planner.desk import Desk, Door                           # noqa: E402
-from indigodeck.planner.publishing import Publishing                     # noqa: E402
-from indigodeck.planner.weights import scaled                            # noqa: E402
-from indigodeck.versions.ledger import DAY                               # noqa: E402
-from rig import SECOND, Loop, charter, server                            # noqa: E402
-from test_versions import Shelf as Paper                                 # noqa: E402
+import xxhash  # noqa: E402
+from envoy.config.core.v3 import base_pb2  # noqa: E402
+from envoy.service.discovery.v3 import discovery_pb2  # noqa: E402
+
+from indigodeck.chance import Chance  # noqa: E402
+from indigodeck.client import Tables  # noqa: E402
+from indigodeck.client.xds import Refused, Talk  # noqa: E402
+from indigodeck.fronts.xds import codec  # noqa: E402
+from indigodeck.fronts.xds.streams import Bounds, Relay, Shelf, Stream  # noqa: E402
+from indigodeck.planner.desk import Desk, Door  # noqa: E402
+from indigodeck.planner.publishing import Publishing  # noqa: E402
+from indigodeck.planner.weights import scaled  # noqa: E402
+from indigodeck.versions.ledger import DAY  # noqa: E402
+from rig import SECOND, Loop, charter, server  # noqa: E402
+from test_versions import Shelf as Paper  # noqa: E402
 
 CLASSES = ["read", "write"]
 
@@ -66,7 +67,9 @@
         self.desk = Desk(self, charter(), 1, Drawn)
         self.desk.listed("whole", [server(nth) for nth in range(8)])
         held = {key: value for key, value in self.paper.held.items()}
-        self.desk.books = self.books = Publishing(self, self.desk, self, held, charter(), CLASSES, 500, DAY, lambda document: None).books
+        self.desk.books = self.books = Publishing(
+            self, self.desk, self, held, charter(), CLASSES, 500, DAY, lambda document: None
+        ).books
         self.books.in_charge(self.epoch)
         self.shelf = Shelf(self.desk, self, dict(zip(CLASSES, (0, 1))), scaled)
         self.known = {}
@@ -88,7 +91,12 @@
     def note_published(self):
         for table in range(4):
             lines = {server: weight for server, weight in self.desk._lines(table).items()}
-            _, data = codec.endpoints(CLASSES[table % 2], [self.host(one) + (weight,) for one, weight in scaled(lines).items()], [], 1.0)
+            _, data = codec.endpoints(
+                CLASSES[table % 2],
+                [self.host(one) + (weight,) for one, weight in scaled(lines).items()],
+                [],
+                1.0,
+            )
             self.published.add(xxhash.xxh3_64_hexdigest(codec.any_pb2.Any.FromString(data).value))
         for number, version in self.books.ledger.versions.items():
             if self.versions.setdefault(number, version.content) != version.content:
@@ -104,7 +112,10 @@
             number = numbers[self.chance.below(len(numbers))]
             for _ in range(1 + self.chance.below(2)):
                 before = len(self.books.ledger.versions)
-                if "nothing changes" in self.books.rollback(number, classes, "duty", "") and len(self.books.ledger.versions) > before:
+                if (
+                    "nothing changes" in self.books.rollback(number, classes, "duty", "")
+                    and len(self.books.ledger.versions) > before
+                ):
                     raise AssertionError(f"{number} took effect twice")
         self.desk._settle("a turn")
         self.note_published()
@@ -135,13 +146,20 @@
         if self.chance.below(100) < self.loss:
             return
         for _ in range(2 if self.chance.below(8) == 0 else 1):
-            self.later(1000 + self.chance.below(200_000 if self.chance.below(4) == 0 else 20_000),
-                       lambda: relay.life == life and call(*given))
+            self.later(
+                1000 + self.chance.below(200_000 if self.chance.below(4) == 0 else 20_000),
+                lambda: relay.life == life and call(*given),
+            )
 
 
 class Clerk:
     def __init__(self, day):
-        self.note, self.refused, self.refusals, self.epoch = lambda event, **facts: None, day.refused, day.refusals, day.epoch_of
+        self.note, self.refused, self.refusals, self.epoch = (
+            lambda event, **facts: None,
+            day.refused,
+            day.refusals,
+            day.epoch_of,
+        )
 
 
 class Far:
@@ -157,17 +175,28 @@
             self.day.desk.proxy_left(self.proxy)
         self.life, self.stream = self.life + 1, None
         life = self.life
-        self.day.later(10_000 + self.day.chance.below(500_000), lambda: life == self.life and self.dial())
+        self.day.later(
+            10_000 + self.day.chance.below(500_000), lambda: life == self.life and self.dial()
+        )
 
     def dial(self):
         self.proxy = self.day.relays.index(self.uid.encode())
-        self.relay = Relay(self.uid, self.proxy, self.day.shelf, self.day.desk, Clerk(self.day), Bounds())
+        self.relay = Relay(
+            self.uid, self.proxy, self.day.shelf, self.day.desk, Clerk(self.day), Bounds()
+        )
         self.stream, self.talk = self.relay.opened(self, True), Talk(self.tables, {})
         self.day.known[self.proxy] = self
         self.day.desk.proxy_joined(self.proxy, 0, 1.0, False)
         opening = self.talk.opening(base_pb2.Node(id=self.uid))
         # The first message opens the connection: without it there is none.
-        self.stream.asked_changes(opening.type_url, opening.resource_names_subscribe, [], dict(opening.initial_resource_versions), "", None)
+        self.stream.asked_changes(
+            opening.type_url,
+            opening.resource_names_subscribe,
+            [],
+            dict(opening.initial_resource_versions),
+            "",
+            None,
+        )
 
     # What the front's side of a stream does.
 
@@ -200,14 +229,18 @@
             return self.broken()
         if answer is not None:
             error = answer.error_detail.message or None
-            self.day.pipe(self, self.life, self.answered, answer.type_url, answer.response_nonce, error)
+            self.day.pipe(
+                self, self.life, self.answered, answer.type_url, answer.response_nonce, error
+            )
 
     def answered(self, kind, nonce, error):
         if self.stream is not None:
             self.stream.asked_changes(kind, [], [], {}, nonce, error)
 
     def wanted(self):
-        return {name: self.day.shelf.resource(codec.ENDPOINTS, name, self.proxy)[0] for name in CLASSES}
+        return {
+            name: self.day.shelf.resource(codec.ENDPOINTS, name, self.proxy)[0] for name in CLASSES
+        }
 
     def serve(self):
         """Each exchange goes by a table that was published, whole."""
@@ -228,7 +261,7 @@
         elif kind < 8:
             relay.broken()
         elif kind == 8:
-            relay.tables = Tables(CLASSES, day.now)     # a process of its own, that knows nothing
+            relay.tables = Tables(CLASSES, day.now)  # a process of its own, that knows nothing
             relay.broken()
         else:
             day.begin()
@@ -249,8 +282,14 @@
     for one in day.fars:
         one.serve()
         wanted = one.wanted()
-        if one.tables.versions != wanted or not all(newest for _, _, newest, _ in day.books.relays()) or len(day.books.relays()) < 4:
-            raise AssertionError(f"seed {seed}: {one.uid} ends on {one.tables.versions}, not {wanted}; {day.books.relays()}")
+        if (
+            one.tables.versions != wanted
+            or not all(newest for _, _, newest, _ in day.books.relays())
+            or len(day.books.relays()) < 4
+        ):
+            raise AssertionError(
+                f"seed {seed}: {one.uid} ends on {one.tables.versions}, not {wanted}; {day.books.relays()}"
+            )
     return day.served
 
 
@@ -258,7 +297,7 @@
     def test_a_table_is_part_of_the_version_from_when_somebody_is_bound_to_it(self):
         day = Day(1)
         for far in day.fars:
-            far.life += 1       # none dials by itself
+            far.life += 1  # none dials by itself
         day.desk.place_of.clear()
         day.books.carried_until = 0
         for proxy, tables in ((0, ["0", "1"]), (1, ["0", "1", "2", "3"])):
@@ -270,7 +309,6 @@
     def test_all_end_on_the_intended_version_and_never_serve_from_another(self):
         self.assertGreater(sum(schedule(seed) for seed in range(1400)), 200_000)
 
-
     def test_what_guards_against_it_is_needed(self):
         def caught():
             try:
@@ -294,7 +332,10 @@
             made = codec.endpoints("read", [("a", "h", "127.0.0.1", port, 5)], [], 1.0)
             return codec.changes(codec.ENDPOINTS, f"7.{serial}", str(serial), [("read", *made)], [])
 
-        self.assertEqual([talk.read(response(serial, serial)) is None for serial in (1, 3, 2, 3, 4)], [False, False, True, True, False])
+        self.assertEqual(
+            [talk.read(response(serial, serial)) is None for serial in (1, 3, 2, 3, 4)],
+            [False, False, True, True, False],
+        )
         self.assertEqual(tables.lines["read"], {("127.0.0.1", 4): 5})
         wrong = response(5, 80)
         wrong.resources[0].version = "0" * 16
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,5 @@
 """The wire: frames in, frames out, and plain words on what is malformed."""
+
 import io
 import json
 import struct
@@ -10,11 +11,24 @@
 from indigodeck.simhost.codec import Malformed, read_frame
 
 SETTINGS = {
-    "classes": [{"name": "read", "aimMs": 1000.0, "deadlineMs": 3000.0, "effect": "read_like", "novel": 1}],
-    "domain": {"linesPerS": 100.0, "mostWaiting": 100.0, "fixedCost": 3.0, "blackholeMs": 5000.0,
-               "periodMs": 1000.0},
-    "rules": {"coldMs": 16000.0, "coldShare": 0.16, "drainGraceMs": 2000.0, "tipMultiple": 3.0,
-              "fallMs": 2000.0}}
+    "classes": [
+        {"name": "read", "aimMs": 1000.0, "deadlineMs": 3000.0, "effect": "read_like", "novel": 1}
+    ],
+    "domain": {
+        "linesPerS": 100.0,
+        "mostWaiting": 100.0,
+        "fixedCost": 3.0,
+        "blackholeMs": 5000.0,
+        "periodMs": 1000.0,
+    },
+    "rules": {
+        "coldMs": 16000.0,
+        "coldShare": 0.16,
+        "drainGraceMs": 2000.0,
+        "tipMultiple": 3.0,
+        "fallMs": 2000.0,
+    },
+}
 
 
 def event(code, layout="", *fields):
@@ -29,8 +43,14 @@
 def start(settings=SETTINGS):
     text = json.dumps(settings).encode()
     entry = struct.pack("<HBf6sdBB", 0, 0, 1.0, b"server", 0.0, 1, 0)
-    return frame(event(1150, "H", 3), event(1050, "QII", 7, 0, len(text)), event(1000, "III", 5, len(text), 1),
-                 event(1010, "IIB", 5, 1, 3), event(1140, "HBfB", 2, 0, 10.0, 1), tail=text + entry)
+    return frame(
+        event(1150, "H", 3),
+        event(1050, "QII", 7, 0, len(text)),
+        event(1000, "III", 5, len(text), 1),
+        event(1010, "IIB", 5, 1, 3),
+        event(1140, "HBfB", 2, 0, 10.0, 1),
+        tail=text + entry,
+    )
 
 
 def play(adapter, data):
@@ -40,9 +60,15 @@
 class Wire(unittest.TestCase):
     def test_start_binds_a_proxy_to_a_table_with_the_listed_server(self):
         adapter = Adapter()
-        replies = [play(adapter, start()), play(adapter, frame(event(1150, "H", 3), event(1100, "Q", 2)))]
-        codes = [struct.unpack_from("<H", reply, 8 + 24 * k)[0] for reply in replies
-                 for k in range(struct.unpack_from("<I", reply)[0])]
+        replies = [
+            play(adapter, start()),
+            play(adapter, frame(event(1150, "H", 3), event(1100, "Q", 2))),
+        ]
+        codes = [
+            struct.unpack_from("<H", reply, 8 + 24 * k)[0]
+            for reply in replies
+            for k in range(struct.unpack_from("<I", reply)[0])
+        ]
         self.assertEqual(codes, [1030, 1040, 1040, 1030, 1070, 1120, 1090, 1020])
 
     def test_instances_share_nothing_and_start_anew(self):
@@ -54,11 +80,16 @@
 
     def test_malformed_input_is_named(self):
         strange = dict(SETTINGS, rules={})
-        for data, words in ((frame(event(9)), "unknown code 9"), (frame(event(1100, "Q", 1)), "selected"),
-                            (frame(event(1150, "H", 3), event(1100, "Q", 1)), "not started"),
-                            (frame(event(1000, "III", 0, 0, 9)), "outside the tail"),
-                            (start(strange), "rules.coldMs is missing"), (start()[:90], "input ends"),
-                            (start()[:7], "input ends"), (struct.pack("<IId", 9, 1, 0.0), "9 records in 1")):
+        for data, words in (
+            (frame(event(9)), "unknown code 9"),
+            (frame(event(1100, "Q", 1)), "selected"),
+            (frame(event(1150, "H", 3), event(1100, "Q", 1)), "not started"),
+            (frame(event(1000, "III", 0, 0, 9)), "outside the tail"),
+            (start(strange), "rules.coldMs is missing"),
+            (start()[:90], "input ends"),
+            (start()[:7], "input ends"),
+            (struct.pack("<IId", 9, 1, 0.0), "9 records in 1"),
+        ):
             with self.subTest(words), self.assertRaisesRegex(Malformed, words):
                 play(Adapter(), data)
 
@@ -66,13 +97,18 @@
         class Broken:
             def __init__(self, host, charter, seed):
                 raise ValueError("no idea")
+
         self.assertIn(b"ValueError: no idea", play(Adapter(Broken), start()))
 
     def test_the_program_says_what_is_wrong_and_writes_nothing_else(self):
-        done = subprocess.run([sys.executable, "-m", "indigodeck.simhost"], input=b"\1\2\3", capture_output=True)
+        done = subprocess.run(
+            [sys.executable, "-m", "indigodeck.simhost"], input=b"\1\2\3", capture_output=True
+        )
         self.assertEqual((done.returncode, done.stdout), (2, b""))
         self.assertIn(b"input ends within a header", done.stderr)
-        empty = subprocess.run([sys.executable, "-m", "indigodeck.simhost"], input=frame(), capture_output=True)
+        empty = subprocess.run(
+            [sys.executable, "-m", "indigodeck.simhost"], input=frame(), capture_output=True
+        )
         self.assertEqual((empty.returncode, empty.stdout), (0, struct.pack("<II", 0, 0)))
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,5 @@
 """The store: power cut at every operation and byte, disks that fail, bits that flip; and what it must not forget."""
+
 import errno
 import os
 import pathlib
@@ -29,7 +30,14 @@
         changes = []
         for key in {KEYS[self.chance.below(len(KEYS))] for _ in range(1 + self.chance.below(3))}:
             self.nth += 1
-            changes.append((key, None if self.chance.below(5) == 0 else {"nth": self.nth, "fill": "x" * self.chance.below(60)}))
+            changes.append(
+                (
+                    key,
+                    None
+                    if self.chance.below(5) == 0
+                    else {"nth": self.nth, "fill": "x" * self.chance.below(60)},
+                )
+            )
         return sorted(changes, key=lambda change: change[0])
 
     def after(self, state, changes):
@@ -82,14 +90,24 @@
             continue
     disk.cut_at = None
     if held(store) not in truth.states:
-        return f"seed {seed}, cut at {cut_at} and {again}: {held(store)} is none of {truth.states}; {store.wrong}", done
+        return (
+            f"seed {seed}, cut at {cut_at} and {again}: {held(store)} is none of {truth.states}; {store.wrong}",
+            done,
+        )
     if store.lost:
-        return f"seed {seed}, cut at {cut_at} and {again}: said to have lost what it has; {store.wrong}", done
+        return (
+            f"seed {seed}, cut at {cut_at} and {again}: said to have lost what it has; {store.wrong}",
+            done,
+        )
     # It goes on with what it found, and does not come back to what it had left out.
     truth.states = [held(store)]
     truth.commit(store)
     later = Log(disk.after_cut())
-    return (None if held(later) == truth.states[0] else f"seed {seed}, cut at {cut_at}: {held(later)} after going on"), done
+    return (
+        None
+        if held(later) == truth.states[0]
+        else f"seed {seed}, cut at {cut_at}: {held(later)} after going on"
+    ), done
 
 
 class Small(unittest.TestCase):
@@ -125,7 +143,9 @@
     def test_errors_of_the_disk_stop_a_commit_and_nothing_that_was_acknowledged(self):
         for seed in range(60):
             chance = Chance(seed)
-            fails = {chance.below(150): (errno.ENOSPC, errno.EIO)[chance.below(2)] for _ in range(12)}
+            fails = {
+                chance.below(150): (errno.ENOSPC, errno.EIO)[chance.below(2)] for _ in range(12)
+            }
             self.assertIsNone(play(seed, 40, fails=fails)[0])
             self.assertIsNone(play(seed, 40, cut_at=30 + seed, fails=fails)[0])
 
@@ -146,23 +166,40 @@
 
     def caught(self, **kinds):
         seeds = [(seed, cut) for seed in range(40) for cut in range(3 + seed % 3, 130, 7)]
-        return any(play(seed, 40, cut, process_only=kinds.get("process_only", False))[0] for seed, cut in seeds)
+        return any(
+            play(seed, 40, cut, process_only=kinds.get("process_only", False))[0]
+            for seed, cut in seeds
+        )
 
     def without(self, owner, name, instead, **kinds):
         with unittest.mock.patch.object(owner, name, instead):
             self.assertTrue(self.caught(**kinds), name)
 
     def test_every_mutant_is_caught(self):
-        real_sync, real_folder, real_begin, real_switch = Disk.sync, Disk.sync_folder, Log._begin, Log._switch
+        real_sync, real_folder, real_begin, real_switch = (
+            Disk.sync,
+            Disk.sync_folder,
+            Log._begin,
+            Log._switch,
+        )
         self.assertFalse(self.caught())
-        self.without(Disk, "sync", lambda disk, name: real_sync(disk, name) if name.endswith("new") else None)
-        self.without(Disk, "sync", lambda disk, name: None if name.endswith("new") else real_sync(disk, name))
+        self.without(
+            Disk, "sync", lambda disk, name: real_sync(disk, name) if name.endswith("new") else None
+        )
+        self.without(
+            Disk, "sync", lambda disk, name: None if name.endswith("new") else real_sync(disk, name)
+        )
         self.without(Disk, "sync_folder", lambda disk: None)
 
         def goes_on(store):
             """Appends to the last log that it finds, behind whatever was torn there."""
             logs = [name for name in store.files.names() if name.endswith("log")]
-            if not logs or store.why is not None or store.copying is not None or hasattr(store, "size"):
+            if (
+                not logs
+                or store.why is not None
+                or store.copying is not None
+                or hasattr(store, "size")
+            ):
                 return real_begin(store)
             store.number = max(log.numbered(logs, "log"))
             store.logs[store.number] = store.name = logs[-1]
@@ -183,6 +220,7 @@
 
 def no_sums(real):
     """Believes any frame whose length fits."""
+
     def at(salt, data, start=0):
         if len(data) - start < frames.HEAD.size:
             return None
@@ -191,10 +229,13 @@
         if mark != frames.MARK or not 0 < length <= frames.LONGEST or end > len(data):
             return None
         try:
-            frames.unpacked(bytes(data[start + frames.HEAD.size:end]))
+            frames.unpacked(bytes(data[start + frames.HEAD.size : end]))
         except frames.Unreadable:
             return None
-        return frames.Frame(start, end, sequence, synced, bytes(data[start + frames.HEAD.size:end]))
+        return frames.Frame(
+            start, end, sequence, synced, bytes(data[start + frames.HEAD.size : end])
+        )
+
     return at
 
 
@@ -217,7 +258,9 @@
     def whole(self):
         store = self.opened(None, b"")
         self.assertEqual((held(store), store.wrong, store.lost), (self.states[-1], [], False))
-        self.assertEqual([len(log.numbered(self.files, kind)) > 1 for kind in ("base", "log")], [True, True])
+        self.assertEqual(
+            [len(log.numbered(self.files, kind)) > 1 for kind in ("base", "log")], [True, True]
+        )
         return store
 
     def judge(self, store, name, why):
@@ -304,7 +347,10 @@
         store.commit([[("a", 1)]])
         salt = frames.salt_of(store.store, store.name)
         body = bytes([9]) + b"what is to come"
-        made = frames.HEAD.pack(frames.MARK, len(body), frames._sum(salt, len(body), 2, 1, body), 2, 1) + body
+        made = (
+            frames.HEAD.pack(frames.MARK, len(body), frames._sum(salt, len(body), 2, 1, body), 2, 1)
+            + body
+        )
         disk.append(store.name, made)
         again = Log(disk)
         self.assertEqual(again.get("a"), 1)
@@ -340,10 +386,14 @@
         self.path = pathlib.Path(made.name) / "store"
 
     def test_it_is_there_after_a_process_was_killed_amid_commits(self):
-        program = ("import sys\nfrom indigodeck.store.files import Folder\nfrom indigodeck.store.log import Log\n"
-                   "store, nth = Log(Folder(sys.argv[1])), 0\n"
-                   "while True:\n    nth += 1\n    store.commit([[('nth', nth), ('twice', 2 * nth)]])\n    print(nth, flush=True)\n")
-        with subprocess.Popen([sys.executable, "-c", program, str(self.path)], stdout=subprocess.PIPE, text=True) as process:
+        program = (
+            "import sys\nfrom indigodeck.store.files import Folder\nfrom indigodeck.store.log import Log\n"
+            "store, nth = Log(Folder(sys.argv[1])), 0\n"
+            "while True:\n    nth += 1\n    store.commit([[('nth', nth), ('twice', 2 * nth)]])\n    print(nth, flush=True)\n"
+        )
+        with subprocess.Popen(
+            [sys.executable, "-c", program, str(self.path)], stdout=subprocess.PIPE, text=True
+        ) as process:
             said = [int(process.stdout.readline()) for _ in range(40)]
             # One process at a time: a second one is refused while the first is at it.
             with self.assertRaisesRegex(OSError, "another process holds it"):
@@ -411,7 +461,10 @@
         self.gate.clear()
         told = [self.writer.put([("a" * length, 1)]) for length in (3, 4, 600, 5)]
         self.gate.set()
-        self.assertEqual([type(one.exception(10)) for one in told], [type(None), type(None), ValueError, type(None)])
+        self.assertEqual(
+            [type(one.exception(10)) for one in told],
+            [type(None), type(None), ValueError, type(None)],
+        )
         self.writer.close()
 
     def test_a_full_disk_refuses_and_later_goes_on_with_nothing_half_done(self):
@@ -425,8 +478,10 @@
         self.assertEqual(held(Log(self.disk.after_cut())), {"a": 2})
 
     def test_a_record_of_a_form_unknown_here_is_left_uncompacted_and_writing_goes_on(self):
-        with unittest.mock.patch.object(Log, "compact", lambda log, *given: [][0]), \
-                unittest.mock.patch.object(Log, "due", lambda log: log.undone is None):
+        with (
+            unittest.mock.patch.object(Log, "compact", lambda log, *given: [][0]),
+            unittest.mock.patch.object(Log, "due", lambda log: log.undone is None),
+        ):
             for nth in range(3):
                 self.assertTrue(self.writer.keep([("a", nth)]))
             self.writer.close()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,5 @@
 """Stores, lease records and messages written by commit bb80827 stay readable (tests/data/README.md)."""
+
 import json
 import pathlib
 import shutil
@@ -19,20 +20,52 @@
 DATA = pathlib.Path(__file__).parent / "data"
 STORED = json.loads((DATA / "store.json").read_text(encoding="utf-8"))
 MESSAGES = json.loads((DATA / "messages.json").read_text(encoding="utf-8"))
-STARTED_AT = 1_750_000_000_000_000      # wall clock of the first version
+STARTED_AT = 1_750_000_000_000_000  # wall clock of the first version
 
 MEMBERS = {"c1": "10.0.0.1:3900", "c2": "10.0.0.2:3900", "c3": "10.0.0.3:3900"}
 PLANNED_MEMBERS = {**MEMBERS, "c4": "10.0.0.4:3900"}
-LEASES = Record(serial=42, wards={"fleet": (33, "c2"), "north": (48, "c3"), "south": (18, None)},
-                fleet=(5, MEMBERS), plan=(6, 33, PLANNED_MEMBERS))
+LEASES = Record(
+    serial=42,
+    wards={"fleet": (33, "c2"), "north": (48, "c3"), "south": (18, None)},
+    fleet=(5, MEMBERS),
+    plan=(6, 33, PLANNED_MEMBERS),
+)
 LEASES_WITHOUT_FLEET = Record(serial=7, wards={"fleet": (16, "c1"), "south": (2, None)})
 REFUSALS = [("relay-1", "read", "00c0ffee00c0ffee"), ("relay-é", "write", "0123456789abcdef")]
 
 NUMBERS = [*((3, serial) for serial in range(1, 37)), (17, 1), (17, 2), (33, 1), (33, 2), (33, 3)]
 OTHER_KEYS = ["charge", "refused", "relays", "roster", "starts", "wishes"]
-KINDS_OF_VERSION_1 = {"greet", "tell", "ask", "grant", "deny", "release", "fleet", "hand over", "answer"}
-KINDS_OF_VERSION_2 = KINDS_OF_VERSION_1 | {"here", "propose", "accept", "members", "refusals", "change", "force", "followers"}
-KINDS_OF_VERSION_3 = KINDS_OF_VERSION_2 | {"book", "version", "wishes", "ask wishes", "noted", "want", "sheets", "versions"}
+KINDS_OF_VERSION_1 = {
+    "greet",
+    "tell",
+    "ask",
+    "grant",
+    "deny",
+    "release",
+    "fleet",
+    "hand over",
+    "answer",
+}
+KINDS_OF_VERSION_2 = KINDS_OF_VERSION_1 | {
+    "here",
+    "propose",
+    "accept",
+    "members",
+    "refusals",
+    "change",
+    "force",
+    "followers",
+}
+KINDS_OF_VERSION_3 = KINDS_OF_VERSION_2 | {
+    "book",
+    "version",
+    "wishes",
+    "ask wishes",
+    "noted",
+    "want",
+    "sheets",
+    "versions",
+}
 
 
 def plain(value):
@@ -48,7 +81,9 @@
         self.open()
 
     def open(self):
-        self.store = Writer(Folder(self.folder), lambda event, **facts: self.notes.append((event, facts)))
+        self.store = Writer(
+            Folder(self.folder), lambda event, **facts: self.notes.append((event, facts))
+        )
         self.held = self.store.ask(lambda log: {key: log.get(key) for key in log.keys()}).result()
 
     def keep(self, changes):
@@ -78,16 +113,34 @@
 
 class Store(StoredFolder):
     def test_the_folder_is_compacted_with_logs_after_its_base(self):
-        self.assertEqual(sorted(entry.name for entry in self.folder.iterdir()),
-                         ["00000002.base", "00000003.base", "00000003.log", "00000004.log", "00000005.log", "lock"])
+        self.assertEqual(
+            sorted(entry.name for entry in self.folder.iterdir()),
+            [
+                "00000002.base",
+                "00000003.base",
+                "00000003.log",
+                "00000004.log",
+                "00000005.log",
+                "lock",
+            ],
+        )
 
     def test_every_record_is_read_back_and_nothing_is_found_wrong(self):
         shelf = self.opened()
-        self.assertEqual((shelf.notes, shelf.store.log.wrong, shelf.store.log.lost), ([], [], False))
-        self.assertEqual(sorted(shelf.held), sorted([*OTHER_KEYS, *(f"version/{epoch:012d}.{serial:012d}" for epoch, serial in NUMBERS)]))
+        self.assertEqual(
+            (shelf.notes, shelf.store.log.wrong, shelf.store.log.lost), ([], [], False)
+        )
+        self.assertEqual(
+            sorted(shelf.held),
+            sorted(
+                [*OTHER_KEYS, *(f"version/{epoch:012d}.{serial:012d}" for epoch, serial in NUMBERS)]
+            ),
+        )
         self.assertEqual(shelf.held, STORED["records"])
         self.assertEqual(shelf.held["starts"], 4)
-        self.assertEqual(shelf.held["relays"], {"relay-0": [33, 2], "relay-1": [33, 2], "relay-2": [33, 2]})
+        self.assertEqual(
+            shelf.held["relays"], {"relay-0": [33, 2], "relay-1": [33, 2], "relay-2": [33, 2]}
+        )
 
     def test_a_damaged_base_is_made_up_for_by_the_base_and_the_logs_before(self):
         base = self.folder / "00000003.base"
@@ -104,7 +157,10 @@
         self.assertEqual(held["starts"], 3)
         self.assertEqual(held["charge"], {"serial": 11, "wards": {"fleet": [17, "c1"]}})
         self.assertEqual(held["second key to drop"], {"dropped": True})
-        self.assertEqual(max(key for key in held if key.startswith("version/")), "version/000000000017.000000000002")
+        self.assertEqual(
+            max(key for key in held if key.startswith("version/")),
+            "version/000000000017.000000000002",
+        )
         self.assertNotIn("key to drop", held)
 
     def test_it_is_written_to_and_compacted_again(self):
@@ -122,52 +178,108 @@
         ledger = self.ledger(self.opened())
         self.assertEqual([tuple(one) for one in sorted(ledger.versions)], NUMBERS)
         self.assertEqual(ledger.newest, Number(33, 3))
-        told = [{"number": list(one.number), "parent": one.parent and list(one.parent), "at": one.at, "cause": one.cause,
-                 "author": one.author, "content": one.content, "first": list(one.first)} for _, one in sorted(ledger.versions.items())]
-        self.assertEqual(told, [{name: value for name, value in one.items() if name != "sheets"} for one in STORED["versions"]])
-        some = {str(number): (one.at - STARTED_AT, one.author, one.cause) for number, one in ledger.versions.items()}
+        told = [
+            {
+                "number": list(one.number),
+                "parent": one.parent and list(one.parent),
+                "at": one.at,
+                "cause": one.cause,
+                "author": one.author,
+                "content": one.content,
+                "first": list(one.first),
+            }
+            for _, one in sorted(ledger.versions.items())
+        ]
+        self.assertEqual(
+            told,
+            [
+                {name: value for name, value in one.items() if name != "sheets"}
+                for one in STORED["versions"]
+            ],
+        )
+        some = {
+            str(number): (one.at - STARTED_AT, one.author, one.cause)
+            for number, one in ledger.versions.items()
+        }
         self.assertEqual(some["3.1"], (0, "", "in charge under epoch 3"))
         self.assertEqual(some["3.36"], (9_000_000, "", "server 11 changes its weight"))
         self.assertEqual(some["17.2"], (3_600_500_000, "", "server 4 leaves classes [1]: failing"))
-        self.assertEqual(some["33.1"], (3_601_500_000, "night shift", "rollback of read to 3.20: exchanges fail since 17.1"))
+        self.assertEqual(
+            some["33.1"],
+            (3_601_500_000, "night shift", "rollback of read to 3.20: exchanges fail since 17.1"),
+        )
         self.assertEqual({str(one.first) for one in ledger.versions.values()}, {"3.1", "3.33"})
-        self.assertEqual((ledger.versions[Number(3, 1)].parent, ledger.versions[Number(17, 1)].parent), (None, Number(3, 36)))
+        self.assertEqual(
+            (ledger.versions[Number(3, 1)].parent, ledger.versions[Number(17, 1)].parent),
+            (None, Number(3, 36)),
+        )
 
     def test_the_sheets_of_each_version_are_those_that_were_published(self):
         ledger = self.ledger(self.opened())
         for one in STORED["versions"]:
             with self.subTest(number=one["number"]):
                 self.assertEqual(ledger.sheets_of(Number(*one["number"])), one["sheets"])
-        self.assertEqual(ledger.sheets_of(Number(17, 1))["0"],
-                         {"class": "read", "level": [1.0, 1], "lines": {"host-0": 1.5, "host-1": 0.25, "host-2": 0.123457}})
-        self.assertEqual(ledger.sheets_of(Number(3, 20))["4"]["lines"], {"host-4": 1.25, "host-5": 1.25, "host-6": 1.25})
-        self.assertEqual(ledger.sheets_of(Number(33, 3))["4"]["lines"], {"host-5": 1.25, "host-6": 1.25})
+        self.assertEqual(
+            ledger.sheets_of(Number(17, 1))["0"],
+            {
+                "class": "read",
+                "level": [1.0, 1],
+                "lines": {"host-0": 1.5, "host-1": 0.25, "host-2": 0.123457},
+            },
+        )
+        self.assertEqual(
+            ledger.sheets_of(Number(3, 20))["4"]["lines"],
+            {"host-4": 1.25, "host-5": 1.25, "host-6": 1.25},
+        )
+        self.assertEqual(
+            ledger.sheets_of(Number(33, 3))["4"]["lines"], {"host-5": 1.25, "host-6": 1.25}
+        )
 
     def test_the_hold_and_the_pins_are_kept(self):
         wishes = Wishes(self.opened().held["wishes"])
         self.assertEqual((wishes.serial, wishes.pins), ((33, 2), {(3, 12), (17, 1)}))
-        self.assertEqual({name: tuple(hold) for name, hold in wishes.holds.items()},
-                         {"read": ((3, 20), "night shift", "exchanges fail since 17.1", 1_750_003_601_500_000, (33, 2))})
+        self.assertEqual(
+            {name: tuple(hold) for name, hold in wishes.holds.items()},
+            {
+                "read": (
+                    (3, 20),
+                    "night shift",
+                    "exchanges fail since 17.1",
+                    1_750_003_601_500_000,
+                    (33, 2),
+                )
+            },
+        )
         self.assertEqual(wishes.document(), STORED["records"]["wishes"])
 
     def test_a_new_version_follows_under_a_higher_epoch_while_the_hold_goes_on(self):
         shelf = self.opened()
         planner = Planner(shelf, epoch=0)
-        self.assertEqual(planner.books.carried, dict.fromkeys(["relay-0", "relay-1", "relay-2"], Number(33, 2)))
+        self.assertEqual(
+            planner.books.carried, dict.fromkeys(["relay-0", "relay-1", "relay-2"], Number(33, 2))
+        )
         planner.books.in_charge(49)
         planner.change(3, "server 9 is back", h9=3.0)
         self.assertEqual(str(planner.books.newest()), "49.1")
         self.assertEqual(planner.shown()["3"], {"host-9": 3.0})
-        self.assertEqual(planner.shown()["4"], {"host-4": 1.25, "host-5": 1.25, "host-6": 1.25})     # of 3.20, held
+        self.assertEqual(
+            planner.shown()["4"], {"host-4": 1.25, "host-5": 1.25, "host-6": 1.25}
+        )  # of 3.20, held
         shelf.reopen()
         ledger = self.ledger(shelf)
         self.assertEqual([tuple(one) for one in sorted(ledger.versions)], [*NUMBERS, (49, 1)])
-        self.assertEqual((ledger.newest, ledger.versions[Number(49, 1)].parent), (Number(49, 1), Number(33, 3)))
+        self.assertEqual(
+            (ledger.newest, ledger.versions[Number(49, 1)].parent), (Number(49, 1), Number(33, 3))
+        )
         self.assertEqual(ledger.sheets_of(Number(49, 1)), planner.books.ledger.sheets)
         # It is stored in the form of the ones before, which older programs read.
         written = shelf.held["version/000000000049.000000000001"]
-        self.assertEqual(written.keys(), STORED["records"]["version/000000000033.000000000003"].keys())
-        self.assertEqual((written["number"], written["parent"], written["author"]), ([49, 1], [33, 3], ""))
+        self.assertEqual(
+            written.keys(), STORED["records"]["version/000000000033.000000000003"].keys()
+        )
+        self.assertEqual(
+            (written["number"], written["parent"], written["author"]), ([49, 1], [33, 3], "")
+        )
         self.assertEqual(ledger.sheets_of(Number(3, 36)), STORED["versions"][35]["sheets"])
 
     def test_what_relays_hold_is_kept_in_the_same_form(self):
@@ -177,29 +289,39 @@
         planner.clock += 20_000_000
         planner.books.settle("turn")
         shelf.reopen()
-        self.assertEqual(shelf.held["relays"], {**STORED["records"]["relays"], "relay-7": list(planner.books.newest())})
+        self.assertEqual(
+            shelf.held["relays"],
+            {**STORED["records"]["relays"], "relay-7": list(planner.books.newest())},
+        )
 
     def test_the_hold_can_be_released(self):
         shelf = self.opened()
         planner = Planner(shelf, epoch=49)
         self.assertEqual(planner.books.release(["read"], "day shift", "mended"), "read released")
         shelf.reopen()
-        self.assertEqual(shelf.held["wishes"], {"serial": [49, 1], "pins": [[3, 12], [17, 1]], "holds": {}})
+        self.assertEqual(
+            shelf.held["wishes"], {"serial": [49, 1], "pins": [[3, 12], [17, 1]], "holds": {}}
+        )
 
 
 class Leases(StoredFolder):
     def test_leases_and_refusals_are_read_from_the_store(self):
         shelf = self.opened()
         leases = InStore(shelf.store, shelf.held, "charge", RecordFile(self.folder / "none"))
-        refusals = InStore(shelf.store, shelf.held, "refused", RecordFile(self.folder / "none"), list, entries_of)
+        refusals = InStore(
+            shelf.store, shelf.held, "refused", RecordFile(self.folder / "none"), list, entries_of
+        )
         self.assertEqual((leases.read(), refusals.read()), (LEASES, REFUSALS))
         self.assertTrue(leases.keep(LEASES) and refusals.keep(REFUSALS))
         shelf.reopen()
         self.assertEqual(shelf.held, STORED["records"])
 
     def test_leases_and_refusals_are_read_from_files_and_written_as_the_same_bytes(self):
-        for name, record, form in (("leases.record", LEASES, ()), ("leases-without-fleet.record", LEASES_WITHOUT_FLEET, ()),
-                                   ("leases.record.refused", REFUSALS, (pack_entries, unpack_entries))):
+        for name, record, form in (
+            ("leases.record", LEASES, ()),
+            ("leases-without-fleet.record", LEASES_WITHOUT_FLEET, ()),
+            ("leases.record.refused", REFUSALS, (pack_entries, unpack_entries)),
+        ):
             with self.subTest(name=name):
                 self.assertEqual(RecordFile(DATA / name, *form).read(), record)
                 again = RecordFile(self.folder / name, *form)
@@ -208,7 +330,9 @@
 
     def test_a_file_from_before_there_was_a_store_is_read_where_the_store_has_none(self):
         shelf = self.opened()
-        before = InStore(shelf.store, {}, "charge", RecordFile(DATA / "leases-without-fleet.record"))
+        before = InStore(
+            shelf.store, {}, "charge", RecordFile(DATA / "leases-without-fleet.record")
+        )
         self.assertEqual(before.read(), LEASES_WITHOUT_FLEET)
 
     def test_a_member_goes_on_from_the_epochs_holders_and_members_that_were_kept(self):
@@ -222,12 +346,33 @@
             def send(self, member, kind, **fields):
                 pass
 
-        for record, number, members in ((LEASES, 5, MEMBERS), (LEASES_WITHOUT_FLEET, 0, {"c1": "a:1", "c2": "a:2"})):
-            charge = Charge(Alone(), "c1", {"c1": "a:1", "c2": "a:2"}, ["fleet", "north"], 3_000_000, 0.01, Chance(1), 1, record)
+        for record, number, members in (
+            (LEASES, 5, MEMBERS),
+            (LEASES_WITHOUT_FLEET, 0, {"c1": "a:1", "c2": "a:2"}),
+        ):
+            charge = Charge(
+                Alone(),
+                "c1",
+                {"c1": "a:1", "c2": "a:2"},
+                ["fleet", "north"],
+                3_000_000,
+                0.01,
+                Chance(1),
+                1,
+                record,
+            )
             told = charge.fleet()
-            self.assertEqual((told["number"], {name: member["place"] for name, member in told["members"].items()}), (number, members))
-            self.assertEqual({ward: state["epoch"] for ward, state in told["wards"].items()},
-                             {ward: record.wards.get(ward, (0, None))[0] for ward in ("fleet", "north")})
+            self.assertEqual(
+                (
+                    told["number"],
+                    {name: member["place"] for name, member in told["members"].items()},
+                ),
+                (number, members),
+            )
+            self.assertEqual(
+                {ward: state["epoch"] for ward, state in told["wards"].items()},
+                {ward: record.wards.get(ward, (0, None))[0] for ward in ("fleet", "north")},
+            )
             self.assertEqual(charge.known, record.wards)
 
 
@@ -242,11 +387,18 @@
                 return int(name.removeprefix("host-"))
 
         kept, listener = self.opened().held["roster"], Listener()
-        roster = Roster(listener, Door(), ["north", "south"], ["small", "big"], 1_749_999_000_000_000 - 7)
+        roster = Roster(
+            listener, Door(), ["north", "south"], ["small", "big"], 1_749_999_000_000_000 - 7
+        )
         roster.believed(kept, kept["hosts"], True)
         self.assertEqual((roster.version, roster.epoch, roster.quiet), (1042, 2, {"host-7"}))
-        self.assertEqual([plain([one.index, one.cell, one.kind, one.zone, one.weight, one.started]) for one in listener.servers],
-                         [[3, 1, 1, 0, 2.5, 7], [7, 0, 2, 0, 1.0, 0], [9, 0, 2, 1, 1.0, 0]])
+        self.assertEqual(
+            [
+                plain([one.index, one.cell, one.kind, one.zone, one.weight, one.started])
+                for one in listener.servers
+            ],
+            [[3, 1, 1, 0, 2.5, 7], [7, 0, 2, 0, 1.0, 0], [9, 0, 2, 1, 1.0, 0]],
+        )
         self.assertEqual({**roster.kept(), "at": STARTED_AT}, kept)
 
 
@@ -254,32 +406,49 @@
     KEY = MESSAGES["key"].encode()
 
     def test_each_kind_is_there_in_each_version_that_can_say_it(self):
-        found = {version: {one["kind"] for one in MESSAGES["messages"] if one["version"] == version} for version in (1, 2, 3)}
-        self.assertEqual(found, {1: KINDS_OF_VERSION_1, 2: KINDS_OF_VERSION_2, 3: KINDS_OF_VERSION_3})
+        found = {
+            version: {one["kind"] for one in MESSAGES["messages"] if one["version"] == version}
+            for version in (1, 2, 3)
+        }
+        self.assertEqual(
+            found, {1: KINDS_OF_VERSION_1, 2: KINDS_OF_VERSION_2, 3: KINDS_OF_VERSION_3}
+        )
 
     def test_each_unpacks_to_the_fields_that_were_said(self):
         for place, one in enumerate(MESSAGES["messages"]):
             with self.subTest(place=place, kind=one["kind"], version=one["version"]):
                 data = bytes.fromhex(one["bytes"])
-                head, rest = data[:messages.HEAD], data[messages.HEAD:]
+                head, rest = data[: messages.HEAD], data[messages.HEAD :]
                 self.assertEqual(messages.length(head), len(rest))
-                source, version, kind, fields = messages.unpack(self.KEY, rest, lambda name, who=one["from"]: name == who)
-                self.assertEqual((source, version, kind), (one["from"], one["version"], one["kind"]))
+                source, version, kind, fields = messages.unpack(
+                    self.KEY, rest, lambda name, who=one["from"]: name == who
+                )
+                self.assertEqual(
+                    (source, version, kind), (one["from"], one["version"], one["kind"])
+                )
                 self.assertEqual(plain(fields), one["fields"])
 
     def test_each_is_packed_as_the_same_bytes(self):
         for place, one in enumerate(MESSAGES["messages"]):
             with self.subTest(place=place, kind=one["kind"], version=one["version"]):
-                data = messages.pack(self.KEY, one["from"], one["kind"], one["version"], **one["fields"])
+                data = messages.pack(
+                    self.KEY, one["from"], one["kind"], one["version"], **one["fields"]
+                )
                 self.assertEqual(data.hex(), one["bytes"])
 
     def test_a_plan_unpacks_as_number_epoch_and_members(self):
-        grants = [one for one in MESSAGES["messages"] if one["kind"] == "grant" and one["fields"]["plan"]]
+        grants = [
+            one for one in MESSAGES["messages"] if one["kind"] == "grant" and one["fields"]["plan"]
+        ]
         self.assertEqual([one["version"] for one in grants], [2, 3])
         for one in grants:
-            fields = messages.unpack(self.KEY, bytes.fromhex(one["bytes"])[messages.HEAD:], lambda name: True)[3]
-            self.assertEqual((fields["plan"], fields["ward"], fields["epoch"], fields["number"]),
-                             ((6, 33, PLANNED_MEMBERS), "north", 49, 5))
+            fields = messages.unpack(
+                self.KEY, bytes.fromhex(one["bytes"])[messages.HEAD :], lambda name: True
+            )[3]
+            self.assertEqual(
+                (fields["plan"], fields["ward"], fields["epoch"], fields["number"]),
+                ((6, 33, PLANNED_MEMBERS), "north", 49, 5),
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,5 @@
 """Several controllers: decisions on simulated time, records and messages, and real processes that are stopped and wake."""
+
 import asyncio
 import json
 import os
@@ -15,23 +16,23 @@
 
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
-from indigodeck.chance import Chance                          # noqa: E402
-from indigodeck.client import Tables                          # noqa: E402
-from indigodeck.client.tables import Redial                   # noqa: E402
-from indigodeck.client.xds import Refused, Talk, XdsClient    # noqa: E402
-from indigodeck.fronts.xds import codec                       # noqa: E402
-from indigodeck.takeover import messages, model               # noqa: E402
-from indigodeck.takeover.charge import Charge, Record         # noqa: E402
-from indigodeck.takeover.record import RecordFile, pack, pack_entries, unpack, unpack_entries      # noqa: E402
-from indigodeck.takeover.refusals import Refusals             # noqa: E402
-from indigodeck.takeover.apart import Apart                   # noqa: E402
-from indigodeck.takeover.peers import Peers, ask              # noqa: E402
-from indigodeck.clock import now                              # noqa: E402
-from indigodeck.standins.controllers import Fleet, Gate       # noqa: E402
-from indigodeck.standins.fleet_day import FleetPlay           # noqa: E402
-from indigodeck.standins.stock import GrpcHost                # noqa: E402
-from rig import SECOND, Loop                                  # noqa: E402
-from test_live import ROOT, until                             # noqa: E402
+from indigodeck.chance import Chance  # noqa: E402
+from indigodeck.client import Tables  # noqa: E402
+from indigodeck.client.tables import Redial  # noqa: E402
+from indigodeck.client.xds import Refused, Talk, XdsClient  # noqa: E402
+from indigodeck.fronts.xds import codec  # noqa: E402
+from indigodeck.takeover import messages, model  # noqa: E402
+from indigodeck.takeover.charge import Charge, Record  # noqa: E402
+from indigodeck.takeover.record import RecordFile, pack, pack_entries, unpack, unpack_entries  # noqa: E402
+from indigodeck.takeover.refusals import Refusals  # noqa: E402
+from indigodeck.takeover.apart import Apart  # noqa: E402
+from indigodeck.takeover.peers import Peers, ask  # noqa: E402
+from indigodeck.clock import now  # noqa: E402
+from indigodeck.standins.controllers import Fleet, Gate  # noqa: E402
+from indigodeck.standins.fleet_day import FleetPlay  # noqa: E402
+from indigodeck.standins.stock import GrpcHost  # noqa: E402
+from rig import SECOND, Loop  # noqa: E402
+from test_live import ROOT, until  # noqa: E402
 
 
 PLACES = {name: f"127.0.0.1:{nth}" for nth, name in enumerate("abc", 1)}
@@ -50,7 +51,10 @@
                 self.assertIsNotNone(model.explore(seeds, make=mutant)[2])
 
     def test_the_same_seed_plays_the_same_day(self):
-        self.assertEqual([model.World(seed).run() for seed in (3, 8)], [model.World(seed).run() for seed in (3, 8)])
+        self.assertEqual(
+            [model.World(seed).run() for seed in (3, 8)],
+            [model.World(seed).run() for seed in (3, 8)],
+        )
 
 
 class Anything(RuleBasedStateMachine):
@@ -84,7 +88,12 @@
     @rule(side=some.sets(some.integers(0, 6)), one_way=some.booleans())
     def cut(self, side, one_way):
         far, names = {self.seat(at).name for at in side}, self.world.names
-        self.world.cut = {(a, b) for a in names for b in names if a in far and b not in far or not one_way and b in far and a not in far}
+        self.world.cut = {
+            (a, b)
+            for a in names
+            for b in names
+            if a in far and b not in far or not one_way and b in far and a not in far
+        }
 
     @rule(at=some.integers(0, 6))
     def change(self, at):
@@ -104,7 +113,9 @@
         return self.world.seats[self.world.names[at % len(self.world.names)]]
 
 
-Anything.TestCase.settings = settings(max_examples=40, stateful_step_count=40, deadline=None, derandomize=True)
+Anything.TestCase.settings = settings(
+    max_examples=40, stateful_step_count=40, deadline=None, derandomize=True
+)
 AnyOrder = Anything.TestCase
 
 
@@ -114,7 +125,9 @@
     def __init__(self, record=None, life=2):
         super().__init__()
         self.sent, self.kept, self.broken_disk, self.hung_since = [], [], False, None
-        self.charge = Charge(self, "a", PLACES, ["fleet"], 2 * SECOND, 0.05, Chance(1), life, record)
+        self.charge = Charge(
+            self, "a", PLACES, ["fleet"], 2 * SECOND, 0.05, Chance(1), life, record
+        )
 
     def silent(self):
         return 0 if self.hung_since is None else self.clock - self.hung_since
@@ -142,7 +155,9 @@
         self.note(f"members by {number}")
 
     def told(self, member, epochs=None, serial=0, number=0, members=PLACES, plan=None, hello=None):
-        self.charge.told(member, hello or self.charge.hello, epochs or {}, serial, number, members, plan)
+        self.charge.told(
+            member, hello or self.charge.hello, epochs or {}, serial, number, members, plan
+        )
 
     def granted(self, member, plan=None, number=0):
         asked = self.last("ask")
@@ -210,17 +225,31 @@
     def test_members_change_one_at_a_time_and_by_a_majority_of_those_before(self):
         alone = self.led()
         more = dict(PLACES, d="127.0.0.1:4")
-        self.assertEqual(alone.charge.change(dict(more, e="127.0.0.1:5")), "one member is added or removed at a time")
+        self.assertEqual(
+            alone.charge.change(dict(more, e="127.0.0.1:5")),
+            "one member is added or removed at a time",
+        )
         self.assertIsNone(alone.charge.change(more))
-        self.assertEqual(alone.charge.change({"a": PLACES["a"], "b": PLACES["b"]}), "another change is under way")
+        self.assertEqual(
+            alone.charge.change({"a": PLACES["a"], "b": PLACES["b"]}), "another change is under way"
+        )
         proposed = alone.last("propose")
         self.assertEqual((proposed["number"], proposed["members"]), (1, more))
-        alone.charge.accepted("d", 1, proposed["epoch"], {})      # is no member yet: its word does not count
+        alone.charge.accepted(
+            "d", 1, proposed["epoch"], {}
+        )  # is no member yet: its word does not count
         self.assertEqual(alone.charge.members, PLACES)
         alone.charge.accepted("c", 1, proposed["epoch"], {"fleet": [900, "c"]})
         self.assertEqual((alone.charge.number, alone.charge.members), (1, more))
         self.assertEqual(alone.kept[-1].fleet, (1, more))
-        self.assertEqual({member for member, kind, fields in alone.sent if kind == "members" and fields["number"] == 1}, set("bcd"))
+        self.assertEqual(
+            {
+                member
+                for member, kind, fields in alone.sent
+                if kind == "members" and fields["number"] == 1
+            },
+            set("bcd"),
+        )
         # What one of them granted while it accepted is known to all of the new fleet.
         self.assertEqual(alone.last("members")["epochs"], {"fleet": [900, "c"]})
         # Neighbouring fleets only: nothing further is accepted before leases of the one before have ended.
@@ -231,7 +260,14 @@
         self.assertEqual(alone.asked("b", 40, number=3), "deny")
         alone.charge.members_are("b", 3, dict(PLACES, d="127.0.0.1:4"), {})
         self.assertEqual(alone.asked("c", 50, number=0), "deny")
-        self.assertEqual([fields["number"] for member, kind, fields in alone.sent if (member, kind) == ("c", "members")], [3])
+        self.assertEqual(
+            [
+                fields["number"]
+                for member, kind, fields in alone.sent
+                if (member, kind) == ("c", "members")
+            ],
+            [3],
+        )
         self.assertEqual(alone.asked("c", 50, number=3), "grant")
         # One that was taken out gives up at once and is granted nothing more.
         alone.charge.members_are("b", 4, {"b": "127.0.0.1:2", "d": "127.0.0.1:4"}, {})
@@ -244,9 +280,14 @@
         alone.run(3)
         fewer = {"a": PLACES["a"], "c": PLACES["c"]}
         alone.granted("c", plan=(1, 5, fewer))
-        self.assertEqual(alone.charge.change(dict(PLACES, d="127.0.0.1:4")), "another change is under way")
+        self.assertEqual(
+            alone.charge.change(dict(PLACES, d="127.0.0.1:4")), "another change is under way"
+        )
         alone.run(0.5)
-        self.assertEqual((alone.last("propose")["members"], alone.last("propose")["epoch"]), (fewer, alone.charge.holds("fleet")))
+        self.assertEqual(
+            (alone.last("propose")["members"], alone.last("propose")["epoch"]),
+            (fewer, alone.charge.holds("fleet")),
+        )
 
     def test_a_forced_fleet_waits_for_a_lease_and_is_ahead_of_all_that_was_granted(self):
         alone = self.settled(asks=False)
@@ -271,7 +312,7 @@
         alone.clock = until_ - 1
         self.assertTrue(alone.charge.may_write("fleet", epoch))
         alone.clock = until_
-        self.assertFalse(alone.charge.may_write("fleet", epoch))      # before any timer has said so
+        self.assertFalse(alone.charge.may_write("fleet", epoch))  # before any timer has said so
         alone.granted("c")
         self.assertFalse(alone.charge.may_write("fleet", epoch))
 
@@ -323,7 +364,7 @@
         for at in range(len(data)):
             self.assertIsNone(unpack(data[:at]))
             for bit in range(8):
-                self.assertIsNone(unpack(data[:at] + bytes([data[at] ^ 1 << bit]) + data[at + 1:]))
+                self.assertIsNone(unpack(data[:at] + bytes([data[at] ^ 1 << bit]) + data[at + 1 :]))
 
     def test_a_record_is_put_in_place_whole_or_not_at_all(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -339,47 +380,116 @@
     def test_messages_are_refused_with_a_reason(self):
         def said(data, key=self.KEY):
             with self.assertRaises(messages.Refused) as caught:
-                messages.unpack(key, data[messages.HEAD:], {"c1"}.__contains__)
+                messages.unpack(key, data[messages.HEAD :], {"c1"}.__contains__)
             return str(caught.exception)
 
         good = messages.pack(self.KEY, "c1", "release", ward="fleet", epoch=3)
-        self.assertEqual(messages.unpack(self.KEY, good[4:], {"c1"}.__contains__), ("c1", 3, "release", {"ward": "fleet", "epoch": 3}))
+        self.assertEqual(
+            messages.unpack(self.KEY, good[4:], {"c1"}.__contains__),
+            ("c1", 3, "release", {"ward": "fleet", "epoch": 3}),
+        )
         self.assertEqual(said(good, b"another key"), "not sealed with the key of this fleet")
-        self.assertEqual(said(messages.pack(self.KEY, "c9", "release", ward="fleet", epoch=3)), "'c9' is none of this fleet")
-        self.assertEqual(said(messages.pack(self.KEY, "c1", "release", ward="fleet")), "'release' with fields ['ward']")
-        self.assertEqual(said(messages.pack(self.KEY, "c1", "release", ward="fleet", epoch=-1)), "epoch is -1")
-        self.assertEqual(said(messages.pack(self.KEY, "c1", "tell", hello=1, epochs={"fleet": "x"}, serial=0, number=0, members=None, plan=None)), "epochs are not numbers by ward")
-        self.assertEqual(said(messages.pack(self.KEY, "c1", "members", number=1, members={"c1": 5}, epochs={})), "members are not places by id")
-        self.assertEqual(said(messages.pack(self.KEY, "c1", "release", 3, ward="fleet", epoch=3).replace(b'"version": 3', b'"version": 4')), "not sealed with the key of this fleet")
+        self.assertEqual(
+            said(messages.pack(self.KEY, "c9", "release", ward="fleet", epoch=3)),
+            "'c9' is none of this fleet",
+        )
+        self.assertEqual(
+            said(messages.pack(self.KEY, "c1", "release", ward="fleet")),
+            "'release' with fields ['ward']",
+        )
+        self.assertEqual(
+            said(messages.pack(self.KEY, "c1", "release", ward="fleet", epoch=-1)), "epoch is -1"
+        )
+        self.assertEqual(
+            said(
+                messages.pack(
+                    self.KEY,
+                    "c1",
+                    "tell",
+                    hello=1,
+                    epochs={"fleet": "x"},
+                    serial=0,
+                    number=0,
+                    members=None,
+                    plan=None,
+                )
+            ),
+            "epochs are not numbers by ward",
+        )
+        self.assertEqual(
+            said(messages.pack(self.KEY, "c1", "members", number=1, members={"c1": 5}, epochs={})),
+            "members are not places by id",
+        )
+        self.assertEqual(
+            said(
+                messages.pack(self.KEY, "c1", "release", 3, ward="fleet", epoch=3).replace(
+                    b'"version": 3', b'"version": 4'
+                )
+            ),
+            "not sealed with the key of this fleet",
+        )
         with unittest.mock.patch.dict(messages.KINDS, {4: messages.KINDS[3]}):
             newer = messages.pack(self.KEY, "c1", "release", 4, ward="fleet", epoch=3)
         self.assertEqual(said(newer), "version 4; spoken here are 1, 2, 3")
-        self.assertEqual(said(messages.pack(self.KEY, "c1", "noted", serial=[3])), "'noted': serial is of no known shape")
-        self.assertEqual(said(messages.pack(self.KEY, "c1", "wishes", wishes={"serial": [1, 1], "pins": [], "holds": {"read": 7}})),
-                         "'wishes': wishes is of no known shape")
-        self.assertEqual(said(messages.pack(self.KEY, "c1", "sheets", number=[1, 1], part=0, of=1, parent=None, about=[1, "", "", ""],
-                                            sheets={"0": {"class": "read", "lines": {"h": -1}, "level": [1, 1]}})), "'sheets': sheets is of no known shape")
+        self.assertEqual(
+            said(messages.pack(self.KEY, "c1", "noted", serial=[3])),
+            "'noted': serial is of no known shape",
+        )
+        self.assertEqual(
+            said(
+                messages.pack(
+                    self.KEY,
+                    "c1",
+                    "wishes",
+                    wishes={"serial": [1, 1], "pins": [], "holds": {"read": 7}},
+                )
+            ),
+            "'wishes': wishes is of no known shape",
+        )
+        self.assertEqual(
+            said(
+                messages.pack(
+                    self.KEY,
+                    "c1",
+                    "sheets",
+                    number=[1, 1],
+                    part=0,
+                    of=1,
+                    parent=None,
+                    about=[1, "", "", ""],
+                    sheets={"0": {"class": "read", "lines": {"h": -1}, "level": [1, 1]}},
+                )
+            ),
+            "'sheets': sheets is of no known shape",
+        )
         with self.assertRaises(messages.Refused):
             messages.length((1 << 30).to_bytes(4, "big"))
 
     def test_an_older_version_says_what_it_can_and_is_understood(self):
-        told = dict(hello=1, epochs={"fleet": [7, "c2"]}, serial=0, number=0, members=PLACES, plan=None)
+        told = dict(
+            hello=1, epochs={"fleet": [7, "c2"]}, serial=0, number=0, members=PLACES, plan=None
+        )
         old = messages.pack(self.KEY, "c1", "tell", 1, **told)
-        self.assertEqual(messages.unpack(self.KEY, old[4:], {"c1"}.__contains__), (
-            "c1", 1, "tell", dict(told, epochs={"fleet": [7, None]}, members=None)))
+        self.assertEqual(
+            messages.unpack(self.KEY, old[4:], {"c1"}.__contains__),
+            ("c1", 1, "tell", dict(told, epochs={"fleet": [7, None]}, members=None)),
+        )
         self.assertFalse(messages.sayable("propose", 1, {}))
         self.assertFalse(messages.sayable("ask", 1, {"number": 3}))
         speech = messages.Speech()
         speech.heard("old", 1)
         self.assertEqual(speech.version, 1)
-        speech.heard("new", 2)          # replaced by a newer program
-        speech.heard("new", 1)          # which has just read what was sent to the one before
+        speech.heard("new", 2)  # replaced by a newer program
+        speech.heard("new", 1)  # which has just read what was sent to the one before
         self.assertEqual(speech.version, 2)
 
     def test_refusals_last_are_told_and_bounded(self):
         loop = Loop()
         kept, said = [], []
-        loop.keep_refused, loop.tell_refused = lambda entries: kept.append(entries) or True, said.append
+        loop.keep_refused, loop.tell_refused = (
+            lambda entries: kept.append(entries) or True,
+            said.append,
+        )
         held = Refusals(loop)
         for nth in range(40):
             held.refused("r1", "read", f"v{nth}")
@@ -387,8 +497,10 @@
         self.assertEqual((kept, len(said)), ([[("r1", "read", "v39")]], 1))
         held.heard([("r2", "write", "v7")])
         loop.run(2)
-        self.assertEqual((len(kept), len(said)), (2, 1))       # what was heard is kept, not said again
-        self.assertEqual(Refusals(loop, unpack_entries(pack_entries(kept[-1]))).of("r2"), {"write": "v7"})
+        self.assertEqual((len(kept), len(said)), (2, 1))  # what was heard is kept, not said again
+        self.assertEqual(
+            Refusals(loop, unpack_entries(pack_entries(kept[-1]))).of("r2"), {"write": "v7"}
+        )
         self.assertEqual(unpack_entries(pack_entries(kept[-1])[:-4]), [])
         many = Refusals(loop, [(f"r{nth}", "read", "v") for nth in range(5000)])
         self.assertEqual(len(many.by_relay), 4096)
@@ -396,9 +508,11 @@
     @settings(max_examples=300, deadline=None)
     @given(some.integers(0, 200), some.binary(min_size=1, max_size=8))
     def test_damage_anywhere_is_refused(self, at, put):
-        good = messages.pack(self.KEY, "c1", "ask", ward="fleet", epoch=3, round=1 << 40, serial=2, number=0)[4:]
+        good = messages.pack(
+            self.KEY, "c1", "ask", ward="fleet", epoch=3, round=1 << 40, serial=2, number=0
+        )[4:]
         at %= len(good)
-        damaged = good[:at] + put + good[at + len(put):]
+        damaged = good[:at] + put + good[at + len(put) :]
         if damaged != good:
             with self.assertRaises(messages.Refused):
                 messages.unpack(self.KEY, damaged, {"c1"}.__contains__)
@@ -428,15 +542,28 @@
         record, lease, key = pathlib.Path(folder.name) / "r", 2 * SECOND, b"a key of sixteen bytes"
 
         def made(surroundings):
-            return Peers(surroundings, "a", {"a": "127.0.0.1:0"}, ["fleet"], lease, 0.01, key, RecordFile(record),
-                         RecordFile(record.with_name("f"), pack_entries, unpack_entries), Chance(1), 1, 2, False)
+            return Peers(
+                surroundings,
+                "a",
+                {"a": "127.0.0.1:0"},
+                ["fleet"],
+                lease,
+                0.01,
+                key,
+                RecordFile(record),
+                RecordFile(record.with_name("f"), pack_entries, unpack_entries),
+                Chance(1),
+                1,
+                2,
+                False,
+            )
 
         apart = Apart(self, made, lease)
         self.addCleanup(apart.cease)
         await until(lambda: self.charges, 20)
         first = self.charges[0]
         for _ in range(3):
-            time.sleep(1)           # the loop does nothing else meanwhile
+            time.sleep(1)  # the loop does nothing else meanwhile
             await asyncio.sleep(0.3)
         self.assertEqual(self.charges, [first])
         self.assertEqual(apart.charge.holds("fleet"), first[1])
@@ -452,7 +579,9 @@
 
     async def set_up(self, gated=False, known=None, **given):
         folder = tempfile.TemporaryDirectory()
-        self.fleet = Fleet(folder.name, json.loads((ROOT / "examples/charter.json").read_text()), **given)
+        self.fleet = Fleet(
+            folder.name, json.loads((ROOT / "examples/charter.json").read_text()), **given
+        )
         self.addCleanup(folder.cleanup)
         self.addAsyncCleanup(self.fleet.end)
         if gated:
@@ -460,10 +589,16 @@
         for name in self.fleet.members:
             await self.fleet.start(name)
         await until(self.fleet.holder, 20)
-        wires = [{wire: ("127.0.0.1", ports[wire]) for wire in ports} for name, ports in self.fleet.wires.items()
-                 if name in (known or self.fleet.members)]
-        self.relays = [self.fleet.relay(wire, f"hall-a/{wire}-{nth}", [place[wire] for place in wires])
-                       for nth in range(3) for wire in ("sasp", "xds")]
+        wires = [
+            {wire: ("127.0.0.1", ports[wire]) for wire in ports}
+            for name, ports in self.fleet.wires.items()
+            if name in (known or self.fleet.members)
+        ]
+        self.relays = [
+            self.fleet.relay(wire, f"hall-a/{wire}-{nth}", [place[wire] for place in wires])
+            for nth in range(3)
+            for wire in ("sasp", "xds")
+        ]
         self.bare = []
         if known is None:
             await until(lambda: self.all_hold(range(8)), 20)
@@ -472,14 +607,18 @@
     def watch(self):
         """Notes whenever a relay has nobody for a class."""
         for tables, *_ in self.relays:
-            tables.changed = lambda name, tables=tables: tables.lines[name] or self.bare.append(name)
+            tables.changed = lambda name, tables=tables: (
+                tables.lines[name] or self.bare.append(name)
+            )
 
     async def followed(self):
         """{relay: [controllers that say they speak to it]}"""
         found, key = {}, b"a key for tests, shared by all of them"
         for name, port in self.fleet.members.items():
             if self.fleet.processes[name].returncode is None:
-                for relay, *_ in (await ask(("127.0.0.1", port), key, "followers", after=""))["relays"]:
+                for relay, *_ in (await ask(("127.0.0.1", port), key, "followers", after=""))[
+                    "relays"
+                ]:
                     found.setdefault(relay, []).append(name)
         return found
 
@@ -494,11 +633,17 @@
             await asyncio.wait([task], timeout=3)
 
     def all_hold(self, hosts):
-        return all({port - 9000 for _, port in lines} == set(hosts) for tables, *_ in self.relays for lines in tables.lines.values())
+        return all(
+            {port - 9000 for _, port in lines} == set(hosts)
+            for tables, *_ in self.relays
+            for lines in tables.lines.values()
+        )
 
 
 class Processes(Controllers):
-    async def test_a_stopped_controller_is_replaced_and_nothing_of_it_takes_effect_when_it_wakes(self):
+    async def test_a_stopped_controller_is_replaced_and_nothing_of_it_takes_effect_when_it_wakes(
+        self,
+    ):
         await self.set_up()
         old = self.fleet.holder()
         self.fleet.signal(old, signal.SIGSTOP)
@@ -506,7 +651,9 @@
         new = self.fleet.holder()
         self.fleet.keep(h2="draining")
         await until(lambda: self.all_hold({0, 1, 3, 4, 5, 6, 7}), 20)
-        epochs = [tables.epoch for tables, client, _ in self.relays if isinstance(client, XdsClient)]
+        epochs = [
+            tables.epoch for tables, client, _ in self.relays if isinstance(client, XdsClient)
+        ]
         # It wakes with an older list in mind, and is cut off from telling anybody.
         changes = []
         for tables, *_ in self.relays:
@@ -535,14 +682,23 @@
             await self.fleet.start(name)
         self.fleet.keep(h4="draining")
         await until(lambda: self.all_hold({0, 1, 2, 5, 6, 7}), 30)
-        self.assertGreater(max(epoch for name in self.fleet.members for _, epoch in self.fleet.told(name)), before)
+        self.assertGreater(
+            max(epoch for name in self.fleet.members for _, epoch in self.fleet.told(name)), before
+        )
         self.assertEqual(self.bare, [])
 
     async def test_a_day_of_stops_and_handovers_breaks_no_rule(self):
         script = json.loads((ROOT / "examples/bad-day.json").read_text())
-        script.update(seconds=18, troubles=[
-            {"at": 2, "kind": "deploy", "part": 0.5, "size": 0.5, "seconds": 10}, {"at": 4, "kind": "takeover", "seconds": 3},
-            {"at": 5, "kind": "stall", "seconds": 1}, {"at": 9, "kind": "handover"}, {"at": 12, "kind": "takeover", "seconds": 2}])
+        script.update(
+            seconds=18,
+            troubles=[
+                {"at": 2, "kind": "deploy", "part": 0.5, "size": 0.5, "seconds": 10},
+                {"at": 4, "kind": "takeover", "seconds": 3},
+                {"at": 5, "kind": "stall", "seconds": 1},
+                {"at": 9, "kind": "handover"},
+                {"at": 12, "kind": "takeover", "seconds": 2},
+            ],
+        )
         script["relays"]["rate"] = 60
         script["charter"]["fronts"]["sasp"]["interval_s"] = 1
         script["charter"]["channel"].update(messages_most=60, answers_most=30)
@@ -550,14 +706,16 @@
             play = FleetPlay(script, pathlib.Path(folder))
             result = await play.play()
             charges = play.charges()
-        self.assertEqual([rule["rule"] for rule in result["rules"] if not rule["kept"]], [], result["rules"])
+        self.assertEqual(
+            [rule["rule"] for rule in result["rules"] if not rule["kept"]], [], result["rules"]
+        )
         self.assertGreaterEqual(len(charges), 3)
         self.assertGreater(result["service"]["whole"], 0.9)
 
     async def test_only_messages_between_controllers_are_lost(self):
         await self.set_up(gated=True)
         old = self.fleet.holder()
-        self.fleet.cut(old)         # all relays still reach all three
+        self.fleet.cut(old)  # all relays still reach all three
         await until(lambda: self.fleet.holder() not in (None, old), 15)
         self.fleet.keep(h2="draining")
         await until(lambda: self.all_hold({0, 1, 3, 4, 5, 6, 7}), 20)
@@ -598,7 +756,9 @@
     async def test_a_controller_is_let_in_and_stands_in_for_two_that_are_gone(self):
         await self.set_up(spare=1)
         self.assertEqual(self.fleet.told("c3"), [])
-        code, said = await self.fleet.command("fleet", "add", "c3", f"127.0.0.1:{self.fleet.members['c3']}")
+        code, said = await self.fleet.command(
+            "fleet", "add", "c3", f"127.0.0.1:{self.fleet.members['c3']}"
+        )
         self.assertEqual((code, said), (0, "members by number 1: c0, c1, c2, c3"))
         old = self.fleet.holder()
         gone = "c1" if old != "c1" else "c2"
@@ -615,8 +775,11 @@
             if said["c3"].get("settled"):
                 break
             await asyncio.sleep(0.2)
-        self.assertEqual((said["c3"]["number"], sorted(said["c3"]["members"])), (2, sorted({"c0", "c1", "c2", "c3"} - {gone})))
-        await self.fleet.ended(old)         # one of three is left out of the first three, and the new one
+        self.assertEqual(
+            (said["c3"]["number"], sorted(said["c3"]["members"])),
+            (2, sorted({"c0", "c1", "c2", "c3"} - {gone})),
+        )
+        await self.fleet.ended(old)  # one of three is left out of the first three, and the new one
         await until(lambda: self.fleet.holder() not in (None, old, gone), 15)
         self.fleet.keep(h2="draining")
         await until(lambda: self.all_hold({0, 1, 4, 5, 6, 7}), 20)
@@ -626,8 +789,10 @@
         self.fleet.keep(h4="draining")
         await asyncio.sleep(2.5)
         self.assertEqual((await self.fleet.command("fleet", "force", left, of=left))[0], 2)
-        self.assertEqual(await self.fleet.command("fleet", "force", left, "--others-are-gone", of=left),
-                         (0, f"{left} holds {left} to be the whole fleet"))
+        self.assertEqual(
+            await self.fleet.command("fleet", "force", left, "--others-are-gone", of=left),
+            (0, f"{left} holds {left} to be the whole fleet"),
+        )
         await until(lambda: self.all_hold({0, 1, 5, 6, 7}), 20)
         self.assertEqual(self.bare, [])
 
@@ -636,15 +801,23 @@
         for nth, name in enumerate(("c2", "c1", "c0", "c3")):
             if nth == 1:
                 code, said = await self.fleet.command("fleet", "remove", "c2")
-                self.assertEqual(code, 1, said)      # the others know no changes of members yet
+                self.assertEqual(code, 1, said)  # the others know no changes of members yet
             await self.fleet.ended(name)
             self.fleet.state(name, speaks=2)
             await self.fleet.start(name)
-            await until(lambda: self.fleet.holder() and self.fleet.processes[self.fleet.holder()].returncode is None, 15)
+            await until(
+                lambda: (
+                    self.fleet.holder()
+                    and self.fleet.processes[self.fleet.holder()].returncode is None
+                ),
+                15,
+            )
             self.fleet.keep(**{f"h{nth}": "draining"})
             await until(lambda: self.all_hold(set(range(nth + 1, 8))), 20)
         for _ in range(10):
-            code, said = await self.fleet.command("fleet", "add", "c3", f"127.0.0.1:{self.fleet.members['c3']}")
+            code, said = await self.fleet.command(
+                "fleet", "add", "c3", f"127.0.0.1:{self.fleet.members['c3']}"
+            )
             if not code:
                 break
             await asyncio.sleep(0.5)
@@ -659,9 +832,14 @@
         await until(record.exists, 5)
         copy, before = record.read_bytes(), self.fleet.told(holder)[-1][1]
         self.assertEqual((await self.fleet.command("handover"))[0], 0)
-        await until(lambda: self.fleet.holder() not in (None, holder) or self.fleet.told(holder)[-1][1] > before, 15)
+        await until(
+            lambda: (
+                self.fleet.holder() not in (None, holder) or self.fleet.told(holder)[-1][1] > before
+            ),
+            15,
+        )
         await until(lambda: record.read_bytes() != copy, 10)
-        await asyncio.sleep(1)         # the others see of it what they can know it by
+        await asyncio.sleep(1)  # the others see of it what they can know it by
         await self.fleet.ended(other)
         record.write_bytes(copy)
         await self.fleet.start(other)
@@ -678,12 +856,14 @@
             port = await gate.open()
             self.addCleanup(gate.close)
             others = [("127.0.0.1", ports[wire]) for name, ports in wires.items() if name != old]
-            self.relays.append(self.fleet.relay(wire, f"hall-a/half-{wire}", [("127.0.0.1", port), *others]))
+            self.relays.append(
+                self.fleet.relay(wire, f"hall-a/half-{wire}", [("127.0.0.1", port), *others])
+            )
         half = self.relays[-2:]
         await until(lambda: self.all_hold(range(8)), 20)
         before = [dict(tables.lines) for tables, *_ in half]
         for gate in gates.values():
-            gate.answered_most = 25     # within the next message, over either wire
+            gate.answered_most = 25  # within the next message, over either wire
         self.fleet.keep(h2="draining", h3="draining")
         await until(lambda: not any(gate.answered_most for gate in gates.values()), 10)
         self.fleet.signal(old, signal.SIGSTOP)
@@ -703,7 +883,9 @@
             if talk.tables is not tables:
                 return read(talk, response)
             pushed.extend((resource.name, resource.version) for resource in response.resources)
-            answer = read(Talk(Tables([], lambda: 0), {}), response)        # which knows no class, so can't use any
+            answer = read(
+                Talk(Tables([], lambda: 0), {}), response
+            )  # which knows no class, so can't use any
             self.assertTrue(answer.error_detail.message)
             return answer
 
@@ -717,18 +899,33 @@
                 await self.fleet.start(name)
             others = [relay for relay in self.relays if relay[0] is not tables]
             self.fleet.keep(h3="draining")
-            await until(lambda: all({port - 9000 for _, port in lines} == {0, 1, 4, 5, 6, 7}
-                                    for other, *_ in others for lines in other.lines.values()), 30)
+            await until(
+                lambda: all(
+                    {port - 9000 for _, port in lines} == {0, 1, 4, 5, 6, 7}
+                    for other, *_ in others
+                    for lines in other.lines.values()
+                ),
+                30,
+            )
             await asyncio.sleep(1)
         self.assertEqual(len(set(pushed)), len(pushed))
-        self.assertEqual({port - 9000 for _, port in tables.lines["reading"]}, set(range(8)))      # goes on with what it held
+        self.assertEqual(
+            {port - 9000 for _, port in tables.lines["reading"]}, set(range(8))
+        )  # goes on with what it held
 
     async def test_halls_are_wards_of_their_own_and_spread(self):
         await self.set_up(stated={"wards": "halls"}, known=())
         await until(lambda: self.all_hold(range(8)), 20)
         said = json.loads((await self.fleet.command("fleet", "--format", "json"))[1])
-        held = {ward: name for name, told in said.items() for ward, state in told["wards"].items() if state["held"]}
-        self.assertEqual(set(held), set(json.loads((ROOT / "examples/charter.json").read_text())["halls"]))
+        held = {
+            ward: name
+            for name, told in said.items()
+            for ward, state in told["wards"].items()
+            if state["held"]
+        }
+        self.assertEqual(
+            set(held), set(json.loads((ROOT / "examples/charter.json").read_text())["halls"])
+        )
         self.assertGreater(len(set(held.values())), 1)
         await self.spoken_to_by_one(held["hall-a"])
         self.assertEqual(said[held["hall-a"]]["wards"]["hall-a"]["followers"], len(self.relays))
@@ -745,10 +942,28 @@
         self.fleet.states = {}
         self.fleet.place = lambda nth: hosts[nth].port
         self.fleet.keep(h0="ready")
-        where = "ipv4:" + ",".join(f"127.0.0.1:{ports['xds']}" for ports in self.fleet.wires.values())
+        where = "ipv4:" + ",".join(
+            f"127.0.0.1:{ports['xds']}" for ports in self.fleet.wires.values()
+        )
         stock = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "indigodeck", "standin", "stock", "--planner", where, "--uid", "hall-a/stock", "--class", "reading",
-            "--rate", "20", "--seconds", "12", stdout=asyncio.subprocess.PIPE, cwd=ROOT)
+            sys.executable,
+            "-m",
+            "indigodeck",
+            "standin",
+            "stock",
+            "--planner",
+            where,
+            "--uid",
+            "hall-a/stock",
+            "--class",
+            "reading",
+            "--rate",
+            "20",
+            "--seconds",
+            "12",
+            stdout=asyncio.subprocess.PIPE,
+            cwd=ROOT,
+        )
         await until(lambda: hosts[0].receipts, 15)
         old = self.fleet.holder()
         await self.fleet.ended(old)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,5 @@
 """Versions of tables: numbers that are never used twice, chains, holds that keep the rules, and what operators ask."""
+
 import json
 import unittest
 
@@ -14,8 +15,16 @@
 
 HOSTS = [f"host-{nth}" for nth in range(12)]
 Lines = some.dictionaries(some.sampled_from(HOSTS), some.floats(0.01, 5), max_size=8)
-Sheets = some.dictionaries(some.sampled_from(["0", "1", "2", "3"]), some.builds(
-    sheets.sheet, some.sampled_from(["read", "write"]), Lines, some.tuples(some.sampled_from([1.0, 0.5]), some.just(1))), max_size=4)
+Sheets = some.dictionaries(
+    some.sampled_from(["0", "1", "2", "3"]),
+    some.builds(
+        sheets.sheet,
+        some.sampled_from(["read", "write"]),
+        Lines,
+        some.tuples(some.sampled_from([1.0, 0.5]), some.just(1)),
+    ),
+    max_size=4,
+)
 
 
 class SheetsOf(unittest.TestCase):
@@ -24,7 +33,9 @@
     def test_a_change_makes_the_new_set_of_the_old_one_and_of_no_other(self, old, new, other):
         changes = json.loads(json.dumps(sheets.changes_of(old, new)))
         self.assertEqual(sheets.changed(old, changes), new)
-        self.assertLessEqual(sheets.lines_in(changes), sheets.lines_in(new) + sheets.lines_in(old) + 8)
+        self.assertLessEqual(
+            sheets.lines_in(changes), sheets.lines_in(new) + sheets.lines_in(old) + 8
+        )
         for table, change in changes.items():
             if change and "of" in change and other.get(table) != old[table]:
                 with self.assertRaises(sheets.Mismatch):
@@ -54,8 +65,14 @@
 
 
 def drawn(chance):
-    return {str(table): sheets.sheet("read", {HOSTS[chance.below(12)]: 1 + chance.below(4) for _ in range(1 + chance.below(6))}, (1.0, 1))
-            for table in range(3)}
+    return {
+        str(table): sheets.sheet(
+            "read",
+            {HOSTS[chance.below(12)]: 1 + chance.below(4) for _ in range(1 + chance.below(6))},
+            (1.0, 1),
+        )
+        for table in range(3)
+    }
 
 
 class Ledgers(unittest.TestCase):
@@ -70,7 +87,7 @@
     def test_any_kept_version_comes_back_as_it_was_over_restarts(self):
         published, ledger = {}, self.started(1)
         for nth in range(200):
-            held = {**ledger.sheets, **dict(list(drawn(self.chance).items())[:1 + nth % 3])}
+            held = {**ledger.sheets, **dict(list(drawn(self.chance).items())[: 1 + nth % 3])}
             version = ledger.published(held, f"change {nth}")
             if version:
                 published[version.number] = held
@@ -79,7 +96,9 @@
         self.assertGreater(len(published), 150)
         self.assertEqual({one: ledger.sheets_of(one) for one in published}, published)
         first, last = min(published), max(published)
-        self.assertEqual(sheets.changed(published[first], ledger.between(first, last)), published[last])
+        self.assertEqual(
+            sheets.changed(published[first], ledger.between(first, last)), published[last]
+        )
         wholes = sum(version.first == version.number for version in ledger.versions.values())
         self.assertLessEqual(len(published) / CHAIN, wholes)
 
@@ -89,7 +108,9 @@
         again = self.started(4)
         self.assertIsNone(again.published(json.loads(json.dumps(held)), "the same after a restart"))
         second = again.published(drawn(self.chance), "b")
-        self.assertEqual((str(first.number), str(second.number), second.parent), ("3.1", "4.1", first.number))
+        self.assertEqual(
+            (str(first.number), str(second.number), second.parent), ("3.1", "4.1", first.number)
+        )
         # What was published and whose record was lost is not published under its number again.
         self.shelf.broken = True
         lost = again.published(drawn(self.chance), "c")
@@ -112,7 +133,9 @@
         ledger, numbers = self.started(1), []
         for nth in range(20):
             held = dict(ledger.sheets or drawn(self.chance))
-            held["0"] = sheets.sheet("read", {**(held["0"]["lines"]), f"host-{nth % 12}": 10 + nth}, (1.0, 1))
+            held["0"] = sheets.sheet(
+                "read", {**(held["0"]["lines"]), f"host-{nth % 12}": 10 + nth}, (1.0, 1)
+            )
             numbers.append(ledger.published(held, "x").number)
         key = sorted(self.shelf.held)[10]
         self.shelf.held[key]["sheets"]["0"]["lines"] = {"host-1": 999.0}
@@ -141,8 +164,11 @@
 
 class Together(unittest.TestCase):
     @settings(max_examples=500, deadline=None)
-    @given(some.dictionaries(some.integers(0, 9), some.floats(0.1, 4), min_size=1), some.dictionaries(some.integers(0, 9), some.floats(0.1, 4)),
-           some.lists(some.sampled_from([OUT, COLD, WARM]), min_size=10, max_size=10))
+    @given(
+        some.dictionaries(some.integers(0, 9), some.floats(0.1, 4), min_size=1),
+        some.dictionaries(some.integers(0, 9), some.floats(0.1, 4)),
+        some.lists(some.sampled_from([OUT, COLD, WARM]), min_size=10, max_size=10),
+    )
     def test_rules_come_before_an_old_table(self, old, today, states):
         today = {server: weight for server, weight in today.items() if states[server] != OUT}
         lines, why = brought_together(old, today, states.__getitem__)
@@ -160,10 +186,22 @@
 
     def test_what_is_left_of_an_old_table_must_be_enough(self):
         old, today = {0: 1.0, 1: 1.0, 2: 1.0, 3: 1.0}, {4: 1.0, 5: 1.0}
-        self.assertEqual(brought_together(old, today, lambda server: OUT if server < 2 else WARM)[0], {2: 1.0, 3: 1.0})
-        self.assertEqual(brought_together(old, today, lambda server: OUT if server < 3 else WARM), (today, "too little of it is left"))
-        self.assertEqual(brought_together(old, today, lambda server: COLD if server < 3 else WARM), (today, "too little of it is left"))
-        self.assertEqual(brought_together(old, today, lambda server: COLD if server < 4 else WARM), (today, "nobody of it is warm"))
+        self.assertEqual(
+            brought_together(old, today, lambda server: OUT if server < 2 else WARM)[0],
+            {2: 1.0, 3: 1.0},
+        )
+        self.assertEqual(
+            brought_together(old, today, lambda server: OUT if server < 3 else WARM),
+            (today, "too little of it is left"),
+        )
+        self.assertEqual(
+            brought_together(old, today, lambda server: COLD if server < 3 else WARM),
+            (today, "too little of it is left"),
+        )
+        self.assertEqual(
+            brought_together(old, today, lambda server: COLD if server < 4 else WARM),
+            (today, "nobody of it is warm"),
+        )
 
 
 class Planner:
@@ -172,7 +210,13 @@
     def __init__(self, shelf=None, epoch=1, room=10_000):
         self.shelf, self.clock, self.full = shelf or Shelf(), 0, room
         self.lines = {table: {(table + nth) % 12: 1.0 for nth in range(4)} for table in range(6)}
-        self.editions, self.states, self.touched, self.notes, self.told = dict.fromkeys(range(6), 0), {}, [], [], []
+        self.editions, self.states, self.touched, self.notes, self.told = (
+            dict.fromkeys(range(6), 0),
+            {},
+            [],
+            [],
+            [],
+        )
         self.books = Books(self, ["read", "write"], 2000, DAY)
         if epoch:
             self.books.in_charge(epoch)
@@ -194,7 +238,10 @@
         return [key for key in self.shelf.held if key.startswith(prefix)]
 
     def tables(self):
-        return {table: (table % 2, lines, (1.0, 1), self.editions[table]) for table, lines in self.lines.items()}
+        return {
+            table: (table % 2, lines, (1.0, 1), self.editions[table])
+            for table, lines in self.lines.items()
+        }
 
     def name(self, server):
         return HOSTS[server]
@@ -250,7 +297,10 @@
 
     def shown(self):
         """{table: {host: weight}} as relays should hold it now."""
-        return {table: sheet["lines"] for table, sheet in self.books.ledger.sheets_of(self.books.newest()).items()}
+        return {
+            table: sheet["lines"]
+            for table, sheet in self.books.ledger.sheets_of(self.books.newest()).items()
+        }
 
 
 class BooksOf(unittest.TestCase):
@@ -261,9 +311,17 @@
         planner.states[5] = OUT
         planner.books.settle("list")
         versions = list(planner.books.ledger.versions.values())
-        self.assertEqual([(str(one.number), one.cause) for one in versions],
-                         [("1.1", "in charge under epoch 1"), ("1.2", "server 3 leaves classes [0]: slow"), ("1.3", "list")])
-        self.assertEqual({table for table, lines in planner.shown().items() if "host-5" in lines}, set())
+        self.assertEqual(
+            [(str(one.number), one.cause) for one in versions],
+            [
+                ("1.1", "in charge under epoch 1"),
+                ("1.2", "server 3 leaves classes [0]: slow"),
+                ("1.3", "list"),
+            ],
+        )
+        self.assertEqual(
+            {table for table, lines in planner.shown().items() if "host-5" in lines}, set()
+        )
         again = Planner(planner.shelf, 2)
         again.lines, again.states = planner.lines, planner.states
         again.books.settle("start")
@@ -274,11 +332,17 @@
         first = planner.books.newest()
         planner.change(0, h8=1.0, h9=1.0, h10=1.0)
         planner.change(1, h8=1.0, h9=1.0, h10=1.0)
-        self.assertIn("read held at 1.1", planner.books.rollback(first, ["read"], "duty", "exchanges fail"))
-        self.assertEqual((set(planner.shown()["0"]), set(planner.shown()["1"])),
-                         ({"host-0", "host-1", "host-2", "host-3"}, {"host-8", "host-9", "host-10"}))
+        self.assertIn(
+            "read held at 1.1", planner.books.rollback(first, ["read"], "duty", "exchanges fail")
+        )
+        self.assertEqual(
+            (set(planner.shown()["0"]), set(planner.shown()["1"])),
+            ({"host-0", "host-1", "host-2", "host-3"}, {"host-8", "host-9", "host-10"}),
+        )
         last = planner.books.ledger.versions[planner.books.newest()]
-        self.assertEqual((last.author, last.cause), ("duty", "rollback of read to 1.1: exchanges fail"))
+        self.assertEqual(
+            (last.author, last.cause), ("duty", "rollback of read to 1.1: exchanges fail")
+        )
         # What the assigner changes meanwhile is not told; what drains leaves all the same.
         planner.change(0, h8=2.0, h9=1.0)
         self.assertEqual(planner.books.newest(), last.number)
@@ -293,7 +357,9 @@
         planner.states[3] = OUT
         planner.books.settle("list")
         self.assertEqual(planner.shown()["0"], {"host-8": 2.0, "host-9": 1.0})
-        self.assertEqual(planner.books.overruled(["read"]), ["tables 0 stay today's: too little of it is left"])
+        self.assertEqual(
+            planner.books.overruled(["read"]), ["tables 0 stay today's: too little of it is left"]
+        )
         planner.states.clear()
         planner.books.settle("list")
         self.assertEqual(len(planner.shown()["0"]), 4)
@@ -309,9 +375,13 @@
         held, count = planner.books.newest(), len(planner.books.ledger.versions)
         for _ in range(3):
             self.assertIn("nothing changes", planner.books.rollback(first, [], "duty", "a"))
-        self.assertEqual((planner.books.newest(), len(planner.books.ledger.versions)), (held, count))
+        self.assertEqual(
+            (planner.books.newest(), len(planner.books.ledger.versions)), (held, count)
+        )
         # To the one that is published already, by another operator at the same time: said, and held from then on.
-        self.assertIn("was held at 1.1 by duty", planner.books.rollback(second, ["read"], "night", "b"))
+        self.assertIn(
+            "was held at 1.1 by duty", planner.books.rollback(second, ["read"], "night", "b")
+        )
         self.assertEqual(planner.books.wishes.holds["write"].author, "duty")
         self.assertEqual(len(planner.shown()["0"]), 2)
         self.assertIn("nothing changes", planner.books.rollback(second, ["read"], "night", "b"))
@@ -328,7 +398,10 @@
         planner.states.update(dict.fromkeys(range(4), OUT))
         planner.books.settle("list")
         before = planner.shown()["0"]
-        self.assertIn("tables 0 stay today's: nobody of it is warm", planner.books.rollback(first, ["read"], "duty", ""))
+        self.assertIn(
+            "tables 0 stay today's: nobody of it is warm",
+            planner.books.rollback(first, ["read"], "duty", ""),
+        )
         self.assertEqual(planner.shown()["0"], before)
 
     def test_wishes_outlast_a_restart_and_a_takeover_and_are_not_carried_out_twice(self):
@@ -343,7 +416,9 @@
         other = Planner(None, 0)
         for version in planner.books.ledger.versions.values():
             other.books.ledger.copied(version, planner.books.ledger.sheets_of(version.number))
-        self.assertEqual([other.books.wishes_copied(planner.told[-1]) for _ in range(2)], [True, False])
+        self.assertEqual(
+            [other.books.wishes_copied(planner.told[-1]) for _ in range(2)], [True, False]
+        )
         other.books.in_charge(7)
         other.change(0, h8=1.0, h9=1.0)
         self.assertEqual(set(other.shown()["0"]), {"host-0", "host-1", "host-2", "host-3"})
@@ -351,7 +426,9 @@
         self.assertEqual(other.books.newest(), planner.books.newest())
         other.books.release([], "night", "")
         self.assertEqual(str(other.books.newest()), "7.1")
-        self.assertFalse(other.books.wishes_copied(planner.told[-1]))      # what was said before it is older
+        self.assertFalse(
+            other.books.wishes_copied(planner.told[-1])
+        )  # what was said before it is older
         with self.assertRaises(Refused):
             Planner(None, 0).books.rollback(first, [], "duty", "")
 
@@ -360,13 +437,15 @@
         first = planner.books.newest()
         for table in range(6):
             planner.change(table, h8=1.0, h9=1.0)
-        planner.full = 6100     # of 10,000: a little is left of the part that a rollback may fill
+        planner.full = 6100  # of 10,000: a little is left of the part that a rollback may fill
         planner.touched.clear()
         planner.books.rollback(first, [], "duty", "a")
         self.assertEqual(len(planner.touched), 4)
         planner.books.settle("turn")
         self.assertEqual(sorted(planner.touched), [0, 1, 2, 3, 4, 5])
-        self.assertEqual({one.author for one in list(planner.books.ledger.versions.values())[-2:]}, {"duty"})
+        self.assertEqual(
+            {one.author for one in list(planner.books.ledger.versions.values())[-2:]}, {"duty"}
+        )
 
     def test_what_relays_hold_is_known_by_version_and_kept(self):
         planner = Planner()
@@ -374,15 +453,24 @@
         for proxy in range(3):
             planner.books.took(proxy, first)
         planner.change(0, h8=1.0, h9=1.0)
-        self.assertEqual(planner.books.relays(), [("relay-0", "1.1", False, True), ("relay-1", "1.1", True, True), ("relay-2", "1.1", True, True)])
+        self.assertEqual(
+            planner.books.relays(),
+            [
+                ("relay-0", "1.1", False, True),
+                ("relay-1", "1.1", True, True),
+                ("relay-2", "1.1", True, True),
+            ],
+        )
         planner.books.took(0, planner.books.newest(), by_program=False)
         self.assertEqual(planner.books.relays()[0], ("relay-0", "1.2", True, False))
         planner.books.spoke(0)
-        planner.books.took(0, first)        # told twice, or late: it holds what is newer
+        planner.books.took(0, first)  # told twice, or late: it holds what is newer
         self.assertEqual(planner.books.relays()[0], ("relay-0", "1.2", True, True))
         planner.clock += 20 * SECOND
         planner.books.settle("turn")
-        self.assertEqual(planner.shelf.held["relays"], {"relay-0": [1, 2], "relay-1": [1, 1], "relay-2": [1, 1]})
+        self.assertEqual(
+            planner.shelf.held["relays"], {"relay-0": [1, 2], "relay-1": [1, 1], "relay-2": [1, 1]}
+        )
 
 
 class WishesOf(unittest.TestCase):
@@ -392,7 +480,9 @@
         self.assertFalse(wishes.pin((1, 4), True, 1))
         wishes.rollback((1, 9), ["read"], "duty", "", 0, 1)
         self.assertEqual(wishes.needed(), {(1, 4), (1, 9)})
-        self.assertEqual(Wishes(json.loads(json.dumps(wishes.document()))).document(), wishes.document())
+        self.assertEqual(
+            Wishes(json.loads(json.dumps(wishes.document()))).document(), wishes.document()
+        )
         for nth in range(255):
             wishes.pin((2, nth), True, 2)
         with self.assertRaises(Refused):
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -1,4 +1,5 @@
 """The xDS front: versions and acknowledgements without sockets, load reports, and a client that nobody here wrote."""
+
 import asyncio
 import difflib
 import json
@@ -17,19 +18,19 @@
 
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
-from indigodeck.client import Tables                           # noqa: E402
-from indigodeck.client.sasp import SaspClient                 # noqa: E402
-from indigodeck.client.xds import XdsClient, read as read_assignment      # noqa: E402
-from indigodeck.fronts.xds import codec                       # noqa: E402
-from indigodeck.fronts.xds.codec import CLUSTER, ENDPOINTS, KINDS, LISTENER, ROUTE      # noqa: E402
-from indigodeck.fronts.xds.streams import UNDERWAY_MOST, Bounds, Relay, TooMuch         # noqa: E402
-from indigodeck.planner.charter import Charter                 # noqa: E402
-from indigodeck.planner.sums import Sums                      # noqa: E402
-from indigodeck.serve import assemble                         # noqa: E402
-from indigodeck.standins.conversation import Talkers          # noqa: E402
-from indigodeck.standins.stock import GrpcHost                # noqa: E402
-from rig import SECOND, Loop, TraceCase                       # noqa: E402
-from test_live import ROOT, Planner, now, until               # noqa: E402
+from indigodeck.client import Tables  # noqa: E402
+from indigodeck.client.sasp import SaspClient  # noqa: E402
+from indigodeck.client.xds import XdsClient, read as read_assignment  # noqa: E402
+from indigodeck.fronts.xds import codec  # noqa: E402
+from indigodeck.fronts.xds.codec import CLUSTER, ENDPOINTS, KINDS, LISTENER, ROUTE  # noqa: E402
+from indigodeck.fronts.xds.streams import UNDERWAY_MOST, Bounds, Relay, TooMuch  # noqa: E402
+from indigodeck.planner.charter import Charter  # noqa: E402
+from indigodeck.planner.sums import Sums  # noqa: E402
+from indigodeck.serve import assemble  # noqa: E402
+from indigodeck.standins.conversation import Talkers  # noqa: E402
+from indigodeck.standins.stock import GrpcHost  # noqa: E402
+from rig import SECOND, Loop, TraceCase  # noqa: E402
+from test_live import ROOT, Planner, now, until  # noqa: E402
 
 SHORT = {CLUSTER: "cluster", ENDPOINTS: "endpoints", LISTENER: "listener", ROUTE: "route"}
 NAMED = {short: kind for kind, short in SHORT.items()}
@@ -89,7 +90,9 @@
 
     def send(self, kind, version, nonce, resources, removed):
         self.nonces.setdefault(kind, []).append(nonce)
-        told = " ".join(f"{name}={held}" for name, held, _ in resources) + "".join(f" -{name}" for name in removed)
+        told = " ".join(f"{name}={held}" for name, held, _ in resources) + "".join(
+            f" -{name}" for name in removed
+        )
         self.fleet.note(f"{SHORT[kind]} #{nonce}: {told}")
 
     def ask(self, kind, *names, nonce="", error=None):
@@ -175,8 +178,11 @@
     def test_a_relay_that_comes_back_gets_only_what_it_lacks(self):
         fleet = Fleet("read", "write", "store")
         peer = Peer(fleet, delta=True)
-        peer.change("endpoints", ("read", "write", "store", "lost"),
-                    holding={"read": "1", "write": "of another planner", "lost": "7"})
+        peer.change(
+            "endpoints",
+            ("read", "write", "store", "lost"),
+            holding={"read": "1", "write": "of another planner", "lost": "7"},
+        )
         peer.drain()
         other = Peer(fleet, delta=True)
         fleet.note("a wildcard of clusters, on a second stream")
@@ -199,9 +205,20 @@
         peer.drain()
 
     @settings(max_examples=300, deadline=None)
-    @given(some.booleans(), some.lists(some.tuples(
-        some.sampled_from(["ask", "set", "answer", "refuse", "stale", "drain", "drop", "add"]),
-        some.sampled_from(sorted(NAMED)), some.sampled_from(["read", "write", "none"]), some.integers(0, 9)), max_size=40))
+    @given(
+        some.booleans(),
+        some.lists(
+            some.tuples(
+                some.sampled_from(
+                    ["ask", "set", "answer", "refuse", "stale", "drain", "drop", "add"]
+                ),
+                some.sampled_from(sorted(NAMED)),
+                some.sampled_from(["read", "write", "none"]),
+                some.integers(0, 9),
+            ),
+            max_size=40,
+        ),
+    )
     def test_whatever_is_said_every_relay_ends_on_the_newest_state(self, delta, steps):
         fleet = Fleet("read", "write")
         peer = Peer(fleet, delta)
@@ -209,11 +226,17 @@
             peer.change(kind, ("read", "write")) if delta else peer.ask(kind, "read", "write")
         for step, kind, name, number in steps:
             if step == "ask" and not delta:
-                peer.stream.asked_whole(NAMED[kind], peer.names.get(NAMED[kind], ()), f"{number}", None)
+                peer.stream.asked_whole(
+                    NAMED[kind], peer.names.get(NAMED[kind], ()), f"{number}", None
+                )
             elif step == "set" and (NAMED[kind], name) in fleet.made:
                 fleet.set(f"v{number}", kind, name)
             elif step in ("answer", "refuse") and peer.nonces.get(NAMED[kind]):
-                peer.answer(kind, -1 - number % len(peer.nonces[NAMED[kind]]), "no" if step == "refuse" else None)
+                peer.answer(
+                    kind,
+                    -1 - number % len(peer.nonces[NAMED[kind]]),
+                    "no" if step == "refuse" else None,
+                )
             elif step == "drop" and name != "read":
                 fleet.drop(name)
             elif step == "add" and name == "write":
@@ -230,20 +253,37 @@
                     peer.answer(kind, which)
         for (kind, name), version in fleet.made.items():
             held = peer.stream.types[kind]
-            self.assertIn(version, (held.held.get(name), held.refused.get(name)), f"{SHORT[kind]} {name}")
+            self.assertIn(
+                version, (held.held.get(name), held.refused.get(name)), f"{SHORT[kind]} {name}"
+            )
 
 
 class Resources(unittest.TestCase):
     def test_endpoints_carry_weights_halls_drains_and_levels(self):
-        version, data = codec.endpoints("read", [("hall-a", "h1", "10.0.0.1", 80, 300), ("hall-b", "h2", "::1", 81, 1)],
-                                        [("hall-a", "h3", "10.0.0.3", 80, 0)], 0.25)
-        again, _ = codec.endpoints("read", [("hall-b", "h2", "::1", 81, 1), ("hall-a", "h1", "10.0.0.1", 80, 300)],
-                                   [("hall-a", "h3", "10.0.0.3", 80, 0)], 0.25)
+        version, data = codec.endpoints(
+            "read",
+            [("hall-a", "h1", "10.0.0.1", 80, 300), ("hall-b", "h2", "::1", 81, 1)],
+            [("hall-a", "h3", "10.0.0.3", 80, 0)],
+            0.25,
+        )
+        again, _ = codec.endpoints(
+            "read",
+            [("hall-b", "h2", "::1", 81, 1), ("hall-a", "h1", "10.0.0.1", 80, 300)],
+            [("hall-a", "h3", "10.0.0.3", 80, 0)],
+            0.25,
+        )
         self.assertEqual(version, again)
         response = codec.changes(ENDPOINTS, "1", "n", [("read", version, data)], [])
         name, entries, level, names = read_assignment(response.resources[0].resource.value)
         self.assertEqual((name, level), ("read", 0.25))
-        self.assertEqual(entries, [(("10.0.0.1", 80), 300, True, False), (("::1", 81), 1, True, False), (("10.0.0.3", 80), 0, True, True)])
+        self.assertEqual(
+            entries,
+            [
+                (("10.0.0.1", 80), 300, True, False),
+                (("::1", 81), 1, True, False),
+                (("10.0.0.3", 80), 0, True, True),
+            ],
+        )
         self.assertEqual(names["::1", 81], ("hall-b", "h2"))
 
 
@@ -271,7 +311,15 @@
         self.clock = SECOND
         self.sums.told(1, 0, 0, SECOND, [(3, 10, 1, 200), (9, 5, 5, 0)], 2, "s1")
         self.sums.told(2, 0, 0, SECOND, [(3, 10, 0, 400), (4, 6, 0, 0)], 0, "s2")
-        self.assertEqual(sorted(self.turn()), [("demand", 1, 17, 6), ("demand", 2, 16, 0), ("heard", 3, 20, 1, 305), ("heard", 4, 6, 0, 77)])
+        self.assertEqual(
+            sorted(self.turn()),
+            [
+                ("demand", 1, 17, 6),
+                ("demand", 2, 16, 0),
+                ("heard", 3, 20, 1, 305),
+                ("heard", 4, 6, 0, 77),
+            ],
+        )
 
     def test_reports_sent_twice_or_by_a_fast_clock_are_left_out_by_their_time(self):
         told = [self.sums.told(1, 0, 0, SECOND, [(3, 10, 0, 0)], 0, "s1") for _ in range(6)]
@@ -310,13 +358,42 @@
         planner = Planner(hosts=0, reports={"over": "grpc"})
         planner.document["fronts"] = {"xds": {"address": "127.0.0.1", "port": 0}}
         for nth, host in enumerate(hosts):
-            planner.hosts[host.name] = {"port": host.port, "weight": 2 + 4 * (nth % 2), "hall": f"hall-{'abc'[nth % 3]}"}
+            planner.hosts[host.name] = {
+                "port": host.port,
+                "weight": 2 + 4 * (nth % 2),
+                "hall": f"hall-{'abc'[nth % 3]}",
+            }
         planner.keep()
         async with planner:
-            relays = [await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "indigodeck", "standin", "stock", "--planner", f"127.0.0.1:{planner.port}", "--uid",
-                f"hall-a/r{nth}", "--hall", "hall-a", "--class", "reading", "--class", "setpoint", "--rate", "150",
-                "--concurrency", "16", "--seconds", "7", stdout=asyncio.subprocess.PIPE, cwd=ROOT) for nth in range(2)]
+            relays = [
+                await asyncio.create_subprocess_exec(
+                    sys.executable,
+                    "-m",
+                    "indigodeck",
+                    "standin",
+                    "stock",
+                    "--planner",
+                    f"127.0.0.1:{planner.port}",
+                    "--uid",
+                    f"hall-a/r{nth}",
+                    "--hall",
+                    "hall-a",
+                    "--class",
+                    "reading",
+                    "--class",
+                    "setpoint",
+                    "--rate",
+                    "150",
+                    "--concurrency",
+                    "16",
+                    "--seconds",
+                    "7",
+                    stdout=asyncio.subprocess.PIPE,
+                    cwd=ROOT,
+                )
+                for nth in range(2)
+            ]
+
             # Shares count from when both are connected to every host, in both classes; the planner's probes are not of them.
             def brought(host):
                 return [(relay, kind) for _, relay, kind in host.receipts if relay != "planner"]
@@ -328,12 +405,22 @@
             total = sum(counts)
             for nth, count in enumerate(counts):
                 share = (2 + 4 * (nth % 2)) / 32
-                self.assertAlmostEqual(count / total, share, delta=5 * (share * (1 - share) / total) ** 0.5, msg=counts)
+                self.assertAlmostEqual(
+                    count / total, share, delta=5 * (share * (1 - share) / total) ** 0.5, msg=counts
+                )
             drained = now()
             planner.keep(host_1="draining")
-            said = [json.loads(line) for relay in relays for line in (await relay.communicate())[0].splitlines()]
+            said = [
+                json.loads(line)
+                for relay in relays
+                for line in (await relay.communicate())[0].splitlines()
+            ]
             self.assertEqual(Counter(line["outcome"] for line in said), {"ok": len(said)})
-            late = [at - drained for at, relay, _ in hosts[1].receipts if relay != "planner" and at > drained]
+            late = [
+                at - drained
+                for at, relay, _ in hosts[1].receipts
+                if relay != "planner" and at > drained
+            ]
             self.assertLess(max(late, default=0), planner.service.charter.stated["drain_grace"])
             # What they met and what came to them reached the assigner: it is told of nothing else here.
             self.assertGreater(planner.service.fronts[0].reports_read, 4)
@@ -341,13 +428,15 @@
             # Marks of the last orders were answered by acknowledgements.
             self.assertLessEqual(len(planner.service.desk.assigner.channel.marks), 2)
 
-
     async def test_stock_clients_in_several_processes_on_a_bad_day(self):
         hosts = [GrpcHost(now, f"host-{nth}", 5_000) for nth in range(15)]
         for host in hosts:
             await host.open()
             self.addAsyncCleanup(host.server.stop, 0)
-        planner = Planner(hosts=0, reports={"over": "grpc", "period_ms": 500, "probes_per_s": 60, "probes_at_once": 40})
+        planner = Planner(
+            hosts=0,
+            reports={"over": "grpc", "period_ms": 500, "probes_per_s": 60, "probes_at_once": 40},
+        )
         planner.document["fronts"] = {"xds": {"address": "127.0.0.1", "port": 0}}
         planner.document["rules"]["cold_ms"] = 4000
         for host in hosts[:9]:
@@ -356,35 +445,81 @@
         async with planner:
             planner.service.patience = 1_000_000
             planner.document["fronts"]["xds"]["port"] = planner.port
-            relays = [await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "indigodeck", "standin", "stock", "--planner", f"127.0.0.1:{planner.port}", "--uid",
-                f"hall-{hall}/r", "--class", "reading", "--class", "setpoint", "--rate", "80", "--seconds", "15",
-                "--concurrency", "32", stdout=asyncio.subprocess.PIPE, cwd=ROOT) for hall in "abc"]
-            await until(lambda: all(len({relay for _, relay, _ in host.receipts} - {"planner"}) == 3 for host in hosts[:9]), 60)
+            relays = [
+                await asyncio.create_subprocess_exec(
+                    sys.executable,
+                    "-m",
+                    "indigodeck",
+                    "standin",
+                    "stock",
+                    "--planner",
+                    f"127.0.0.1:{planner.port}",
+                    "--uid",
+                    f"hall-{hall}/r",
+                    "--class",
+                    "reading",
+                    "--class",
+                    "setpoint",
+                    "--rate",
+                    "80",
+                    "--seconds",
+                    "15",
+                    "--concurrency",
+                    "32",
+                    stdout=asyncio.subprocess.PIPE,
+                    cwd=ROOT,
+                )
+                for hall in "abc"
+            ]
+            await until(
+                lambda: all(
+                    len({relay for _, relay, _ in host.receipts} - {"planner"}) == 3
+                    for host in hosts[:9]
+                ),
+                60,
+            )
             hosts[0].hung = True
-            await until(lambda: not any(0 in lines for lines in planner.service.desk.tables.values()), 10)
+            await until(
+                lambda: not any(0 in lines for lines in planner.service.desk.tables.values()), 10
+            )
             # Two thirds are replaced by cold successors at once, and the planner starts over in the middle of it.
             drained = now()
             for host in hosts[9:]:
-                planner.hosts[host.name] = {"port": host.port, "started_ms": int(time.time() * 1000)}
+                planner.hosts[host.name] = {
+                    "port": host.port,
+                    "started_ms": int(time.time() * 1000),
+                }
             planner.keep(**{f"host_{nth}": "draining" for nth in range(3, 9)})
             await until(lambda: len(planner.service.desk.withdrawn) == 6)
             planner.service.cease()
             await asyncio.sleep(0.5)
             planner.service = assemble(Charter(planner.document, planner.folder.name))
             planner.service.patience = 1_000_000
-            said = [json.loads(line) for relay in relays for line in (await relay.communicate())[0].splitlines()]
+            said = [
+                json.loads(line)
+                for relay in relays
+                for line in (await relay.communicate())[0].splitlines()
+            ]
             grace = planner.service.charter.stated["drain_grace"]
-            lost, outcomes = [line for line in said if line["outcome"] != "ok"], Counter(line["outcome"][:30] for line in said)
+            lost, outcomes = (
+                [line for line in said if line["outcome"] != "ok"],
+                Counter(line["outcome"][:30] for line in said),
+            )
             hung = [at for at, relay, _ in hosts[0].receipts if relay != "planner"]
             # What failed was sent to the hung host, before it was out and before the planner that started over had found it
             # anew; nothing failed for drains or the restart.
             self.assertLessEqual(len(lost), len(hung), outcomes)
             self.assertEqual([at for at in hung if at > said[-1]["at"] - 3_000_000], [], outcomes)
-            late = [(host.name, at - drained) for host in hosts[3:9] for at, relay, _ in host.receipts
-                    if relay != "planner" and at > drained + grace]
+            late = [
+                (host.name, at - drained)
+                for host in hosts[3:9]
+                for at, relay, _ in host.receipts
+                if relay != "planner" and at > drained + grace
+            ]
             self.assertEqual(late, [])
-            self.assertTrue(all(any(relay != "planner" for _, relay, _ in host.receipts) for host in hosts[9:]))
+            self.assertTrue(
+                all(any(relay != "planner" for _, relay, _ in host.receipts) for host in hosts[9:])
+            )
 
 
 class Fronts(unittest.IsolatedAsyncioTestCase):
@@ -392,7 +527,9 @@
 
     def planner(self, hosts=6, **more):
         planner = Planner(hosts=hosts, **more)
-        planner.document["fronts"] = {wire: {"address": "127.0.0.1", "port": 0} for wire in ("sasp", "xds")}
+        planner.document["fronts"] = {
+            wire: {"address": "127.0.0.1", "port": 0} for wire in ("sasp", "xds")
+        }
         planner.keep()
         return planner
 
@@ -400,7 +537,8 @@
         tables, errors = Tables(["reading", "setpoint"], now), []
         port = dict(zip(planner.service.charter.fronts, planner.service.fronts))
         client = {"sasp": SaspClient, "xds": XdsClient}[wire](
-            uid, lambda: [("127.0.0.1", port[wire].port())], tables, failed=errors.append)
+            uid, lambda: [("127.0.0.1", port[wire].port())], tables, failed=errors.append
+        )
         client.redial.first, client.redial.most = 50_000, 400_000
         return tables, client, asyncio.get_running_loop().create_task(client.run()), errors
 
@@ -422,16 +560,23 @@
             tables, client, task, _ = self.relay(planner, "xds", "hall-b/r2")
             await until(lambda: len(tables.lines["reading"]) == 6)
             channel = grpc.aio.insecure_channel(f"127.0.0.1:{planner.service.fronts[1].port()}")
-            stream = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).StreamAggregatedResources()
+            stream = ads_pb2_grpc.AggregatedDiscoveryServiceStub(
+                channel
+            ).StreamAggregatedResources()
             flooding = True
 
             async def flood():
                 nth = 0
                 while flooding:
                     nth += 1
-                    await stream.write(discovery_pb2.DiscoveryRequest(
-                        node=base_pb2.Node(id="hall-a/flood"), type_url=ENDPOINTS, response_nonce="",
-                        resource_names=[("reading", "setpoint", f"n{nth}")[nth % 3]]))
+                    await stream.write(
+                        discovery_pb2.DiscoveryRequest(
+                            node=base_pb2.Node(id="hall-a/flood"),
+                            type_url=ENDPOINTS,
+                            response_nonce="",
+                            resource_names=[("reading", "setpoint", f"n{nth}")[nth % 3]],
+                        )
+                    )
 
             flooder = asyncio.get_running_loop().create_task(flood())
             for nth in range(3):
@@ -443,7 +588,11 @@
             self.assertLessEqual(len(wrote), planner.service.charter.channel["messages_most"])
             # More names than are allowed end its stream, with the reason.
             with self.assertRaises(grpc.aio.AioRpcError) as caught:
-                await stream.write(discovery_pb2.DiscoveryRequest(type_url=ENDPOINTS, resource_names=[f"n{nth}" for nth in range(999)]))
+                await stream.write(
+                    discovery_pb2.DiscoveryRequest(
+                        type_url=ENDPOINTS, resource_names=[f"n{nth}" for nth in range(999)]
+                    )
+                )
                 while await stream.read() is not grpc.aio.EOF:
                     pass
                 raise await_error(stream, await stream.code(), await stream.details())
@@ -455,8 +604,13 @@
     async def test_a_planner_restarts_and_all_come_back_over_both_fronts_never_bare(self):
         bare, many = [], 24
         async with self.planner(hosts=12) as planner:
-            relays = [self.relay(planner, ("sasp", "xds")[nth % 2], f"hall-{'abc'[nth % 3]}/r{nth}") for nth in range(many)]
-            await until(lambda: all(len(tables.lines["setpoint"]) >= 4 for tables, *_ in relays), 20)
+            relays = [
+                self.relay(planner, ("sasp", "xds")[nth % 2], f"hall-{'abc'[nth % 3]}/r{nth}")
+                for nth in range(many)
+            ]
+            await until(
+                lambda: all(len(tables.lines["setpoint"]) >= 4 for tables, *_ in relays), 20
+            )
             for tables, *_ in relays:
                 tables.changed = lambda name, tables=tables: tables.lines[name] or bare.append(name)
             planner.service.cease()
@@ -467,11 +621,19 @@
                 client.planners = lambda front=front: [("127.0.0.1", front.port())]
             await until(lambda: len(planner.service.front_of) == many, 20)
             planner.keep(host_5="draining")
-            await until(lambda: all(("127.0.0.1", 9005) not in tables.lines["reading"] for tables, *_ in relays), 10)
+            await until(
+                lambda: all(
+                    ("127.0.0.1", 9005) not in tables.lines["reading"] for tables, *_ in relays
+                ),
+                10,
+            )
             channel, service = planner.service.charter.channel, planner.service
             self.assertEqual(bare, [])
             self.assertLess(service.desk.most_waiting, channel["waiting_most"])
-            self.assertLessEqual(max(len(held.written) for held in service.allowances.values()), channel["messages_most"])
+            self.assertLessEqual(
+                max(len(held.written) for held in service.allowances.values()),
+                channel["messages_most"],
+            )
             for _, client, *_ in relays:
                 client.leave()
             await asyncio.gather(*(task for _, _, task, _ in relays))
@@ -491,7 +653,11 @@
         if os.environ.get("INDIGODECK_WRITE_TRACES"):
             path.write_text("\n".join(traces["sasp"]) + "\n")
         for wire, lines in traces.items():
-            differing = "\n".join(difflib.unified_diff(path.read_text().splitlines(), lines, "kept", wire, lineterm=""))
+            differing = "\n".join(
+                difflib.unified_diff(
+                    path.read_text().splitlines(), lines, "kept", wire, lineterm=""
+                )
+            )
             self.assertFalse(differing, "\n" + differing)
 
 
