--- a/benchmarks/cuts.py
+++ b/benchmarks/cuts.py
@@ -12,6 +12,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 import test_store  # noqa: E402
+
 from indigodeck.store import log  # noqa: E402
 
 
--- a/benchmarks/wire_bytes.py
+++ b/benchmarks/wire_bytes.py
@@ -17,6 +17,7 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
 from envoy.config.core.v3 import base_pb2  # noqa: E402
+
 from indigodeck.fronts.sasp.conversation import Conversation  # noqa: E402
 from indigodeck.fronts.xds import codec  # noqa: E402
 from indigodeck.planner.charter import Charter  # noqa: E402
--- a/indigodeck/cli.py
+++ b/indigodeck/cli.py
@@ -1,5 +1,6 @@
 """The command `indigodeck`. Exit codes: 0 done; 1 something was found wrong (a rule broken, a document with faults);
-2 called wrongly, or a document that can't be read; 3 nothing could be reached."""
+2 called wrongly, or a document that can't be read; 3 nothing could be reached.
+"""
 
 import asyncio
 import json
@@ -235,7 +236,8 @@
 
 def _controllers(path):
     """({member: (address, port)}, key, {member: what it says of the fleet}) of a charter, and of members that its
-    controllers have let in since."""
+    controllers have let in since.
+    """
     from .planner.charter import read
     from .serve import key_of
     from .takeover.peers import place_of
--- a/indigodeck/client/dialling.py
+++ b/indigodeck/client/dialling.py
@@ -12,7 +12,8 @@
     """What both clients do alike. One that is of this kind gives `_follow(place)`, which ends with an error;
     `_error(caught)`, the client's own error for it; and `_close()`, which ends what is left of the connection.
 
-    `planners`: [(address, port), ..], or a call that gives them, asked at every dial; `failed(error)` is told of each loss."""
+    `planners`: [(address, port), ..], or a call that gives them, asked at every dial; `failed(error)` is told of each loss.
+    """
 
     losses = ()  # the errors that mean a lost planner; others are faults of this program
 
--- a/indigodeck/client/tables.py
+++ b/indigodeck/client/tables.py
@@ -58,7 +58,8 @@
     def told(self, name, entries):
         """Entries (place, weight, confident, out) of one class. Who is `out` takes nothing new, in any case.
         Entries that are not confident say that the planner has no opinion yet: they fill an empty table, and
-        change nothing of another."""
+        change nothing of another.
+        """
         before = dict(self.lines[name])
         # That somebody is out is no table: whole ones name who is in, or who has weight 0 beside them.
         lines, sure = (
@@ -120,14 +121,16 @@
 
 class Redial:
     """When to dial again: later each time up to a bound, jittered over the whole wait, so that relays that
-    lost one planner together do not come back together. `chance`: chance.Chance, seeded by the relay."""
+    lost one planner together do not come back together. `chance`: chance.Chance, seeded by the relay.
+    """
 
     def __init__(self, chance, first=200_000, most=5_000_000):
         self.chance, self.first, self.most, self.failures = chance, first, most, 0
 
     def failed(self, places=1):
         """Microseconds to wait before the next call. Each of the places is tried once before the wait grows: of several
-        controllers all but one refuse, and who waits after each is without orders for most of a takeover."""
+        controllers all but one refuse, and who waits after each is without orders for most of a takeover.
+        """
         round_, nth = divmod(self.failures, max(1, places))
         self.failures += 1
         if nth < places - 1:
--- a/indigodeck/edge/bootstrap.py
+++ b/indigodeck/edge/bootstrap.py
@@ -15,7 +15,8 @@
 class Bootstrap:
     """A configuration file. Raises Malformed, or OSError where there is none to read.
 
-    `listen`, `discovery`, `registry`: (address, port); `peers`: such pairs in the order of the planners' numbers."""
+    `listen`, `discovery`, `registry`: (address, port); `peers`: such pairs in the order of the planners' numbers.
+    """
 
     def __init__(self, path):
         self.path = pathlib.Path(path)
--- a/indigodeck/edge/dialling.py
+++ b/indigodeck/edge/dialling.py
@@ -32,7 +32,8 @@
     """What is awaited, or TooLate after `patience` microseconds.
 
     What came together with the time-out counts as come: after a stall of this program both are found at once, and the
-    other side has paid what it owed."""
+    other side has paid what it owed.
+    """
     awaited = convert_yielded(awaitable)
     try:
         return await with_timeout(timedelta(microseconds=patience), awaited, quiet_exceptions=LOST)
--- a/indigodeck/edge/discovery.py
+++ b/indigodeck/edge/discovery.py
@@ -89,7 +89,8 @@
 
     def _doubtful(self, catalog):
         """An older list may come from one that lags, and an empty one from one that has only begun: to believe either would
-        let back what drains, or take every server away. One that says so again and again has begun anew."""
+        let back what drains, or take every server away. One that says so again and again has begun anew.
+        """
         older = self.newest is not None and catalog.version < self.newest
         emptied = catalog.whole and self.filled and not (catalog.entries or catalog.spoilt)
         if not (older or emptied):
--- a/indigodeck/edge/listener.py
+++ b/indigodeck/edge/listener.py
@@ -5,7 +5,6 @@
 """
 
 from tornado.gen import sleep
-from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamBufferFullError
 from tornado.netutil import bind_sockets
 from tornado.tcpserver import TCPServer
--- a/indigodeck/edge/membership.py
+++ b/indigodeck/edge/membership.py
@@ -82,7 +82,8 @@
 
     def closed(self, source):
         """A connection is over. What it was ahead of the others is put right by these; without any, what it told stands
-        until the next one begins."""
+        until the next one begins.
+        """
         self.views.pop(source, None)
         whole = [view for view in self.views.values() if view.whole]
         if not whole:
--- a/indigodeck/edge/relay_client.py
+++ b/indigodeck/edge/relay_client.py
@@ -173,7 +173,8 @@
 
     def _bridged(self):
         """What the former connections bridged is over. One that the relay leaves open, as after a move to and fro, would
-        stay for good, and the relay holds so many of a planner's, no more."""
+        stay for good, and the relay holds so many of a planner's, no more.
+        """
         if any(self.membership.has_whole(subscription) for subscription in self.subscriptions):
             for subscription in self.former:
                 subscription.end()
--- a/indigodeck/edge/service.py
+++ b/indigodeck/edge/service.py
@@ -18,11 +18,11 @@
 from .dialling import TooLate, within
 from .discovery import Discovery
 from .listener import Listener
-from .relay_client import RelayClient
 from .membership import Membership
+from .outbox import Outbox
 from .peers import Peers
 from .probes import Probes
-from .outbox import Outbox
+from .relay_client import RelayClient
 
 SECOND = 1_000_000
 LAST = (
--- a/indigodeck/fronts/sasp/codec.py
+++ b/indigodeck/fronts/sasp/codec.py
@@ -59,7 +59,8 @@
 
 class Malformed(Exception):
     """Bytes that are no message of this protocol. `code`: the return code that says so; `at`: the offset;
-    `reply`: the type of the reply that the message would have had, or None."""
+    `reply`: the type of the reply that the message would have had, or None.
+    """
 
     def __init__(self, text, at=0, code=NOT_UNDERSTOOD, reply=None):
         super().__init__(f"{text} (byte {at})")
--- a/indigodeck/fronts/sasp/conversation.py
+++ b/indigodeck/fronts/sasp/conversation.py
@@ -5,6 +5,7 @@
 a flag, and where there is no table yet, that there is no opinion (docs/sasp.md).
 """
 
+from ...planner.weights import scaled
 from . import codec
 from .codec import (
     ALREADY_REGISTERED,
@@ -31,7 +32,6 @@
     Malformed,
     Member,
 )
-from ...planner.weights import scaled
 
 QUARREL = 3  # times that one id may be taken over within the span that messages are counted in
 NEUTRAL = 1  # the weight of a member of which nothing is known: the same for all
@@ -48,7 +48,8 @@
 class Office:
     """All conversations of one planner's SASP front. `desk` holds the tables; `clerk` is the program around:
     `proxy(uid)` a number for it or None, `joined(proxy, uid)`, `left(proxy)`, `server_at(place)` an index or
-    None, `address(server)` (address, port), `in_contact(server)`, `quiesced(place, on)`, `note(event, **facts)`."""
+    None, `address(server)` (address, port), `in_contact(server)`, `quiesced(place, on)`, `note(event, **facts)`.
+    """
 
     def __init__(self, desk, clerk, classes, bounds, interval, span):
         self.desk, self.clerk, self.bounds = desk, clerk, bounds
@@ -59,7 +60,8 @@
 
     def claim(self, uid, conversation):
         """The newest connection speaks for an id: the older is most often a broken one that nobody noticed.
-        Two that take it from each other by turns are told apart from that by their pace, and the newest waits."""
+        Two that take it from each other by turns are told apart from that by their pace, and the newest waits.
+        """
         older, now = self.balancers.get(uid), self.desk.now()
         if older is conversation:
             return True
--- a/indigodeck/fronts/sasp/server.py
+++ b/indigodeck/fronts/sasp/server.py
@@ -143,7 +143,8 @@
 
     async def _taken(self):
         """Until the peer's side has acknowledged every byte: the next state is made only then, so that what
-        was ordered meanwhile is one message and not many. No acknowledgement is known to this protocol."""
+        was ordered meanwhile is one message and not many. No acknowledgement is known to this protocol.
+        """
         rest, tick = self.front.deaf_time, 0.001
         while not self.stream.closed() and unread(self.stream.socket):
             if rest <= 0:
--- a/indigodeck/fronts/xds/codec.py
+++ b/indigodeck/fronts/xds/codec.py
@@ -65,7 +65,8 @@
 
 def route(name, tries):
     """`tries`: further tries after any failure that the assigner allows: 0, or as many as its way states. One after
-    proof that the first never ran is what relays of this protocol do by themselves."""
+    proof that the first never ran is what relays of this protocol do by themselves.
+    """
     action = route_components_pb2.RouteAction(cluster=name)
     if tries:
         action.retry_policy.CopyFrom(
@@ -178,7 +179,8 @@
 def reports_in(request):
     """What a load report says: (class, span in microseconds, dropped, [(host's id, place, issued, succeeded, failed, mean time
     of succeeded in microseconds)]) for each cluster. Hosts are localities of their own; where a relay tells of endpoints
-    by address, these stand in place of them."""
+    by address, these stand in place of them.
+    """
     for stats in request.cluster_stats:
         span = (
             stats.load_report_interval.seconds * MILLION + stats.load_report_interval.nanos // 1000
--- a/indigodeck/fronts/xds/server.py
+++ b/indigodeck/fronts/xds/server.py
@@ -6,8 +6,8 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc
 from envoy.service.load_stats.v3 import lrs_pb2_grpc
 
-from . import codec, streams
 from ...planner.weights import scaled
+from . import codec, streams
 
 SECOND = 1_000_000
 
@@ -160,7 +160,8 @@
 
     def doors(self, open):
         """While another controller is in charge nothing listens here. The stock client stays with an address for as long as
-        it accepts connections, however often its streams are ended there; refused, it goes on to the next that it knows."""
+        it accepts connections, however often its streams are ended there; refused, it goes on to the next that it knows.
+        """
         self.open = open
         asyncio.get_running_loop().create_task(self._turn())
 
--- a/indigodeck/fronts/xds/streams.py
+++ b/indigodeck/fronts/xds/streams.py
@@ -7,9 +7,9 @@
 
 from collections import OrderedDict
 
+from ...host import DRAINING
 from . import codec
 from .codec import CLUSTER, ENDPOINTS, KINDS, LISTENER, ROUTE
-from ...host import DRAINING
 
 ANSWERED_WITHIN = 10_000_000  # microseconds; a relay that answers a response no sooner is let go, and comes back with what it holds
 UNDERWAY_MOST = (
@@ -35,7 +35,8 @@
 
 class Shelf:
     """The resources as one relay should see them. `classes` may change while streams are open; `desk` holds tables;
-    `clerk.host(server)` gives (hall, id, address, port) or None."""
+    `clerk.host(server)` gives (hall, id, address, port) or None.
+    """
 
     def __init__(self, desk, clerk, classes, scaled):
         self.desk, self.clerk, self.classes, self.scaled = desk, clerk, dict(classes), scaled
@@ -98,7 +99,8 @@
 
 class Stream:
     """One aggregated stream. `delta`: incremental. `line`: `send(kind, version, nonce, resources, removed)`, `due()`,
-    `later(after, call, *given)`, `end()`."""
+    `later(after, call, *given)`, `end()`.
+    """
 
     def __init__(self, relay, line, delta):
         self.relay, self.line, self.delta = relay, line, delta
@@ -165,7 +167,8 @@
     def _settled(self, kind, held, nonce, error):
         """An acknowledgement or refusal of one response. In the whole form it speaks for those before it too, which
         the relay has read by then; in the incremental form each is answered by itself. Whether it was the newest:
-        only then does a subscription of the whole form that came with it count."""
+        only then does a subscription of the whole form that came with it count.
+        """
         if nonce not in held.underway:
             return False
         before, unsure = list(held.underway)[: list(held.underway).index(nonce)], []
@@ -204,7 +207,8 @@
     def _lost(self, held, versions, removed, parcels):
         """A response to which a later one's answer came first: it was passed by, or its answer was. Which is not known, so what
         it held is told again: else the relay would hold one class of a newer version beside another of an older one for good.
-        The parcels that came with it."""
+        The parcels that came with it.
+        """
         for name in versions:
             held.sent.pop(name, None)
             held.held.pop(name, None)
@@ -219,7 +223,8 @@
 
     def news(self, only=KINDS):
         """Sends the next response that is due, if any, of these types: additions before what leads to them, removals
-        after it. The type that was sent, or None."""
+        after it. The type that was sent, or None.
+        """
         return next((kind for kind in KINDS if kind in only and self._send(kind)), None)
 
     def _later(self, kind):
@@ -301,7 +306,8 @@
 
     def _lacks_nothing(self, held, found):
         """A relay that comes with what it should hold is sent nothing and answers nothing: what waited to be told to it is
-        with it all the same."""
+        with it all the same.
+        """
         holds = {
             self.relay.shelf.classes[name]
             for name, (version, _) in found.items()
@@ -314,7 +320,8 @@
 
 class Relay:
     """A relay, by its node id: its streams, its proxy, what it refused. `clerk`: `note(event, **facts)`, `epoch(proxy)`,
-    `refused(uid, class, version)`, `refusals(uid)`: {class: version} of earlier streams, here or elsewhere."""
+    `refused(uid, class, version)`, `refusals(uid)`: {class: version} of earlier streams, here or elsewhere.
+    """
 
     def __init__(self, uid, proxy, shelf, desk, clerk, bounds):
         self.uid, self.proxy, self.shelf, self.desk, self.clerk, self.bounds = (
@@ -371,7 +378,8 @@
 
     def settled(self, parcels, taken):
         """A response was answered. One that was refused counts as not applied: the assigner's marks stay
-        unanswered, as they would if the stream broke."""
+        unanswered, as they would if the stream broke.
+        """
         for parcel in parcels if taken else ():
             self.desk.acknowledged(parcel)
 
--- a/indigodeck/host.py
+++ b/indigodeck/host.py
@@ -4,7 +4,8 @@
 maps its own ids to them. A table is a number that the assigner chooses.
 """
 
-from typing import NamedTuple, Protocol, Sequence
+from collections.abc import Sequence
+from typing import NamedTuple, Protocol
 
 DRAINING, READY, GONE = "draining", "ready", "gone"
 WHOLE, CHANGES, CACHED = "whole", "changes", "cached"
@@ -48,7 +49,8 @@
 
     def admit(self, table: int, classes: Sequence[int], level: float, tries: int) -> None:
         """Set how much of these classes is let in, and the way of further tries (0 none, 1 one after
-        proof that the first never ran, 2 one after any failure, 3 two after any failure)."""
+        proof that the first never ran, 2 one after any failure, 3 two after any failure).
+        """
 
     def mark(self, number: int, everyone: bool) -> None:
         """Ask every proxy reached by the orders of this call to answer with `applied`."""
--- a/indigodeck/planner/desk.py
+++ b/indigodeck/planner/desk.py
@@ -31,7 +31,8 @@
 
 class Parcel(NamedTuple):
     """What a proxy is handed at one time: the classes that changed (by place), since when the oldest order
-    waited, the marks to acknowledge with the time of each, and the version that it is brought to."""
+    waited, the marks to acknowledge with the time of each, and the version that it is brought to.
+    """
 
     proxy: int
     places: frozenset
@@ -196,7 +197,8 @@
 
     def view(self, proxy, place):
         """The lines {server: weight} that a proxy should hold for a class; None while it is bound to no
-        table, and follows what it held before, but for what is withdrawn."""
+        table, and follows what it held before, but for what is withdrawn.
+        """
         holding = self.holdings.get(proxy)
         table = holding.bound.get(place) if holding else None
         if table is None:
@@ -214,7 +216,8 @@
 
     def edition(self, proxy, place):
         """What stands for the content of `view` and `level`: equal where these are, for proxies that share a table
-        as well; None while it is bound to none."""
+        as well; None while it is bound to none.
+        """
         holding = self.holdings.get(proxy)
         table = holding.bound.get(place) if holding else None
         return None if table is None else (table, self.editions.get(table, 0), self.withdrawals)
--- a/indigodeck/planner/evidence.py
+++ b/indigodeck/planner/evidence.py
@@ -34,7 +34,8 @@
 
 class Report(NamedTuple):
     """A host's load report: part of its cores busy, exchanges in hand, work time in microseconds, exchanges
-    completed and failed a second (None where not told), the same by class."""
+    completed and failed a second (None where not told), the same by class.
+    """
 
     cores_busy: float
     in_hand: float
@@ -112,7 +113,8 @@
 
     def reported(self, server, report, at):
         """A load report, which speaks of the moment `at`; one that is older than what is held is late and
-        says nothing new."""
+        says nothing new.
+        """
         case = self.cases.get(server)
         if case is not None and (not case.reports or at > case.reports[-1][0]):
             case.reports.append((at, report))
@@ -182,7 +184,8 @@
 
     def turn(self, heard=(), tells=lambda proxy: False):
         """Once a period: what each host met since the last turn, and what relays are taken to bring. `heard`: servers
-        that relays themselves told of, whose word is nearer; `tells(proxy)`: whether a relay tells what comes to it."""
+        that relays themselves told of, whose word is nearer; `tells(proxy)`: whether a relay tells what comes to it.
+        """
         now = self.desk.now()
         span, since, self.turned_at = now - self.turned_at, self.turned_at, now
         if span <= 0:
@@ -242,7 +245,8 @@
 
     def _spread(self, total, by_class, told, span, tells):
         """Demand by relay and class. With several planners hosts tell of all relays, this planner's among
-        them, so each relay counts as one of all that the charter states."""
+        them, so each relay counts as one of all that the charter states.
+        """
         everyone = (
             len(self.proxies)
             if self.stated["instances"] == 1
--- a/indigodeck/planner/publishing.py
+++ b/indigodeck/planner/publishing.py
@@ -7,7 +7,8 @@
 
 class Publishing:
     """The surroundings of `versions.books.Books`. `service`: `now()`, `note(event, **facts)`, `servers` and `relays` (desk.Door);
-    `store`: `put(changes)`; `held`: what the store held at the start, {key: value}; `changed(document)`: told of operators' wishes."""
+    `store`: `put(changes)`; `held`: what the store held at the start, {key: value}; `changed(document)`: told of operators' wishes.
+    """
 
     def __init__(self, service, desk, store, held, stated, classes, most, age, changed):
         self.service, self.desk, self.store, self.held = service, desk, store, held
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -11,17 +11,17 @@
 import time
 
 import structlog
-from tornado.httpclient import HTTPClientError, HTTPRequest
 from tornado.gen import sleep
+from tornado.httpclient import HTTPClientError, HTTPRequest
 from tornado.ioloop import IOLoop, PeriodicCallback
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
-from . import roster as lists
 from ..choice import Assigner
 from ..clock import now
 from ..schema import BadDocument
 from ..versions.copies import Copies
 from ..versions.counter import Counter
+from . import roster as lists
 from .allowance import Allowance
 from .arrivals import Arrivals
 from .belief import Belief
@@ -138,7 +138,8 @@
 
     def epoch(self, hall):
         """The epoch under which orders to a hall's relays may leave now; 0 where controllers share nothing, None while
-        another is in charge. Asked as bytes leave."""
+        another is in charge. Asked as bytes leave.
+        """
         return 0 if self.peers is None else self.peers.charge.holds(self.ward(hall))
 
     def may_serve(self, uid, hall=None):
@@ -463,7 +464,8 @@
 
     def _changed(self):
         """Changes that came in one turn of the loop are one to the assigner: a release at full size brings twenty at a
-        time, and each of them alone kept the loop for a quarter of a second before any front could write."""
+        time, and each of them alone kept the loop for a quarter of a second before any front could write.
+        """
         servers, self.changes = self.changes, []
         if servers:
             self._told_of(lists.CHANGES, servers)
--- a/indigodeck/planner/sums.py
+++ b/indigodeck/planner/sums.py
@@ -26,7 +26,8 @@
         """One relay's report on one class over `span`: met: [(server, issued, failed, mean time of good ones)].
 
         Spans of one stream can't add up to more than the time that it has been open: what would is a report sent
-        twice, or a clock that runs fast, and is left out."""
+        twice, or a clock that runs fast, and is left out.
+        """
         now = self.desk.now()
         opened, heard = self.spans.setdefault((stream, place), (now, 0))
         if span <= 0 or heard + span > now - opened + 3 * self.period:
@@ -69,7 +70,8 @@
 
     def turn(self, fresh, usual=lambda server: 0):
         """Lets lines through. `fresh(server)`: whether the server is still listed; `usual(server)`: how long exchanges
-        take there by its own word, for relays that count but don't time. Returns the servers heard of."""
+        take there by its own word, for relays that count but don't time. Returns the servers heard of.
+        """
         now = self.desk.now()
         self.spent = max(0.0, self.spent - (now - self.spent_at) * self.rate / SECOND)
         self.spent_at = now
--- a/indigodeck/planner/weights.py
+++ b/indigodeck/planner/weights.py
@@ -5,7 +5,8 @@
 
 def scaled(lines):
     """A table's weights as 16 bits: a power of two times each, so that one change leaves the others as they
-    were told; none that is listed comes to 0. {server: float} to {server: 1 to 65535}"""
+    were told; none that is listed comes to 0. {server: float} to {server: 1 to 65535}
+    """
     most, factor = max(lines.values(), default=0.0), 1.0
     while 0 < most * factor * 2 <= MOST:
         factor *= 2
--- a/indigodeck/records.py
+++ b/indigodeck/records.py
@@ -136,7 +136,8 @@
 
 class Channel:
     """The account of one channel: lines that wait, messages written to each proxy, the pace it shows.
-    `marks`: {number: (when ordered, how long orders up to it should take at most, lines until then)}."""
+    `marks`: {number: (when ordered, how long orders up to it should take at most, lines until then)}.
+    """
 
     def __init__(self, charter, now, forget):
         self.charter, self.forget, self.waiting, self.waited_at, self.pace = (
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -6,8 +6,8 @@
 
 from .chance import Chance, seed_from
 from .choice import Assigner
-from .schema import BadDocument
 from .planner.service import Service
+from .schema import BadDocument
 
 USUAL_PORTS = {"sasp": 3860, "xds": 18000}
 
--- a/indigodeck/standins/controllers.py
+++ b/indigodeck/standins/controllers.py
@@ -7,10 +7,10 @@
 import socket
 import sys
 
-from ..clock import now
 from ..client import Tables
 from ..client.sasp import SaspClient
 from ..client.xds import XdsClient
+from ..clock import now
 from .keeper import ListFile
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
@@ -41,7 +41,8 @@
 
 def free_ports(many):
     """(ports from the kernel, sockets that hold them until closed). Bound and not listening, they let a controller take its
-    port and nobody else: a port that was merely free a moment ago was taken by some connection now and then."""
+    port and nobody else: a port that was merely free a moment ago was taken by some connection now and then.
+    """
     held = [socket.socket() for _ in range(many)]
     for one in held:
         one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -103,7 +104,8 @@
 
 class Fleet:
     """`charter`: what all are told, but for fronts, roster and takeover, which are filled in. `stated`: more for that section.
-    `spare`: controllers that stand by to be let in; `store`: whether each has one."""
+    `spare`: controllers that stand by to be let in; `store`: whether each has one.
+    """
 
     def __init__(self, folder, charter, members=3, lease=600, spare=0, stated=None, store=False):
         self.folder, self.processes, self.logs, self.gates = pathlib.Path(folder), {}, {}, {}
--- a/indigodeck/standins/conversation.py
+++ b/indigodeck/standins/conversation.py
@@ -11,11 +11,11 @@
 import time
 
 from ..chance import Chance
-from ..clock import now
 from ..client import Tables
 from ..client.sasp import SaspClient
 from ..client.tables import Redial
 from ..client.xds import XdsClient
+from ..clock import now
 from ..planner.charter import Charter
 from ..serve import assemble
 from .keeper import ListFile
--- a/indigodeck/standins/day.py
+++ b/indigodeck/standins/day.py
@@ -43,7 +43,8 @@
 
 def from_bench(troubles):
     """Troubles (kind, at, len, part, size; times in seconds) as a bench day has them, as ours, and the kinds
-    that have no counterpart."""
+    that have no counterpart.
+    """
     ours, left = [], []
     for trouble in troubles:
         kind = FROM_BENCH.get(trouble["kind"])
@@ -134,7 +135,7 @@
     """Waits for an end that was asked for; who does not end is killed."""
     try:
         await asyncio.wait_for(process.wait(), 5)
-    except asyncio.TimeoutError:
+    except TimeoutError:
         process.kill()
         await process.wait()
 
--- a/indigodeck/standins/disk.py
+++ b/indigodeck/standins/disk.py
@@ -11,7 +11,8 @@
 
 class Disk:
     """`log.Files`. `chance`: `below(bound)`; `cut_at`: the operation, counted from 0, that the power is cut in; `fails`:
-    {operation: errno} that fail with an error instead, after a part of what they should do."""
+    {operation: errno} that fail with an error instead, after a part of what they should do.
+    """
 
     def __init__(self, chance, cut_at=None, fails=()):
         self.chance, self.cut_at, self.fails, self.done = chance, cut_at, dict(fails), 0
--- a/indigodeck/standins/fleet_day.py
+++ b/indigodeck/standins/fleet_day.py
@@ -8,16 +8,17 @@
 
 from tornado.gen import sleep
 
-from . import audit
 from ..clock import now
+from . import audit
 from .controllers import charges_in, free_ports, section
-from .day import Play, SECOND
+from .day import SECOND, Play
 from .tap import Tap
 
 
 class FleetPlay(Play):
     """A day of `many` controllers. Further troubles: `stall` (any controller, by chance), `takeover` (who is in charge is
-    stopped), `handover`; each for `seconds`."""
+    stopped), `handover`; each for `seconds`.
+    """
 
     def __init__(self, script, folder, many=3, lease_ms=600, say=lambda text: None):
         super().__init__(script, folder, say=say)
--- a/indigodeck/standins/relay.py
+++ b/indigodeck/standins/relay.py
@@ -22,7 +22,8 @@
 
 class Relay:
     """`stated`: uid, planners [(address, port)], standing [(address, port)], classes [{name, share, work_ms,
-    agreed_time_ms, patience_ms, credit, late_credit, repeats}], rate (exchanges a second), retries, strikes."""
+    agreed_time_ms, patience_ms, credit, late_credit, repeats}], rate (exchanges a second), retries, strikes.
+    """
 
     def __init__(self, now, write, stated, until):
         self.now, self.write, self.stated, self.until = now, write, stated, until
--- a/indigodeck/standins/stock.py
+++ b/indigodeck/standins/stock.py
@@ -89,7 +89,8 @@
 
 async def drive(planner, uid, hall, names, rate, seconds, concurrency, write, now):
     """Sends `rate` exchanges a second, evenly over the classes, and writes one outcome each. No more than `concurrency` are
-    under way: hosts that a slow machine gives too little time are asked less often, rather than later and later."""
+    under way: hosts that a slow machine gives too little time are asked less often, rather than later and later.
+    """
     os.environ["GRPC_XDS_BOOTSTRAP_CONFIG"] = bootstrap(planner, uid, hall)
     channels = {name: grpc.aio.insecure_channel(f"xds:///{name}") for name in names}
     calls = {name: channel.unary_unary(METHOD + name) for name, channel in channels.items()}
--- a/indigodeck/standins/tap.py
+++ b/indigodeck/standins/tap.py
@@ -14,7 +14,6 @@
 
 from ..fronts.sasp import codec
 
-
 NONSENSE = b"HTTP/1.1 418 I am no planner\r\n\r\n" * 4
 
 
--- a/indigodeck/store/log.py
+++ b/indigodeck/store/log.py
@@ -35,7 +35,8 @@
 
 class Files(Protocol):
     """One folder. Every call may raise OSError. What is appended, renamed or removed outlasts a power cut only after `sync`
-    of the file or `sync_folder`."""
+    of the file or `sync_folder`.
+    """
 
     def names(self) -> list: ...
 
@@ -102,7 +103,8 @@
 
 class Log:
     """Opens the folder's store, or begins one. `wrong`: [Place] found at the start; `lost`: whether some of that had been
-    acknowledged, so that what is held may be older than what was told to others."""
+    acknowledged, so that what is held may be older than what was told to others.
+    """
 
     def __init__(self, files):
         self.files, self.index, self.wrong, self.lost = files, {}, [], False
@@ -266,7 +268,8 @@
 
     def _missing(self, name, bad, first, last, vouched):
         """Records `first` to `last` are not there. Whether that is damage: then what comes after them counts. Else they
-        were not synced when the power went, and later ones that landed before them don't count either."""
+        were not synced when the power went, and later ones that landed before them don't count either.
+        """
         if vouched < first:
             return False
         self.lost = True
@@ -308,7 +311,8 @@
     def commit(self, batches):
         """Writes each batch of changes [(key, value, or None to drop it)] as one record, and syncs once. They are
         acknowledged when this returns; raises Stopped where they may be there or not, ValueError where nothing was
-        written as something is too long."""
+        written as something is too long.
+        """
         if self.why is not None:
             self._begin()  # after an error: in a new log, or not at all
         if self.why is not None:
@@ -350,7 +354,8 @@
 
     def get(self, key):
         """The newest value, or None. Proved by its sum at every reading: one that is damaged on the disk is said to be so
-        (`wrong`) and never served."""
+        (`wrong`) and never served.
+        """
         entry = self.index.get(key)
         if entry is None:
             return None
--- a/indigodeck/store/writer.py
+++ b/indigodeck/store/writer.py
@@ -21,7 +21,8 @@
 
 class Writer:
     """Opens the store in a folder (`files`: `log.Files`). `delay`: seconds that a change may wait for company; `note(event, **facts)`
-    hears of what was found wrong, of each stop and of each compaction, on the thread."""
+    hears of what was found wrong, of each stop and of each compaction, on the thread.
+    """
 
     def __init__(self, files, note, delay=0.0):
         self.note, self.delay, self.files = note, delay, files
--- a/indigodeck/takeover/apart.py
+++ b/indigodeck/takeover/apart.py
@@ -20,7 +20,8 @@
 
 class Apart:
     """`service` as `peers.Peers` wants it, but for `silent`, on the loop that makes this; `make(surroundings)` gives the
-    Peers on the thread's own loop, and may raise what it likes. `lease`: microseconds."""
+    Peers on the thread's own loop, and may raise what it likes. `lease`: microseconds.
+    """
 
     def __init__(self, service, make, lease):
         self.service, self.make, self.main, self.loop = service, make, IOLoop.current(), None
--- a/indigodeck/takeover/charge.py
+++ b/indigodeck/takeover/charge.py
@@ -26,7 +26,8 @@
 class Record(NamedTuple):
     """What must outlast a restart. `wards`: by ward the highest epoch granted or adopted, and its holder; `serial`: how
     often this was written; `fleet`: (number, {member: place}) or None while it is as the charter says; `plan`: the change
-    accepted last and not known to be decided, (number, epoch it was proposed under, members)."""
+    accepted last and not known to be decided, (number, epoch it was proposed under, members).
+    """
 
     serial: int
     wards: dict
@@ -146,7 +147,8 @@
 
     def settled(self):
         """Whether it knows what it may have forgotten: a majority of the others holds one of every majority that this
-        member ever was part of. Once it does, that lasts for its life: a new member that is down must not hold it up."""
+        member ever was part of. Once it does, that lasts for its life: a new member that is down must not hold it up.
+        """
         if self.me in self.members and len(self.answers & self.members.keys()) >= min(
             self._majority(), len(self.members) - 1
         ):
@@ -311,7 +313,8 @@
 
     def wanted(self, ward):
         """Whether this member should try for a ward: it goes to the first in order of those that were heard of lately and
-        did not just let it lapse; others try when nobody is known to hold it for long."""
+        did not just let it lapse; others try when nobody is known to hold it for long.
+        """
         now, rest, grant = self.host.now(), self.resting.get(ward, 0), self.grants[ward]
         lapsed = grant.holder if grant.until <= now < grant.until + 2 * self.lease else None
         alive = [
@@ -464,7 +467,8 @@
 
     def change(self, members):
         """An operator wants these as members: {id: place}, one more or one less. None, or why it can't be; it is done
-        when `fleet()` shows the next number."""
+        when `fleet()` shows the next number.
+        """
         epoch = self.holds(self.wards[0])
         if epoch is None:
             return "another is in charge"
@@ -511,7 +515,8 @@
     def _accepts(self, member, number, epoch, members):
         """Whether a proposal is taken, and written down. A member that has changed fleets grants no further change
         until what it granted in the fleet before has ended, so that only neighbouring fleets' leases ever run at once;
-        and it takes one only from whom it granted the first ward to, under that epoch: granting was the promise."""
+        and it takes one only from whom it granted the first ward to, under that epoch: granting was the promise.
+        """
         if number != self.number + 1 or member not in self.members or not self._may_grant():
             return False
         if self.host.now() - self.adopted_at <= self._grants_for():
@@ -604,7 +609,8 @@
     def force(self, members):
         """An operator makes these the members without a majority's word, after the others are gone for good. If they are
         not, two may be in charge until they meet: then the higher number counts, and relays that know epochs follow it.
-        None, or why it can't be."""
+        None, or why it can't be.
+        """
         if self.me not in members or not 1 <= len(members) <= MEMBERS_MOST:
             return "who is forced to be a member must be told so itself"
         if self.number < 0:
@@ -626,7 +632,8 @@
 
     def fleet(self):
         """What is known here of members and wards, for operators. Times in microseconds; `state` of a member: alive,
-        suspected (not heard for two leases), unheard."""
+        suspected (not heard for two leases), unheard.
+        """
         now = self.host.now()
 
         def state(member):
--- a/indigodeck/takeover/messages.py
+++ b/indigodeck/takeover/messages.py
@@ -69,7 +69,8 @@
 
 class Speech:
     """The version to speak to one member: the newest, unless it was heard to speak an older one. On one connection of
-    its own it never gets older again: what an earlier program sent last must not hold back the one that replaced it."""
+    its own it never gets older again: what an earlier program sent last must not hold back the one that replaced it.
+    """
 
     def __init__(self, newest=NEWEST):
         self.newest = self.version = newest
--- a/indigodeck/takeover/model.py
+++ b/indigodeck/takeover/model.py
@@ -307,7 +307,8 @@
 
 class Neighbours(World):
     """A schedule that chance seldom finds: two members that were taken out without hearing of it are left with one more,
-    and were a majority together before; the rest is a majority of those that stayed."""
+    and were a majority together before; the rest is a majority of those that stayed.
+    """
 
     def __init__(self, seed, members=5, seconds=120, make=Charge):
         super().__init__(seed, 5, seconds, make)
--- a/indigodeck/takeover/peers.py
+++ b/indigodeck/takeover/peers.py
@@ -34,7 +34,8 @@
     """A member's surroundings on sockets. `service`: `now()`, `silent()`, `note(event, ..)`, `in_charge(ward, epoch)`,
     `out_of_charge(ward, epoch, why)`, `await followers()`: [(relay, front, ward)], `copy_came(member, kind, fields)`,
     `await asked(wish)` (apart.py); `places`: {member: "ADDRESS:PORT"} as the
-    charter says; `newest`: the version of messages not to go beyond."""
+    charter says; `newest`: the version of messages not to go beyond.
+    """
 
     def __init__(
         self,
@@ -70,7 +71,8 @@
 
     def _peers_are(self, members):
         """All that may speak here: who the charter names, and who was let in since. Who was taken out and is named by no
-        charter is heard no more."""
+        charter is heard no more.
+        """
         places = {**members, **self.stated}
         for name in [name for name in self.peers if name not in places]:
             self.peers.pop(name).over = True
--- a/indigodeck/takeover/record.py
+++ b/indigodeck/takeover/record.py
@@ -114,7 +114,8 @@
 
 class InStore:
     """The same two calls on a planner's store: what stands under one key. `store`: store.writer.Writer; `held`: what it held at
-    the start; `file`: where it lay before there was a store, read if the store has none."""
+    the start; `file`: where it lay before there was a store, read if the store has none.
+    """
 
     def __init__(self, store, held, key, file, told=told, read=read):
         self.store, self.held, self.key, self.file, self.told, self.of = (
--- a/indigodeck/versions/books.py
+++ b/indigodeck/versions/books.py
@@ -99,7 +99,8 @@
 
     def in_charge(self, epoch, after_another=False):
         """`after_another`: whose last versions may not have come here. What is published now is one of its own then, though it may
-        look like the last that is known: whoever holds a version that is not, must see a newer one."""
+        look like the last that is known: whoever holds a version that is not, must see a newer one.
+        """
         self.always = self.always or after_another
         self.epoch = epoch if self.epoch is None else max(epoch, self.epoch)
         self.ledger.in_charge(self.epoch)
--- a/indigodeck/versions/holds.py
+++ b/indigodeck/versions/holds.py
@@ -74,7 +74,8 @@
 
 class Holds:
     """`by_place`: {class's place: Hold}; `old`: {class's place: {table: {server: weight}}}; `lines`: {table: {server: weight}} of
-    those that differ from today's."""
+    those that differ from today's.
+    """
 
     def __init__(self, host):
         self.host, self.by_place, self.old, self.lines, self.overruled = host, {}, {}, {}, {}
--- a/indigodeck/versions/ledger.py
+++ b/indigodeck/versions/ledger.py
@@ -39,7 +39,8 @@
 
 class Version(NamedTuple):
     """`at`: wall clock in microseconds; `cause`: why, in words; `author`: who, where it was an operator; `content`: hash of the set;
-    `first`: the version that its chain begins with."""
+    `first`: the version that its chain begins with.
+    """
 
     number: Number
     parent: Number | None
@@ -69,7 +70,8 @@
 
 class Ledger:
     """`keys`: of the versions that are kept, as the store has them; `most`, `age`: so many are kept, however
-    old they are; and twice as many if they are not older than that, in microseconds."""
+    old they are; and twice as many if they are not older than that, in microseconds.
+    """
 
     def __init__(self, host, keys=(), most=2000, age=7 * DAY):
         self.host, self.most, self.age = host, most, age
@@ -128,7 +130,8 @@
 
     def published(self, held, cause, author="", always=False):
         """The set that is published now, {table: sheet}: its version if that differs from what was published last, or if there is to
-        be one `always`; else None."""
+        be one `always`; else None.
+        """
         hashes = {
             table: self.hashes[table] if self.sheets.get(table) is one else sets.hash_of(one)
             for table, one in held.items()
@@ -202,7 +205,8 @@
 
     def copied(self, version, held):
         """Another controller tells of one of its versions: kept here whole, so that it can be gone back to, and gone on from
-        where it is the newest."""
+        where it is the newest.
+        """
         if version.number in self.versions:
             return
         version, newest = version._replace(first=version.number), self.newest
@@ -240,7 +244,8 @@
 
     def tidy(self, needed=frozenset()):
         """Drops the oldest chains beyond what is to be kept, unless a version of theirs is `needed` (a set of numbers); the
-        numbers dropped."""
+        numbers dropped.
+        """
         now, dropped = self.host.wall(), []
         for first in sorted(self.chains)[:-1]:
             chain, left = self.chains[first], len(self.versions) - len(dropped)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -2,9 +2,10 @@
 
 import unittest
 
+from rig import SECOND, Rig, TraceCase, charter, server
+
 from indigodeck import records
 from indigodeck.host import CHANGES, DRAINING, GONE
-from rig import SECOND, Rig, TraceCase, charter, server
 
 
 def fleet(count=12, **stated):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,5 +1,6 @@
 """Paths that end something, over real sockets, with the crossing forced: a stand-in holds the byte, the answer or the signal
-until the other side has happened. What is owed at each, and who pays it, stands in docs/edge.md."""
+until the other side has happened. What is owed at each, and who pays it, stands in docs/edge.md.
+"""
 
 import asyncio
 import json
@@ -61,7 +62,8 @@
 class Registry(TCPServer):
     """Discovery as a script. Each question takes the next of `answers`: an object, bytes or a list of such pieces that end the
     connection, an `Event` to wait for before the answer after it, or None, as a piece too, for silence; with none left, nothing
-    is new."""
+    is new.
+    """
 
     def __init__(self, *answers):
         super().__init__()
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -15,9 +15,9 @@
 
 import structlog
 
-from indigodeck.clock import now
 from indigodeck.client import Malfunction, Refused, Tables, Unreachable
 from indigodeck.client.sasp import SaspClient
+from indigodeck.clock import now
 from indigodeck.fronts.sasp import codec
 from indigodeck.planner.charter import Charter
 from indigodeck.serve import assemble
@@ -157,16 +157,15 @@
             await task
 
     async def test_one_byte_at_a_time_is_slow_and_fine(self):
-        async with Planner() as planner:
-            async with peer(planner.port) as (reader, writer):
-                for byte in HELLO:
-                    writer.write(bytes([byte]))
-                    await writer.drain()
-                    await asyncio.sleep(0.001)
-                answers = await asyncio.wait_for(reader.readexactly(36), 5)
-                self.assertEqual((answers[17], answers[35]), (0, 0))
-                pushed = await asyncio.wait_for(reader.readexactly(13), 5)
-                self.assertEqual(pushed[:5], bytes.fromhex("2010000d01"))
+        async with Planner() as planner, peer(planner.port) as (reader, writer):
+            for byte in HELLO:
+                writer.write(bytes([byte]))
+                await writer.drain()
+                await asyncio.sleep(0.001)
+            answers = await asyncio.wait_for(reader.readexactly(36), 5)
+            self.assertEqual((answers[17], answers[35]), (0, 0))
+            pushed = await asyncio.wait_for(reader.readexactly(13), 5)
+            self.assertEqual(pushed[:5], bytes.fromhex("2010000d01"))
 
     async def test_a_relay_that_asks_too_often_waits_and_delays_nobody(self):
         channel = {
--- a/tests/test_outlasting.py
+++ b/tests/test_outlasting.py
@@ -11,17 +11,18 @@
 
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
+from rig import SECOND, Loop, TraceCase  # noqa: E402
+from test_live import ROOT, Planner, ports, until  # noqa: E402
+from test_takeover import Controllers  # noqa: E402
+from test_versions import Planner as Paper  # noqa: E402
+from test_versions import Shelf
+
 from indigodeck.chance import Chance  # noqa: E402
-from indigodeck.takeover import messages  # noqa: E402
 from indigodeck.planner.belief import Belief  # noqa: E402
+from indigodeck.takeover import messages  # noqa: E402
 from indigodeck.versions import sheets  # noqa: E402
-from indigodeck.versions.books import Books  # noqa: E402
 from indigodeck.versions.copies import Copies  # noqa: E402
 from indigodeck.versions.ledger import DAY, Number  # noqa: E402
-from rig import SECOND, Loop, TraceCase  # noqa: E402
-from test_live import ROOT, Planner, ports, until  # noqa: E402
-from test_takeover import Controllers  # noqa: E402
-from test_versions import Planner as Paper, Shelf  # noqa: E402
 
 
 class Kept(Loop):
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -5,23 +5,24 @@
 import pathlib
 import unittest
 
-from hypothesis import given, settings, strategies as some
+from hypothesis import given, settings
+from hypothesis import strategies as some
+from rig import SECOND, Loop, TraceCase, charter, server
 
 from indigodeck.client import Tables
 from indigodeck.fronts.sasp import codec
 from indigodeck.fronts.sasp.codec import Bounds, Member
 from indigodeck.fronts.sasp.conversation import Conversation, Office
 from indigodeck.host import DRAINING, GONE, READY
+from indigodeck.planner import arrivals
 from indigodeck.planner.allowance import Allowance
+from indigodeck.planner.arrivals import Arrivals
 from indigodeck.planner.charter import Charter
 from indigodeck.planner.desk import Desk, Door
-from indigodeck.planner import arrivals
-from indigodeck.planner.arrivals import Arrivals
 from indigodeck.planner.evidence import Evidence, Report
-from indigodeck.planner.weights import scaled
 from indigodeck.planner.roster import Roster, read
+from indigodeck.planner.weights import scaled
 from indigodeck.schema import BadDocument
-from rig import SECOND, Loop, TraceCase, charter, server
 
 PORT = 8000
 
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -9,6 +9,8 @@
 import xxhash  # noqa: E402
 from envoy.config.core.v3 import base_pb2  # noqa: E402
 from envoy.service.discovery.v3 import discovery_pb2  # noqa: E402
+from rig import Loop, charter, server  # noqa: E402
+from test_versions import Shelf as Paper  # noqa: E402
 
 from indigodeck.chance import Chance  # noqa: E402
 from indigodeck.client import Tables  # noqa: E402
@@ -19,8 +21,6 @@
 from indigodeck.planner.publishing import Publishing  # noqa: E402
 from indigodeck.planner.weights import scaled  # noqa: E402
 from indigodeck.versions.ledger import DAY  # noqa: E402
-from rig import SECOND, Loop, charter, server  # noqa: E402
-from test_versions import Shelf as Paper  # noqa: E402
 
 CLASSES = ["read", "write"]
 
--- a/tests/test_sasp_codec.py
+++ b/tests/test_sasp_codec.py
@@ -2,7 +2,8 @@
 
 import unittest
 
-from hypothesis import given, settings, strategies as some
+from hypothesis import given, settings
+from hypothesis import strategies as some
 
 from indigodeck.fronts.sasp import codec
 from indigodeck.fronts.sasp.codec import Bounds, Entry, Malformed, Member
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -64,7 +64,8 @@
 
 def play(seed, commits, cut_at=None, again=None, fails=(), process_only=False):
     """Commits and compacts on a disk until its power goes, or to the end; then starts until a start succeeds. `again`: when the
-    first of these starts is cut as well. (what was wrong, or None; operations done before the cut)"""
+    first of these starts is cut as well. (what was wrong, or None; operations done before the cut)
+    """
     chance = Chance(seed)
     disk, truth = Disk(chance, cut_at, fails), Truth(Chance(seed + 1))
     try:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -6,6 +6,8 @@
 import tempfile
 import unittest
 
+from test_versions import Planner, Shelf
+
 from indigodeck.chance import Chance
 from indigodeck.planner.roster import Roster
 from indigodeck.store.files import Folder
@@ -15,7 +17,6 @@
 from indigodeck.takeover.record import InStore, RecordFile, entries_of, pack_entries, unpack_entries
 from indigodeck.versions.ledger import Ledger, Number
 from indigodeck.versions.wishes import Wishes
-from test_versions import Planner, Shelf
 
 DATA = pathlib.Path(__file__).parent / "data"
 STORED = json.loads((DATA / "store.json").read_text(encoding="utf-8"))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -11,29 +11,30 @@
 import unittest
 import unittest.mock
 
-from hypothesis import given, settings, strategies as some
+from hypothesis import given, settings
+from hypothesis import strategies as some
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
+from rig import SECOND, Loop  # noqa: E402
+from test_live import ROOT, until  # noqa: E402
+
 from indigodeck.chance import Chance  # noqa: E402
 from indigodeck.client import Tables  # noqa: E402
 from indigodeck.client.tables import Redial  # noqa: E402
 from indigodeck.client.xds import Refused, Talk, XdsClient  # noqa: E402
+from indigodeck.clock import now  # noqa: E402
 from indigodeck.fronts.xds import codec  # noqa: E402
+from indigodeck.standins.controllers import Fleet, Gate  # noqa: E402
+from indigodeck.standins.fleet_day import FleetPlay  # noqa: E402
+from indigodeck.standins.stock import GrpcHost  # noqa: E402
 from indigodeck.takeover import messages, model  # noqa: E402
+from indigodeck.takeover.apart import Apart  # noqa: E402
 from indigodeck.takeover.charge import Charge, Record  # noqa: E402
+from indigodeck.takeover.peers import Peers, ask  # noqa: E402
 from indigodeck.takeover.record import RecordFile, pack, pack_entries, unpack, unpack_entries  # noqa: E402
 from indigodeck.takeover.refusals import Refusals  # noqa: E402
-from indigodeck.takeover.apart import Apart  # noqa: E402
-from indigodeck.takeover.peers import Peers, ask  # noqa: E402
-from indigodeck.clock import now  # noqa: E402
-from indigodeck.standins.controllers import Fleet, Gate  # noqa: E402
-from indigodeck.standins.fleet_day import FleetPlay  # noqa: E402
-from indigodeck.standins.stock import GrpcHost  # noqa: E402
-from rig import SECOND, Loop  # noqa: E402
-from test_live import ROOT, until  # noqa: E402
-
 
 PLACES = {name: f"127.0.0.1:{nth}" for nth, name in enumerate("abc", 1)}
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -3,15 +3,16 @@
 import json
 import unittest
 
-from hypothesis import given, settings, strategies as some
+from hypothesis import given, settings
+from hypothesis import strategies as some
+from rig import SECOND
 
 from indigodeck.chance import Chance
 from indigodeck.versions import sheets
 from indigodeck.versions.books import Books
-from indigodeck.versions.holds import COLD, OUT, WARM, Hold, Holds, brought_together
+from indigodeck.versions.holds import COLD, OUT, WARM, brought_together
 from indigodeck.versions.ledger import CHAIN, DAY, Ledger, Number, number
 from indigodeck.versions.wishes import Refused, Wishes
-from rig import SECOND
 
 HOSTS = [f"host-{nth}" for nth in range(12)]
 Lines = some.dictionaries(some.sampled_from(HOSTS), some.floats(0.01, 5), max_size=8)
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -14,13 +14,18 @@
 import structlog
 from envoy.config.core.v3 import base_pb2
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
-from hypothesis import given, settings, strategies as some
+from hypothesis import given, settings
+from hypothesis import strategies as some
 
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
+from rig import SECOND, Loop, TraceCase  # noqa: E402
+from test_live import ROOT, Planner, now, until  # noqa: E402
+
 from indigodeck.client import Tables  # noqa: E402
 from indigodeck.client.sasp import SaspClient  # noqa: E402
-from indigodeck.client.xds import XdsClient, read as read_assignment  # noqa: E402
+from indigodeck.client.xds import XdsClient  # noqa: E402
+from indigodeck.client.xds import read as read_assignment
 from indigodeck.fronts.xds import codec  # noqa: E402
 from indigodeck.fronts.xds.codec import CLUSTER, ENDPOINTS, KINDS, LISTENER, ROUTE  # noqa: E402
 from indigodeck.fronts.xds.streams import UNDERWAY_MOST, Bounds, Relay, TooMuch  # noqa: E402
@@ -29,8 +34,6 @@
 from indigodeck.serve import assemble  # noqa: E402
 from indigodeck.standins.conversation import Talkers  # noqa: E402
 from indigodeck.standins.stock import GrpcHost  # noqa: E402
-from rig import SECOND, Loop, TraceCase  # noqa: E402
-from test_live import ROOT, Planner, now, until  # noqa: E402
 
 SHORT = {CLUSTER: "cluster", ENDPOINTS: "endpoints", LISTENER: "listener", ROUTE: "route"}
 NAMED = {short: kind for kind, short in SHORT.items()}
@@ -345,7 +348,8 @@
 
 class Stock(unittest.IsolatedAsyncioTestCase):
     """Hosts, planner and probes share this process with what it can carry on this machine: relays have few exchanges under way,
-    and asyncio's debug mode, which costs as much again as all of them, is off."""
+    and asyncio's debug mode, which costs as much again as all of them, is off.
+    """
 
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
