--- a/benchmarks/amid.py
+++ b/benchmarks/amid.py
@@ -15,9 +15,9 @@
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.standins.controllers import Fleet  # noqa: E402
-from indigodeck.standins.day import printed  # noqa: E402
-from indigodeck.standins.fleet_day import FleetPlay  # noqa: E402
+from indigodeck.testbed.controllers import Fleet  # noqa: E402
+from indigodeck.testbed.fleet_scenario import FleetScenarioRunner  # noqa: E402
+from indigodeck.testbed.scenario import printed  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 TICK = os.sysconf("SC_CLK_TCK")
@@ -40,7 +40,7 @@
         messages_most=60, answers_most=30
     )  # 4,500 lines a second, 4,500 may wait: as for 9 relays
     with tempfile.TemporaryDirectory() as folder:
-        play = FleetPlay(script, pathlib.Path(folder))
+        play = FleetScenarioRunner(script, pathlib.Path(folder))
         result = await play.play()
         result["laid"] = [
             {
--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -14,8 +14,8 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.fronts.sasp import codec  # noqa: E402
-from indigodeck.standins.day import Play  # noqa: E402
+from indigodeck.frontends.sasp import codec  # noqa: E402
+from indigodeck.testbed.scenario import ScenarioRunner  # noqa: E402
 
 
 class Changes:
@@ -46,7 +46,7 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         plays = [
-            Play(script, pathlib.Path(folder) / policy, policy)
+            ScenarioRunner(script, pathlib.Path(folder) / policy, policy)
             for policy in ("indigodeck", "equal", "frozen")
         ]
         results = await asyncio.gather(*(play.play() for play in plays))
--- a/benchmarks/codec.py
+++ b/benchmarks/codec.py
@@ -9,7 +9,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.fronts.sasp import codec  # noqa: E402
+from indigodeck.frontends.sasp import codec  # noqa: E402
 
 
 class Nobody:
--- a/benchmarks/cuts.py
+++ b/benchmarks/cuts.py
@@ -13,7 +13,7 @@
 
 import test_store  # noqa: E402
 
-from indigodeck.store import log  # noqa: E402
+from indigodeck.store import write_ahead_log as log  # noqa: E402
 
 
 def part(nth, times):
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -14,7 +14,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.standins.day import Play, printed  # noqa: E402
+from indigodeck.testbed.scenario import ScenarioRunner, printed  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -37,7 +37,7 @@
 async def main():
     with tempfile.TemporaryDirectory() as folder:
         plays = [
-            Play(script(down), pathlib.Path(folder) / name)
+            ScenarioRunner(script(down), pathlib.Path(folder) / name)
             for name, down in (("down", True), ("up", False))
         ]
         results = await asyncio.gather(*(play.play() for play in plays))
--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -15,7 +15,7 @@
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.standins.day import Play  # noqa: E402
+from indigodeck.testbed.scenario import ScenarioRunner  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -37,7 +37,7 @@
         script["charter"]["relays"]["rate"] = rate / script["relays"]["many"]
         with tempfile.TemporaryDirectory() as folder:
             plays = [
-                Play(
+                ScenarioRunner(
                     dict(script, relays=dict(script["relays"], rate=rate, wire=wire)),
                     pathlib.Path(folder) / wire,
                 )
--- a/benchmarks/full_size.py
+++ b/benchmarks/full_size.py
@@ -19,10 +19,10 @@
 
 from rig import SECOND, Loop  # noqa: E402
 
-from indigodeck.charter import charter_of  # noqa: E402
-from indigodeck.edge.codec import Words  # noqa: E402
-from indigodeck.edge.desk import Desk  # noqa: E402
+from indigodeck.edge.assigner_host import Desk  # noqa: E402
+from indigodeck.edge.codec import MessageCodec  # noqa: E402
 from indigodeck.edge.outbox import Outbox  # noqa: E402
+from indigodeck.settings import settings_from_object  # noqa: E402
 
 ZONES = ["x", "y", "z"]
 
@@ -60,7 +60,7 @@
     }
 
 
-class Outside(Loop):
+class Environment(Loop):
     """A desk's outside: time and timers, and nobody to tell."""
 
     def ignore(self, *given):
@@ -71,10 +71,14 @@
 
 class Planner:
     def __init__(self, proxies, servers, planners):
-        charter = charter_of(settings(proxies, planners))
-        self.words, self.outside, self.own = Words(charter), Outside(), range(0, proxies, planners)
+        stated = settings_from_object(settings(proxies, planners))
+        self.words, self.outside, self.own = (
+            MessageCodec(stated),
+            Environment(),
+            range(0, proxies, planners),
+        )
         self.relay = Outbox(self.outside.now, self.outside.note)
-        self.desk = Desk(self.outside, self.words, self.relay, charter, 7)
+        self.desk = Desk(self.outside, self.words, self.relay, stated, 7)
         self.servers, self.next, self.version = {}, 0, 0
         for _ in range(servers):
             self.add()
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -14,7 +14,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.standins.day import Play  # noqa: E402
+from indigodeck.testbed.scenario import ScenarioRunner  # noqa: E402
 
 TICK = os.sysconf("SC_CLK_TCK")
 
@@ -40,7 +40,7 @@
     script["charter"]["relays"] = {"rate": rate / relays, "strikes": 3}
     script["charter"]["reports"].update(probes_per_s=60)
     with tempfile.TemporaryDirectory() as folder:
-        play, samples = Play(script, folder), []
+        play, samples = ScenarioRunner(script, folder), []
 
         async def sample():
             while play.planner is None or len(play.relay_of) < relays:
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -19,10 +19,10 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
 from indigodeck.clock import now  # noqa: E402
-from indigodeck.planner.charter import Charter  # noqa: E402
+from indigodeck.planner.planner_settings import PlannerSettings  # noqa: E402
 from indigodeck.serve import assemble  # noqa: E402
-from indigodeck.standins.day import Crew  # noqa: E402
-from indigodeck.standins.keeper import ListFile  # noqa: E402
+from indigodeck.testbed.discovery_server import ListFile  # noqa: E402
+from indigodeck.testbed.scenario import Crew  # noqa: E402
 
 HOSTS, DRAINS = 105, 40
 
@@ -59,7 +59,7 @@
         listed = ListFile(folder)
         document["roster"] = {"file": "roster.json", "look_every_ms": 20}
         listed.keep(hosts)
-        service = assemble(Charter(document, folder))
+        service = assemble(PlannerSettings(document, folder))
         ordered, withdraw = {}, service.desk.withdraw
 
         def noted(server, out):
@@ -67,13 +67,13 @@
             withdraw(server, out)
 
         service.desk.withdraw = noted
-        acknowledged, applied = [], service.desk.assigner.applied
+        acknowledged, applied = [], service.desk.assigner.on_ack
 
         def heard(proxy, number, took):
             acknowledged.append(took)
             applied(proxy, number, took)
 
-        service.desk.assigner.applied = heard
+        service.desk.assigner.on_ack = heard
         crews = [await Crew.start("standin", "relay", "--outcomes", os.devnull) for _ in range(4)]
         classes = [dict(kind, share=0.5, work_ms=200) for kind in document["classes"]]
         for nth in range(many):
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -15,16 +15,16 @@
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.chance import Chance  # noqa: E402
-from indigodeck.standins.day import printed  # noqa: E402
-from indigodeck.standins.fleet_day import FleetPlay  # noqa: E402
+from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
+from indigodeck.testbed.fleet_scenario import FleetScenarioRunner  # noqa: E402
+from indigodeck.testbed.scenario import printed  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 
 
 async def main(seconds, seed, wire):
     script = json.loads((ROOT / "examples/bad-day.json").read_text())
-    chance, at, troubles = Chance(seed), 5.0, []
+    chance, at, troubles = SeededRandom(seed), 5.0, []
     while at < seconds - 10:
         draw = chance.below(100)
         if draw < 12:
@@ -44,7 +44,7 @@
     script["charter"]["fronts"]["sasp"]["interval_s"] = 1
     script["charter"]["channel"].update(messages_most=60, answers_most=30)
     with tempfile.TemporaryDirectory() as folder:
-        play = FleetPlay(script, folder)
+        play = FleetScenarioRunner(script, folder)
         result = await play.play()
         charges = play.charges()
     print(printed(result))
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -10,7 +10,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.takeover import model  # noqa: E402
+from indigodeck.leadership import model  # noqa: E402
 
 EACH = 250
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -17,7 +17,7 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
 from indigodeck.store.files import Folder  # noqa: E402
-from indigodeck.store.log import Log  # noqa: E402
+from indigodeck.store.write_ahead_log import WriteAheadLog  # noqa: E402
 from indigodeck.store.writer import Writer  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -42,7 +42,7 @@
 
 
 def alone(folder):
-    log, many = Log(Folder(folder / "alone")), 0
+    log, many = WriteAheadLog(Folder(folder / "alone")), 0
     began = time.monotonic()
     while time.monotonic() - began < SECONDS:
         log.commit([[(f"k{many % 500}", BODY)]])
@@ -104,7 +104,7 @@
 
 
 def recovery(folder, records, keys, compacted):
-    log = Log(Folder(folder / f"r{records}-{keys}-{compacted}"))
+    log = WriteAheadLog(Folder(folder / f"r{records}-{keys}-{compacted}"))
     for first in range(0, records, 500):
         log.commit(
             [[(f"k{nth % keys}", {**BODY, "nth": nth})] for nth in range(first, first + 500)]
@@ -116,7 +116,7 @@
         path.stat().st_size for path in (folder / f"r{records}-{keys}-{compacted}").iterdir()
     )
     began = time.monotonic()
-    again = Log(Folder(folder / f"r{records}-{keys}-{compacted}"))
+    again = WriteAheadLog(Folder(folder / f"r{records}-{keys}-{compacted}"))
     took = time.monotonic() - began
     assert len(again.index) == keys and not again.lost
     return {
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -19,7 +19,7 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
 from indigodeck.clock import now  # noqa: E402
-from indigodeck.standins.controllers import Fleet  # noqa: E402
+from indigodeck.testbed.controllers import Fleet  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -20,14 +20,14 @@
 from indigodeck.client.sasp import SaspClient  # noqa: E402
 from indigodeck.client.xds import XdsClient  # noqa: E402
 from indigodeck.clock import now  # noqa: E402
-from indigodeck.standins.controllers import free_ports  # noqa: E402
-from indigodeck.standins.day import Play, printed  # noqa: E402
-from indigodeck.standins.keeper import ListFile  # noqa: E402
+from indigodeck.leadership.transport import ask  # noqa: E402
 from indigodeck.store.files import Folder  # noqa: E402
-from indigodeck.store.log import Log  # noqa: E402
-from indigodeck.takeover.peers import ask  # noqa: E402
-from indigodeck.versions import sheets  # noqa: E402
-from indigodeck.versions.ledger import Ledger  # noqa: E402
+from indigodeck.store.write_ahead_log import WriteAheadLog  # noqa: E402
+from indigodeck.testbed.controllers import free_ports  # noqa: E402
+from indigodeck.testbed.discovery_server import ListFile  # noqa: E402
+from indigodeck.testbed.scenario import ScenarioRunner, printed  # noqa: E402
+from indigodeck.versions import snapshots as sheets  # noqa: E402
+from indigodeck.versions.version_log import VersionLog  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 KEY = b"a key for measurements, of sixteen bytes"
@@ -68,19 +68,19 @@
             )
 
         keep(())
-        charter = json.loads((ROOT / "examples/charter.json").read_text())
-        charter.update(
+        settings = json.loads((ROOT / "examples/charter.json").read_text())
+        settings.update(
             roster={"file": "roster.json", "look_every_ms": 50},
             store={"folder": "store"},
             fronts={"sasp": {"port": ports[0], "interval_s": 5}, "xds": {"port": ports[1]}},
             operators={"port": ports[2], "key_file": "key"},
             reports={"period_ms": 1000, "probes_per_s": 0},
         )
-        charter["relays"].update(most=relays, rate=120 / relays)
-        charter["channel"].update(
+        settings["relays"].update(most=relays, rate=120 / relays)
+        settings["channel"].update(
             lines_per_s=20_000, waiting_most=20_000, messages_most=200, answers_most=60
         )
-        (folder / "charter.json").write_text(json.dumps(charter))
+        (folder / "charter.json").write_text(json.dumps(settings))
         with open(folder / "log", "wb") as log:
             planner = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -193,7 +193,7 @@
     """A store, opened to be read, as a ledger sees it."""
 
     def __init__(self, folder):
-        log = Log(Folder(folder))
+        log = WriteAheadLog(Folder(folder))
         self.held = {key: log.get(key) for key in log.keys()}
 
     def kept(self, key):
@@ -207,10 +207,10 @@
     script = json.loads((ROOT / "examples/bad-day.json").read_text())
     script["charter"]["store"] = {"folder": "store"}
     with tempfile.TemporaryDirectory() as folder:
-        play = Play(script, pathlib.Path(folder))
+        play = ScenarioRunner(script, pathlib.Path(folder))
         result = await play.play()
         host = Held(pathlib.Path(folder) / "store")
-        ledger = Ledger(host, [key for key in host.held if key.startswith("version/")])
+        ledger = VersionLog(host, [key for key in host.held if key.startswith("version/")])
     kept = whole = lines = all_lines = 0
     for number, version in ledger.versions.items():
         held = ledger.sheets_of(number)
--- a/benchmarks/wire_bytes.py
+++ b/benchmarks/wire_bytes.py
@@ -18,11 +18,11 @@
 
 from envoy.config.core.v3 import base_pb2  # noqa: E402
 
-from indigodeck.fronts.sasp.conversation import Conversation  # noqa: E402
-from indigodeck.fronts.xds import codec  # noqa: E402
-from indigodeck.planner.charter import Charter  # noqa: E402
+from indigodeck.frontends.sasp.conversation import Conversation  # noqa: E402
+from indigodeck.frontends.xds import codec  # noqa: E402
+from indigodeck.planner.planner_settings import PlannerSettings  # noqa: E402
 from indigodeck.serve import assemble  # noqa: E402
-from indigodeck.standins.keeper import ListFile  # noqa: E402
+from indigodeck.testbed.discovery_server import ListFile  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 HOSTS = 105
@@ -113,7 +113,7 @@
     with tempfile.TemporaryDirectory() as folder:
         listed = ListFile(folder)
         listed.keep(hosts)
-        service = assemble(Charter(document, folder))
+        service = assemble(PlannerSettings(document, folder))
         names = [kind["name"] for kind in document["classes"]]
         meters = {
             "whole": Meter(service.fronts[0], "hall-a/whole", False, names),
--- a/indigodeck/choice.py
+++ b/indigodeck/assignment/assigner.py
@@ -8,9 +8,11 @@
 from itertools import product
 from statistics import median
 
-from .chance import Chance, seed_from
-from .host import CACHED, CHANGES, DRAINING, READY
-from .records import SECOND, Channel, Health, Proxies, Proxy, Table, quantile, weigh
+from ..clock import SECOND
+from ..settings import AdmissionMode
+from .interface import HealthCheckOutcome, RetryPolicy, ServerState, UpdateKind
+from .records import Channel, Health, Proxies, Proxy, Table, quantile, weigh
+from .seeded_random import SeededRandom, seed_from
 
 TURN = SECOND // 4  # between two looks at reports, shards and the channel
 # Shards (the design's starting values, and what measuring has made of them).
@@ -88,16 +90,16 @@
 
 
 class Assigner:
-    def __init__(self, host, charter, seed):
-        self.host, self.charter, self.chance = host, charter, Chance(seed)
-        self.classes, zones = charter["classes"], charter["zones"]
-        self.order = sorted(range(len(self.classes)), key=lambda k: self.classes[k]["name"])
-        self.tables, self.valves, self.proxies = [], {None: Valve()}, Proxies(charter, FORGET)
+    def __init__(self, host, settings, seed):
+        self.host, self.settings, self.chance = host, settings, SeededRandom(seed)
+        self.classes, zones = settings.classes, settings.zone_count
+        self.order = sorted(range(len(self.classes)), key=lambda k: self.classes[k].name)
+        self.tables, self.valves, self.proxies = [], {None: Valve()}, Proxies(settings, FORGET)
         # Where proxies are many, one table means too many connections: groups are classes of their own.
-        apart = self.apart = charter["proxies"] >= zones * GROUP
-        self.parts = max(1, charter["proxies"] // (zones * GROUP))
-        for place in [] if charter["slices"] else self.order:
-            own, name = self.classes[place]["own_zone"], self.classes[place]["name"]
+        apart = self.apart = settings.proxy_count >= zones * GROUP
+        self.parts = max(1, settings.proxy_count // (zones * GROUP))
+        for place in [] if settings.key_range_count else self.order:
+            own, name = self.classes[place].zone_bound, self.classes[place].name
             for zone, part in product(range(zones) if own or apart else [None], range(self.parts)):
                 number = (part * len(self.order) + place) * (zones + 1) + (
                     0 if zone is None else 1 + zone
@@ -111,29 +113,33 @@
         self.fleet, self.joining, self.withdrawn, self.shares, self.shared_at = {}, [], set(), {}, 0
         self.natural = {place: 1 / len(self.order) for place in self.order}
         self.levels = dict.fromkeys(self.order, 1.0)
-        self.channel, self.spans = Channel(charter, host.now(), FORGET), deque(maxlen=64)
-        self.pushed_at, self.pause, self.subscribed = -SPELL_MOST, SECOND, not charter["list_asked"]
+        self.channel, self.spans = Channel(settings, host.now(), FORGET), deque(maxlen=64)
+        self.pushed_at, self.pause, self.subscribed = (
+            -SPELL_MOST,
+            SECOND,
+            not settings.list_on_request,
+        )
         self.heard_at, self.reviewed_at, self.asked_at, self.slices = 0, 0, 0, {}
-        if charter["list_asked"]:
+        if settings.list_on_request:
             self._ask()
-        host.wake(TURN, 0)
+        host.start_timer(TURN, 0)
 
     def _ask(self):
         self.asked_at = self.host.now()
-        self.host.watch(True)
+        self.host.watch_endpoints(True)
 
-    def list_failed(self):
+    def on_endpoint_list_failed(self):
         # Later each time, not in step with others, so that a slow list service is not kept down.
         self.subscribed, self.pause = False, min(self.pause * 2, 8 * SECOND)
-        self.host.wake(self.pause // 2 + self.chance.below(self.pause), 1)
+        self.host.start_timer(self.pause // 2 + self.chance.below(self.pause), 1)
 
-    def listed(self, kind, servers):
-        self.subscribed, self.pause = self.subscribed or kind != CACHED, SECOND
-        if kind != CHANGES:
+    def on_endpoint_update(self, kind, servers):
+        self.subscribed, self.pause = self.subscribed or kind != UpdateKind.CACHED, SECOND
+        if kind != UpdateKind.CHANGES:
             for index in sorted(self.fleet.keys() - {server.index for server in servers}):
                 self._gone(index)
         for server in servers:
-            if server.state not in (READY, DRAINING):
+            if server.state not in (ServerState.READY, ServerState.DRAINING):
                 self._gone(server.index)
                 continue
             self.fleet[server.index] = (
@@ -142,9 +148,12 @@
             health = self.health.get(server.index)
             if health is None or health.started != server.started:
                 # A new process: what was held against the old one says nothing of it.
-                judge_from, old = 0 if kind == CACHED else self.host.now() + self._echo(), health
+                judge_from, old = (
+                    0 if kind == UpdateKind.CACHED else self.host.now() + self._echo(),
+                    health,
+                )
                 health = self.health[server.index] = Health(server.started, judge_from, SPELL)
-                if old and 0 < old.started > server.started - 4 * self.charter["cold_time"]:
+                if old and 0 < old.started > server.started - 4 * self.settings.warm_up_time:
                     # But one that falls by turns never gets warm, and takes what it is sent with it.
                     health.falls = old.falls + 1
                     health.spell = min(SPELL_MOST, SPELL << health.falls)
@@ -155,9 +164,9 @@
     def _gone(self, index):
         """Out at once, unless this deployment's list may be wrong in that: then it stays while it answers."""
         if (
-            not self.charter["gone_binds"]
+            not self.settings.removal_is_final
             and index in self.fleet
-            and self.fleet[index].state == READY
+            and self.fleet[index].state == ServerState.READY
         ):
             self.health[index].doubted, self.health[index].until = True, self.host.now()
         else:
@@ -167,21 +176,23 @@
         return {
             index: server
             for index, server in self.fleet.items()
-            if server.state == READY and zone in (None, server.zone)
+            if server.state == ServerState.READY and zone in (None, server.zone)
         }
 
-    def proxy_joined(self, proxy, zone, rate, fresh):
+    def on_proxy_joined(self, proxy, zone, rate, fresh):
         demand = self.proxies[proxy].demand if proxy in self.proxies else {}
         # The same group at every planner; not by remainder, for numbers may go with zones.
-        group, rate = Chance(proxy).below(self.parts), rate if 0 < rate < 1e9 else 1.0
+        group, rate = SeededRandom(proxy).below(self.parts), rate if 0 < rate < 1e9 else 1.0
         self.proxies[proxy] = Proxy((zone, group), rate, demand)
         if not self.joining:
-            self.host.wake(1, 2)  # with all that join at this moment: draws go by their demand
+            self.host.start_timer(
+                1, 2
+            )  # with all that join at this moment: draws go by their demand
         self.joining.append(proxy)
 
     def _bind(self):
         """Puts proxies on their tables as the channel has room; until then old ones hold. Busiest first."""
-        rest, now, limit = [], self.host.now(), self.charter["waiting_most"] * QUEUE_PART
+        rest, now, limit = [], self.host.now(), self.settings.channel.max_waiting_lines * QUEUE_PART
         waiting = {proxy for proxy in self.joining if self.proxies[proxy].joined}
         for proxy in sorted(waiting, key=lambda p: (-self.proxies[p].rate, p)):
             tables, queue = self.proxies.tables_of(proxy), self.channel.queue(now)
@@ -193,17 +204,18 @@
                 continue
             for table in tables:
                 table.users.add(proxy)
-                self.host.bind(proxy, table.number, [table.place])
+                self.host.assign_table(proxy, table.number, [table.place])
             self.channel.charge(self.proxies, {proxy}, lines, now)
         self.joining = rest
 
-    def proxy_left(self, proxy):
+    def on_proxy_left(self, proxy):
         if proxy in self.proxies:
             self.proxies[proxy].joined, self.proxies[proxy].left_at = False, self.host.now()
         for table in self.tables:
             table.users.discard(proxy)
 
-    def heard(self, zone, server, tries, failed, took, span, load):
+    def on_load_report(self, report):
+        zone, server, tries, failed, took, span, _ = report
         self.heard_at = self.host.now()
         if tries and span:
             self.spans.append(span)
@@ -211,34 +223,34 @@
                 (self.heard_at, tries, min(failed, tries), took, span)
             )
 
-    def demand(self, proxy, place, exchanges, failed, span):
-        if proxy in self.proxies and span:
-            self.proxies[proxy].note(place, exchanges, span)
+    def on_demand_report(self, report):
+        if report.proxy in self.proxies and report.span:
+            self.proxies[report.proxy].note(report.class_index, report.requests, report.span)
 
-    def applied(self, proxy, number, took):
+    def on_ack(self, proxy, number, took):
         self.channel.answered(number, took, self.host.now())
 
-    def probed(self, server, outcome, took, load):
+    def on_health_check(self, server, outcome, took, load):
         health = self.health[server]
         health.probing, health.until = (
             False,
             self.host.now() + (DOUBT if health.doubted else SPELL // 2),
         )
-        if health.doubted and outcome not in ("ok", "full"):
+        if health.doubted and outcome not in (HealthCheckOutcome.OK, HealthCheckOutcome.FULL):
             self.fleet.pop(server, None)
             self._act()
-        elif health.barred and outcome == "ok":
+        elif health.barred and outcome == HealthCheckOutcome.OK:
             self._try_again(health)
 
-    def told(self, peer, data):
+    def on_peer_message(self, peer, data):
         """Planners share nothing that these decisions need."""
 
-    def woken(self, token):
+    def on_timer(self, token):
         now = self.host.now()
         if not self.subscribed and (token == 1 or now - self.asked_at > 20 * SECOND):
             self._ask()
         if token == 0:
-            self.host.wake(TURN, 0)
+            self.host.start_timer(TURN, 0)
         for server in sorted(self.withdrawn - self.fleet.keys() if not self.joining else ()):
             # No table has it, and no late report can name it any more: who runs for long keeps nothing of it.
             if now - self.health[server].until > FORGET and not any(
@@ -246,20 +258,20 @@
             ):
                 self.withdrawn.remove(server)
                 del self.health[server]
-                self.host.forget(server)
+                self.host.forget_server(server)
         if (
             self.tables
-            and self.heard_at > self.reviewed_at <= now - self.charter["report_period"] // 2
+            and self.heard_at > self.reviewed_at <= now - self.settings.report_period // 2
         ):
             self._review()
         for index, health in self.health.items():
             asked = (
                 index in self.fleet and now >= health.until and (health.barred or health.doubted)
             )
-            if asked and self.charter["probes"]:
+            if asked and self.settings.health_checks_allowed:
                 if not health.probing:
                     health.probing = True
-                    self.host.probe(index)
+                    self.host.check_health(index)
             elif asked and not health.doubted:
                 self._try_again(health)
             elif asked and not health.flow(now, DOUBT)[1]:
@@ -268,7 +280,7 @@
 
     def _act(self):
         self.channel.reached = set()
-        if self.charter["slices"]:
+        if self.settings.key_range_count:
             return self._settle_slices()
         if not self.proxies:
             return  # draws go by planned load: without any, busy servers would be met by chance
@@ -280,16 +292,16 @@
         self._bind()
         if self.channel.reached:
             self.channel.charge(self.proxies, self.channel.reached, 1, self.host.now())
-            self.host.mark(self.channel.mark(self.host.now()), False)
+            self.host.request_ack(self.channel.mark(self.host.now()), False)
 
     def _echo(self):
         # When reports can show an order. Cut again before the last cut arrived, levels refused half of all.
-        way = self.charter["way_longest"] + self.channel.late(self.host.now())
-        return way + self.charter["report_period"] + self._cycle()
+        way = self.settings.channel.max_delivery_delay + self.channel.late(self.host.now())
+        return way + self.settings.report_period + self._cycle()
 
     def _cycle(self):
         """What reports cover: where there are more than are let in a second, several periods each."""
-        return max(self.charter["report_period"], round(median(self.spans)) if self.spans else 0)
+        return max(self.settings.report_period, round(median(self.spans)) if self.spans else 0)
 
     def _rate(self, table, rates):
         return self._level(table) * rates[table.number]
@@ -344,7 +356,9 @@
         if not self._full() or self.parts > 1:
             share = self.shares[table.place] * rates[table.number] / max(1e-9, asked[table.place])
             # Larger shards are evener; where proxies can't step away, groups keep a failure from one another.
-            target = TARGET_APART if self.apart and not self.charter["strikes"] else TARGET
+            target = (
+                TARGET_APART if self.apart and not self.settings.proxy_failure_limit else TARGET
+            )
             need = min(need, target * share * (whole if table.zone is not None else need))
         if not (table.bound or table.zone is None):
             part = (mean * close - asked[table.zone, True]) / max(1e-9, asked[table.zone, False])
@@ -360,15 +374,17 @@
             )
             lacks = weight < need - half or len(shard) < LEAST_SERVERS
             left = (
-                sorted((side[i] for i in side.keys() - set(shard)), key=lambda s: s.raw)
+                sorted((side[i] for i in side.keys() - set(shard)), key=lambda s: s.stable_id)
                 if lacks
                 else []
             )
             while left and (weight < need - half or len(shard) < LEAST_SERVERS):
-                draw = chance or Chance(seed_from(table.name, [server.raw for server in left]))
+                draw = chance or SeededRandom(
+                    seed_from(table.name, [server.stable_id for server in left])
+                )
                 some = (left[draw.below(len(left))] for _ in range(PICKS))
                 server = min(
-                    some, key=lambda server: (loads[server.index] / server.weight, server.raw)
+                    some, key=lambda server: (loads[server.index] / server.weight, server.stable_id)
                 )
                 left.remove(server)
                 shard.append(server.index)
@@ -379,7 +395,9 @@
         """A shard drawn at random, capped in its overlap with others."""
         best, chance = (
             None,
-            Chance(seed_from(table.name, sorted(server.raw for server in pool.values()))),
+            SeededRandom(
+                seed_from(table.name, sorted(server.stable_id for server in pool.values()))
+            ),
         )
         others = [set(other.members) for other in self.tables if other is not table]
         for _ in range(DRAWS):
@@ -430,7 +448,9 @@
             ):
                 members = [m for m in table.members if m in side]
                 hot = max(
-                    members, key=lambda m: (loads[m] / pool[m].weight, pool[m].raw), default=None
+                    members,
+                    key=lambda m: (loads[m] / pool[m].weight, pool[m].stable_id),
+                    default=None,
                 )
                 over = weigh(side[m] for m in members) - (all_of_it / len(side) / 2 if need else 0)
                 if (
@@ -444,7 +464,7 @@
             self._plan(table, rates, loads)
         covered = set().union(*(table.members for table in self.tables))
         for server in sorted(
-            (s for i, s in self._ready().items() if i not in covered), key=lambda s: s.raw
+            (s for i, s in self._ready().items() if i not in covered), key=lambda s: s.stable_id
         ):
             open_to = [t for t in self.tables if server.index in pools[t.place, t.bound and t.zone]]
             if open_to:
@@ -457,7 +477,7 @@
                     ),
                 ).members.append(server.index)
 
-    def resumed(self, held):
+    def resume_tables(self, held):
         """{table: [server]} as published before a start or takeover: gone on with, so that nothing moves."""
         for table in self.tables:
             table.members, table.drawn = list(held.get(table.number, ())), table.number in held
@@ -466,14 +486,14 @@
 
     def _ramp(self, server):
         now, born = self.host.now(), max(server.started, self.health[server.index].trial)
-        doublings = (now - born) // (self.charter["cold_time"] // RAMP_STEPS)
+        doublings = (now - born) // (self.settings.warm_up_time // RAMP_STEPS)
         return min(1.0, RAMP_FROM * 2**doublings) if born and now >= born else 1.0
 
     def _weigh(self, rates):
         now, cold_time, share = (
             self.host.now(),
-            self.charter["cold_time"],
-            self.charter["cold_share"],
+            self.settings.warm_up_time,
+            self.settings.cold_capacity_share,
         )
         # A warm server does at least what the fleet has lately completed for its weight; before anything is
         # heard, half of what proxies say: a planner may start over in a jam, where repeats swell that.
@@ -484,7 +504,7 @@
             else sum(proxy.rate for proxy in self.proxies.values())
             / max(1e-9, 2 * weigh(ready.values()))
         )
-        pace *= self.charter["tip_multiple"] * TIP_MARGIN / self.charter["instances"]
+        pace *= self.settings.overload_multiple * TIP_MARGIN / self.settings.planner_count
         grown = (1 - share) / cold_time
         budgets = {
             index: server.weight * pace * (share + grown * max(0, now - server.started))
@@ -503,7 +523,7 @@
             few = warm and (
                 len(warm) < LEAST_SERVERS
                 or self.valves[None].open < 1
-                or (self.charter["strikes"] and self.valves[None].lost > LOST)
+                or (self.settings.proxy_failure_limit and self.valves[None].lost > LOST)
             )
             table.want = {m: ramps[m] for m in (warm if few else table.members)}
         # Ramps are relative: so load on each cold server is bounded too, and levels keep out what is over.
@@ -531,7 +551,7 @@
         return self.levels[table.place] * (self.valves[table.zone].open if table.bound else 1.0)
 
     def _review(self):
-        agreed, ready = min(kind["agreed_time"] for kind in self.classes), self._ready()
+        agreed, ready = min(kind.latency_objective for kind in self.classes), self._ready()
         self.reviewed_at, since = self.host.now(), self.host.now() - self._cycle() * 5 // 4
         # Its kind: the same machine, heard of by proxies of one zone, for the same classes: work differs.
         recent, times, fails = {}, defaultdict(list), {}
@@ -543,7 +563,7 @@
             for zone, (at, tries, failed, took, span) in recent[index]:
                 if tries > failed and took:
                     sample = index, took, min(ENOUGH, tries - failed), at - span
-                    times[zone, server.kind, serves[index]].append(sample)
+                    times[zone, server.machine_type, serves[index]].append(sample)
             tries, failed = (sum(report[k] for _, report in recent[index]) for k in (1, 2))
             if tries >= ENOUGH:
                 fails[index] = failed / tries if failed > ENOUGH // 2 else 0.0
@@ -561,7 +581,7 @@
             for zone, (_, tries, failed, took, _) in reports:
                 others = [
                     sample[1:3]
-                    for sample in times[zone, ready[index].kind, serves[index]]
+                    for sample in times[zone, ready[index].machine_type, serves[index]]
                     if sample[0] != index
                 ]
                 if tries > failed and took and len(others) >= 2:
@@ -576,7 +596,7 @@
                 bad[index] = "slow"
             elif reports:
                 self.health[index].strikes = 0
-        for index in sorted(bad, key=lambda i: (bad[i] != "failing", ready[i].raw)):
+        for index in sorted(bad, key=lambda i: (bad[i] != "failing", ready[i].stable_id)):
             self._strike(index, bad[index], ready, busy > BUSY)
 
     def _strike(self, index, cause, ready, busy):
@@ -623,14 +643,16 @@
         health.judge_from = health.trial + self._echo()
 
     def _turn_valve(self, zone, valve, ready, everything, fails, agreed, fleet_busy):
-        now, period = self.host.now(), self.charter["report_period"]
+        now, period = self.host.now(), self.settings.report_period
         tried, done = (
             sum(flow) for flow in zip((0, 0), *(self.health[i].flow(now, period) for i in ready))
         )
         weight = sum(server.weight * self._ramp(server) for server in ready.values())
         took = [sample[1:3] for sample in everything if sample[0] in ready]
         # Reports begun before the last turn arrived tell of what was before: cut by them, levels fell twice.
-        arrived = valve.turned_at + self.charter["way_longest"] + self.channel.late(now)
+        arrived = (
+            valve.turned_at + self.settings.channel.max_delivery_delay + self.channel.late(now)
+        )
         since = [sample[1:3] for sample in everything if sample[0] in ready and sample[3] > arrived]
         told = since if 2 * len(since) >= len(took) else took
         failing = [part for index, part in fails.items() if index in ready]
@@ -648,7 +670,7 @@
         calm = min(other.calmest for other in self.valves.values())
         if valve.turn(now, self._echo(), calm, busy, median(failing), tried, done, weight, may_cut):
             refuse = 1 - self.valves[None].open
-            for place in sorted(self.order, key=lambda k: (self.classes[k]["credit"], k)):
+            for place in sorted(self.order, key=lambda k: (self.classes[k].priority_weight, k)):
                 # What earns the least credit is refused first, but never all of it.
                 cut = min(refuse, self.natural[place] * 0.95)
                 refuse -= cut
@@ -659,8 +681,8 @@
         """Writes what has changed: what the rules need first, then the largest, as the channel allows."""
         now, most, span = (
             self.host.now(),
-            self.charter["messages_most"],
-            self.charter["messages_span"],
+            self.settings.channel.max_messages,
+            self.settings.channel.message_window,
         )
         ready, changes = self._ready(), []
         drained = pressing = self._withdraw(ready)
@@ -669,7 +691,7 @@
                 old, new = table.lines.get(server, 0.0), round(table.want.get(server, 0.0), 4)
                 if abs(new - old) > 0.1 * max(new, old):
                     cold = (
-                        server in ready and now - ready[server].started < self.charter["cold_time"]
+                        server in ready and now - ready[server].started < self.settings.warm_up_time
                     )
                     changes.append(
                         (
@@ -693,9 +715,9 @@
         gap = 0 if drained else span // most if most else 0
         if changes and now - self.pushed_at < (gap if pressing else max(TURN, 2 * gap)):
             return
-        limit = self.charter["waiting_most"] * QUEUE_PART
+        limit = self.settings.channel.max_waiting_lines * QUEUE_PART
         for ordinary, _, _, server, value, table in sorted(changes, key=lambda change: change[:4]):
-            turn = self.charter["lines_per_s"] * self.channel.pace * LINES_TURN
+            turn = self.settings.channel.lines_per_second * self.channel.pace * LINES_TURN
             room = min(limit, turn) if ordinary else limit
             queue = self.channel.queue(now) + self.channel.cost(table.users, 1)
             if table.users and (
@@ -706,9 +728,14 @@
             if server < 0:
                 table.level = value
                 # Tried again on proof that it never ran: else work doubles, and may take effect twice.
-                self.host.admit(table.number, [table.place], self._stated(table, value), 1)
+                self.host.set_admission(
+                    table.number,
+                    [table.place],
+                    self._stated(table, value),
+                    RetryPolicy.ONCE_IF_NOT_EXECUTED,
+                )
             else:
-                self.host.line(table.number, server, value)
+                self.host.set_weight(table.number, server, value)
                 table.lines[server] = value
                 if not value:
                     del table.lines[server]
@@ -726,7 +753,10 @@
             )
             if not self._may_write(holders, 1):
                 continue
-            self.host.withdraw(server, server not in ready)
+            if server in ready:
+                self.host.uneject_server(server)
+            else:
+                self.host.eject_server(server)
             self.health[server].until = now
             self.channel.charge(self.proxies, holders, 1, now)
             self.withdrawn ^= {server}
@@ -734,7 +764,7 @@
 
     def _may_write(self, proxies, spare):
         """Whether so many messages more, beside this one, would stay under what each may be written."""
-        most, now = self.charter["messages_most"], self.host.now()
+        most, now = self.settings.channel.max_messages, self.host.now()
         return not most or all(
             self.channel.written(self.proxies[proxy], now) + spare < most
             for proxy in proxies
@@ -742,32 +772,36 @@
         )
 
     def _stated(self, table, level):
-        if self.charter["levels"] != "rate":
+        if self.settings.admission_mode != AdmissionMode.RATE:
             return level
         rate = self._rate(table, self.proxies.rates(self.host.now())) * level / self._level(table)
         return 1e6 if level >= 1 else max(0.1, rate / max(1, len(table.users)))
 
     # Sites with slices: each slice's server stays until it drains or goes, then the next in a seeded draw.
 
-    def slice_given(self, table, on):
+    def on_key_range_assigned(self, table, on):
         self.slices.pop(table, None)
         if on:
             self.slices[table] = set()
 
-    def slice_held(self, table, server, weight):
+    def on_key_range_server(self, table, server, weight):
         if table in self.slices and weight > 0:
             self.slices[table].add(server)
 
-    def slice_demand(self, table, place, exchanges, failed, span):
+    def on_key_range_demand(self, table, place, exchanges, failed, span):
         pass  # slices are kept where they are; their demand decides nothing yet
 
     def _settle_slices(self):
         now, ready = self.host.now(), self._ready()
         self._withdraw(ready)
         # A single owner hands over only when no write can be on its way to it any more.
-        single = self.charter["exclusive"]
-        rest = 2 * self.charter["way_longest"] + self.charter["settle_time"] if single else 0
-        ranked = sorted(ready.values(), key=lambda server: server.raw)
+        single = self.settings.exclusive_ownership
+        rest = (
+            2 * self.settings.channel.max_delivery_delay + self.settings.write_settle_time
+            if single
+            else 0
+        )
+        ranked = sorted(ready.values(), key=lambda server: server.stable_id)
         for table, held in sorted(self.slices.items()):
             free = not held & ready.keys() and all(
                 now >= self.health[old].until + rest for old in held
@@ -775,10 +809,12 @@
             if (
                 free
                 and ranked
-                and self.channel.queue(now) < self.charter["waiting_most"] * QUEUE_PART
+                and self.channel.queue(now) < self.settings.channel.max_waiting_lines * QUEUE_PART
             ):
-                chance = Chance(seed_from(str(table), [server.raw for server in ranked]))
+                chance = SeededRandom(
+                    seed_from(str(table), [server.stable_id for server in ranked])
+                )
                 self.slices[table] = {ranked[chance.below(len(ranked))].index}
                 for server in ([] if single else sorted(held)) + list(self.slices[table]):
-                    self.host.line(table, server, 0.0 if server in held else 1.0)
+                    self.host.set_weight(table, server, 0.0 if server in held else 1.0)
                 self.channel.charge(self.proxies, self.proxies.joined(), 2, now)
--- a/indigodeck/records.py
+++ b/indigodeck/assignment/records.py
@@ -2,7 +2,7 @@
 
 from collections import Counter, defaultdict, deque
 
-SECOND = 1_000_000
+from ..clock import SECOND
 
 
 def weigh(servers):
@@ -63,9 +63,9 @@
 class Proxies(dict):
     """Proxies by number, the tables that each seat is served by, and what they ask for a second."""
 
-    def __init__(self, charter, forget):
+    def __init__(self, settings, forget):
         super().__init__()
-        self.charter, self.forget, self.serving = charter, forget, defaultdict(list)
+        self.settings, self.forget, self.serving = settings, forget, defaultdict(list)
 
     def tables_of(self, number):
         return self.serving[self[number].seat]
@@ -80,7 +80,7 @@
             if not proxy.joined and now - proxy.left_at > self.forget:
                 continue
             for table in self.tables_of(number):
-                mean, top = proxy.asked(table.place, len(self.charter["classes"]))
+                mean, top = proxy.asked(table.place, len(self.settings.classes))
                 rates[table.number] += mean
                 if peak and table.bound:
                     rises[table.number] += (top - mean) ** 2  # many proxies' peaks seldom meet
@@ -91,9 +91,9 @@
     def expected(self, now):
         """The same, with what proxies bring that have not joined yet, or joined another planner."""
         rates, known = self.rates(now), Counter(proxy.seat for proxy in self.values())
-        seats, usual = self.charter["proxies"] / len(self.serving), defaultdict(float)
+        seats, usual = self.settings.proxy_count / len(self.serving), defaultdict(float)
         missing = {seat: max(0.0, seats - known[seat]) for seat in self.serving}
-        scale = max(0, self.charter["proxies"] - len(self)) / max(1e-9, sum(missing.values()))
+        scale = max(0, self.settings.proxy_count - len(self)) / max(1e-9, sum(missing.values()))
         for table in dict.fromkeys(table for serving in self.serving.values() for table in serving):
             usual[table.place] += rates[table.number] / len(self)
         for seat, serving in self.serving.items():
@@ -139,9 +139,9 @@
     `marks`: {number: (when ordered, how long orders up to it should take at most, lines until then)}.
     """
 
-    def __init__(self, charter, now, forget):
-        self.charter, self.forget, self.waiting, self.waited_at, self.pace = (
-            charter,
+    def __init__(self, settings, now, forget):
+        self.settings, self.forget, self.waiting, self.waited_at, self.pace = (
+            settings,
             forget,
             0.0,
             now,
@@ -152,9 +152,9 @@
 
     def queue(self, now):
         """Lines that wait: by the pace it has shown; where answers are overdue, all that none answers for."""
-        sent = (now - self.waited_at) * self.charter["lines_per_s"] * self.pace / SECOND
+        sent = (now - self.waited_at) * self.settings.channel.lines_per_second * self.pace / SECOND
         self.waiting, self.waited_at = max(0.0, self.waiting - sent), now
-        slow = self.late(now) > self.charter["way_longest"]
+        slow = self.late(now) > self.settings.channel.max_delivery_delay
         return max(self.waiting, self.ordered - self.gone) if slow else self.waiting
 
     def late(self, now):
@@ -166,7 +166,10 @@
 
     def cost(self, proxies, lines):
         """With a message's head for each proxy that these orders have not yet reached."""
-        return len(proxies) * lines + len(proxies - self.reached) * self.charter["head_lines"]
+        return (
+            len(proxies) * lines
+            + len(proxies - self.reached) * self.settings.channel.message_overhead_lines
+        )
 
     def charge(self, proxies, numbers, lines, now):
         self.queue(now)
@@ -178,13 +181,16 @@
 
     def written(self, proxy, now):
         """Messages written to a proxy within the span they are counted over, but for one under way."""
-        while proxy.written and proxy.written[0] < now - self.charter["messages_span"]:
+        while proxy.written and proxy.written[0] < now - self.settings.channel.message_window:
             proxy.written.popleft()
         return len(proxy.written)
 
     def mark(self, now):
         self.number = self.number % 65535 + 1
-        promised = self.waiting / self.charter["lines_per_s"] * SECOND + self.charter["way_longest"]
+        promised = (
+            self.waiting / self.settings.channel.lines_per_second * SECOND
+            + self.settings.channel.max_delivery_delay
+        )
         self.marks[self.number] = now, promised, self.ordered
         self.marks.pop((self.number + 65535 - 256) % 65536, None)
         return self.number
--- a/indigodeck/chance.py
+++ b/indigodeck/assignment/seeded_random.py
@@ -1,7 +1,7 @@
 """Chance that is the same everywhere: a small generator, and seeds from names and ids."""
 
 
-class Chance:
+class SeededRandom:
     """A linear congruential generator; its low bits have short periods, so the high ones are used."""
 
     def __init__(self, seed):
--- a/indigodeck/cli.py
+++ b/indigodeck/cli.py
@@ -13,7 +13,7 @@
 import structlog
 
 from .clock import now
-from .schema import BadDocument
+from .json_documents import InvalidDocumentError
 
 FOUND, WRONG, UNREACHED = 1, 2, 3
 # grpcio tells of every connection that ends; our own lines say what matters of it. Asked for, it is heard.
@@ -62,20 +62,20 @@
 @click.option("--policy", default="indigodeck", hidden=True)
 def serve(path, form, policy):
     """Run a planner until it is told to end."""
-    from .choice import Assigner
-    from .planner.charter import read
+    from .assignment.assigner import Assigner
+    from .planner.planner_settings import read
     from .serve import serve as run
 
     log_as(form)
     make = Assigner
     if policy != "indigodeck":
-        from .standins.baselines import BASELINES
+        from .testbed.baselines import BASELINES
 
         make = BASELINES[policy]
     try:
         charter = read(path)
         asyncio.run(run(charter, make))
-    except BadDocument as error:
+    except InvalidDocumentError as error:
         fail(str(error))
     except OSError as error:
         fail(f"{path}: {error}", UNREACHED)
@@ -110,7 +110,7 @@
 )
 def day(path, against, keep, shape, bench_troubles):
     """Play a scripted day on loopback and judge it by its sockets."""
-    from .standins import day as days
+    from .testbed import scenario as days
 
     script = document(path)
     if bench_troubles:
@@ -149,8 +149,9 @@
 @click.argument("paths", nargs=-1, required=True, type=click.Path(dir_okay=False))
 def check(paths):
     """Check charters, scripts and rosters against their schemas."""
-    from .planner import charter, roster
-    from .standins import day as days
+    from .planner import endpoint_list as roster
+    from .planner import planner_settings as charter
+    from .testbed import scenario as days
 
     found = False
     for path in paths:
@@ -173,7 +174,7 @@
 def _against(read):
     try:
         read()
-    except BadDocument as error:
+    except InvalidDocumentError as error:
         return str(error).splitlines()
     return []
 
@@ -238,9 +239,9 @@
     """({member: (address, port)}, key, {member: what it says of the fleet}) of a charter, and of members that its
     controllers have let in since.
     """
-    from .planner.charter import read
+    from .leadership.transport import place_of
+    from .planner.planner_settings import read
     from .serve import key_of
-    from .takeover.peers import place_of
 
     try:
         charter = read(path)
@@ -250,7 +251,7 @@
             {name: place_of(place) for name, place in charter.takeover["members"].items()},
             key_of(charter, charter.takeover["key_file"]),
         )
-    except (BadDocument, OSError) as error:
+    except (InvalidDocumentError, OSError) as error:
         fail(str(error))
     said = asyncio.run(_ask_all(places, key, "fleet"))
     since = {
@@ -264,15 +265,15 @@
 
 async def _ask_all(places, key, kind, **fields):
     from tornado.iostream import StreamClosedError
-    from tornado.util import TimeoutError as TooLate
+    from tornado.util import TimeoutError as DeadlineExceededError
 
-    from .takeover.messages import Refused
-    from .takeover.peers import ask
+    from .leadership.messages import RejectedError
+    from .leadership.transport import ask
 
     async def one(place):
         try:
             return await ask(place, key, kind, **fields)
-        except (OSError, StreamClosedError, TooLate, Refused) as error:
+        except (OSError, StreamClosedError, DeadlineExceededError, RejectedError) as error:
             return {"unreached": str(error) or type(error).__name__}
 
     return dict(zip(places, await asyncio.gather(*(one(place) for place in places.values()))))
@@ -448,7 +449,7 @@
 
 def _planners(path):
     """({name: (address, port)}, key) of all that an operator's word on versions may be said to, by a charter."""
-    from .planner.charter import read
+    from .planner.planner_settings import read
     from .serve import key_of
 
     try:
@@ -464,7 +465,7 @@
         return {charter.name: (stated.get("address", "127.0.0.1"), stated["port"])}, key_of(
             charter, stated["key_file"]
         )
-    except (BadDocument, OSError) as error:
+    except (InvalidDocumentError, OSError) as error:
         fail(str(error))
 
 
@@ -740,20 +741,20 @@
 )
 def host(receipts, work):
     """Hosts over HTTP: {"do": "start", "host": "h1", "cores": 4, "slots": 8, "room": 64}."""
-    from .standins.host import Yard
+    from .testbed.host_pool import HostPool
 
     with open(receipts, "w", buffering=1) as file:
-        asyncio.run(_obey(Yard(now, file, json.loads(work)).command))
+        asyncio.run(_obey(HostPool(now, file, json.loads(work)).command))
 
 
 @standin.command()
 @click.option("--outcomes", required=True, type=click.Path(dir_okay=False))
 def relay(outcomes):
     """Relays with their clients: {"do": "start", "until": .., "relay": {..}}."""
-    from .standins.relay import Depot
+    from .testbed.relay_pool import RelayPool
 
     with open(outcomes, "w", buffering=1) as file:
-        asyncio.run(_obey(Depot(now, file).command))
+        asyncio.run(_obey(RelayPool(now, file).command))
 
 
 @standin.command()
@@ -772,7 +773,7 @@
 )
 def stock(planner, uid, hall, names, rate, seconds, concurrency):
     """The stock gRPC client as a relay; writes an outcome for each exchange as a JSON line."""
-    from .standins.stock import drive
+    from .testbed.stock_client import drive
 
     asyncio.run(
         drive(
@@ -795,10 +796,10 @@
 @click.argument("path", type=click.Path(dir_okay=False))
 def roster(port, late_ms, path):
     """The list's keeper, with the list in a file to begin with: {"do": "set", "hosts": [..]}."""
-    from .standins.keeper import Keeper
+    from .testbed.discovery_server import DiscoveryServer
 
     async def keep():
-        keeper = Keeper(late=round(late_ms * 1000))
+        keeper = DiscoveryServer(late=round(late_ms * 1000))
         click.echo(json.dumps({"port": keeper.listen(port)}))
         keeper.say(document(path)["hosts"])
 
--- a/indigodeck/client/__init__.py
+++ b/indigodeck/client/__init__.py
@@ -3,6 +3,6 @@
 `Tables` holds what a relay goes by and picks from it; `sasp.SaspClient` keeps one up to date over SASP.
 """
 
-from .tables import ClientError, Malfunction, NoServer, Refused, Tables, Unreachable
+from .tables import ClientError, Malfunction, NoServerError, RejectedError, Tables, Unreachable
 
-__all__ = ["ClientError", "Malfunction", "NoServer", "Refused", "Tables", "Unreachable"]
+__all__ = ["ClientError", "Malfunction", "NoServerError", "RejectedError", "Tables", "Unreachable"]
--- a/indigodeck/client/dialling.py
+++ b/indigodeck/client/dialling.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from ..chance import Chance, seed_from
-from .tables import Redial, Unreachable
+from ..assignment.seeded_random import SeededRandom, seed_from
+from .tables import ReconnectError, Unreachable
 
 SECOND = 1_000_000
 
@@ -20,8 +20,8 @@
     def __init__(self, uid, planners, tables, patience, failed):
         self.tables, self.patience, self.failed = tables, patience, failed
         self.planners = planners if callable(planners) else lambda: planners
-        self.chance = Chance(seed_from(uid, []))
-        self.redial, self.ended, self.dials = Redial(self.chance), False, 0
+        self.chance = SeededRandom(seed_from(uid, []))
+        self.redial, self.ended, self.dials = ReconnectError(self.chance), False, 0
         self.talk = self.stream = None
 
     async def run(self):
--- a/indigodeck/client/sasp.py
+++ b/indigodeck/client/sasp.py
@@ -4,11 +4,11 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import StreamClosedError
 from tornado.tcpclient import TCPClient
-from tornado.util import TimeoutError as TooLate
+from tornado.util import TimeoutError as DeadlineExceededError
 
-from ..fronts.sasp import codec
+from ..frontends.sasp import codec
 from .dialling import Dialling
-from .tables import Malfunction, Refused, Unreachable
+from .tables import Malfunction, RejectedError, Unreachable
 
 
 class Talk:
@@ -43,7 +43,7 @@
     def read(self, message):
         try:
             codec.dispatch(message, self)
-        except codec.Malformed as error:
+        except codec.MalformedMessageError as error:
             raise Malfunction(str(error)) from error
 
     def answered(self, number, kind, code):
@@ -51,7 +51,7 @@
         if what is None:
             raise Malfunction(f"an answer to {number}, which was not asked")
         if code != codec.DONE:
-            raise Refused(f"{what}: {codec.MEANINGS.get(code, hex(code))}", code)
+            raise RejectedError(f"{what}: {codec.MEANINGS.get(code, hex(code))}", code)
 
     def weights(self, number, code, interval, groups):
         self.answered(number, codec.WEIGHTS, code)
@@ -87,7 +87,7 @@
 class SaspClient(Dialling):
     """Dials planners in turn and keeps tables up to date until `leave`."""
 
-    losses = (StreamClosedError, TooLate, OSError, Refused, Malfunction)
+    losses = (StreamClosedError, DeadlineExceededError, OSError, RejectedError, Malfunction)
 
     def __init__(self, uid, planners, tables, members=(), push=True, patience=3.0, failed=None):
         super().__init__(uid, planners, tables, patience, failed)
@@ -95,7 +95,7 @@
 
     @staticmethod
     def _error(caught):
-        if isinstance(caught, (Refused, Malfunction)):
+        if isinstance(caught, (RejectedError, Malfunction)):
             return caught
         return Unreachable(str(caught) or "the planner stopped answering")
 
@@ -127,7 +127,7 @@
         head = await self.stream.read_bytes(codec.HEADER.size)
         try:
             whole, _ = codec.head(head, codec.Bounds())
-        except codec.Malformed as error:
+        except codec.MalformedMessageError as error:
             raise Malfunction(str(error)) from error
         return head + await self.stream.read_bytes(whole - codec.HEADER.size)
 
--- a/indigodeck/client/tables.py
+++ b/indigodeck/client/tables.py
@@ -10,11 +10,11 @@
     """Whatever a client of a planner may meet."""
 
 
-class NoServer(ClientError):
+class NoServerError(ClientError):
     """The table of a class has no server to pick."""
 
 
-class Refused(ClientError):
+class RejectedError(ClientError):
     """The planner refuses this relay or what it asked; `code` is the protocol's own."""
 
     def __init__(self, text, code=None):
@@ -103,7 +103,7 @@
         """The next server of a class, but for those to avoid while there are others."""
         lines = self.lines[name]
         if not lines:
-            raise NoServer(f"no server for {name}")
+            raise NoServerError(f"no server for {name}")
         passes = self.passes[name]
         for where in lines.keys() - passes.keys():
             passes[where] = self.level[name]
@@ -119,7 +119,7 @@
         return chosen
 
 
-class Redial:
+class ReconnectError:
     """When to dial again: later each time up to a bound, jittered over the whole wait, so that relays that
     lost one planner together do not come back together. `chance`: chance.Chance, seeded by the relay.
     """
--- a/indigodeck/client/xds.py
+++ b/indigodeck/client/xds.py
@@ -11,7 +11,7 @@
 from envoy.service.load_stats.v3 import lrs_pb2, lrs_pb2_grpc
 
 from .dialling import SECOND, Dialling
-from .tables import Malfunction, Refused, Unreachable
+from .tables import Malfunction, RejectedError, Unreachable
 
 KIND = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 DRAINING = 3  # of envoy.config.core.v3.HealthStatus
@@ -69,7 +69,9 @@
         )
         if epoch < self.tables.epoch:
             # A controller that was replaced and does not know it: nothing of it may take effect.
-            raise Refused(f"an order under epoch {epoch}, {self.tables.epoch} was seen", epoch)
+            raise RejectedError(
+                f"an order under epoch {epoch}, {self.tables.epoch} was seen", epoch
+            )
         self.tables.epoch = epoch
         if serial and (epoch, serial) <= self.newest:
             return None  # twice, or after one that was made later: what it says has been said
@@ -111,7 +113,7 @@
     # grpcio has the last for a write on a stream whose connection was refused meanwhile.
     losses = (
         grpc.aio.AioRpcError,
-        Refused,
+        RejectedError,
         asyncio.TimeoutError,
         OSError,
         asyncio.CancelledError,
@@ -131,7 +133,7 @@
 
     @staticmethod
     def _error(caught):
-        if isinstance(caught, Refused):
+        if isinstance(caught, RejectedError):
             return caught
         if not isinstance(caught, grpc.aio.AioRpcError):
             stopped = isinstance(caught, (asyncio.TimeoutError, OSError))
@@ -140,7 +142,7 @@
             )
         details = caught.details() or str(caught.code())
         if caught.code() == grpc.StatusCode.RESOURCE_EXHAUSTED:
-            return Refused(details)
+            return RejectedError(details)
         # For bytes that are no HTTP/2 the library has the code of a planner that can't be reached, and words.
         nonsense = caught.code() == grpc.StatusCode.INTERNAL or "Failed parsing HTTP/2" in details
         return (Malfunction if nonsense else Unreachable)(details)
--- a/indigodeck/edge/desk.py
+++ b/indigodeck/edge/assigner_host.py
@@ -7,14 +7,14 @@
 import traceback
 from typing import Protocol
 
-from ..choice import Assigner
-from ..host import CACHED, CHANGES, GONE, WHOLE, Server
+from ..assignment.assigner import Assigner
+from ..assignment.interface import DemandReport, LoadReport, Server, ServerState, UpdateKind
 
 MARKS_MOST = 256
 AGAIN = 50_000  # between two looks whether the relay has caught up
 
 
-class Outside(Protocol):
+class Environment(Protocol):
     """What the desk may ask of the program around it."""
 
     def now(self) -> int: ...
@@ -41,7 +41,7 @@
 class Desk:
     """`words`: the codec's, for the same charter; `outbox`: takes the orders."""
 
-    def __init__(self, outside, words, outbox, charter, seed, make=Assigner):
+    def __init__(self, outside, words, outbox, settings, seed, make=Assigner):
         self.outside, self.words, self.outbox = outside, words, outbox
         self.index_of, self.servers, self.count = (
             {},
@@ -49,7 +49,7 @@
             0,
         )  # {name: index}; {index: (entry, Server)}
         self.orders, self.marks, self.passed_over = [], {}, 0
-        self.assigner = make(self, charter, seed)
+        self.assigner = make(self, settings, seed)
 
     # What happens.
 
@@ -73,7 +73,7 @@
         servers = [
             self._server(entry)
             for entry in catalog.entries
-            if entry.state != GONE or entry.name in self.index_of
+            if entry.state != ServerState.GONE or entry.name in self.index_of
         ]
         if catalog.whole:
             # An entry that can't be read says nothing against the server it names.
@@ -82,7 +82,13 @@
                 for name in sorted(catalog.spoilt & self.index_of.keys())
             ]
         self._tell(
-            self.assigner.listed, CACHED if cached else WHOLE if catalog.whole else CHANGES, servers
+            self.assigner.on_endpoint_update,
+            UpdateKind.CACHED
+            if cached
+            else UpdateKind.WHOLE
+            if catalog.whole
+            else UpdateKind.CHANGES,
+            servers,
         )
 
     def _server(self, entry):
@@ -111,26 +117,28 @@
         return server
 
     def proxy_joined(self, proxy, zone, rate, fresh):
-        self._tell(self.assigner.proxy_joined, proxy, zone, rate, fresh)
+        self._tell(self.assigner.on_proxy_joined, proxy, zone, rate, fresh)
 
     def proxy_left(self, proxy):
         self.outbox.left(proxy)
-        self._tell(self.assigner.proxy_left, proxy)
+        self._tell(self.assigner.on_proxy_left, proxy)
 
     def heard(self, zone, name, tries, failed, took, span, load):
         index = self.index_of.get(name)
         if index is None:
             self.passed_over += 1
         else:
-            self._tell(self.assigner.heard, zone, index, tries, failed, took, span, load)
+            report = LoadReport(zone, index, tries, failed, took, span, load)
+            self._tell(self.assigner.on_load_report, report)
 
     def demand(self, proxy, place, exchanges, failed, span):
-        self._tell(self.assigner.demand, proxy, place, exchanges, failed, span)
+        report = DemandReport(proxy, place, exchanges, failed, span)
+        self._tell(self.assigner.on_demand_report, report)
 
     def applied(self, proxy, number, took):
         """An answer to a mark; one that says it took longer than the mark exists is spoilt."""
         if number in self.marks and took <= self.outside.now() - self.marks[number]:
-            self._tell(self.assigner.applied, proxy, number, took)
+            self._tell(self.assigner.on_ack, proxy, number, took)
         else:
             self.passed_over += 1
 
@@ -138,64 +146,67 @@
         """`asked`: as handed to `probe`. What an earlier process answered says nothing of the one there now."""
         server, started = asked
         if server in self.servers and self.servers[server][1].started == started:
-            self._tell(self.assigner.probed, server, outcome, took, load)
+            self._tell(self.assigner.on_health_check, server, outcome, took, load)
 
     def told(self, peer, data):
-        self._tell(self.assigner.told, peer, data)
+        self._tell(self.assigner.on_peer_message, peer, data)
 
     def _woken(self, token):
         if self.outbox.behind():
             # What can't be sent is not added to: the channel would be written it all at once afterwards.
             self.outside.later(AGAIN, lambda: self._woken(token))
         else:
-            self._tell(self.assigner.woken, token)
+            self._tell(self.assigner.on_timer, token)
 
     # What the assigner may do.
 
     def now(self):
         return self.outside.now()
 
-    def wake(self, after, token):
+    def start_timer(self, after, token):
         self.outside.later(after, lambda: self._woken(token))
 
-    def line(self, table, server, weight):
+    def set_weight(self, table, server, weight):
         self.orders.append(self.words.put(table, self.servers[server][0].name, weight))
 
-    def clear(self, table):
+    def clear_table(self, table):
         self.orders.append(self.words.wipe(table))
 
-    def bind(self, proxy, table, classes):
+    def assign_table(self, proxy, table, classes):
         self.orders.append(self.words.attach(proxy, table, classes))
 
-    def withdraw(self, server, out):
-        self.orders.append(self.words.eject(self.servers[server][0].name, out))
+    def eject_server(self, server):
+        self.orders.append(self.words.eject(self.servers[server][0].name, True))
 
-    def forget(self, server):
+    def uneject_server(self, server):
+        self.orders.append(self.words.eject(self.servers[server][0].name, False))
+
+    def forget_server(self, server):
         entry, _ = self.servers.pop(server)
         self.orders.append(self.words.eject(entry.name, False))
         del self.index_of[entry.name]
 
-    def admit(self, table, classes, level, tries):
+    def set_admission(self, table, classes, level, tries):
         self.orders.append(self.words.gate("*" if table < 0 else table, classes, level, tries))
 
-    def mark(self, number, everyone):
+    def request_ack(self, number, everyone):
         self.marks.pop(number, None)
         self.marks[number] = self.outside.now()
         if len(self.marks) > MARKS_MOST:
             del self.marks[next(iter(self.marks))]
         self.orders.append(self.words.fence(number, everyone))
 
-    def probe(self, server):
+    def check_health(self, server):
         entry, known = self.servers[server]
         self.outside.probe((server, known.started), entry.dial)
 
-    def tell(self, peer, data):
+    def send_to_peer(self, peer, data):
         self.outside.tell(peer, data)
 
-    def watch(self, on):
+    def watch_endpoints(self, on):
         """The list is watched all the time."""
 
-    def fetch(self):
+    def fetch_endpoints(self):
         self.outside.fetch()
 
     def log(self, text):
--- a/indigodeck/edge/codec.py
+++ b/indigodeck/edge/codec.py
@@ -7,8 +7,9 @@
 import json
 from typing import NamedTuple
 
-from ..charter import Malformed, micros
-from ..host import DRAINING, GONE, READY
+from ..assignment.interface import ServerState
+from ..errors import MalformedMessageError
+from ..settings import microseconds
 
 LINE_MOST = 1 << 20  # bytes of one message
 CALL_MOST = 60_000  # bytes of a call, all of its line: the relay turns longer ones away
@@ -16,7 +17,11 @@
 MANY = 1_000_000_000  # above any count that a report can hold
 DAY_MS = 86_400_000
 EVERYTHING = "*"
-STATES = {"SERVING": READY, "DRAINING": DRAINING, "DELETED": GONE}
+STATES = {
+    "SERVING": ServerState.READY,
+    "DRAINING": ServerState.DRAINING,
+    "DELETED": ServerState.GONE,
+}
 LOADS = {"inflight": "in_hand", "queue": "waiting", "util": "cores_busy"}
 ALIVE = b'{"type":"alive"}\n'
 
@@ -30,9 +35,9 @@
     try:
         given = json.loads(str(data, "utf-8"), parse_constant=_no_number)
     except (ValueError, RecursionError) as error:  # a deep nesting must not end the program
-        raise Malformed(f"no JSON: {type(error).__name__}") from error
+        raise MalformedMessageError(f"no JSON: {type(error).__name__}") from error
     if not isinstance(given, dict):
-        raise Malformed("no JSON object")
+        raise MalformedMessageError("no JSON object")
     return given
 
 
@@ -40,35 +45,35 @@
     try:
         return given[name]
     except KeyError:
-        raise Malformed(f"{name} is missing") from None
+        raise MalformedMessageError(f"{name} is missing") from None
 
 
 def _number(given, name, most, least=0):
     """Truth values count as numbers in Python, and not here; NaN and infinities lie outside every range."""
     value = _field(given, name)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value <= most:
-        raise Malformed(f"{name} is no number from {least} to {most}")
+        raise MalformedMessageError(f"{name} is no number from {least} to {most}")
     return value
 
 
 def _count(given, name, most, least=0):
     value = _number(given, name, most, least)
     if value != int(value):
-        raise Malformed(f"{name} is no whole number")
+        raise MalformedMessageError(f"{name} is no whole number")
     return int(value)
 
 
 def _name(given, name):
     value = _field(given, name)
     if not isinstance(value, str) or not 0 < len(value) <= NAME_MOST:
-        raise Malformed(f"{name} is no name")
+        raise MalformedMessageError(f"{name} is no name")
     return value
 
 
 def _truth(given, name):
     value = _field(given, name)
     if not isinstance(value, bool):
-        raise Malformed(f"{name} is neither true nor false")
+        raise MalformedMessageError(f"{name} is neither true nor false")
     return value
 
 
@@ -76,7 +81,7 @@
     """(address, port) of "ADDRESS:PORT"."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise Malformed("no ADDRESS:PORT")
+        raise MalformedMessageError("no ADDRESS:PORT")
     return host.strip("[]"), int(port)
 
 
@@ -102,22 +107,22 @@
     spoilt: set
 
 
-class Words:
+class MessageCodec:
     """Reads messages with the names that one charter knows."""
 
-    def __init__(self, charter):
-        self.zones = {name: place for place, name in enumerate(charter["zone_names"])}
-        self.kinds = {name: place for place, name in enumerate(charter["kind_names"])}
-        self.class_names = [kind["name"] for kind in charter["classes"]]
+    def __init__(self, settings):
+        self.zones = {name: place for place, name in enumerate(settings.zone_names)}
+        self.kinds = {name: place for place, name in enumerate(settings.machine_type_names)}
+        self.class_names = [kind.name for kind in settings.classes]
         self.classes = {name: place for place, name in enumerate(self.class_names)}
-        self.proxies = charter["proxies"] or 65535
+        self.proxies = settings.proxy_count or 65535
         # No client waits longer, so no mean of good answers is above it; reports blur their times.
-        self.mean_most = 2 * max(kind["patience"] for kind in charter["classes"]) / 1000
+        self.mean_most = 2 * max(kind.deadline for kind in settings.classes) / 1000
 
     def _place(self, given, name, places):
         value = _field(given, name)
         if not isinstance(value, str) or value not in places:
-            raise Malformed(f"{name} names nothing that exists")
+            raise MalformedMessageError(f"{name} names nothing that exists")
         return places[value]
 
     def _proxy(self, given):
@@ -141,8 +146,8 @@
             _name(given, "server"),
             tries,
             failed,
-            micros(took),
-            micros(_number(given, "span_ms", DAY_MS, 1)),
+            microseconds(took),
+            microseconds(_number(given, "span_ms", DAY_MS, 1)),
             self.load(given.get("load")),
         )
 
@@ -151,7 +156,7 @@
         if given is None:
             return None
         if not isinstance(given, dict):
-            raise Malformed("load is no object")
+            raise MalformedMessageError("load is no object")
         return {
             LOADS.get(name, name): float(_number(given, name, MANY))
             for name in given
@@ -166,7 +171,7 @@
             self._place(given, "class", self.classes),
             exchanges,
             _count(given, "failed", exchanges),
-            micros(_number(given, "span_ms", DAY_MS, 1)),
+            microseconds(_number(given, "span_ms", DAY_MS, 1)),
         )
 
     def hello(self, given):
@@ -186,12 +191,12 @@
         return (
             self._proxy(given),
             _count(given, "mark", 65535),
-            micros(_number(given, "took_ms", DAY_MS)),
+            microseconds(_number(given, "took_ms", DAY_MS)),
         )
 
     def entry(self, given):
         if not isinstance(given, dict):
-            raise Malformed("a list entry is no object")
+            raise MalformedMessageError("a list entry is no object")
         return Entry(
             _name(given, "host"),
             address(_field(given, "dial")),
@@ -199,7 +204,7 @@
             self._place(given, "class", self.kinds),
             _count(given, "block", 65535),
             float(_number(given, "share", MANY)),
-            micros(_number(given, "born_ms", 1e14)),
+            microseconds(_number(given, "born_ms", 1e14)),
             self._place(given, "health", STATES),
         )
 
@@ -207,11 +212,11 @@
         """A list answer as `Catalog`; an entry that can't be used is passed over alone."""
         hosts, entries, spoilt = _field(given, "hosts"), [], set()
         if not isinstance(hosts, list):
-            raise Malformed("hosts is no list")
+            raise MalformedMessageError("hosts is no list")
         for stated in hosts:
             try:
                 entries.append(self.entry(stated))
-            except Malformed:
+            except MalformedMessageError:
                 spoilt.add(
                     stated.get("host")
                     if isinstance(stated, dict) and isinstance(stated.get("host"), str)
@@ -269,15 +274,15 @@
     # JSON-RPC leaves the id out where the call could not be read; one call is under way, so it is that one.
     unread = "error" in given and given.get("id", number) is None
     if not unread and (given.get("id") != number or isinstance(given.get("id"), bool)):
-        raise Malformed("an answer to another call")
+        raise MalformedMessageError("an answer to another call")
     if "error" in given:
         error = given["error"]
         word = error.get("message") if isinstance(error, dict) else error
         if not isinstance(word, str):
-            raise Malformed("an error without a word")
+            raise MalformedMessageError("an error without a word")
         return 0, word
     if not isinstance(given.get("result"), dict):
-        raise Malformed("an answer without a result")
+        raise MalformedMessageError("an answer without a result")
     return _count(given["result"], "accepted", most), None
 
 
@@ -287,8 +292,8 @@
     method, params = given.get("method"), given.get("params", {})
     if method is None:
         if "error" in given or given.get("result") is not True:
-            raise Malformed("news were refused")
+            raise MalformedMessageError("news were refused")
         return None, {}
     if not isinstance(method, str) or not isinstance(params, dict):
-        raise Malformed("no notification")
+        raise MalformedMessageError("no notification")
     return method, params
--- a/indigodeck/edge/dialling.py
+++ b/indigodeck/edge/dialling.py
@@ -7,13 +7,13 @@
 from tornado.gen import convert_yielded, sleep, with_timeout
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.netutil import Resolver
-from tornado.util import TimeoutError as TooLate
+from tornado.util import TimeoutError as DeadlineExceededError
 
 from .codec import LINE_MOST
 
 SECOND = 1_000_000
 PAUSE, PAUSE_MOST = 50_000, SECOND
-LOST = (OSError, StreamClosedError, TooLate)
+LOST = (OSError, StreamClosedError, DeadlineExceededError)
 
 
 def family_of(place):
@@ -37,7 +37,7 @@
     awaited = convert_yielded(awaitable)
     try:
         return await with_timeout(timedelta(microseconds=patience), awaited, quiet_exceptions=LOST)
-    except TooLate:
+    except DeadlineExceededError:
         if awaited.done():
             return awaited.result()
         raise
--- a/indigodeck/edge/discovery.py
+++ b/indigodeck/edge/discovery.py
@@ -8,8 +8,8 @@
 from tornado.ioloop import IOLoop
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
-from ..planner.reach import authority
-from .codec import Malformed, read_object
+from ..planner.health_checks import authority
+from .codec import MalformedMessageError, read_object
 from .dialling import LOST, SECOND, Numbers, Pauses, for_good
 
 PATH = "/catalog/members"
@@ -68,7 +68,7 @@
                     )
                 )
                 catalog = self.words.catalog(read_object(answer.body))
-            except (*LOST, HTTPClientError, Malformed) as error:
+            except (*LOST, HTTPClientError, MalformedMessageError) as error:
                 if turn == self.turn:
                     self.note(f"no list: {error!r}")
                     await self.pauses.rest()
--- a/indigodeck/edge/probes.py
+++ b/indigodeck/edge/health_checks.py
@@ -4,8 +4,8 @@
 
 from tornado.ioloop import IOLoop
 
-from ..planner.reach import HttpReach
-from .codec import Malformed, read_object
+from ..planner.health_checks import HttpReach
+from .codec import MalformedMessageError, read_object
 from .dialling import SECOND
 
 PATH = "/_load"
@@ -27,7 +27,7 @@
                 if answer.code == 200 and answer.body
                 else None
             )
-        except Malformed:
+        except MalformedMessageError:
             return None
 
 
--- a/indigodeck/edge/listener.py
+++ b/indigodeck/edge/listener.py
@@ -10,7 +10,7 @@
 from tornado.tcpserver import TCPServer
 
 from . import codec
-from .codec import LINE_MOST, Malformed
+from .codec import LINE_MOST, MalformedMessageError
 from .dialling import LOST, SECOND, next_line, within
 
 STRANGE = 12 * SECOND // 10  # for an introduction, and after each sign of life asked for
@@ -44,7 +44,7 @@
                 self._read(data)
                 if lines % LINES_AT_ONCE == 0:
                     await sleep(0)
-        except Malformed as error:
+        except MalformedMessageError as error:
             self._refuse(str(error))
         except (*LOST, StreamBufferFullError):
             pass
@@ -71,7 +71,7 @@
             self.zone = self.listener.words.agent(given)
             self.listener.introduced(self)
         elif self.zone is None:
-            raise Malformed("nothing that a planner is told before an introduction")
+            raise MalformedMessageError("nothing that a planner is told before an introduction")
         else:
             self.heard_at = self.listener.now()
             self.listener.report(kind, given)
@@ -121,6 +121,6 @@
             elif kind == "demand":
                 self.desk.demand(*self.words.demand(given))
             else:
-                raise Malformed("no report")
-        except Malformed:
+                raise MalformedMessageError("no report")
+        except MalformedMessageError:
             self.passed_over += 1
--- a/indigodeck/edge/outbox.py
+++ b/indigodeck/edge/outbox.py
@@ -9,7 +9,7 @@
 """
 
 from . import codec
-from .codec import Malformed
+from .codec import MalformedMessageError
 
 BEHIND = 300_000  # an order this old still waits: the assigner's turns wait as well
 PAUSE, PAUSE_MOST = 50_000, 400_000  # after a call was turned away
@@ -89,7 +89,7 @@
         """What came for the call under way. Raises Malformed, after `lost`, if it can't be read."""
         try:
             taken, word = codec.accepted(data, self.number, len(self.under_way))
-        except Malformed:
+        except MalformedMessageError:
             self.lost()
             raise
         if word is not None:
--- a/indigodeck/edge/relay_client.py
+++ b/indigodeck/edge/relay_client.py
@@ -5,7 +5,7 @@
 from tornado.locks import Event
 
 from . import codec
-from .codec import Malformed
+from .codec import MalformedMessageError
 from .dialling import LOST, SECOND, Pauses, dial, for_good, next_line, within
 
 CONNECT = SECOND // 2
@@ -51,7 +51,7 @@
             self.outbox.answered(await next_line(stream, ANSWER))
             self.pauses.over()
             self.used_at = self.now()
-        except (*LOST, Malformed) as error:
+        except (*LOST, MalformedMessageError) as error:
             self.outbox.lost()
             stream.close()
             self.note(f"a call's answer is lost: {error!r}")
@@ -92,7 +92,7 @@
                     return
                 await within(CONNECT, self.stream.write(codec.call(0, "subscribe")))
                 await self._follow(self.stream)
-            except (*LOST, Malformed) as error:
+            except (*LOST, MalformedMessageError) as error:
                 self.note(f"news from {self.place[0]}:{self.place[1]} break off: {error!r}")
             finally:
                 self.close()
@@ -132,7 +132,7 @@
                 self.membership.bye(self, self.words.bye(given))
             elif kind == "ack":
                 self.desk.applied(*self.words.ack(given))
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.note(f"{kind} passed over: {error}")
 
 
--- a/indigodeck/edge/service.py
+++ b/indigodeck/edge/service.py
@@ -10,18 +10,18 @@
 
 from tornado.ioloop import IOLoop
 
-from ..chance import Chance
-from ..charter import Malformed
+from ..assignment.seeded_random import SeededRandom
 from ..clock import now
+from ..settings import MalformedMessageError
+from .assigner_host import Desk
 from .bootstrap import Bootstrap
-from .desk import Desk
-from .dialling import TooLate, within
+from .dialling import DeadlineExceededError, within
 from .discovery import Discovery
+from .health_checks import Probes
 from .listener import Listener
 from .membership import Membership
 from .outbox import Outbox
 from .peers import Peers
-from .probes import Probes
 from .relay_client import RelayClient
 
 SECOND = 1_000_000
@@ -57,10 +57,10 @@
         # Unix time as it was at the start, and grown steadily since: what the list says of starts is in Unix time.
         self.clock_gap = time.time_ns() // 1000 - now()
         self.traced = bool(os.environ.get(TRACE))
-        words, chance = bootstrap.words, Chance(bootstrap.seed)
+        words, chance = bootstrap.words, SeededRandom(bootstrap.seed)
         self.probes = Probes(words, self.now, lambda *found: self.desk.probed(*found))
         self.outbox = Outbox(self.now, self.note)
-        self.desk = Desk(self, words, self.outbox, bootstrap.charter, bootstrap.seed)
+        self.desk = Desk(self, words, self.outbox, bootstrap.settings, bootstrap.seed)
         self.membership = Membership(self.desk, self.now)
         self.listener = Listener(self.desk, words, self.now, bootstrap.sockets)
         self.discovery = Discovery(
@@ -123,7 +123,7 @@
             return self.note(
                 f"the configuration stays as it was: the new one is that of {bootstrap.name}"
             )
-        if bootstrap.charter != self.bootstrap.charter:
+        if bootstrap.settings != self.bootstrap.settings:
             self.note(
                 "the settings stay as they were at the start: tables made by others would not go with them"
             )
@@ -135,7 +135,7 @@
         """Orders that wait are owed to proxies: those keep their tables, and a drain in them, until they join elsewhere."""
         try:
             await within(LAST, self.relay.calls.idle.wait())
-        except TooLate:
+        except DeadlineExceededError:
             self.note("orders are left that the relay did not take in time")
 
 
@@ -166,7 +166,7 @@
     logging.basicConfig(level=logging.INFO, handlers=[handler])
     try:
         bootstrap = Bootstrap(os.environ.get("EDGE_CONFIG", ""))
-    except (Malformed, OSError) as error:
+    except (MalformedMessageError, OSError) as error:
         print(f"indigodeck edge: {error}", file=sys.stderr)
         return 2
     asyncio.run(serve(bootstrap, early))
--- a/indigodeck/fronts/sasp/codec.py
+++ b/indigodeck/frontends/sasp/codec.py
@@ -57,7 +57,7 @@
 MOST_WEIGHT = LONGEST = 0xFFFF
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """Bytes that are no message of this protocol. `code`: the return code that says so; `at`: the offset;
     `reply`: the type of the reply that the message would have had, or None.
     """
@@ -118,7 +118,7 @@
         self.data, self.at, self.end, self.bounds, self.reply = data, 0, len(data), bounds, reply
 
     def fail(self, text, code=NOT_UNDERSTOOD):
-        raise Malformed(text, self.at, code, self.reply)
+        raise MalformedMessageError(text, self.at, code, self.reply)
 
     def take(self, size, what):
         if self.at + size > self.end:
@@ -217,11 +217,13 @@
     """(length, id) of the message that begins with these 13 bytes."""
     kind, length, version, whole, number = HEADER.unpack(data)
     if kind != HEADER_TYPE or length != HEADER.size:
-        raise Malformed(f"no message header: type {kind:#06x}, length {length}")
+        raise MalformedMessageError(f"no message header: type {kind:#06x}, length {length}")
     if version != VERSION:
-        raise Malformed(f"version {version}, only {VERSION} is spoken", 4)
+        raise MalformedMessageError(f"version {version}, only {VERSION} is spoken", 4)
     if not HEADER.size + 4 <= whole <= bounds.message_bytes:
-        raise Malformed(f"a message of {whole} bytes, {bounds.message_bytes} at most", 5)
+        raise MalformedMessageError(
+            f"a message of {whole} bytes, {bounds.message_bytes} at most", 5
+        )
     return whole, number
 
 
@@ -235,7 +237,7 @@
     """
     whole, number = head(data[: HEADER.size], bounds)
     if whole != len(data):
-        raise Malformed(f"a message of {len(data)} bytes states {whole}", 5)
+        raise MalformedMessageError(f"a message of {len(data)} bytes states {whole}", 5)
     kind, length = struct.unpack_from("!HH", data, HEADER.size)
     reader = Reader(data, bounds, REPLIES.get(kind))
     reader.at = HEADER.size + 4
--- a/indigodeck/fronts/sasp/conversation.py
+++ b/indigodeck/frontends/sasp/conversation.py
@@ -29,7 +29,7 @@
     UNKNOWN_BALANCER,
     UNKNOWN_GROUP,
     Entry,
-    Malformed,
+    MalformedMessageError,
     Member,
 )
 
@@ -45,7 +45,7 @@
         self.told = {}  # (address, port): (weight, flags, state), as last written
 
 
-class Office:
+class RegistrationRegistry:
     """All conversations of one planner's SASP front. `desk` holds the tables; `clerk` is the program around:
     `proxy(uid)` a number for it or None, `joined(proxy, uid)`, `left(proxy)`, `server_at(place)` an index or
     None, `address(server)` (address, port), `in_contact(server)`, `quiesced(place, on)`, `note(event, **facts)`.
@@ -103,7 +103,7 @@
             self.desk.spoke(self.proxy)
         try:
             codec.dispatch(message, self, self.office.bounds)
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.office.clerk.note("malformed", peer=self.name(), why=str(error), code=error.code)
             if error.reply is None:
                 return self.line.close(str(error))
@@ -284,13 +284,13 @@
         return self.desk.view(speaker.proxy, self.office.places[name]) or {}
 
     def answered(self, number, kind, code):
-        raise Malformed(f"a reply ({kind:#06x}) to nothing that was asked")
+        raise MalformedMessageError(f"a reply ({kind:#06x}) to nothing that was asked")
 
     def weights(self, number, code, interval, groups):
-        raise Malformed("weights are sent to relays, not by them")
+        raise MalformedMessageError("weights are sent to relays, not by them")
 
     def sent_weights(self, number, groups):
-        raise Malformed("weights are sent to relays, not by them")
+        raise MalformedMessageError("weights are sent to relays, not by them")
 
     # What goes out.
 
--- a/indigodeck/fronts/sasp/server.py
+++ b/indigodeck/frontends/sasp/server.py
@@ -10,15 +10,15 @@
 from tornado.locks import Event
 from tornado.netutil import bind_sockets
 from tornado.tcpserver import TCPServer
-from tornado.util import TimeoutError as TooLate
+from tornado.util import TimeoutError as DeadlineExceededError
 
 from . import codec
-from .conversation import Conversation, Office
+from .conversation import Conversation, RegistrationRegistry
 
 SECOND = 1_000_000
 
 
-class Line:
+class Connection:
     """One connection: reads requests one at a time and answers them, writes weights when some wait."""
 
     def __init__(self, front, stream, address):
@@ -62,9 +62,9 @@
                 await self._answer()
         except StreamClosedError:
             pass
-        except TooLate:
+        except DeadlineExceededError:
             self.close("a message was begun and not ended in time")
-        except codec.Malformed as error:
+        except codec.MalformedMessageError as error:
             self.front.note(
                 "malformed", peer=self.conversation.name(), why=str(error), code=error.code
             )
@@ -138,7 +138,7 @@
                     self.front.desk.acknowledged(parcel, by_program=False)
         except StreamClosedError:
             pass
-        except TooLate:
+        except DeadlineExceededError:
             self.close("it reads nothing")
 
     async def _taken(self):
@@ -148,7 +148,7 @@
         rest, tick = self.front.deaf_time, 0.001
         while not self.stream.closed() and unread(self.stream.socket):
             if rest <= 0:
-                raise TooLate
+                raise DeadlineExceededError
             await sleep(tick)
             rest -= tick
             tick = min(2 * tick, 0.05)
@@ -164,18 +164,18 @@
 class SaspFront(TCPServer):
     """Listens for load balancers and members. `service`: the program around (planner/service.py)."""
 
-    def __init__(self, service, charter):
-        super().__init__(max_buffer_size=2 * charter.fronts["sasp"].get("message_bytes", 1 << 20))
-        stated = charter.fronts["sasp"]
+    def __init__(self, service, settings):
+        super().__init__(max_buffer_size=2 * settings.fronts["sasp"].get("message_bytes", 1 << 20))
+        stated = settings.fronts["sasp"]
         self.service, self.desk = service, service.desk
         bounds = codec.Bounds(
             stated.get("message_bytes", 1 << 20),
             stated.get("groups", 64),
             stated.get("members", 1024),
         )
-        self.span = charter.stated["messages_span"]
-        self.office = Office(
-            self.desk, self, charter.classes, bounds, stated.get("interval_s", 5), self.span
+        self.span = settings.deployment.channel.message_window
+        self.office = RegistrationRegistry(
+            self.desk, self, settings.classes, bounds, stated.get("interval_s", 5), self.span
         )
         self.connections = stated.get("connections", 4096)
         self.message_time = stated.get("message_ms", 5000) / 1000
@@ -199,7 +199,7 @@
         if len(self.lines) >= self.connections:
             self.note("refused", peer=address[0], why=f"{self.connections} connections are open")
             return stream.close()
-        line = Line(self, stream, address)
+        line = Connection(self, stream, address)
         self.lines.add(line)
         try:
             await line.run()
--- a/indigodeck/fronts/xds/reach.py
+++ b/indigodeck/frontends/xds/health_checks.py
@@ -9,7 +9,7 @@
 from xds.data.orca.v3 import orca_load_report_pb2
 from xds.service.orca.v3 import orca_pb2
 
-from ...planner.evidence import report_of
+from ...planner.health_inference import report_of
 
 OUTCOMES = {
     grpc.StatusCode.DEADLINE_EXCEEDED: "silent",
--- a/indigodeck/fronts/xds/server.py
+++ b/indigodeck/frontends/xds/server.py
@@ -12,7 +12,7 @@
 SECOND = 1_000_000
 
 
-class Line:
+class Connection:
     """One discovery stream: reads requests as they come, writes responses one at a time as they may be written."""
 
     def __init__(self, front, context, delta):
@@ -44,10 +44,10 @@
             error = None if self.task.cancelled() else self.task.exception()
             if error is None and not self.task.cancelled():
                 return
-            if isinstance(error, streams.TooMuch):
+            if isinstance(error, streams.LimitExceededError):
                 ended, why = grpc.StatusCode.RESOURCE_EXHAUSTED, str(error)
                 self.front.note("refused", peer=self.relay.uid if self.relay else None, why=why)
-            elif error is not None and not isinstance(error, streams.Elsewhere):
+            elif error is not None and not isinstance(error, streams.NotLeaderError):
                 raise error
         finally:
             self.task.cancel()
@@ -65,7 +65,7 @@
         while (request := await self.context.read()) is not grpc.aio.EOF:
             if self.stream is None:
                 if not self.front.joined(request.node) and not await self.front.service.admitted():
-                    raise streams.TooMuch("too many relays wait to join")
+                    raise streams.LimitExceededError("too many relays wait to join")
                 self.relay = self.front.introduced(request.node)
                 self.stream = self.relay.opened(self, self.delta)
                 self.writer = asyncio.get_running_loop().create_task(self._write())
@@ -121,13 +121,13 @@
 ):
     """`service`: the program around (planner/service.py)."""
 
-    def __init__(self, service, charter):
-        stated = charter.fronts["xds"]
-        self.service, self.desk, self.charter = service, service.desk, charter
+    def __init__(self, service, settings):
+        stated = settings.fronts["xds"]
+        self.service, self.desk, self.settings = service, service.desk, settings
         self.bounds = streams.Bounds(stated.get("names", 256), stated.get("streams", 16))
         self.most = stated.get("relays", 4096)
-        self.shelf = streams.Shelf(
-            self.desk, self, {name: place for place, name in enumerate(charter.classes)}, scaled
+        self.shelf = streams.ResourceCache(
+            self.desk, self, {name: place for place, name in enumerate(settings.classes)}, scaled
         )
         self.known, self.relays = {}, {}  # by id; by proxy
         keep = round(stated.get("keepalive_ms", 10_000))
@@ -191,27 +191,27 @@
     # Discovery.
 
     async def StreamAggregatedResources(self, requests, context):
-        await Line(self, context, False).run()
+        await Connection(self, context, False).run()
 
     async def DeltaAggregatedResources(self, requests, context):
-        await Line(self, context, True).run()
+        await Connection(self, context, True).run()
 
     def joined(self, node):
         """Whether this relay has other streams here already."""
-        return codec.place_of(node, self.charter.halls)[0] in self.known
+        return codec.place_of(node, self.settings.halls)[0] in self.known
 
     def introduced(self, node):
-        uid, hall = codec.place_of(node, self.charter.halls)
+        uid, hall = codec.place_of(node, self.settings.halls)
         relay = self.known.get(uid)
         if relay is not None and self.relays.get(relay.proxy) is relay:
             return relay
         if not uid or len(uid) > 255:
-            raise streams.TooMuch("a node needs an id of 1 to 255 characters")
+            raise streams.LimitExceededError("a node needs an id of 1 to 255 characters")
         if not self.service.may_serve(uid, hall):
-            raise streams.Elsewhere("another controller is in charge")
+            raise streams.NotLeaderError("another controller is in charge")
         proxy = self.service.proxy_number(uid.encode()) if len(self.known) < self.most else None
         if proxy is None:
-            raise streams.TooMuch("too many relays")
+            raise streams.LimitExceededError("too many relays")
         relay = self.known[uid] = self.relays[proxy] = streams.Relay(
             uid, proxy, self.shelf, self.desk, self, self.bounds
         )
@@ -241,7 +241,9 @@
                 if relay is None:
                     # A relay may open this before any discovery stream; its reports count from when it has joined.
                     uid = request.node.id
-                    await context.write(codec.asking_reports(self.charter.stated["report_period"]))
+                    await context.write(
+                        codec.asking_reports(self.settings.deployment.report_period)
+                    )
                     relay = uid
                 known = self.known.get(relay)
                 for name, span, refused, met in codec.reports_in(request):
--- a/indigodeck/fronts/xds/streams.py
+++ b/indigodeck/frontends/xds/streams.py
@@ -7,7 +7,7 @@
 
 from collections import OrderedDict
 
-from ...host import DRAINING
+from ...assignment.interface import ServerState
 from . import codec
 from .codec import CLUSTER, ENDPOINTS, KINDS, LISTENER, ROUTE
 
@@ -25,15 +25,15 @@
         self.names, self.streams = names, streams
 
 
-class TooMuch(Exception):
+class LimitExceededError(Exception):
     """A relay asks for more than is allowed; its stream ends."""
 
 
-class Elsewhere(Exception):
+class NotLeaderError(Exception):
     """Another controller is in charge of this relay."""
 
 
-class Shelf:
+class ResourceCache:
     """The resources as one relay should see them. `classes` may change while streams are open; `desk` holds tables;
     `clerk.host(server)` gives (hall, id, address, port) or None.
     """
@@ -80,7 +80,7 @@
             host + (0,)
             for server in self.desk.withdrawn
             if self.desk.standing(server) is not None
-            and self.desk.standing(server).state == DRAINING
+            and self.desk.standing(server).state == ServerState.DRAINING
             and (host := self.clerk.host(server))
         ]
         return codec.endpoints(name, told, out, min(1.0, max(0.0, level)))
@@ -162,7 +162,7 @@
     def _bound(self, names, held):
         others = sum(len(other.asked) for other in self.types.values() if other is not held)
         if names + others > self.relay.bounds.names:
-            raise TooMuch(f"{names + others} names, {self.relay.bounds.names} at most")
+            raise LimitExceededError(f"{names + others} names, {self.relay.bounds.names} at most")
 
     def _settled(self, kind, held, nonce, error):
         """An acknowledgement or refusal of one response. In the whole form it speaks for those before it too, which
@@ -337,7 +337,7 @@
 
     def opened(self, line, delta):
         if len(self.streams) >= self.bounds.streams:
-            raise TooMuch(f"{self.bounds.streams} streams are open")
+            raise LimitExceededError(f"{self.bounds.streams} streams are open")
         stream = Stream(self, line, delta)
         self.streams.append(stream)
         return stream
--- a/indigodeck/schema.py
+++ b/indigodeck/json_documents.py
@@ -5,8 +5,10 @@
 
 import jsonschema
 
+from .errors import IndigodeckError
 
-class BadDocument(Exception):
+
+class InvalidDocumentError(IndigodeckError):
     """A document that can't be used: each line names the place and what was expected there."""
 
 
@@ -27,10 +29,10 @@
     try:
         document = json.loads(text)
     except ValueError as error:
-        raise BadDocument(f"{name}: no JSON: {error}") from error
+        raise InvalidDocumentError(f"{name}: no JSON: {error}") from error
     against = wrong(document, schema)
     if against:
-        raise BadDocument("\n".join(f"{name}: {line}" for line in against[:20]))
+        raise InvalidDocumentError("\n".join(f"{name}: {line}" for line in against[:20]))
     return document
 
 
@@ -40,4 +42,4 @@
     try:
         return parse(path.read_text(), schema, path.name)
     except (OSError, UnicodeDecodeError) as error:
-        raise BadDocument(f"{path}: {error}") from error
+        raise InvalidDocumentError(f"{path}: {error}") from error
--- a/indigodeck/takeover/charge.py
+++ b/indigodeck/leadership/election.py
@@ -16,14 +16,14 @@
 
 from typing import NamedTuple, Protocol
 
-from ..chance import seed_from
+from ..assignment.seeded_random import seed_from
 
 MEMBERS_MOST = 15
 STRIDE = 16  # epochs that one turn of all members takes: each has numbers of its own
 FORCED = 1 << 20  # how far a forced fleet's number is ahead of any that was decided
 
 
-class Record(NamedTuple):
+class LeaseRecord(NamedTuple):
     """What must outlast a restart. `wards`: by ward the highest epoch granted or adopted, and its holder; `serial`: how
     often this was written; `fleet`: (number, {member: place}) or None while it is as the charter says; `plan`: the change
     accepted last and not known to be decided, (number, epoch it was proposed under, members).
@@ -35,7 +35,7 @@
     plan: tuple | None = None
 
 
-class Surroundings(Protocol):
+class Environment(Protocol):
     """What a member may ask of the program around it."""
 
     def now(self) -> int: ...
@@ -49,7 +49,7 @@
     def send(self, member: str, kind: str, **fields) -> None:
         """A message to another member, which may be lost, late, twice or out of order."""
 
-    def keep(self, record: Record) -> bool:
+    def keep(self, record: LeaseRecord) -> bool:
         """Write the record so that it outlasts anything but the loss of the disk; False if that failed."""
 
     def in_charge(self, ward: str, epoch: int) -> None: ...
@@ -79,7 +79,7 @@
         self.backed = None  # the fleet's number by which a majority has granted this epoch
 
 
-class Charge:
+class LeaderElection:
     """One member. `members`: {id: place} of all, itself among them, as long as nothing else was decided; `wards`: names.
 
     `record` is what the disk gave, or None. A member that starts grants nothing until it has heard, from a majority of
@@ -94,7 +94,7 @@
     ):
         self.host, self.me, self.wards = host, me, list(wards)
         self.lease, self.drift, self.chance = lease, drift, chance
-        self.record = record or Record(0, {})
+        self.record = record or LeaseRecord(0, {})
         self.first_known = dict(members)
         self.number, self.members = self.record.fleet or ((-1, {}) if joins else (0, dict(members)))
         self.grants, self.bids = {ward: Grant() for ward in wards}, {ward: Bid() for ward in wards}
@@ -671,16 +671,16 @@
 
 # What another member's message is called, and what it is to this one.
 CALLS = {
-    "here": Charge.here.__name__,
-    "greet": Charge.greeted.__name__,
-    "tell": Charge.told.__name__,
-    "ask": Charge.asked.__name__,
-    "grant": Charge.granted.__name__,
-    "deny": Charge.denied.__name__,
-    "release": Charge.released.__name__,
-    "propose": Charge.proposed.__name__,
-    "accept": Charge.accepted.__name__,
-    "members": Charge.members_are.__name__,
+    "here": LeaderElection.here.__name__,
+    "greet": LeaderElection.greeted.__name__,
+    "tell": LeaderElection.told.__name__,
+    "ask": LeaderElection.asked.__name__,
+    "grant": LeaderElection.granted.__name__,
+    "deny": LeaderElection.denied.__name__,
+    "release": LeaderElection.released.__name__,
+    "propose": LeaderElection.proposed.__name__,
+    "accept": LeaderElection.accepted.__name__,
+    "members": LeaderElection.members_are.__name__,
 }
 
 
--- a/indigodeck/takeover/record.py
+++ b/indigodeck/leadership/lease_record.py
@@ -10,7 +10,7 @@
 
 from crc32c import crc32c
 
-from .charge import Record
+from .election import LeaseRecord
 
 
 def told(record):
@@ -27,7 +27,7 @@
     """The record in plain values, or None if they are none."""
     try:
         fleet, plan = given.get("fleet"), given.get("plan")
-        return Record(
+        return LeaseRecord(
             int(given["serial"]),
             {str(ward): (int(epoch), holder) for ward, (epoch, holder) in given["wards"].items()},
             fleet and (int(fleet[0]), dict(fleet[1])),
--- a/indigodeck/takeover/apart.py
+++ b/indigodeck/leadership/member_thread.py
@@ -18,7 +18,7 @@
 ENDING = 0.1  # seconds for what is handed over to leave
 
 
-class Apart:
+class MemberThread:
     """`service` as `peers.Peers` wants it, but for `silent`, on the loop that makes this; `make(surroundings)` gives the
     Peers on the thread's own loop, and may raise what it likes. `lease`: microseconds.
     """
--- a/indigodeck/takeover/messages.py
+++ b/indigodeck/leadership/messages.py
@@ -11,7 +11,7 @@
 import hmac
 import json
 
-from .charge import MEMBERS_MOST
+from .election import MEMBERS_MOST
 
 VERSIONS = (1, 2, 3)
 NEWEST = VERSIONS[-1]
@@ -63,7 +63,7 @@
 MEANT = {"number": 0, "members": None, "plan": None, "holder": ""}
 
 
-class Refused(Exception):
+class RejectedError(Exception):
     """A message that is not taken; says why."""
 
 
@@ -110,7 +110,7 @@
     """Bytes that follow the length: the seal and the body."""
     size = int.from_bytes(head, "big")
     if not 2 <= size <= LONGEST:
-        raise Refused(f"a message of {size} bytes, {LONGEST} at most")
+        raise RejectedError(f"a message of {size} bytes, {LONGEST} at most")
     return SEAL + size
 
 
@@ -118,22 +118,22 @@
     """(source, version, kind, fields) of what follows the length. `known(name)`: whether somebody may speak."""
     seal, body = data[:SEAL], data[SEAL:]
     if not hmac.compare_digest(seal, hmac.digest(key, body, hashlib.sha256)):
-        raise Refused("not sealed with the key of this fleet")
+        raise RejectedError("not sealed with the key of this fleet")
     try:
         given = json.loads(body)
         version, source, kind = given.pop("version"), given.pop("from"), given.pop("kind")
     except (ValueError, KeyError, AttributeError, TypeError) as error:
-        raise Refused(f"no message: {error}") from error
+        raise RejectedError(f"no message: {error}") from error
     if isinstance(version, bool) or version not in VERSIONS:
-        raise Refused(f"version {version}; spoken here are {', '.join(map(str, VERSIONS))}")
+        raise RejectedError(f"version {version}; spoken here are {', '.join(map(str, VERSIONS))}")
     if not isinstance(source, str) or not known(source):
-        raise Refused(f"{source!r} is none of this fleet")
+        raise RejectedError(f"{source!r} is none of this fleet")
     if (
         not isinstance(kind, str)
         or kind not in KINDS[version]
         or given.keys() != KINDS[version][kind]
     ):
-        raise Refused(f"{kind!r} with fields {sorted(given)}")
+        raise RejectedError(f"{kind!r} with fields {sorted(given)}")
     if version == 1:
         given.update({name: MEANT[name] for name in ADDED.get(kind, ())})
         if isinstance(given.get("epochs"), dict):
@@ -150,15 +150,15 @@
         if name in INTEGERS and (
             isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < 1 << 62
         ):
-            raise Refused(f"{name} is {value!r}")
+            raise RejectedError(f"{name} is {value!r}")
         if name in ("ward", "holder", "after") and not isinstance(value, str):
-            raise Refused(f"{name} is {value!r}")
+            raise RejectedError(f"{name} is {value!r}")
         if name == "epochs" and not (
             isinstance(value, dict) and all(_known(epoch) for epoch in value.values())
         ):
-            raise Refused("epochs are not numbers by ward")
+            raise RejectedError("epochs are not numbers by ward")
         if name == "members" and value is not None and not _members(value):
-            raise Refused("members are not places by id")
+            raise RejectedError("members are not places by id")
         if name == "held" and not (
             isinstance(value, list)
             and all(
@@ -168,7 +168,7 @@
                 for entry in value
             )
         ):
-            raise Refused("refusals are not relay, class and content")
+            raise RejectedError("refusals are not relay, class and content")
         if name == "plan" and value is not None:
             if not (
                 isinstance(value, list)
@@ -177,7 +177,7 @@
                 and _number(value[1])
                 and _members(value[2])
             ):
-                raise Refused("a plan is not number, epoch and members")
+                raise RejectedError("a plan is not number, epoch and members")
             given["plan"] = tuple(value)
 
 
@@ -200,7 +200,7 @@
     }
     for name, value in given.items():
         if not fine[name](value):
-            raise Refused(f"{kind!r}: {name} is of no known shape")
+            raise RejectedError(f"{kind!r}: {name} is of no known shape")
 
 
 def _pair(value):
--- a/indigodeck/takeover/model.py
+++ b/indigodeck/leadership/model.py
@@ -8,8 +8,8 @@
 
 import heapq
 
-from ..chance import Chance
-from .charge import Charge, heard
+from ..assignment.seeded_random import SeededRandom
+from .election import LeaderElection, heard
 
 SECOND = 1_000_000
 LEASE, DRIFT = 2 * SECOND, 0.05
@@ -40,7 +40,9 @@
             ["fleet"],
             LEASE,
             DRIFT,
-            Chance(self.world.seed * 97 + self.lives * 31 + ord(self.name[0]) + ord(self.name[-1])),
+            SeededRandom(
+                self.world.seed * 97 + self.lives * 31 + ord(self.name[0]) + ord(self.name[-1])
+            ),
             self.lives,
             record,
             self.name not in self.world.stated(),
@@ -94,9 +96,9 @@
 class World:
     """`make`: the decisions to run, Charge or a mutant of it. Two more controllers than `members` stand by to be let in."""
 
-    def __init__(self, seed, members=3, seconds=120, make=Charge):
-        self.seed, self.make, self.chance = seed, make, Chance(seed * 2654435761 + 1)
-        self.hangs = Chance(seed * 2654435761 + 2)
+    def __init__(self, seed, members=3, seconds=120, make=LeaderElection):
+        self.seed, self.make, self.chance = seed, make, SeededRandom(seed * 2654435761 + 1)
+        self.hangs = SeededRandom(seed * 2654435761 + 2)
         self.clock, self.queue, self.nth, self.end = 0, [], 0, seconds * SECOND
         self.names = [f"c{nth}" for nth in range(members)] + ["s0", "s1"]
         self.fleets = {
@@ -310,7 +312,7 @@
     and were a majority together before; the rest is a majority of those that stayed.
     """
 
-    def __init__(self, seed, members=5, seconds=120, make=Charge):
+    def __init__(self, seed, members=5, seconds=120, make=LeaderElection):
         super().__init__(seed, 5, seconds, make)
         self.step, self.missed = 0, []
 
@@ -344,7 +346,7 @@
         self.at(self.clock + LEASE // 2, self.trouble)
 
 
-def explore(seeds, members=(3, 5), seconds=60, make=Charge):
+def explore(seeds, members=(3, 5), seconds=60, make=LeaderElection):
     """Plays schedules until one breaks: (how many were played, takeovers seen, what broke or None)."""
     takeovers = 0
     for played, seed in enumerate(seeds):
@@ -359,7 +361,7 @@
 # Mutants: each forgets one thing that the decisions must not forget. The model must break every one.
 
 
-class DropsEpochs(Charge):
+class DropsEpochs(LeaderElection):
     """Grants under any epoch, also one below what it has granted."""
 
     def asked(self, member, **given):
@@ -367,7 +369,7 @@
         super().asked(member, **given)
 
 
-class CountsFromReply(Charge):
+class CountsFromReply(LeaderElection):
     """Counts its lease from when the grants came, not from when it asked."""
 
     def _count(self, member, ward, epoch, round_, *given):
@@ -377,7 +379,7 @@
         super()._count(member, ward, epoch, round_, *given)
 
 
-class KeepsNothing(Charge):
+class KeepsNothing(LeaderElection):
     """Says that the record is written and does not write it; believes its disk at a start."""
 
     def _keep(self, record):
@@ -388,14 +390,14 @@
         super().told(member, hello, {}, 0, number, members, None)
 
 
-class GrantsAtOnce(Charge):
+class GrantsAtOnce(LeaderElection):
     """Grants as soon as it starts, as if it remembered what it granted before."""
 
     def _may_grant(self):
         return self.me in self.members
 
 
-class BelievesItsDisk(Charge):
+class BelievesItsDisk(LeaderElection):
     """Asks nobody at a start: an old copy of its record counts as the newest."""
 
     def settled(self):
@@ -405,7 +407,7 @@
         pass
 
 
-class IgnoresDrift(Charge):
+class IgnoresDrift(LeaderElection):
     """Counts a lease alike on both sides, and a little long where it holds."""
 
     def _holds_for(self):
@@ -415,7 +417,7 @@
         return self.lease
 
 
-class IgnoresOthersLeases(Charge):
+class IgnoresOthersLeases(LeaderElection):
     """Grants to whoever asks under a higher epoch, while another's lease runs."""
 
     def asked(self, member, ward, **given):
@@ -423,7 +425,7 @@
         super().asked(member, ward, **given)
 
 
-class DecidesAlone(Charge):
+class DecidesAlone(LeaderElection):
     """Takes a change of members as decided when it has accepted it itself."""
 
     def _accepted(self, member, plan):
@@ -431,7 +433,7 @@
         super()._accepted(member, plan)
 
 
-class ServesAnyFleet(Charge):
+class ServesAnyFleet(LeaderElection):
     """Grants to who asks by another fleet's number, counts such grants, and never tells who was taken out of it."""
 
     def _teach(self, member):
@@ -449,14 +451,14 @@
         super()._count(member, ward, epoch, round_, self.number, plan)
 
 
-class ForgetsPlans(Charge):
+class ForgetsPlans(LeaderElection):
     """Proposes what it is asked, whatever may have been decided under an epoch before."""
 
     def _pending(self):
         return None
 
 
-class ChangesTwiceAtOnce(Charge):
+class ChangesTwiceAtOnce(LeaderElection):
     """Lets members change two at a time."""
 
     def change(self, members):
--- a/indigodeck/takeover/operators.py
+++ b/indigodeck/leadership/operator_server.py
@@ -5,7 +5,7 @@
 from tornado.iostream import StreamClosedError
 from tornado.netutil import bind_sockets
 from tornado.tcpserver import TCPServer
-from tornado.util import TimeoutError as TooLate
+from tornado.util import TimeoutError as DeadlineExceededError
 
 from . import messages
 
@@ -20,7 +20,7 @@
     return await with_timeout(limit, stream.read_bytes(messages.length(head)), StreamClosedError)
 
 
-class Operators(TCPServer):
+class OperatorServer(TCPServer):
     """`service`: `await asked(wish)`, `note(event, **facts)`."""
 
     def __init__(self, service, key):
@@ -44,12 +44,12 @@
                     self.key, data, lambda name: name == OPERATOR
                 )
                 if kind != "versions":
-                    raise messages.Refused(f"{kind!r} is for planners that share a fleet")
+                    raise messages.RejectedError(f"{kind!r} is for planners that share a fleet")
                 said = await self.service.asked(fields["wish"])
                 await stream.write(messages.pack(self.key, "planner", "answer", version, said=said))
-        except messages.Refused as error:
+        except messages.RejectedError as error:
             self.service.note("refused an operator", peer=address[0], why=str(error))
-        except (StreamClosedError, TooLate, OSError):
+        except (StreamClosedError, DeadlineExceededError, OSError):
             pass
         finally:
             self.open -= 1
--- a/indigodeck/takeover/refusals.py
+++ b/indigodeck/leadership/rejections.py
@@ -11,7 +11,7 @@
 PAUSE = 1_000_000  # between two writings: a relay that refuses for ever costs one a second
 
 
-class Surroundings(Protocol):
+class Environment(Protocol):
     """What the memory may ask of the program around it."""
 
     def later(self, after: int, call) -> None: ...
@@ -23,7 +23,7 @@
         """To all other controllers; may be lost."""
 
 
-class Refusals:
+class RejectionRegistry:
     """`entries`: [(relay, class, content)] as kept, oldest first."""
 
     def __init__(self, host, entries=()):
--- a/indigodeck/takeover/peers.py
+++ b/indigodeck/leadership/transport.py
@@ -9,12 +9,12 @@
 from tornado.netutil import bind_sockets
 from tornado.tcpclient import TCPClient
 from tornado.tcpserver import TCPServer
-from tornado.util import TimeoutError as TooLate
+from tornado.util import TimeoutError as DeadlineExceededError
 
 from . import messages
-from .charge import CALLS, Charge, heard
-from .operators import OPERATOR, next_message
-from .refusals import Refusals
+from .election import CALLS, LeaderElection, heard
+from .operator_server import OPERATOR, next_message
+from .rejections import RejectionRegistry
 
 SECOND = 1_000_000
 WAITING_MOST = 64  # messages for one member; the oldest goes first, for each is asked again
@@ -62,10 +62,12 @@
             refused,
         )
         self.stated, self.newest, self.peers, self.ending = dict(places), newest, {}, False
-        self.refusals = Refusals(self, refused.read() or ())
+        self.refusals = RejectionRegistry(self, refused.read() or ())
         record = file.read()
         self._peers_are(record.fleet[1] if record and record.fleet else {})
-        self.charge = Charge(self, me, places, wards, lease, drift, chance, life, record, joins)
+        self.charge = LeaderElection(
+            self, me, places, wards, lease, drift, chance, life, record, joins
+        )
         address, port = place_of(places[me])
         self.add_sockets(bind_sockets(port, address))
 
@@ -147,7 +149,7 @@
                         ):  # an older one answers nothing any more
                             await stream.write(data)
                     peer.wanted.clear()
-            except (OSError, StreamClosedError, TooLate):
+            except (OSError, StreamClosedError, DeadlineExceededError):
                 await sleep(pause)
                 pause = min(1.0, 2 * pause)
             finally:
@@ -163,7 +165,7 @@
                     self.key, data, lambda name: name in self.peers or name == OPERATOR
                 )
                 if version > self.newest:
-                    raise messages.Refused(
+                    raise messages.RejectedError(
                         f"version {version}, {self.newest} is the newest spoken here"
                     )
                 if source == OPERATOR:
@@ -179,10 +181,10 @@
                     self.refusals.heard([tuple(entry) for entry in fields["held"]])
                 elif kind in messages.COPIED:
                     self.service.copy_came(source, kind, fields)
-        except messages.Refused as error:
+        except messages.RejectedError as error:
             # One line for each connection, which ends: who is not of this fleet can't fill the log through one.
             self.service.note("refused a controller", peer=address[0], why=str(error))
-        except (StreamClosedError, TooLate, OSError):
+        except (StreamClosedError, DeadlineExceededError, OSError):
             pass
         finally:
             stream.close()
@@ -218,7 +220,7 @@
             return {"handed_over": ward in self.charge.bids and self.charge.hand_over(ward)}
         if kind == "versions":
             return await self.service.asked(fields["wish"])
-        raise messages.Refused(f"an operator can't say {kind!r}")
+        raise messages.RejectedError(f"an operator can't say {kind!r}")
 
     def cease(self):
         """Ends by plan: what is held is handed over first."""
--- a/indigodeck/planner/belief.py
+++ b/indigodeck/planner/cached_endpoint_list.py
@@ -22,7 +22,7 @@
 )  # of trust by age alone: what is told to people, and for who can't be tried
 
 
-class Surroundings(Protocol):
+class Environment(Protocol):
     """What a belief may ask of the program around it."""
 
     def now(self) -> int: ...
@@ -40,7 +40,7 @@
     def note(self, event: str, **facts) -> None: ...
 
 
-class Belief:
+class CachedEndpointList:
     """`kept`: {"hosts": [entry as a list has it], "at": wall clock in microseconds, ..}; `tries`: whether hosts may be tried."""
 
     def __init__(self, host, kept, tries=True):
--- a/indigodeck/planner/sums.py
+++ b/indigodeck/planner/demand_aggregation.py
@@ -13,7 +13,7 @@
         self.since, self.tries, self.failed, self.took, self.good, self.span = since, 0, 0, 0, 0, 0
 
 
-class Sums:
+class DemandAggregator:
     """`desk`: its `heard`, `demand`, `now` are called. `lines_per_s`: lines let through a second."""
 
     def __init__(self, desk, lines_per_s, report_period):
--- a/indigodeck/planner/roster.py
+++ b/indigodeck/planner/endpoint_list.py
@@ -4,11 +4,11 @@
 one held is left aside; changes that don't follow on it are asked for again as a whole.
 """
 
-from ..host import CACHED, CHANGES, DRAINING, GONE, READY, WHOLE, Server
-from ..schema import BadDocument, parse, shipped
+from ..assignment.interface import Server, ServerState, UpdateKind
+from ..json_documents import InvalidDocumentError, parse, shipped
 
-SCHEMA = shipped(__file__, "roster.schema.json")
-STATES = {"ready": READY, "draining": DRAINING, "gone": GONE}
+SCHEMA = shipped(__file__, "endpoint_list.schema.json")
+STATES = {"ready": ServerState.READY, "draining": ServerState.DRAINING, "gone": ServerState.GONE}
 
 
 def read(text):
@@ -16,12 +16,12 @@
     document, seen = parse(text, SCHEMA, "roster"), set()
     for place, host in enumerate(document["hosts"]):
         if host["id"] in seen:
-            raise BadDocument(f"roster: hosts/{place}/id: {host['id']!r} stands twice")
+            raise InvalidDocumentError(f"roster: hosts/{place}/id: {host['id']!r} stands twice")
         seen.add(host["id"])
     return document
 
 
-class Roster:
+class EndpointList:
     """Holds the newest list and tells the desk what it says.
 
     `halls`, `kinds`: names in the charter's order; `clock_gap`: microseconds from the wall clock, in which
@@ -54,7 +54,9 @@
         self.hosts = {host["id"]: host for host in document["hosts"] if host["state"] != "gone"}
         self.quiet &= self.hosts.keys()
         # The first list after a start says nothing of what changed: processes in it may be long up.
-        self.host.listed(CACHED if first else WHOLE, self.servers(self.hosts.values()))
+        self.host.listed(
+            UpdateKind.CACHED if first else UpdateKind.WHOLE, self.servers(self.hosts.values())
+        )
 
     def changes(self, document):
         if self.version is None or document["version"] != self.version + 1:
@@ -67,7 +69,7 @@
                 self.hosts.pop(host["id"], None)
             else:
                 self.hosts[host["id"]] = host
-        self.host.listed(CHANGES, self.servers(document["hosts"]))
+        self.host.listed(UpdateKind.CHANGES, self.servers(document["hosts"]))
 
     def kept(self):
         """What of the list should outlast a restart."""
@@ -83,14 +85,14 @@
         self.version, self.epoch = kept["version"], kept["epoch"]
         self.hosts = {**({} if fresh else self.hosts), **{host["id"]: host for host in hosts}}
         self.quiet = set(kept["quiet"]) & self.hosts.keys()
-        self.host.listed(CACHED if fresh else CHANGES, self.servers(hosts))
+        self.host.listed(UpdateKind.CACHED if fresh else UpdateKind.CHANGES, self.servers(hosts))
 
     def quiesced(self, address, port, on):
         """A host says of itself that it takes no new work, or takes it again; sooner than any list."""
         for name, host in self.hosts.items():
             if (host["address"], host["port"]) == (address, port):
                 (self.quiet.add if on else self.quiet.discard)(name)
-                self.host.listed(CHANGES, self.servers([host]))
+                self.host.listed(UpdateKind.CHANGES, self.servers([host]))
                 return True
         return False
 
@@ -102,7 +104,7 @@
         # Before the planner's own clock began, or long ago: the same to the assigner.
         started = max(0, started - self.clock_gap) if started else 0
         state = (
-            DRAINING
+            ServerState.DRAINING
             if host["id"] in self.quiet and host["state"] == "ready"
             else STATES[host["state"]]
         )
--- a/indigodeck/planner/reach.py
+++ b/indigodeck/planner/health_checks.py
@@ -8,7 +8,7 @@
 from tornado.httpclient import HTTPClientError, HTTPRequest
 from tornado.simple_httpclient import HTTPStreamClosedError, HTTPTimeoutError, SimpleAsyncHTTPClient
 
-from .evidence import report_of
+from .health_inference import report_of
 
 HEADER = "endpoint-load-metrics"
 
--- a/indigodeck/planner/evidence.py
+++ b/indigodeck/planner/health_inference.py
@@ -81,11 +81,11 @@
         self.suspect, self.good, self.asked_at, self.tried_at, self.out = False, 0, -1, -1, 0
 
 
-class Evidence:
+class HealthInference:
     """`desk`: its `heard`, `demand` and `now` are called. `stated`: the charter as the assigner knows it."""
 
-    def __init__(self, desk, stated, probes_per_s, probes_at_once):
-        self.desk, self.stated = desk, stated
+    def __init__(self, desk, settings, probes_per_s, probes_at_once):
+        self.desk, self.settings = desk, settings
         self.rate, self.at_once = probes_per_s, probes_at_once
         self.cases, self.proxies, self.turned_at, self.spent = {}, [], desk.now(), 0.0
         self.budget_at = desk.now()
@@ -148,7 +148,7 @@
         self.woke_at = now if now - self.budget_at > STOOD else self.woke_at
         self.budget_at = now
         out = sum(case.out for case in self.cases.values())
-        period, suspects, others = self.stated["report_period"], [], []
+        period, suspects, others = self.settings.report_period, [], []
         doubted = any(case.suspect for case in self.cases.values())
         well = sorted(server for server, case in self.cases.items() if case.good) if doubted else []
         for server, case in self.cases.items():
@@ -177,7 +177,7 @@
         """How long exchanges lately took at a host, in microseconds, by its report and by probes; 0 if nothing tells."""
         case = self.cases.get(server)
         return (
-            self._met(case, self.desk.now() - 2 * self.stated["report_period"], SECOND)[2]
+            self._met(case, self.desk.now() - 2 * self.settings.report_period, SECOND)[2]
             if case
             else 0
         )
@@ -196,7 +196,7 @@
             # Relays hear of a hung host only when their own patience ends; probes that fail are told beside that.
             if tries and (server not in heard or case.suspect and failed):
                 self.desk.heard(
-                    self.stated["own_zone"], server, tries, failed, took, span, self._load(case)
+                    self.settings.planner_zone, server, tries, failed, took, span, self._load(case)
                 )
             fresh = self._fresh(case, now)
             if fresh and fresh.completed is not None:
@@ -208,7 +208,7 @@
 
     def _fresh(self, case, now):
         """A report counts for three periods; older, it tells of another day."""
-        if case.reports and now - case.reports[-1][0] < 3 * self.stated["report_period"]:
+        if case.reports and now - case.reports[-1][0] < 3 * self.settings.report_period:
             return case.reports[-1][1]
         return None
 
@@ -249,12 +249,12 @@
         """
         everyone = (
             len(self.proxies)
-            if self.stated["instances"] == 1
-            else max(len(self.proxies), self.stated["proxies"])
+            if self.settings.planner_count == 1
+            else max(len(self.proxies), self.settings.proxy_count)
         )
         if not everyone or not total:
             return
-        places = range(len(self.stated["classes"]))
+        places = range(len(self.settings.classes))
         for nth, proxy in enumerate(self.proxies):
             for place in () if tells(proxy) else places:
                 share = by_class.get(place, 0.0) / told if told else 1 / len(places)
--- a/indigodeck/planner/arrivals.py
+++ b/indigodeck/planner/join_admission.py
@@ -16,7 +16,7 @@
 WAITING_MOST = 65_535
 
 
-class Surroundings(Protocol):
+class Environment(Protocol):
     """What arrivals may ask of the program around them."""
 
     def now(self) -> int: ...
@@ -34,7 +34,7 @@
     def turned_away(self, relay) -> None: ...
 
 
-class Arrivals:
+class JoinAdmission:
     """`most`: lines that may wait. Relays are known here by whatever the program hands over, one object for each that comes."""
 
     def __init__(self, host, most):
--- a/indigodeck/planner/allowance.py
+++ b/indigodeck/planner/message_quota.py
@@ -8,7 +8,7 @@
 from collections import deque
 
 
-class Allowance:
+class MessageQuota:
     """`most` messages within `span` microseconds, of which at most `answers` reply to requests."""
 
     def __init__(self, most, span, answers, margin=0):
--- a/indigodeck/planner/desk.py
+++ b/indigodeck/planner/pending_updates.py
@@ -7,11 +7,11 @@
 
 from typing import NamedTuple, Protocol
 
-from ..choice import Assigner
-from ..host import Server
+from ..assignment.assigner import Assigner
+from ..assignment.interface import DemandReport, LoadReport, Server
 
 
-class Outside(Protocol):
+class Environment(Protocol):
     """What the desk may ask of the program around it."""
 
     def now(self) -> int: ...
@@ -55,7 +55,7 @@
         return sum(max(1, len(servers)) for servers in self.waiting.values())
 
 
-class Door:
+class IdRegistry:
     """Ids as the deployment knows them, mapped to small indices that are never used twice."""
 
     def __init__(self):
@@ -70,9 +70,9 @@
 
 
 class Desk:
-    def __init__(self, outside, stated, seed, make=Assigner):
-        self.outside, self.stated = outside, stated
-        self.places = range(len(stated["classes"]))
+    def __init__(self, outside, settings, seed, make=Assigner):
+        self.outside, self.settings = outside, settings
+        self.places = range(len(settings.classes))
         self.tables, self.levels, self.withdrawn = {}, {}, set()
         self.holdings, self.servers = {}, {}
         self.reached, self.marked, self.most_waiting = set(), [], 0
@@ -83,7 +83,7 @@
         )  # {table: class's place}; whether books have something to look at
         self.books = None  # versions of what is published, where they are kept (versions/books.py)
         self.assigner = None
-        self.assigner = make(self, stated, seed)
+        self.assigner = make(self, settings, seed)
         self._settle("start")
 
     # What happens; each ends with what the assigner ordered being laid out for the proxies concerned.
@@ -92,11 +92,11 @@
         self.servers.update((server.index, server) for server in servers)
         self.withdrawals += 1  # what is told of a withdrawn server goes by the list
         self.changed = True
-        self.assigner.listed(kind, servers)
+        self.assigner.on_endpoint_update(kind, servers)
         self._settle("a list")
 
     def list_failed(self):
-        self.assigner.list_failed()
+        self.assigner.on_endpoint_list_failed()
         self._settle("no list")
 
     def proxy_joined(self, proxy, zone, rate, fresh):
@@ -106,24 +106,24 @@
             for place in self.places:
                 holding.touch(self.outside.now(), place, self.withdrawn)
             self.reached.add(proxy)
-        self.assigner.proxy_joined(proxy, zone, rate, fresh)
+        self.assigner.on_proxy_joined(proxy, zone, rate, fresh)
         self._settle("a relay joined")
 
     def proxy_left(self, proxy):
         if self.holdings.pop(proxy, None) is not None:
-            self.assigner.proxy_left(proxy)
+            self.assigner.on_proxy_left(proxy)
             if self.books is not None:
                 self.books.left(proxy)
             self._settle("a relay left")
 
     def heard(self, zone, server, tries, failed, took, span, load):
-        self.assigner.heard(zone, server, tries, failed, took, span, load)
+        self.assigner.on_load_report(LoadReport(zone, server, tries, failed, took, span, load))
 
     def demand(self, proxy, place, exchanges, failed, span):
-        self.assigner.demand(proxy, place, exchanges, failed, span)
+        self.assigner.on_demand_report(DemandReport(proxy, place, exchanges, failed, span))
 
     def probed(self, server, outcome, took, load):
-        self.assigner.probed(server, outcome, took, load)
+        self.assigner.on_health_check(server, outcome, took, load)
         self._settle("a probe")
 
     def spoke(self, proxy):
@@ -135,13 +135,13 @@
         """The transport says that the proxy has taken a parcel; `by_program`: that its program has, not its machine alone."""
         if parcel.proxy in self.holdings:
             for number, ordered in parcel.marks:
-                self.assigner.applied(parcel.proxy, number, self.outside.now() - ordered)
+                self.assigner.on_ack(parcel.proxy, number, self.outside.now() - ordered)
             if self.books is not None:
                 self.books.took(parcel.proxy, parcel.version, by_program)
             self._settle("an answer")
 
     def _woken(self, token):
-        self.assigner.woken(token)
+        self.assigner.on_timer(token)
         self._settle("a turn")
 
     def _settle(self, event):
@@ -169,13 +169,15 @@
 
     def queue(self):
         """Lines that wait for all proxies, heads included."""
-        head = self.stated["head_lines"]
+        head = self.settings.channel.message_overhead_lines
         return sum(holding.lines() + head for holding in self.holdings.values() if holding.waiting)
 
     def arrival(self):
         """Lines that one more proxy may have waiting at once: tables, and what is withdrawn, for each class."""
         longest = max(map(len, self.tables.values()), default=0)
-        return self.stated["head_lines"] + len(self.places) * max(1, longest + len(self.withdrawn))
+        return self.settings.channel.message_overhead_lines + len(self.places) * max(
+            1, longest + len(self.withdrawn)
+        )
 
     def waits(self, proxy):
         return proxy in self.holdings and bool(self.holdings[proxy].waiting)
@@ -231,8 +233,10 @@
 
     def resume(self, held):
         """{table: [server]} as published before: only while nobody holds anything, for then nothing moves by it."""
-        if not self.holdings and hasattr(self.assigner, "resumed"):  # baselines have no shards
-            self.assigner.resumed(held)
+        if not self.holdings and hasattr(
+            self.assigner, "resume_tables"
+        ):  # baselines have no shards
+            self.assigner.resume_tables(held)
 
     def published(self):
         """{table: (class's place, {server: weight}, (level, way), edition)} as the assigner has them."""
@@ -263,7 +267,7 @@
     def now(self):
         return self.outside.now()
 
-    def wake(self, after, token):
+    def start_timer(self, after, token):
         self.outside.later(after, lambda: self._woken(token))
 
     def _users(self, table):
@@ -280,7 +284,7 @@
             holding.touch(now, place, servers)
             self.reached.add(proxy)
 
-    def line(self, table, server, weight):
+    def set_weight(self, table, server, weight):
         lines = self.tables.setdefault(table, {})
         if weight > 0:
             lines[server] = weight
@@ -292,13 +296,13 @@
         else:
             self.touch(table, (server,))
 
-    def clear(self, table):
+    def clear_table(self, table):
         gone = self.tables.pop(table, {})
         self.place_of.pop(table, None)
         self.levels = {key: level for key, level in self.levels.items() if key[0] != table}
         self.touch(table, gone)
 
-    def bind(self, proxy, table, classes):
+    def assign_table(self, proxy, table, classes):
         holding = self.holdings.get(proxy)
         if holding is None:
             return
@@ -310,8 +314,15 @@
             holding.touch(self.outside.now(), place, self._lines(table))
         self.reached.add(proxy)
 
-    def withdraw(self, server, out):
-        (self.withdrawn.add if out else self.withdrawn.discard)(server)
+    def eject_server(self, server):
+        self.withdrawn.add(server)
+        self._standing_changed(server)
+
+    def uneject_server(self, server):
+        self.withdrawn.discard(server)
+        self._standing_changed(server)
+
+    def _standing_changed(self, server):
         self.withdrawals, self.changed = self.withdrawals + 1, True
         now = self.outside.now()
         for proxy, holding in self.holdings.items():
@@ -321,30 +332,30 @@
                     holding.touch(now, place, (server,))
                     self.reached.add(proxy)
 
-    def forget(self, server):
+    def forget_server(self, server):
         """Let back, which reaches nobody. Its index stays: the roster and evidence may know it still."""
-        self.withdraw(server, False)
+        self.uneject_server(server)
 
-    def admit(self, table, classes, level, tries):
+    def set_admission(self, table, classes, level, tries):
         for place in classes or self.places:
             self.levels[table, place] = level, tries
         self.touch(table, ())
 
-    def mark(self, number, everyone):
+    def request_ack(self, number, everyone):
         self.marked.append(number)
         if everyone:
             self.reached.update(self.holdings)
 
-    def probe(self, server):
+    def check_health(self, server):
         self.outside.probe(server)
 
-    def tell(self, peer, data):
+    def send_to_peer(self, peer, data):
         """Planners share nothing here."""
 
-    def watch(self, on):
+    def watch_endpoints(self, on):
         self.outside.ask_list(on)
 
-    def fetch(self):
+    def fetch_endpoints(self):
         self.outside.ask_list(False)
 
     def log(self, text):
--- a/indigodeck/planner/charter.py
+++ b/indigodeck/planner/planner_settings.py
@@ -2,25 +2,32 @@
 
 import pathlib
 
-from ..schema import BadDocument, load, shipped, wrong
+from ..json_documents import InvalidDocumentError, load, shipped, wrong
+from ..settings import (
+    AdmissionMode,
+    ChannelSettings,
+    ClassSettings,
+    DeploymentSettings,
+    Idempotency,
+    microseconds,
+)
 
-SCHEMA = shipped(__file__, "charter.schema.json")
-TIME = 1000  # stated in milliseconds, kept in whole microseconds
+SCHEMA = shipped(__file__, "settings.schema.json")
 
 
 def read(path):
     """The charter in a file, checked; relative paths in it are seen from its folder."""
     path = pathlib.Path(path)
-    return Charter(load(path, SCHEMA), path.parent, path.name)
+    return PlannerSettings(load(path, SCHEMA), path.parent, path.name)
 
 
-class Charter:
-    """`stated`: the map that the assigner is handed, times in microseconds; the rest by sections."""
+class PlannerSettings:
+    """`deployment`: the settings that the assigner is handed, times in microseconds; the rest by sections."""
 
     def __init__(self, document, folder=pathlib.Path("."), name="charter"):
         against = wrong(document, SCHEMA) or list(self._crossed(document))
         if against:
-            raise BadDocument("\n".join(f"{name}: {line}" for line in against))
+            raise InvalidDocumentError("\n".join(f"{name}: {line}" for line in against))
         self.document, self.folder = document, pathlib.Path(folder)
         self.name, self.seed = document.get("name", "planner"), document.get("seed", 1)
         self.halls, self.kinds = document["halls"], document.get("kinds", [])
@@ -42,7 +49,7 @@
             document.get(name) for name in ("takeover", "store", "operators")
         )
         self.classes = [kind["name"] for kind in document["classes"]]
-        self.stated = self._stated()
+        self.deployment = self._deployment()
 
     @staticmethod
     def _crossed(document):
@@ -73,60 +80,62 @@
         if 0 < channel.get("messages_most", 0) <= channel.get("answers_most", 0):
             yield "channel/answers_most: leaves no message for orders"
 
-    def _stated(self):
-        document, channel, rules = self.document, self.channel, self.document["rules"]
+    def _deployment(self):
+        document, rules, reports = self.document, self.document["rules"], self.reports
         planners, relays = document.get("planners", {}), self.relays
-        most = channel["messages_most"]
-        return {
-            "instances": planners.get("many", 1),
-            "own_number": planners.get("number", 0),
-            "zones": len(self.halls),
-            "own_zone": self.halls.index(document.get("hall", self.halls[0])),
-            "lines_per_s": channel["lines_per_s"],
-            "waiting_most": channel["waiting_most"],
-            "head_lines": channel["head_lines"],
-            "way_mean": round(channel["way_mean_ms"] * TIME),
-            "way_longest": round(channel["way_longest_ms"] * TIME),
+        return DeploymentSettings(
+            classes=tuple(self._class(given) for given in document["classes"]),
+            channel=self._channel(),
+            zone_count=len(self.halls),
+            planner_count=planners.get("many", 1),
+            planner_number=planners.get("number", 0),
+            planner_zone=self.halls.index(document.get("hall", self.halls[0])),
+            proxy_count=relays.get("most", 0),
+            proxy_failure_limit=relays.get("strikes", 0),
+            report_period=microseconds(reports.get("period_ms", 1000)),
+            max_unserved_time=microseconds(rules["bare_ms"]),
+            warm_up_time=microseconds(rules["cold_ms"]),
+            cold_capacity_share=rules["cold_share"],
+            drain_grace=microseconds(rules["drain_grace_ms"]),
+            overload_multiple=rules["tip_multiple"],
+            overload_time=microseconds(rules["tip_ms"]),
+            removal_is_final=rules.get("gone_binds", True),
+            health_checks_allowed=reports.get("probes_per_s", 20) > 0,
+            list_on_request=self.roster.get("asked", False),
+            # Admission levels reach only relays whose protocol can carry them.
+            admission_mode=AdmissionMode.SHARE if "xds" in self.fronts else AdmissionMode.NONE,
+        )
+
+    def _channel(self):
+        channel, limit = self.channel, self.channel["messages_most"]
+        return ChannelSettings(
+            lines_per_second=channel["lines_per_s"],
+            max_waiting_lines=channel["waiting_most"],
+            message_overhead_lines=channel["head_lines"],
+            mean_delivery_delay=microseconds(channel["way_mean_ms"]),
+            max_delivery_delay=microseconds(channel["way_longest_ms"]),
             # Answers to a relay's own requests come off what the assigner may order.
-            "messages_most": most - channel["answers_most"] if most else 0,
-            "messages_span": round(channel["messages_span_ms"] * TIME),
-            "report_period": round(self.reports.get("period_ms", 1000) * TIME),
-            "proxies": relays.get("most", 0),
-            "strikes": relays.get("strikes", 0),
-            "bare_time": round(rules["bare_ms"] * TIME),
-            "cold_time": round(rules["cold_ms"] * TIME),
-            "cold_share": rules["cold_share"],
-            "drain_grace": round(rules["drain_grace_ms"] * TIME),
-            "tip_multiple": rules["tip_multiple"],
-            "tip_time": round(rules["tip_ms"] * TIME),
-            "gone_binds": rules.get("gone_binds", True),
-            "probes": self.reports.get("probes_per_s", 20) > 0,
-            "list_asked": self.roster.get("asked", False),
-            "slices": 0,
-            "exclusive": False,
-            "settle_time": 0,
-            "load_columns": [],
-            # Levels hold for relays that can be told of them.
-            "levels": "share" if "xds" in self.fronts else "none",
-            "classes": [
-                {
-                    "name": kind["name"],
-                    "agreed_time": round(kind["agreed_time_ms"] * TIME),
-                    "patience": round(kind["patience_ms"] * TIME),
-                    "credit": kind.get("credit", 1),
-                    "late_credit": kind.get("late_credit", 0),
-                    "repeats": kind.get("repeats", "safe"),
-                    "repeat_window": round(kind.get("repeat_window_ms", 0) * TIME),
-                    "repeat_scope": kind.get("repeat_scope", "all"),
-                    "own_zone": kind.get("own_hall", False),
-                }
-                for kind in document["classes"]
-            ],
-        }
+            max_messages=limit - channel["answers_most"] if limit else 0,
+            message_window=microseconds(channel["messages_span_ms"]),
+        )
+
+    @staticmethod
+    def _class(given):
+        return ClassSettings(
+            name=given["name"],
+            latency_objective=microseconds(given["agreed_time_ms"]),
+            deadline=microseconds(given["patience_ms"]),
+            priority_weight=given.get("credit", 1),
+            late_priority_weight=given.get("late_credit", 0),
+            idempotency=Idempotency(given.get("repeats", "safe")),
+            idempotency_window=microseconds(given.get("repeat_window_ms", 0)),
+            deduplication_scope=given.get("repeat_scope", "all"),
+            zone_bound=given.get("own_hall", False),
+        )
 
     def relay(self, uid):
         """(place of its hall, usual rate) of a relay, by the longest prefix of its id that is stated."""
         fits = [entry for entry in self.relays.get("halls", []) if uid.startswith(entry["prefix"])]
         best = max(fits, key=lambda entry: len(entry["prefix"]), default={})
-        hall = self.halls.index(best["hall"]) if best else self.stated["own_zone"]
+        hall = self.halls.index(best["hall"]) if best else self.deployment.planner_zone
         return hall, best.get("rate", self.relays.get("rate", 1.0))
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -16,20 +16,22 @@
 from tornado.ioloop import IOLoop, PeriodicCallback
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
-from ..choice import Assigner
+from ..assignment.assigner import Assigner
+from ..assignment.interface import UpdateKind
 from ..clock import now
-from ..schema import BadDocument
-from ..versions.copies import Copies
-from ..versions.counter import Counter
-from . import roster as lists
-from .allowance import Allowance
-from .arrivals import Arrivals
-from .belief import Belief
-from .desk import Desk, Door
-from .evidence import Evidence
-from .publishing import Publishing
-from .reach import HttpReach
-from .sums import Sums
+from ..json_documents import InvalidDocumentError
+from ..settings import Idempotency
+from ..versions.admin_api import AdminApi
+from ..versions.replication import VersionReplicator
+from . import endpoint_list as lists
+from .cached_endpoint_list import CachedEndpointList
+from .demand_aggregation import DemandAggregator
+from .health_checks import HttpReach
+from .health_inference import HealthInference
+from .join_admission import JoinAdmission
+from .message_quota import MessageQuota
+from .pending_updates import Desk, IdRegistry
+from .version_source import VersionSource
 
 SECOND = 1_000_000
 RELAYS_MOST = 65535  # numbers of relays are small; one that has been met keeps its number
@@ -38,13 +40,13 @@
 RETRY = 5 * SECOND  # until a start is tried to be written down again
 # What another controller's word on versions is to `Copies`.
 COPIES = {
-    "book": Copies.booked.__name__,
-    "version": Copies.told.__name__,
-    "wishes": Copies.wished.__name__,
-    "ask wishes": Copies.asked_wishes.__name__,
-    "noted": Copies.note.__name__,
-    "want": Copies.wanted.__name__,
-    "sheets": Copies.came.__name__,
+    "book": VersionReplicator.booked.__name__,
+    "version": VersionReplicator.told.__name__,
+    "wishes": VersionReplicator.wished.__name__,
+    "ask wishes": VersionReplicator.asked_wishes.__name__,
+    "noted": VersionReplicator.note.__name__,
+    "want": VersionReplicator.wanted.__name__,
+    "sheets": VersionReplicator.came.__name__,
 }
 
 
@@ -68,31 +70,40 @@
 class Service:
     """Everything that one planner runs. `make` hosts another policy on the same desk, for baselines."""
 
-    def __init__(self, charter, make=Assigner, reach=None):
-        self.charter, self.log = charter, structlog.get_logger()
+    def __init__(self, settings, make=Assigner, reach=None):
+        self.settings, self.log = settings, structlog.get_logger()
         self.clock_gap = time.time_ns() // 1000 - now()
-        self.relays, self.servers, self.places = Door(), Door(), {}
+        self.relays, self.servers, self.places = IdRegistry(), IdRegistry(), {}
         self.front_of, self.fronts, self.contact, self.numbers_of, self.hall_of = {}, [], {}, {}, {}
-        self.roster = lists.Roster(self, self.servers, charter.halls, charter.kinds, self.clock_gap)
+        self.roster = lists.EndpointList(
+            self, self.servers, settings.halls, settings.kinds, self.clock_gap
+        )
         # The assigner asks for the list as it is made.
         self.desk, self.asking, self.ending = None, False, False
-        self.desk = Desk(self, charter.stated, charter.seed, make)
-        reports = charter.reports
+        self.desk = Desk(self, settings.deployment, settings.seed, make)
+        reports = settings.reports
         self.changes = []  # servers that the desk has not been told of yet, in the order they came
-        self.evidence = Evidence(
+        self.evidence = HealthInference(
             self.desk,
-            charter.stated,
+            settings.deployment,
             reports.get("probes_per_s", 20),
             reports.get("probes_at_once", 16),
         )
-        self.sums = Sums(
-            self.desk, reports.get("lines_per_s", 500), charter.stated["report_period"]
+        self.sums = DemandAggregator(
+            self.desk, reports.get("lines_per_s", 500), settings.deployment.report_period
+        )
+        self.allowances, self.arrivals = (
+            {},
+            JoinAdmission(self, settings.deployment.channel.max_waiting_lines),
         )
-        self.allowances, self.arrivals = {}, Arrivals(self, charter.stated["waiting_most"])
         # A probe is a real exchange, so one that may be done twice.
-        safe = [kind["name"] for kind in charter.stated["classes"] if kind["repeats"] == "safe"]
-        self.reach = reach or HttpReach(reports, (safe or charter.classes)[0])
-        self.patience = min(kind["patience"] for kind in charter.stated["classes"])
+        safe = [
+            kind.name
+            for kind in settings.deployment.classes
+            if kind.idempotency == Idempotency.SAFE
+        ]
+        self.reach = reach or HttpReach(reports, (safe or settings.classes)[0])
+        self.patience = min(kind.deadline for kind in settings.deployment.classes)
         self.client = SimpleAsyncHTTPClient(
             force_instance=True, max_clients=8, max_body_size=LARGEST_LIST
         )
@@ -133,7 +144,9 @@
         """The ward that a relay in this hall (its place) belongs to."""
         wards = self.peers.charge.wards
         return (
-            self.charter.halls[hall] if self.charter.takeover.get("wards") == "halls" else wards[0]
+            self.settings.halls[hall]
+            if self.settings.takeover.get("wards") == "halls"
+            else wards[0]
         )
 
     def epoch(self, hall):
@@ -144,7 +157,7 @@
 
     def may_serve(self, uid, hall=None):
         """Whether a relay that introduces itself may be told anything from here."""
-        place = self.charter.relay(uid)[0] if hall is None else self.charter.halls.index(hall)
+        place = self.settings.relay(uid)[0] if hall is None else self.settings.halls.index(hall)
         return self.epoch(place) is not None
 
     def may_write(self, proxy):
@@ -152,7 +165,7 @@
 
     def followers(self):
         """[(relay, front, ward)] of all that are spoken to from here."""
-        names = {id(front): name for front, name in zip(self.fronts, self.charter.fronts)}
+        names = {id(front): name for front, name in zip(self.fronts, self.settings.fronts)}
         return [
             (
                 str(self.relays.id_of[proxy], "utf-8", "replace"),
@@ -201,22 +214,22 @@
 
     def keep_books(self, store, held):
         """`store`: store.writer.Writer; `held`: {key: value} of all that it holds."""
-        stated = self.charter.store.get("versions", {})
+        stated = self.settings.store.get("versions", {})
         self.store = store
-        self.books = self.desk.books = Publishing(
+        self.books = self.desk.books = VersionSource(
             self,
             self.desk,
             store,
             held,
-            self.charter.stated,
-            self.charter.classes,
+            self.settings.deployment,
+            self.settings.classes,
             stated.get("most", 1000),
             round(stated.get("days", 30) * 86_400 * SECOND),
             self._wishes_changed,
         ).books
-        self.counter = Counter(self.books)
+        self.counter = AdminApi(self.books)
         if self.peers is not None:
-            self.copies = Copies(Others(self), self.books)
+            self.copies = VersionReplicator(Others(self), self.books)
         else:
             # One that lost something may have lost its last starts: numbers go on far ahead of any that were given.
             self._count_start(held.get("starts", 0) + (STARTS_AHEAD if store.log.lost else 1))
@@ -352,12 +365,12 @@
         if found is None:
             for name in [name for name, held in self.allowances.items() if held.idle(self.now())]:
                 del self.allowances[name]
-            stated, channel = self.charter.stated, self.charter.channel
-            found = self.allowances[who] = Allowance(
+            stated, channel = self.settings.deployment, self.settings.channel
+            found = self.allowances[who] = MessageQuota(
                 channel["messages_most"],
-                stated["messages_span"],
+                stated.channel.message_window,
                 channel["answers_most"],
-                stated["way_longest"],
+                stated.channel.max_delivery_delay,
             )
         return found
 
@@ -369,11 +382,11 @@
             if older is not front:
                 older.replaced(proxy)
         self.front_of[proxy] = front
-        stated, rate = self.charter.relay(uid)
-        hall = stated if hall is None else self.charter.halls.index(hall)
+        stated, rate = self.settings.relay(uid)
+        hall = stated if hall is None else self.settings.halls.index(hall)
         self.hall_of[proxy] = hall
         self.evidence.joined(proxy)
-        self.note("relay joined", relay=uid, hall=self.charter.halls[hall])
+        self.note("relay joined", relay=uid, hall=self.settings.halls[hall])
         self.desk.proxy_joined(proxy, hall, rate, False)
 
     def left(self, front, proxy):
@@ -419,7 +432,7 @@
         """Whether the host has answered of late."""
         return (
             self.now() - self.contact.get(server, -10 * SECOND)
-            < 3 * self.charter.stated["report_period"]
+            < 3 * self.settings.deployment.report_period
         )
 
     def quiesced(self, where, on):
@@ -438,7 +451,7 @@
                 self.places[number] = where
             # A place may be taken over by a new host; the newest one listed stands for it.
             self.numbers_of[where] = number
-        if kind != lists.CHANGES:
+        if kind != UpdateKind.CHANGES:
             for server in self.evidence.cases.keys() - {server.index for server in servers}:
                 self.evidence.unlisted(server)
         self.evidence.listed(servers)
@@ -453,7 +466,7 @@
             if self.belief is not None:
                 self.belief.listed(self.roster.hosts)
             self._keep_list()
-        if kind != lists.CHANGES:
+        if kind != UpdateKind.CHANGES:
             # It stands for all that was about to be told.
             self.changes.clear()
             return self._told_of(kind, servers)
@@ -468,10 +481,10 @@
         """
         servers, self.changes = self.changes, []
         if servers:
-            self._told_of(lists.CHANGES, servers)
+            self._told_of(UpdateKind.CHANGES, servers)
 
     def _told_of(self, kind, servers):
-        if kind == lists.CACHED and self.books is not None:
+        if kind == UpdateKind.CACHED and self.books is not None:
             self.books.resume()  # who is named in what was published last is known from here on
         self.desk.listed(kind, servers)
         changed = [self.places[server.index] for server in servers if server.index in self.places]
@@ -479,7 +492,7 @@
             front.standing_of(changed)
 
     def ask(self):
-        if self.charter.roster.get("service") and not self.asking:
+        if self.settings.roster.get("service") and not self.asking:
             self.asking = True
             IOLoop.current().add_callback(self._ask)
 
@@ -487,7 +500,7 @@
 
     def _look(self):
         """The file, if it has changed."""
-        path = self.charter.folder / self.charter.roster["file"]
+        path = self.settings.folder / self.settings.roster["file"]
         try:
             stamp = path.stat()
             stamp = stamp.st_mtime_ns, stamp.st_size, stamp.st_ino
@@ -496,7 +509,7 @@
             text = path.read_text()
             self.seen = stamp
             self.roster.whole(lists.read(text))
-        except (OSError, UnicodeDecodeError, BadDocument) as error:
+        except (OSError, UnicodeDecodeError, InvalidDocumentError) as error:
             # The last good list stays; said once for each text that can't be read.
             if str(error) != self.last_text:
                 self.last_text = str(error)
@@ -505,14 +518,14 @@
     async def _ask(self):
         try:
             answer = await self.client.fetch(
-                self.charter.roster["service"] + "/roster", request_timeout=2
+                self.settings.roster["service"] + "/roster", request_timeout=2
             )
             self.roster.whole(lists.read(answer.body))
-            if self.charter.roster.get("asked") and not self.ending:
+            if self.settings.roster.get("asked") and not self.ending:
                 # It tells only who asks, so a subscription is a question again and again; after a failure the
                 # assigner says when.
-                self.later(round(self.charter.roster.get("look_every_ms", 1000) * 1000), self.ask)
-        except (OSError, UnicodeDecodeError, BadDocument, HTTPClientError) as error:
+                self.later(round(self.settings.roster.get("look_every_ms", 1000) * 1000), self.ask)
+        except (OSError, UnicodeDecodeError, InvalidDocumentError, HTTPClientError) as error:
             self.log.warning("list not read", why=str(error))
             self.desk.list_failed()
         finally:
@@ -528,7 +541,7 @@
                 nonlocal good
                 rest.extend(chunk)
                 if len(rest) > LARGEST_LIST:
-                    raise BadDocument(f"roster: a line of over {LARGEST_LIST} bytes")
+                    raise InvalidDocumentError(f"roster: a line of over {LARGEST_LIST} bytes")
                 *lines, last = bytes(rest).split(b"\n")
                 rest[:] = last
                 for line in filter(None, lines):
@@ -543,13 +556,13 @@
             try:
                 await self.client.fetch(
                     HTTPRequest(
-                        self.charter.roster["service"] + "/watch",
+                        self.settings.roster["service"] + "/watch",
                         streaming_callback=line_in,
                         request_timeout=0,
                         connect_timeout=2,
                     )
                 )
-            except (OSError, UnicodeDecodeError, BadDocument, HTTPClientError) as error:
+            except (OSError, UnicodeDecodeError, InvalidDocumentError, HTTPClientError) as error:
                 self.log.warning("list not followed", why=str(error))
             pause = 0.2 if good else min(5.0, pause * 2)
             await sleep(pause * (0.5 + self.desk.assigner.chance.below(1000) / 1000))
@@ -577,7 +590,7 @@
         where = self.places.get(server)
         if where is None:
             return
-        report = await self.reach.report(where, self.charter.stated["report_period"] / SECOND)
+        report = await self.reach.report(where, self.settings.deployment.report_period / SECOND)
         if report is not None:
             self._reported(server, report, self.now())
             self.contact[server] = self.now()
@@ -586,7 +599,7 @@
 
     def _reported(self, server, report, at):
         if report is not None:
-            places = {name: place for place, name in enumerate(self.charter.classes)}
+            places = {name: place for place, name in enumerate(self.settings.classes)}
             by_class = {
                 places[name]: rate for name, rate in report.by_class.items() if name in places
             }
@@ -598,7 +611,7 @@
         heard = self.sums.turn(lambda server: server in self.evidence.cases, self.evidence.took)
         self.evidence.turn(heard, self.sums.tells)
         servers = sorted(self.evidence.cases)
-        period = self.charter.stated["report_period"] / SECOND
+        period = self.settings.deployment.report_period / SECOND
         for nth, server in enumerate(servers):
             # Spread over half of the period, so that answers don't all come at once.
             IOLoop.current().call_later(
@@ -615,24 +628,24 @@
 
     def start(self):
         if self.kept is not None:
-            stated = self.charter.reports
+            stated = self.settings.reports
             self.roster.floor = self.kept["version"], self.kept["epoch"]
-            self.belief = Belief(
+            self.belief = CachedEndpointList(
                 self,
                 self.kept,
                 bool(stated.get("probes_per_s", 20) and stated.get("probes_at_once", 16)),
             )
-        if "file" in self.charter.roster:
+        if "file" in self.settings.roster:
             self._look()
             self.tasks.append(
-                PeriodicCallback(self._look, self.charter.roster.get("look_every_ms", 200))
+                PeriodicCallback(self._look, self.settings.roster.get("look_every_ms", 200))
             )
-        elif self.charter.roster.get("asked"):
+        elif self.settings.roster.get("asked"):
             self.ask()
         else:
             IOLoop.current().add_callback(self._follow)
         self.tasks.append(
-            PeriodicCallback(self._period, self.charter.stated["report_period"] / 1000)
+            PeriodicCallback(self._period, self.settings.deployment.report_period / 1000)
         )
         if self.evidence.rate and self.evidence.at_once:
             self.tasks.append(PeriodicCallback(self._try, 50))
--- a/indigodeck/planner/publishing.py
+++ b/indigodeck/planner/version_source.py
@@ -1,19 +1,19 @@
 """What the books of versions may ask, answered by the desk, the list and the store: plain look-ups, free of I/O."""
 
-from ..host import READY
-from ..versions import holds
-from ..versions.books import Books
+from ..assignment.interface import ServerState
+from ..versions import rollback_pins as holds
+from ..versions.publisher import TablePublisher
 
 
-class Publishing:
+class VersionSource:
     """The surroundings of `versions.books.Books`. `service`: `now()`, `note(event, **facts)`, `servers` and `relays` (desk.Door);
     `store`: `put(changes)`; `held`: what the store held at the start, {key: value}; `changed(document)`: told of operators' wishes.
     """
 
-    def __init__(self, service, desk, store, held, stated, classes, most, age, changed):
+    def __init__(self, service, desk, store, held, settings, classes, most, age, changed):
         self.service, self.desk, self.store, self.held = service, desk, store, held
-        self.stated, self.changed = stated, changed
-        self.books = Books(self, classes, most, age)
+        self.settings, self.changed = settings, changed
+        self.books = TablePublisher(self, classes, most, age)
         self.held = {}  # read once
 
     def now(self):
@@ -44,9 +44,9 @@
     def standing(self, server):
         """By the list's own word, but for who is withdrawn: a hold must not keep who is no longer listed as ready."""
         listed = self.desk.standing(server)
-        if listed is None or listed.state != READY or server in self.desk.withdrawn:
+        if listed is None or listed.state != ServerState.READY or server in self.desk.withdrawn:
             return holds.OUT
-        cold = listed.started and self.service.now() - listed.started < self.stated["cold_time"]
+        cold = listed.started and self.service.now() - listed.started < self.settings.warm_up_time
         return holds.COLD if cold else holds.WARM
 
     def withdrawn(self):
@@ -62,13 +62,13 @@
         return self.desk.bound(proxy)
 
     def room(self):
-        return self.stated["waiting_most"] - self.desk.queue()
+        return self.settings.channel.max_waiting_lines - self.desk.queue()
 
     def most(self):
-        return self.stated["waiting_most"]
+        return self.settings.channel.max_waiting_lines
 
     def head(self):
-        return self.stated["head_lines"]
+        return self.settings.channel.message_overhead_lines
 
     def touch(self, table, servers):
         self.desk.touch(table, servers)
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -4,52 +4,59 @@
 import signal
 import time
 
-from .chance import Chance, seed_from
-from .choice import Assigner
+from .assignment.assigner import Assigner
+from .assignment.seeded_random import SeededRandom, seed_from
+from .json_documents import InvalidDocumentError
 from .planner.service import Service
-from .schema import BadDocument
+from .settings import Idempotency
 
 USUAL_PORTS = {"sasp": 3860, "xds": 18000}
 
 
-def front(name, service, charter):
+def front(name, service, settings):
     """A front by its name; each one's libraries are loaded only where the charter names it."""
     if name == "xds":
-        from .fronts.xds.server import XdsFront
+        from .frontends.xds.server import XdsFront
 
-        return XdsFront(service, charter)
-    from .fronts.sasp.server import SaspFront
+        return XdsFront(service, settings)
+    from .frontends.sasp.server import SaspFront
 
-    return SaspFront(service, charter)
+    return SaspFront(service, settings)
 
 
-def assemble(charter, make=Assigner):
+def assemble(settings, make=Assigner):
     """A service that runs on the current loop, with its fronts open."""
     reach = None
-    if charter.reports.get("over") == "grpc":
-        from .fronts.xds.reach import GrpcReach
-
-        safe = [kind["name"] for kind in charter.stated["classes"] if kind["repeats"] == "safe"]
-        method = charter.reports.get(
-            "probe_path", f"/exchange.Hosts/{(safe or charter.classes)[0]}"
+    if settings.reports.get("over") == "grpc":
+        from .frontends.xds.health_checks import GrpcReach
+
+        safe = [
+            kind.name
+            for kind in settings.deployment.classes
+            if kind.idempotency == Idempotency.SAFE
+        ]
+        method = settings.reports.get(
+            "probe_path", f"/exchange.Hosts/{(safe or settings.classes)[0]}"
         )
-        reach = GrpcReach(method, charter.stated["report_period"])
-    service = Service(charter, make, reach)
-    store, held = opened(charter, service.note) if charter.store else (None, {})
-    if charter.takeover:
-        service.peers = peers(service, charter, store, held)
+        reach = GrpcReach(method, settings.deployment.report_period)
+    service = Service(settings, make, reach)
+    store, held = opened(settings, service.note) if settings.store else (None, {})
+    if settings.takeover:
+        service.peers = peers(service, settings, store, held)
     if store is not None:
         service.keep_books(store, held)
-    if charter.operators:
-        from .takeover.operators import Operators
+    if settings.operators:
+        from .leadership.operator_server import OperatorServer
 
-        service.operators = Operators(service, key_of(charter, charter.operators["key_file"]))
+        service.operators = OperatorServer(
+            service, key_of(settings, settings.operators["key_file"])
+        )
         service.operators.hear(
-            charter.operators["port"], charter.operators.get("address", "127.0.0.1")
+            settings.operators["port"], settings.operators.get("address", "127.0.0.1")
         )
-    for name, stated in charter.fronts.items():
+    for name, stated in settings.fronts.items():
         service.open(
-            front(name, service, charter),
+            front(name, service, settings),
             name,
             stated.get("port", USUAL_PORTS[name]),
             stated.get("address", "127.0.0.1"),
@@ -58,38 +65,44 @@
     return service
 
 
-def opened(charter, note):
+def opened(settings, note):
     """(the planner's store, {key: value} of all that it holds)"""
     from .store.files import Folder
     from .store.writer import Writer
 
     store = Writer(
-        Folder(charter.folder / charter.store["folder"]),
+        Folder(settings.folder / settings.store["folder"]),
         note,
-        charter.store.get("delay_ms", 0) / 1000,
+        settings.store.get("delay_ms", 0) / 1000,
     )
     held = store.ask(lambda log: {key: log.get(key) for key in log.keys()}).result()
     note("store opened", records=len(held), lost=store.log.lost)
     return store, held
 
 
-def key_of(charter, name):
+def key_of(settings, name):
     """The key that all controllers of a fleet share, or operators and a planner."""
-    key = (charter.folder / name).read_bytes().strip()
+    key = (settings.folder / name).read_bytes().strip()
     if len(key) < 16:
-        raise BadDocument(f"{name}: a key of {len(key)} bytes, 16 at least")
+        raise InvalidDocumentError(f"{name}: a key of {len(key)} bytes, 16 at least")
     return key
 
 
-def peers(service, charter, store, held):
-    from .takeover.apart import Apart
-    from .takeover.peers import Peers
-    from .takeover.record import InStore, RecordFile, entries_of, pack_entries, unpack_entries
+def peers(service, settings, store, held):
+    from .leadership.lease_record import (
+        InStore,
+        RecordFile,
+        entries_of,
+        pack_entries,
+        unpack_entries,
+    )
+    from .leadership.member_thread import MemberThread
+    from .leadership.transport import Peers
 
-    stated = charter.takeover
-    wards = charter.halls if stated.get("wards") == "halls" else ["fleet"]
+    stated = settings.takeover
+    wards = settings.halls if stated.get("wards") == "halls" else ["fleet"]
     path, lease = (
-        charter.folder / stated.get("record", "none"),
+        settings.folder / stated.get("record", "none"),
         round(stated.get("lease_ms", 3000) * 1000),
     )
     record, refused = (
@@ -102,7 +115,7 @@
             InStore(store, held, "charge", record),
             InStore(store, held, "refused", refused, list, entries_of),
         )
-    return Apart(
+    return MemberThread(
         service,
         lambda surroundings: Peers(
             surroundings,
@@ -111,10 +124,10 @@
             wards,
             lease,
             stated.get("drift", 0.01),
-            key_of(charter, stated["key_file"]),
+            key_of(settings, stated["key_file"]),
             record,
             refused,
-            Chance(seed_from(stated["me"], [str(charter.seed).encode()])),
+            SeededRandom(seed_from(stated["me"], [str(settings.seed).encode()])),
             int(time.time() * 10),
             stated.get("speaks", 3),
             stated.get("joins", False),
@@ -123,12 +136,12 @@
     )
 
 
-async def serve(charter, make=Assigner):
+async def serve(settings, make=Assigner):
     """Runs until SIGTERM or SIGINT; relays keep their tables."""
     ended, loop = asyncio.Event(), asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
-    service = assemble(charter, make)
+    service = assemble(settings, make)
     try:
         await ended.wait()
     finally:
--- a/indigodeck/simhost/__main__.py
+++ b/indigodeck/simulator/__main__.py
@@ -1,9 +1,10 @@
-"""python -m indigodeck.simhost: batches on standard input, one reply each on standard output."""
+"""python -m indigodeck.simulator: batches on standard input, one reply each on standard output."""
 
 import sys
 
+from ..errors import MalformedMessageError
 from .adapter import Adapter
-from .codec import Malformed, read_frame
+from .codec import read_frame
 
 
 def main():
@@ -12,8 +13,8 @@
         while (frame := read_frame(source)) is not None:
             sink.write(adapter.batch(*frame))
             sink.flush()
-    except Malformed as error:
-        print(f"indigodeck.simhost: {error}", file=sys.stderr)
+    except MalformedMessageError as error:
+        print(f"indigodeck.simulator: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/indigodeck/simhost/adapter.py
+++ b/indigodeck/simulator/adapter.py
@@ -2,15 +2,30 @@
 
 import struct
 
-from ..charter import read_charter
-from ..choice import Assigner
-from ..host import CACHED, CHANGES, DRAINING, GONE, READY, WHOLE, Server
+from ..assignment.assigner import Assigner
+from ..assignment.interface import (
+    DemandReport,
+    HealthCheckOutcome,
+    LoadReport,
+    Server,
+    ServerState,
+    UpdateKind,
+)
+from ..errors import MalformedMessageError
+from ..settings import microseconds, settings_from_json
 from . import codec
-from .codec import ACTION_SIZE, ENTRY, ENTRY_SIZE, EVENT_SIZE, Malformed, micros, tail_slice
-
-STATES = {0: DRAINING, 1: READY, 2: GONE}
-LIST_KINDS = {1: CHANGES, 3: CACHED, 4: WHOLE}
-OUTCOMES = {0: "ok", 1: "error", 2: "full", 3: "silent", 4: "unreachable", 5: "broken"}
+from .codec import ACTION_SIZE, ENTRY, ENTRY_SIZE, EVENT_SIZE, tail_slice
+
+STATES = {0: ServerState.DRAINING, 1: ServerState.READY, 2: ServerState.GONE}
+LIST_KINDS = {1: UpdateKind.CHANGES, 3: UpdateKind.CACHED, 4: UpdateKind.WHOLE}
+OUTCOMES = {
+    0: HealthCheckOutcome.OK,
+    1: HealthCheckOutcome.ERROR,
+    2: HealthCheckOutcome.FULL,
+    3: HealthCheckOutcome.SILENT,
+    4: HealthCheckOutcome.UNREACHABLE,
+    5: HealthCheckOutcome.BROKEN,
+}
 ALL_PEERS = 0xFFFFFFFF
 EVERY_TABLE = 65535
 
@@ -75,41 +90,44 @@
     def _act(self, record):
         self.reply.add(self.number, record)
 
-    def wake(self, after, token):
+    def start_timer(self, after, token):
         self._act(DEFER(1040, after / 1000, token))
 
-    def line(self, table, server, weight):
+    def set_weight(self, table, server, weight):
         self._act(PUT_LINE(1120, table, self.raw_of[server], weight))
 
-    def clear(self, table):
+    def clear_table(self, table):
         self._act(WIPE(1100, table))
 
-    def bind(self, proxy, table, classes):
+    def assign_table(self, proxy, table, classes):
         self._act(HAND_TABLE(1090, proxy, table, sum(1 << k for k in classes)))
 
-    def withdraw(self, server, out):
-        self._act(PULL(1000, self.raw_of[server], out))
+    def eject_server(self, server):
+        self._act(PULL(1000, self.raw_of[server], True))
+
+    def uneject_server(self, server):
+        self._act(PULL(1000, self.raw_of[server], False))
 
-    def forget(self, server):
-        self.withdraw(server, False)
+    def forget_server(self, server):
+        self.uneject_server(server)
 
-    def admit(self, table, classes, level, tries):
+    def set_admission(self, table, classes, level, tries):
         number = EVERY_TABLE if table < 0 else table
         self._act(THROTTLE(1070, sum(1 << k for k in classes), tries, number, level))
 
-    def mark(self, number, everyone):
+    def request_ack(self, number, everyone):
         self._act(CHECKPOINT(1020, number & 0xFFFF, everyone))
 
-    def probe(self, server):
+    def check_health(self, server):
         self._act(SAMPLE(1130, self.raw_of[server]))
 
-    def tell(self, peer, data):
+    def send_to_peer(self, peer, data):
         self._act(POST(1010, ALL_PEERS if peer is None else peer, *self.reply.stow(data)))
 
-    def watch(self, on):
+    def watch_endpoints(self, on):
         self._act(FOLLOW(1080, on))
 
-    def fetch(self):
+    def fetch_endpoints(self):
         self._act(RESOLVE(1060))
 
     def log(self, text):
@@ -127,8 +145,8 @@
     for at in range(0, count * ENTRY_SIZE, ENTRY_SIZE):
         cell, kind, weight, raw, started, state, zone = ENTRY.unpack_from(data, at)
         if state not in STATES:
-            raise Malformed(f"list entry {at // ENTRY_SIZE}: unknown state {state}")
-        yield cell, kind, weight, raw, micros(started), STATES[state], zone
+            raise MalformedMessageError(f"list entry {at // ENTRY_SIZE}: unknown state {state}")
+        yield cell, kind, weight, raw, microseconds(started), STATES[state], zone
 
 
 class Adapter:
@@ -162,7 +180,7 @@
             at = place * EVENT_SIZE
             code = body[at] | body[at + 1] << 8
             if code not in self.read:
-                raise Malformed(f"record {place}: unknown code {code}")
+                raise MalformedMessageError(f"record {place}: unknown code {code}")
             shape, call = self.read[code]
             fields = shape.unpack_from(body, at + 2)
             try:
@@ -173,12 +191,14 @@
                     data = tail_slice(body, count, offset, entries * ENTRY_SIZE, f"list {number}")
                     self.lists[number] = list(read_entries(data, entries))
                 elif chosen is None:
-                    raise Malformed(f"code {code} before any instance was selected")
+                    raise MalformedMessageError(f"code {code} before any instance was selected")
                 elif code == 1050:
                     seed, offset, length = fields
                     self.start(chosen, seed, tail_slice(body, count, offset, length, "settings"))
                 elif chosen not in self.desks:
-                    raise Malformed(f"code {code} for instance {chosen}, which has not started")
+                    raise MalformedMessageError(
+                        f"code {code} for instance {chosen}, which has not started"
+                    )
                 elif code == 1040:
                     peer, offset, length = fields
                     self.memo(
@@ -186,8 +206,8 @@
                     )
                 else:
                     call(self.desks[chosen], *fields)
-            except Malformed as error:
-                raise Malformed(f"record {place}: {error}") from error
+            except MalformedMessageError as error:
+                raise MalformedMessageError(f"record {place}: {error}") from error
             except Exception as error:  # the decision code failed: the wire has an action for that
                 Desk(chosen, self.reply).crash(
                     f"{type(error).__name__}: {error} (record {place}, code {code})"
@@ -195,77 +215,81 @@
         return self.reply.take()
 
     def start(self, number, seed, data):
-        charter = read_charter(data)
+        settings = settings_from_json(data)
         desk = self.desks[number] = Desk(number, self.reply)
-        desk.columns = charter["load_columns"]
-        desk.classes, desk.zones = len(charter["classes"]), charter["zones"]
-        desk.assigner = self.make(desk, charter, seed)
+        desk.columns = settings.load_columns
+        desk.classes, desk.zones = len(settings.classes), settings.zone_count
+        desk.assigner = self.make(desk, settings, seed)
 
     def stop(self, desk):
         del self.desks[desk.number]
 
     def members(self, desk, number, version, kind):
         if kind == 0:
-            return desk.assigner.list_failed()
+            return desk.assigner.on_endpoint_list_failed()
         if kind not in LIST_KINDS:
-            raise Malformed(f"unknown kind of list {kind}")
+            raise MalformedMessageError(f"unknown kind of list {kind}")
         if number not in self.lists:
-            raise Malformed(f"list {number} was not declared")
+            raise MalformedMessageError(f"list {number} was not declared")
         servers = [
             Server(desk.index(raw), raw, cell, machine, zone, weight, started, state)
             for cell, machine, weight, raw, started, state, zone in self.lists[number]
         ]
-        desk.assigner.listed(LIST_KINDS[kind], servers)
+        desk.assigner.on_endpoint_update(LIST_KINDS[kind], servers)
 
     def left(self, desk, proxy):
-        desk.assigner.proxy_left(proxy)
+        desk.assigner.on_proxy_left(proxy)
 
     def joined(self, desk, proxy, zone, rate, fresh):
-        desk.assigner.proxy_joined(proxy, zone, rate, bool(fresh))
+        desk.assigner.on_proxy_joined(proxy, zone, rate, bool(fresh))
 
     def memo(self, desk, peer, data):
-        desk.assigner.told(peer, bytes(data))
+        desk.assigner.on_peer_message(peer, bytes(data))
 
     def applied(self, desk, proxy, number, took):
-        desk.assigner.applied(proxy, number, micros(took))
+        desk.assigner.on_ack(proxy, number, microseconds(took))
 
     def held(self, desk, raw, weight, table):
-        desk.assigner.slice_held(table, desk.index(raw), weight)
+        desk.assigner.on_key_range_server(table, desk.index(raw), weight)
 
     def given(self, desk, on, table):
-        desk.assigner.slice_given(table, bool(on))
+        desk.assigner.on_key_range_assigned(table, bool(on))
 
     def heat(self, desk, table, place, exchanges, failed, span):
         self.check_class(desk, place)
-        desk.assigner.slice_demand(table, place, exchanges, failed, micros(span))
+        desk.assigner.on_key_range_demand(table, place, exchanges, failed, microseconds(span))
 
     def probed(self, desk, raw, outcome, took, load):
-        desk.assigner.probed(
+        desk.assigner.on_health_check(
             desk.index(raw),
-            OUTCOMES.get(outcome, "error"),
-            micros(took),
+            OUTCOMES.get(outcome, HealthCheckOutcome.ERROR),
+            microseconds(took),
             load_map(desk.columns, load),
         )
 
     def woken(self, desk, token):
-        desk.assigner.woken(token)
+        desk.assigner.on_timer(token)
 
     def heard(self, desk, zone, raw, tries, failed, took, span, load):
-        desk.assigner.heard(
-            zone,
-            desk.index(raw),
-            tries,
-            failed,
-            micros(took),
-            micros(span),
-            load_map(desk.columns, load),
+        desk.assigner.on_load_report(
+            LoadReport(
+                zone,
+                desk.index(raw),
+                tries,
+                failed,
+                microseconds(took),
+                microseconds(span),
+                load_map(desk.columns, load),
+            )
         )
 
     def demand(self, desk, place, span, failed, proxy, exchanges):
         self.check_class(desk, place)
-        desk.assigner.demand(proxy, place, exchanges, failed, micros(span))
+        desk.assigner.on_demand_report(
+            DemandReport(proxy, place, exchanges, failed, microseconds(span))
+        )
 
     @staticmethod
     def check_class(desk, place):
         if place >= desk.classes:
-            raise Malformed(f"class {place} of {desk.classes}")
+            raise MalformedMessageError(f"class {place} of {desk.classes}")
--- a/indigodeck/simhost/codec.py
+++ b/indigodeck/simulator/codec.py
@@ -2,7 +2,8 @@
 
 import struct
 
-from ..charter import Malformed, micros
+from ..errors import MalformedMessageError
+from ..settings import microseconds
 
 HEADER = struct.Struct("<IId")
 REPLY_HEADER = struct.Struct("<II")
@@ -14,7 +15,7 @@
 def read_exactly(stream, size, what):
     data = stream.read(size)
     if len(data) != size:
-        raise Malformed(f"input ends within {what}: {len(data)} of {size} bytes")
+        raise MalformedMessageError(f"input ends within {what}: {len(data)} of {size} bytes")
     return data
 
 
@@ -25,14 +26,16 @@
         return None
     count, length, clock = HEADER.unpack(first + read_exactly(stream, HEADER.size - 1, "a header"))
     if length > LARGEST_FRAME or count * EVENT_SIZE > length:
-        raise Malformed(f"a header states {count} records in {length} bytes")
+        raise MalformedMessageError(f"a header states {count} records in {length} bytes")
     if not 0 <= clock < 1e15:
-        raise Malformed(f"a header states the clock as {clock}")
-    return micros(clock), count, read_exactly(stream, length, f"a frame of {length} bytes")
+        raise MalformedMessageError(f"a header states the clock as {clock}")
+    return microseconds(clock), count, read_exactly(stream, length, f"a frame of {length} bytes")
 
 
 def tail_slice(body, count, offset, length, what):
     start = count * EVENT_SIZE + offset
     if start + length > len(body):
-        raise Malformed(f"{what}: bytes {offset} to {offset + length} lie outside the tail")
+        raise MalformedMessageError(
+            f"{what}: bytes {offset} to {offset + length} lie outside the tail"
+        )
     return body[start : start + length]
--- a/indigodeck/store/frames.py
+++ b/indigodeck/store/framing.py
@@ -24,7 +24,7 @@
 WORTH_IT = 256  # shorter bodies gain nothing from compression
 
 
-class Unreadable(Exception):
+class UnreadableRecordError(Exception):
     """A whole frame that this program does not understand: of a newer one."""
 
 
@@ -63,8 +63,8 @@
         if body[0] == PLAIN:
             return msgpack.unpackb(body[1:], strict_map_key=False)
     except (ValueError, msgpack.UnpackException, zstandard.ZstdError) as error:
-        raise Unreadable(f"a body that can't be unpacked: {error}") from error
-    raise Unreadable(f"form {body[0]}: written by a newer program")
+        raise UnreadableRecordError(f"a body that can't be unpacked: {error}") from error
+    raise UnreadableRecordError(f"form {body[0]}: written by a newer program")
 
 
 def _sum(salt, length, sequence, synced, body):
--- a/indigodeck/store/log.py
+++ b/indigodeck/store/write_ahead_log.py
@@ -15,7 +15,7 @@
 
 from typing import NamedTuple, Protocol
 
-from . import frames
+from . import framing as frames
 
 SEGMENT = 1 << 20  # a log this long is followed by a new one
 GARBAGE, AT_LEAST = (
@@ -29,7 +29,7 @@
 KEY_LONGEST = 512
 
 
-class Stopped(Exception):
+class StoreStoppedError(Exception):
     """Nothing can be written; says why, and which file."""
 
 
@@ -101,7 +101,7 @@
     return dict(sorted(found.items()))
 
 
-class Log:
+class WriteAheadLog:
     """Opens the folder's store, or begins one. `wrong`: [Place] found at the start; `lost`: whether some of that had been
     acknowledged, so that what is held may be older than what was told to others.
     """
@@ -176,7 +176,7 @@
         """What a frame holds. One of a form that is not known here is of a newer program, whose store is not written to."""
         try:
             return frames.unpacked(frame.body)
-        except frames.Unreadable as error:
+        except frames.UnreadableRecordError as error:
             self.wrong.append(Place(name, frame.start, str(error)))
             self.foreign = f"{name}: {error}"
             return None
@@ -316,7 +316,7 @@
         if self.why is not None:
             self._begin()  # after an error: in a new log, or not at all
         if self.why is not None:
-            raise Stopped(self.why)
+            raise StoreStoppedError(self.why)
         salt, sequence, parts, places, at = (
             frames.salt_of(self.store, self.name),
             self.sequence,
@@ -337,7 +337,7 @@
             self.files.sync(self.name)
         except OSError as error:
             self._stop(self.name, error)
-            raise Stopped(self.why) from error
+            raise StoreStoppedError(self.why) from error
         self.written += at - self.size
         self.behind += at - self.size
         self.sequence = self.synced = sequence
--- a/indigodeck/store/writer.py
+++ b/indigodeck/store/writer.py
@@ -11,7 +11,7 @@
 import time
 from concurrent.futures import Future
 
-from .log import Log, Stopped
+from .write_ahead_log import StoreStoppedError, WriteAheadLog
 
 WAITING_MOST = 4096  # changes that may wait to be written; what comes then is refused at once
 TOGETHER_MOST = 256
@@ -26,7 +26,7 @@
 
     def __init__(self, files, note, delay=0.0):
         self.note, self.delay, self.files = note, delay, files
-        self.log = Log(files)
+        self.log = WriteAheadLog(files)
         self.waiting, self.ending, self.stopped, self.commits = (
             queue.Queue(WAITING_MOST),
             False,
@@ -58,7 +58,7 @@
         try:
             self.put(changes).result()
             return True
-        except Stopped:
+        except StoreStoppedError:
             return False
 
     def get(self, key):
@@ -72,7 +72,7 @@
             self.waiting.put_nowait((changes, call, told))
         except queue.Full:
             told.set_exception(
-                Stopped(
+                StoreStoppedError(
                     "the store is closed" if self.ending else f"{WAITING_MOST} changes wait already"
                 )
             )
@@ -134,7 +134,9 @@
             Exception
         ) as error:  # whatever it is, whoever waits must be told, and the thread must go on
             error = (
-                error if isinstance(error, Stopped) else Stopped(f"{type(error).__name__}: {error}")
+                error
+                if isinstance(error, StoreStoppedError)
+                else StoreStoppedError(f"{type(error).__name__}: {error}")
             )
             if self.stopped is None:
                 self.note("store stopped", why=str(error))
--- a/indigodeck/standins/audit.py
+++ b/indigodeck/testbed/audit.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from ..client.tables import Tables
-from ..fronts.sasp import codec
+from ..frontends.sasp import codec
 
 SECOND = 1_000_000
 
@@ -74,7 +74,7 @@
 
 
 class Day:
-    """`figures`: the charter's `stated` map, with `messages_all` for what may be written to a relay in all."""
+    """`figures`: the deployment's settings; `max_messages` is what may be written to a relay in all."""
 
     def __init__(self, figures, classes, begun):
         self.figures, self.classes, self.begun = figures, classes, begun
@@ -109,7 +109,7 @@
     def bare(self):
         """Time that a joined relay's table for a class names nobody, while a warm host is listed as ready."""
         clock, ears, joined, since, found = [0], {}, set(), {}, []
-        ready, limit = {}, self.figures["bare_time"]
+        ready, limit = {}, self.figures.max_unserved_time
         events = sorted(
             [(seen.at, 0, seen) for seen in self.seen] + [(line[0], 1, line) for line in self.told],
             key=lambda event: event[:2],
@@ -155,7 +155,7 @@
                         found.append(
                             (since.pop((event.relay, name)), at, event.relay, f"nobody for {name}")
                         )
-            last_warm = any(at - started > self.figures["cold_time"] for started in ready.values())
+            last_warm = any(at - started > self.figures.warm_up_time for started in ready.values())
         found += [
             (held, clock[0], relay, f"nobody for {name}") for (relay, name), held in since.items()
         ]
@@ -226,7 +226,7 @@
             for when, state in told[line["host"]]:
                 # Where gone alone does not bind, only what was said to drain counts as told.
                 if start <= when <= at and (
-                    state != "gone" or self.figures["gone_binds"] or out is not None
+                    state != "gone" or self.figures.removal_is_final or out is not None
                 ):
                     out = None if state == "ready" else when if out is None else out
             if out is not None:
@@ -238,13 +238,13 @@
                         f"sent to {line['host']}, which is out",
                     )
                 )
-        return self.verdict("drains kept", found, self.figures["drain_grace"], "us")
+        return self.verdict("drains kept", found, self.figures.drain_grace, "us")
 
     # No cold server is pushed over.
 
     def pushed_over(self):
         by_host, found = defaultdict(list), []
-        span, multiple = self.figures["tip_time"], self.figures["tip_multiple"]
+        span, multiple = self.figures.overload_time, self.figures.overload_multiple
         known = {}
         for at, host, state, _ in self.told:
             known.setdefault(host, at)
@@ -260,7 +260,7 @@
                     first += 1
                 # Before a planner could know of the start, no order of its own can have brought this.
                 if (
-                    line["at"] - known.get(host, line["at"]) > self.figures["drain_grace"]
+                    line["at"] - known.get(host, line["at"]) > self.figures.drain_grace
                     or line["state"] == "fallen"
                 ):
                     able = (lines[first]["able"] + line["able"]) / 2
@@ -285,7 +285,7 @@
                 written[
                     seen.relay, seen.by, sum(started <= seen.at for started in self.starts)
                 ].append(seen.at)
-        most, span = self.figures["messages_all"], self.figures["messages_span"]
+        most, span = self.figures.channel.max_messages, self.figures.channel.message_window
         for (relay, *_), times in written.items():
             first = 0
             for nth, at in enumerate(times):
