--- a/indigodeck/standins/baselines.py
+++ b/indigodeck/testbed/baselines.py
@@ -1,20 +1,20 @@
 """Policies to measure against, hosted by the same desk: none of them decides anything."""
 
-from ..host import CHANGES, READY
+from ..assignment.interface import ServerState, UpdateKind
 
 
 class Equal:
     """One table: every host that is listed as ready, all alike, for every class and relay."""
 
-    def __init__(self, host, charter, seed):
-        self.host, self.charter, self.fleet, self.lines = host, charter, {}, {}
+    def __init__(self, host, settings, seed):
+        self.host, self.settings, self.fleet, self.lines = host, settings, {}, {}
 
-    def listed(self, kind, servers):
-        if kind != CHANGES:
+    def on_endpoint_update(self, kind, servers):
+        if kind != UpdateKind.CHANGES:
             self.fleet = {}
         for server in servers:
             self.fleet.pop(server.index, None)
-            if server.state == READY:
+            if server.state == ServerState.READY:
                 self.fleet[server.index] = server
         self._lay()
 
@@ -22,16 +22,17 @@
         want = {index: 1.0 for index in self.fleet}
         for index in sorted(self.lines.keys() | want.keys()):
             if self.lines.get(index) != want.get(index):
-                self.host.line(0, index, want.get(index, 0.0))
+                self.host.set_weight(0, index, want.get(index, 0.0))
         self.lines = want
 
-    def proxy_joined(self, proxy, zone, rate, fresh):
-        self.host.bind(proxy, 0, range(len(self.charter["classes"])))
+    def on_proxy_joined(self, proxy, zone, rate, fresh):
+        self.host.assign_table(proxy, 0, range(len(self.settings.classes)))
 
     def nothing(self, *_):
         pass
 
-    proxy_left = heard = demand = applied = probed = told = woken = list_failed = nothing
+    on_proxy_left = on_load_report = on_demand_report = on_ack = on_health_check = nothing
+    on_peer_message = on_timer = on_endpoint_list_failed = nothing
     chance = None
 
 
--- a/indigodeck/standins/controllers.py
+++ b/indigodeck/testbed/controllers.py
@@ -11,7 +11,7 @@
 from ..client.sasp import SaspClient
 from ..client.xds import XdsClient
 from ..clock import now
-from .keeper import ListFile
+from .discovery_server import ListFile
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
 
@@ -107,10 +107,10 @@
     `spare`: controllers that stand by to be let in; `store`: whether each has one.
     """
 
-    def __init__(self, folder, charter, members=3, lease=600, spare=0, stated=None, store=False):
+    def __init__(self, folder, settings, members=3, lease=600, spare=0, stated=None, store=False):
         self.folder, self.processes, self.logs, self.gates = pathlib.Path(folder), {}, {}, {}
         self.place = lambda nth: 9000 + nth  # of a host that need not exist
-        charter = json.loads(json.dumps(charter))
+        settings = json.loads(json.dumps(settings))
         all_of_them = members + spare
         ports, self.held = free_ports(3 * all_of_them)
         self.members = {f"c{nth}": ports[nth] for nth in range(all_of_them)}
@@ -123,8 +123,8 @@
         self.listed, self.states = ListFile(folder), {nth: "ready" for nth in range(8)}
         self.keep()
         for name in self.members:
-            charter = json.loads(json.dumps(charter))
-            charter.update(
+            settings = json.loads(json.dumps(settings))
+            settings.update(
                 name=name,
                 roster={"file": "roster.json", "look_every_ms": 50},
                 fronts={
@@ -144,21 +144,21 @@
                 ),
             )
             if store:
-                charter["store"] = {"folder": f"{name}.store"}
-            charter["fronts"]["sasp"]["interval_s"] = 1
-            charter["reports"] = {"period_ms": 1000, "probes_per_s": 0}
-            charter["rules"]["gone_binds"] = True
-            charter["channel"].update(
+                settings["store"] = {"folder": f"{name}.store"}
+            settings["fronts"]["sasp"]["interval_s"] = 1
+            settings["reports"] = {"period_ms": 1000, "probes_per_s": 0}
+            settings["rules"]["gone_binds"] = True
+            settings["channel"].update(
                 messages_most=60, answers_most=30
             )  # relays that ask once a second are answered
-            (self.folder / f"{name}.json").write_text(json.dumps(charter))
+            (self.folder / f"{name}.json").write_text(json.dumps(settings))
 
     def state(self, name, **more):
         """Tells a controller more in its section takeover, for its next start."""
         path = self.folder / f"{name}.json"
-        charter = json.loads(path.read_text())
-        charter["takeover"].update(more)
-        path.write_text(json.dumps(charter))
+        settings = json.loads(path.read_text())
+        settings["takeover"].update(more)
+        path.write_text(json.dumps(settings))
 
     async def gate(self):
         """Gates on all ways between controllers; before they start."""
--- a/indigodeck/standins/conversation.py
+++ b/indigodeck/testbed/conversation.py
@@ -10,16 +10,16 @@
 import pathlib
 import time
 
-from ..chance import Chance
+from ..assignment.seeded_random import SeededRandom
 from ..client import Tables
 from ..client.sasp import SaspClient
-from ..client.tables import Redial
+from ..client.tables import ReconnectError
 from ..client.xds import XdsClient
 from ..clock import now
-from ..planner.charter import Charter
+from ..planner.planner_settings import PlannerSettings
 from ..serve import assemble
-from .keeper import ListFile
-from .tap import Tap
+from .discovery_server import ListFile
+from .recording_proxy import RecordingProxy
 
 CLIENTS = {"sasp": SaspClient, "xds": XdsClient}
 
@@ -28,7 +28,7 @@
     """One client, over one protocol, behind a way of its own."""
 
     def __init__(self, wire, names, planner):
-        self.tap = Tap(now, planner, False)
+        self.tap = RecordingProxy(now, planner, False)
         self.tables, self.errors = Tables(names, now), []
         self.client = CLIENTS[wire](
             f"party-{wire}",
@@ -37,7 +37,7 @@
             patience=0.5,
             failed=lambda error: self.errors.append(type(error).__name__),
         )
-        self.client.redial = Redial(Chance(7), 50_000, 200_000)
+        self.client.redial = ReconnectError(SeededRandom(7), 50_000, 200_000)
         self.task = asyncio.get_running_loop().create_task(self.client.run())
 
     def told(self, ports):
@@ -84,7 +84,7 @@
             roster={"file": "roster.json", "look_every_ms": 20},
             fronts={wire: {"address": "127.0.0.1", "port": 0} for wire in CLIENTS},
         )
-        self.service = assemble(Charter(document, self.folder))
+        self.service = assemble(PlannerSettings(document, self.folder))
 
     async def stop(self):
         self.service.cease()
@@ -93,7 +93,7 @@
     def port(self, wire):
         return lambda: (
             "127.0.0.1",
-            dict(zip(self.service.charter.fronts, self.service.fronts))[wire].port(),
+            dict(zip(self.service.settings.fronts, self.service.fronts))[wire].port(),
         )
 
     async def play(self):
--- a/indigodeck/standins/keeper.py
+++ b/indigodeck/testbed/discovery_server.py
@@ -29,7 +29,7 @@
         fresh.replace(self.path)
 
 
-class Keeper:
+class DiscoveryServer:
     """`late`: microseconds from a change to its telling. `told(host, state)` hears what is told, as it is."""
 
     def __init__(self, told=lambda host, state: None, late=0):
--- a/indigodeck/standins/disk.py
+++ b/indigodeck/testbed/faulty_disk.py
@@ -5,7 +5,7 @@
 """
 
 
-class Cut(Exception):
+class PowerCutError(Exception):
     """The power is gone."""
 
 
@@ -33,7 +33,7 @@
         if self.cut_at is not None and self.done - 1 >= self.cut_at:
             if part and self.done - 1 == self.cut_at and self.chance.below(2):
                 part()
-            raise Cut
+            raise PowerCutError
         if self.done - 1 in self.fails:
             if part and self.chance.below(2):
                 part()
--- a/indigodeck/standins/fleet_day.py
+++ b/indigodeck/testbed/fleet_scenario.py
@@ -11,11 +11,11 @@
 from ..clock import now
 from . import audit
 from .controllers import charges_in, free_ports, section
-from .day import SECOND, Play
-from .tap import Tap
+from .recording_proxy import RecordingProxy
+from .scenario import SECOND, ScenarioRunner
 
 
-class FleetPlay(Play):
+class FleetScenarioRunner(ScenarioRunner):
     """A day of `many` controllers. Further troubles: `stall` (any controller, by chance), `takeover` (who is in charge is
     stopped), `handover`; each for `seconds`.
     """
@@ -27,13 +27,15 @@
         self.ports = dict(zip(self.names, ports))
         (self.folder / "key").write_text("a key for a day, shared by all of them")
         for nth, name in enumerate(self.names):
-            document = json.loads(json.dumps(self.charter.document))
+            document = json.loads(json.dumps(self.settings.document))
             document["name"] = name
             document["fronts"][wire]["port"] = ports[many + nth]
             document["takeover"] = section(name, self.ports, lease_ms)
             (self.folder / f"{name}.json").write_text(json.dumps(document))
         self.all_taps = [
-            Tap(now, lambda port=ports[many + nth]: ("127.0.0.1", port), wire == "sasp", name)
+            RecordingProxy(
+                now, lambda port=ports[many + nth]: ("127.0.0.1", port), wire == "sasp", name
+            )
             for nth, name in enumerate(self.names)
         ]
         self.processes = {}
--- a/indigodeck/standins/host.py
+++ b/indigodeck/testbed/host_pool.py
@@ -199,7 +199,7 @@
         self.set_header("endpoint-load-metrics", self.host.report())
 
 
-class Yard:
+class HostPool:
     """Hosts in one process. `work`: microseconds of one core that an exchange of each class takes."""
 
     def __init__(self, now, receipts, work):
--- a/indigodeck/standins/tap.py
+++ b/indigodeck/testbed/recording_proxy.py
@@ -12,7 +12,7 @@
 from tornado.tcpclient import TCPClient
 from tornado.tcpserver import TCPServer
 
-from ..fronts.sasp import codec
+from ..frontends.sasp import codec
 
 NONSENSE = b"HTTP/1.1 418 I am no planner\r\n\r\n" * 4
 
@@ -31,7 +31,7 @@
 ARRIVALS = 4096  # that may wait to be accepted: more are sent away by the kernel, unheard, and come again a second later
 
 
-class Tap(TCPServer):
+class RecordingProxy(TCPServer):
     """`planner()`: where it listens now, or None."""
 
     def __init__(self, now, planner, legible=True, by=""):
--- a/indigodeck/standins/relay.py
+++ b/indigodeck/testbed/relay_pool.py
@@ -12,8 +12,8 @@
 from tornado.ioloop import IOLoop
 from tornado.simple_httpclient import HTTPTimeoutError, SimpleAsyncHTTPClient
 
-from ..chance import Chance, seed_from
-from ..client import NoServer, Tables
+from ..assignment.seeded_random import SeededRandom, seed_from
+from ..client import NoServerError, Tables
 from ..client.sasp import SaspClient
 
 SECOND = 1_000_000
@@ -30,7 +30,7 @@
         self.uid, self.classes = stated["uid"], {kind["name"]: kind for kind in stated["classes"]}
         standing = [tuple(where) for where in stated.get("standing", [])]
         self.tables = Tables(self.classes, now, standing)
-        self.chance = Chance(seed_from(self.uid, [str(stated.get("seed", 0)).encode()]))
+        self.chance = SeededRandom(seed_from(self.uid, [str(stated.get("seed", 0)).encode()]))
         self.client = SimpleAsyncHTTPClient(force_instance=True, max_clients=4096)
         planners = [tuple(where) for where in stated["planners"]]
         patience = stated.get("planner_patience", 3.0)
@@ -126,14 +126,14 @@
         tried, outcome, begun = [], "nowhere", self.now()
         # A client that comes again is refused again: by what it asks, and not by a new draw.
         if not self.tables.admits(
-            name, Chance(seed_from(key.rpartition("/")[0], [])).below(1 << 20) / (1 << 20)
+            name, SeededRandom(seed_from(key.rpartition("/")[0], [])).below(1 << 20) / (1 << 20)
         ):
             return "refused"
         for nth in range(2):
             shunned = [where for where, until in self.away.items() if until > self.now()]
             try:
                 where = self._pick(name, shunned + tried)
-            except NoServer:
+            except NoServerError:
                 return outcome
             if where in tried:
                 return outcome
@@ -187,7 +187,7 @@
             self.away[where], self.strikes[where] = self.now() + AWAY, 0
 
 
-class Depot:
+class RelayPool:
     """Relays in one process; told to start, to break a stream and to end."""
 
     def __init__(self, now, outcomes):
--- a/indigodeck/standins/day.py
+++ b/indigodeck/testbed/scenario.py
@@ -5,6 +5,7 @@
 """
 
 import asyncio
+import dataclasses
 import json
 import pathlib
 import signal
@@ -14,16 +15,16 @@
 
 from tornado.gen import sleep
 
-from ..chance import Chance
+from ..assignment.seeded_random import SeededRandom
 from ..clock import now
-from ..planner.charter import Charter
-from ..schema import BadDocument, shipped, wrong
+from ..json_documents import InvalidDocumentError, shipped, wrong
+from ..planner.planner_settings import PlannerSettings
 from . import audit
-from .keeper import Keeper
-from .tap import Seen, Tap
+from .discovery_server import DiscoveryServer
+from .recording_proxy import RecordingProxy, Seen
 
 SECOND = 1_000_000
-SCHEMA = shipped(__file__, "day.schema.json")
+SCHEMA = shipped(__file__, "scenario.schema.json")
 # What a bench day calls its troubles, and which of ours each is; the others have no counterpart on sockets.
 FROM_BENCH = {
     "crash": "crash",
@@ -68,32 +69,32 @@
     against = wrong(script, SCHEMA)
     if not against:
         try:
-            charter = Charter(charter_of(script, 1))
-        except BadDocument as error:
+            settings = PlannerSettings(settings_document(script, 1))
+        except InvalidDocumentError as error:
             return ["charter: " + line for line in str(error).splitlines()]
         names = [kind["name"] for kind in script["classes"]]
-        if sorted(names) != sorted(charter.classes):
-            against.append(f"classes: {sorted(names)}, the charter has {sorted(charter.classes)}")
+        if sorted(names) != sorted(settings.classes):
+            against.append(f"classes: {sorted(names)}, the charter has {sorted(settings.classes)}")
         for place, trouble in enumerate(script.get("troubles", [])):
-            if trouble.get("hall") not in (None, *charter.halls):
+            if trouble.get("hall") not in (None, *settings.halls):
                 against.append(
-                    f"troubles/{place}/hall: {trouble['hall']!r} is none of the halls {charter.halls}"
+                    f"troubles/{place}/hall: {trouble['hall']!r} is none of the halls {settings.halls}"
                 )
     return against
 
 
-def charter_of(script, keeper_port):
-    charter = json.loads(json.dumps(script["charter"]))
-    charter["roster"] = {"service": f"http://127.0.0.1:{keeper_port}"}
+def settings_document(script, keeper_port):
+    settings = json.loads(json.dumps(script["charter"]))
+    settings["roster"] = {"service": f"http://127.0.0.1:{keeper_port}"}
     wire = script["relays"].get("wire", "sasp")
-    charter["fronts"] = {
-        wire: dict(charter.get("fronts", {}).get(wire, {}), address="127.0.0.1", port=0)
+    settings["fronts"] = {
+        wire: dict(settings.get("fronts", {}).get(wire, {}), address="127.0.0.1", port=0)
     }
-    charter.setdefault("relays", {}).setdefault("most", script["relays"]["many"])
-    charter["relays"].setdefault(
-        "halls", [{"prefix": hall + "/", "hall": hall} for hall in charter["halls"]]
+    settings.setdefault("relays", {}).setdefault("most", script["relays"]["many"])
+    settings["relays"].setdefault(
+        "halls", [{"prefix": hall + "/", "hall": hall} for hall in settings["halls"]]
     )
-    return charter
+    return settings
 
 
 class Crew:
@@ -140,26 +141,31 @@
         await process.wait()
 
 
-class Play:
+class ScenarioRunner:
     """One fleet with its planner. `policy`: "indigodeck" or the name of a baseline."""
 
     def __init__(self, script, folder, policy="indigodeck", say=lambda text: None):
         self.script, self.folder, self.policy, self.say = script, pathlib.Path(folder), policy, say
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.chance, self.hosts, self.crews, self.depots = Chance(script.get("seed", 1)), {}, [], []
+        self.chance, self.hosts, self.crews, self.depots = (
+            SeededRandom(script.get("seed", 1)),
+            {},
+            [],
+            [],
+        )
         self.planner, self.port, self.starts, self.serial, self.told = None, None, [], 0, []
         self.log = open(self.folder / "planner.log", "ab")
         self.keeper, self.tap = (
-            Keeper(self._told),
-            Tap(
+            DiscoveryServer(self._told),
+            RecordingProxy(
                 now,
                 lambda: self.port and ("127.0.0.1", self.port),
                 script["relays"].get("wire", "sasp") == "sasp",
             ),
         )
         self.keeper.late = round(script.get("roster", {}).get("late_ms", 0) * 1000)
-        self.charter = Charter(charter_of(script, self.keeper.listen()))
-        (self.folder / "charter.json").write_text(json.dumps(self.charter.document))
+        self.settings = PlannerSettings(settings_document(script, self.keeper.listen()))
+        (self.folder / "charter.json").write_text(json.dumps(self.settings.document))
         self.relay_of = {}
 
     # Where relays find it. With several controllers these differ (fleet_day.py).
@@ -186,7 +192,7 @@
     async def host(self, hall, cold):
         """One more host; cold ones warm up as the charter's rules say."""
         self.serial += 1
-        name, stated, rules = f"host-{self.serial}", self.script["hosts"], self.charter.stated
+        name, stated, rules = f"host-{self.serial}", self.script["hosts"], self.settings.deployment
         crew = self.crews[self.serial % len(self.crews)]
         cores, born = stated.get("cores", 4), now() if cold else 0
         answer = await crew.do(
@@ -196,10 +202,10 @@
             slots=stated.get("slots", 2 * cores),
             room=stated.get("room", 16 * cores),
             started=born,
-            cold_time=rules["cold_time"],
-            cold_share=rules["cold_share"],
-            tip_multiple=rules["tip_multiple"],
-            tip_time=rules["tip_time"],
+            cold_time=rules.warm_up_time,
+            cold_share=rules.cold_capacity_share,
+            tip_multiple=rules.overload_multiple,
+            tip_time=rules.overload_time,
         )
         self.hosts[name] = {
             "crew": crew,
@@ -210,7 +216,7 @@
                 "port": answer["port"],
                 "hall": hall,
                 "weight": float(cores),
-                "kind": (self.charter.kinds or ["std"])[0],
+                "kind": (self.settings.kinds or ["std"])[0],
                 "state": "ready",
                 "started_ms": time.time_ns() // 1_000_000 if cold else 0,
             },
@@ -368,7 +374,7 @@
                         json.dumps(work),
                     )
                 )
-            halls = self.charter.halls
+            halls = self.settings.halls
             first = [
                 await self.host(halls[nth % len(halls)], False) for nth in range(hosts["many"])
             ]
@@ -455,8 +461,13 @@
             problems.append(error)
 
     def judged(self, begun):
-        figures = dict(self.charter.stated, messages_all=self.charter.channel["messages_most"])
-        day = audit.Day(figures, self.charter.classes, begun)
+        deployment = self.settings.deployment
+        # The auditor counts all messages that may be written, answers to relays' own requests too.
+        channel = dataclasses.replace(
+            deployment.channel, max_messages=self.settings.channel["messages_most"]
+        )
+        figures = dataclasses.replace(deployment, channel=channel)
+        day = audit.Day(figures, self.settings.classes, begun)
         for path in sorted(self.folder.iterdir()):
             if path.name.startswith("receipts-"):
                 day.receipts += audit.lines_of(path)
@@ -507,9 +518,10 @@
             + [
                 {
                     "rule": "a short queue (the planner's own count)",
-                    "kept": max(waiting, default=0) <= self.charter.stated["waiting_most"],
+                    "kept": max(waiting, default=0)
+                    <= self.settings.deployment.channel.max_waiting_lines,
                     "worst": max(waiting, default=0),
-                    "limit": self.charter.stated["waiting_most"],
+                    "limit": self.settings.deployment.channel.max_waiting_lines,
                     "unit": "lines",
                     "cases": [],
                 }
@@ -552,7 +564,7 @@
     """Plays a day, under several policies side by side if asked; a result for each."""
     with tempfile.TemporaryDirectory() as made:
         plays = [
-            Play(
+            ScenarioRunner(
                 script,
                 pathlib.Path(folder or made) / policy,
                 policy,
--- a/indigodeck/versions/counter.py
+++ b/indigodeck/versions/admin_api.py
@@ -2,15 +2,15 @@
 
 import json
 
-from ..schema import shipped, wrong
-from .ledger import number
-from .wishes import Refused
+from ..json_documents import shipped, wrong
+from .operator_requests import RejectedError
+from .version_log import number
 
-SCHEMA = shipped(__file__, "wish.schema.json")
+SCHEMA = shipped(__file__, "operator_request.schema.json")
 PAGE, PAGE_BYTES = 100, 24 << 10
 
 
-class Counter:
+class AdminApi:
     """`books`: versions.books.Books."""
 
     def __init__(self, books):
@@ -26,7 +26,7 @@
         }
 
     def answer(self, wish):
-        """{..} for a wish as `wish.schema.json` says; {"why_not": text} where it can't be."""
+        """{..} for a wish as `operator_request.schema.json` says; {"why_not": text} where it can't be."""
         against = wrong(wish, SCHEMA)
         if against:
             return {"why_not": against[0][:500]}
@@ -34,7 +34,7 @@
             return self.answers[wish["what"]](
                 **{name: value for name, value in wish.items() if name != "what"}
             )
-        except Refused as error:
+        except RejectedError as error:
             return {"why_not": str(error)}
 
     def _told(self, version):
@@ -86,7 +86,7 @@
         wanted = self._number(number)
         held = self.books.ledger.sheets_of(wanted)
         if held is None:
-            raise Refused(f"version {wanted} is not kept")
+            raise RejectedError(f"version {wanted} is not kept")
         return {
             "version": self._told(self.books.ledger.versions[wanted]),
             **self._page(held, after),
@@ -95,7 +95,7 @@
     def _diff(self, old, new, after=None):
         changes = self.books.ledger.between(self._number(old), self._number(new))
         if changes is None:
-            raise Refused(f"{old} or {new} is not kept")
+            raise RejectedError(f"{old} or {new} is not kept")
         before = self.books.ledger.sheets_of(self._number(old))
         # As people read it: what each changed line was, and is.
         told = {}
--- a/indigodeck/versions/wishes.py
+++ b/indigodeck/versions/operator_requests.py
@@ -5,16 +5,16 @@
 carried out again after it: it is there already. Who wants what is held already changes nothing, so asking twice is asking once.
 """
 
-from .holds import Hold
+from .rollback_pins import Hold
 
 CLASSES_MOST, PINS_MOST, WORDS_LONGEST = 4096, 256, 300
 
 
-class Refused(Exception):
+class RejectedError(Exception):
     """A wish that can't be carried out; says why."""
 
 
-class Wishes:
+class OperatorRequests:
     """`holds`: {class: Hold}; `pins`: {number}. `document`: as `document()` gave it, or None."""
 
     def __init__(self, document=None):
@@ -56,9 +56,9 @@
     def rollback(self, number, classes, author, reason, at, epoch):
         """Holds classes at a version; those for which that is new, and what they were held at before {class: Hold or None}."""
         if not author:
-            raise Refused("a rollback needs an author")
+            raise RejectedError("a rollback needs an author")
         if len(author) > WORDS_LONGEST or len(reason) > WORDS_LONGEST:
-            raise Refused(f"author and reason are {WORDS_LONGEST} characters at most")
+            raise RejectedError(f"author and reason are {WORDS_LONGEST} characters at most")
         new = {
             name: self.holds.get(name)
             for name in classes
@@ -83,7 +83,7 @@
         if (tuple(number) in self.pins) == on:
             return False
         if on and len(self.pins) >= PINS_MOST:
-            raise Refused(f"{PINS_MOST} versions are pinned already")
+            raise RejectedError(f"{PINS_MOST} versions are pinned already")
         (self.pins.add if on else self.pins.discard)(tuple(number))
         self._next(epoch)
         return True
--- a/indigodeck/versions/books.py
+++ b/indigodeck/versions/publisher.py
@@ -7,10 +7,10 @@
 
 from typing import Protocol
 
-from . import sheets as sets
-from .holds import Holds
-from .ledger import Ledger, Number
-from .wishes import Refused, Wishes
+from . import snapshots as sets
+from .operator_requests import OperatorRequests, RejectedError
+from .rollback_pins import RollbackPins
+from .version_log import Number, VersionLog
 
 SECOND = 1_000_000
 RELAYS_EVERY, TIDY_EVERY = 10 * SECOND, 60 * SECOND
@@ -18,7 +18,7 @@
 RELAYS_MOST = 65_536
 
 
-class Surroundings(Protocol):
+class Environment(Protocol):
     """What the books may ask of the program around them. Servers and proxies are indices, classes places."""
 
     def now(self) -> int: ...
@@ -71,13 +71,13 @@
     def note(self, event: str, **facts) -> None: ...
 
 
-class Books:
+class TablePublisher:
     """`classes`: names by place; `most`, `age`: as `Ledger`."""
 
     def __init__(self, host, classes, most, age):
         self.host, self.classes = host, classes
-        self.ledger = Ledger(host, host.keys("version/"), most, age)
-        self.wishes, self.holds = Wishes(host.kept("wishes")), Holds(self)
+        self.ledger = VersionLog(host, host.keys("version/"), most, age)
+        self.wishes, self.holds = OperatorRequests(host.kept("wishes")), RollbackPins(self)
         self.made, self.now_there, self.epoch = (
             {},
             {},
@@ -290,7 +290,7 @@
     def _named(self, classes):
         unknown = [name for name in classes if name not in self.classes]
         if unknown:
-            raise Refused(f"{unknown[0]!r} is none of the classes {self.classes}")
+            raise RejectedError(f"{unknown[0]!r} is none of the classes {self.classes}")
         return list(classes) or list(self.classes)
 
     def _wished(self, author, text):
@@ -302,7 +302,7 @@
 
     def _hears(self):
         if self.epoch is None:
-            raise Refused("another controller is in charge, or the store can't be written")
+            raise RejectedError("another controller is in charge, or the store can't be written")
 
     def _tell_wishes(self):
         document = self.wishes.document()
@@ -314,7 +314,7 @@
         self._hears()
         names = self._named(classes)
         if self.ledger.sheets_of(Number(*number)) is None:
-            raise Refused(f"version {Number(*number)} is not kept")
+            raise RejectedError(f"version {Number(*number)} is not kept")
         new = self.wishes.rollback(number, names, author, reason, self.host.wall(), self.epoch)
         if not new:
             return f"held at {Number(*number)} already: nothing changes"
@@ -353,7 +353,7 @@
     def pin(self, number, on):
         self._hears()
         if on and Number(*number) not in self.ledger.versions:
-            raise Refused(f"version {Number(*number)} is not kept")
+            raise RejectedError(f"version {Number(*number)} is not kept")
         if self.wishes.pin(number, on, self.epoch):
             self._tell_wishes()
         return f"{Number(*number)} is {'' if on else 'not '}pinned"
--- a/indigodeck/versions/copies.py
+++ b/indigodeck/versions/replication.py
@@ -10,14 +10,14 @@
 import json
 from typing import Protocol
 
-from . import sheets as sets
-from .ledger import Number, Version
+from . import snapshots as sets
+from .version_log import Number, Version
 
 PART_BYTES = 24 << 10  # of a message: what one part of a set may fill
 TURN = 1_000_000  # between two times that the newest is told of
 
 
-class Surroundings(Protocol):
+class Environment(Protocol):
     """What copies may ask of the program around them."""
 
     def now(self) -> int: ...
@@ -32,7 +32,7 @@
     def in_charge(self) -> bool: ...
 
 
-class Copies:
+class VersionReplicator:
     """`books`: versions.books.Books."""
 
     def __init__(self, host, books):
--- a/indigodeck/versions/holds.py
+++ b/indigodeck/versions/rollback_pins.py
@@ -19,7 +19,7 @@
 OUT, COLD, WARM = "out", "cold", "warm"
 
 
-class Surroundings(Protocol):
+class Environment(Protocol):
     """What holds may ask of the program around them. Servers are indices here."""
 
     def today(self) -> dict:
@@ -72,7 +72,7 @@
     return lines, None
 
 
-class Holds:
+class RollbackPins:
     """`by_place`: {class's place: Hold}; `old`: {class's place: {table: {server: weight}}}; `lines`: {table: {server: weight}} of
     those that differ from today's.
     """
--- a/indigodeck/versions/sheets.py
+++ b/indigodeck/versions/snapshots.py
@@ -60,7 +60,7 @@
     }
 
 
-class Mismatch(Exception):
+class SnapshotMismatchError(Exception):
     """A change that was worked out from another sheet than the one at hand."""
 
 
@@ -75,7 +75,7 @@
         else:
             before = old.get(table)
             if before is None or hash_of(before) != change["of"]:
-                raise Mismatch(f"table {table} is not the one that was changed")
+                raise SnapshotMismatchError(f"table {table} is not the one that was changed")
             lines = {**before["lines"], **change["lines"]}
             new[table] = {
                 "class": before["class"],
--- a/indigodeck/versions/ledger.py
+++ b/indigodeck/versions/version_log.py
@@ -13,7 +13,7 @@
 import json
 from typing import NamedTuple, Protocol
 
-from . import sheets as sets
+from . import snapshots as sets
 
 CHAIN = 32  # versions in one chain: so many changes are applied at most to have any version
 CAUSE_LONGEST = 1000
@@ -51,7 +51,7 @@
     first: Number
 
 
-class Surroundings(Protocol):
+class Environment(Protocol):
     """What the ledger may ask of the program around it."""
 
     def wall(self) -> int:
@@ -68,7 +68,7 @@
     return f"version/{number.epoch:012d}.{number.serial:012d}"
 
 
-class Ledger:
+class VersionLog:
     """`keys`: of the versions that are kept, as the store has them; `most`, `age`: so many are kept, however
     old they are; and twice as many if they are not older than that, in microseconds.
     """
@@ -178,7 +178,7 @@
             return False
         try:
             held = sets.changed(self.sheets, changes)
-        except sets.Mismatch:
+        except sets.SnapshotMismatchError:
             return False
         if sets.content_of(held) != version.content:
             return False
@@ -231,7 +231,7 @@
             for one in [one for one in self.chains[version.first] if one <= wanted]:
                 record = json.loads(self.records[one])
                 held = record if one == version.first else sets.changed(held, record)
-        except sets.Mismatch:
+        except sets.SnapshotMismatchError:
             return None
         return held if sets.content_of(held) == version.content else None
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,63 +1,70 @@
 """A host that prints what it is asked to do, and the comparison of that trace with a kept one."""
 
+import dataclasses
 import difflib
 import os
 import pathlib
 import unittest
 
-from indigodeck.choice import Assigner
-from indigodeck.host import CACHED, CHANGES, READY, Server
+from indigodeck.assignment.assigner import Assigner
+from indigodeck.assignment.interface import (
+    DemandReport,
+    LoadReport,
+    Server,
+    ServerState,
+    UpdateKind,
+)
+from indigodeck.clock import SECOND
+from indigodeck.settings import ChannelSettings, ClassSettings, DeploymentSettings, Idempotency
 
-SECOND = 1_000_000
 TRACES = pathlib.Path(__file__).parent / "traces"
 
 
-def charter(**changes):
-    """Two classes, one zone apart from what a test changes."""
-    safe = dict(
-        name="read",
-        agreed_time=SECOND,
-        patience=3 * SECOND,
-        credit=1,
-        late_credit=0.1,
-        repeat_window=0,
-        repeats="safe",
-        repeat_scope="all",
-        own_zone=False,
-    )
-    dear = dict(safe, name="write", credit=3, repeats="keyed", repeat_scope="cell")
-    stated = dict(
-        classes=[safe, dear],
-        zones=1,
-        instances=1,
-        proxies=2,
-        gone_binds=True,
-        strikes=0,
-        slices=0,
-        lines_per_s=2000,
-        waiting_most=2000,
-        head_lines=4,
-        way_longest=SECOND // 2,
-        way_mean=SECOND // 5,
-        messages_most=0,
-        messages_span=10 * SECOND,
-        report_period=SECOND,
-        bare_time=5 * SECOND,
-        cold_time=16 * SECOND,
-        cold_share=0.16,
-        drain_grace=2 * SECOND,
-        tip_multiple=3,
-        tip_time=2 * SECOND,
-        list_asked=False,
-        probes=False,
-        exclusive=False,
-        levels="share",
-        settle_time=0,
-    )
-    return dict(stated, **changes)
-
-
-def server(index, state=READY, started=0, zone=0, kind=0, weight=1.0):
+READ_CLASS = ClassSettings(
+    name="read",
+    latency_objective=SECOND,
+    deadline=3 * SECOND,
+    priority_weight=1,
+    late_priority_weight=0.1,
+    idempotency=Idempotency.SAFE,
+)
+WRITE_CLASS = dataclasses.replace(
+    READ_CLASS,
+    name="write",
+    priority_weight=3,
+    idempotency=Idempotency.KEYED,
+    deduplication_scope="cell",
+)
+CHANNEL = ChannelSettings(
+    lines_per_second=2000,
+    max_waiting_lines=2000,
+    message_overhead_lines=4,
+    mean_delivery_delay=SECOND // 5,
+    max_delivery_delay=SECOND // 2,
+)
+SETTINGS = DeploymentSettings(
+    classes=(READ_CLASS, WRITE_CLASS),
+    channel=CHANNEL,
+    zone_count=1,
+    proxy_count=2,
+    report_period=SECOND,
+    max_unserved_time=5 * SECOND,
+    warm_up_time=16 * SECOND,
+    cold_capacity_share=0.16,
+    drain_grace=2 * SECOND,
+    overload_multiple=3,
+    overload_time=2 * SECOND,
+)
+
+
+def deployment_settings(**changes):
+    """Two classes, one zone, apart from the fields that a test changes, the channel's among them."""
+    of_channel = {field.name for field in dataclasses.fields(ChannelSettings)}
+    channel = {name: changes.pop(name) for name in of_channel & changes.keys()}
+    return dataclasses.replace(SETTINGS, channel=dataclasses.replace(CHANNEL, **channel), **changes)
+
+
+def server(index, state=ServerState.READY, started=0, zone=0, kind=0, weight=1.0):
     return Server(
         index, bytes([index * 37 % 251, index]), index // 4, kind, zone, weight, started, state
     )
@@ -69,7 +76,7 @@
     def __init__(self, stated=None, seed=7):
         self.clock, self.timers, self.printed, self.tables, self.out = 0, [], [], {}, set()
         self.answers = SECOND // 5  # how long a mark takes to be answered; None: nobody answers
-        self.assigner = Assigner(self, stated or charter(), seed)
+        self.assigner = Assigner(self, stated or deployment_settings(), seed)
 
     def note(self, text):
         self.printed.append(f"{self.clock / SECOND:7.2f}  {text}")
@@ -77,55 +84,58 @@
     def now(self):
         return self.clock
 
-    def wake(self, after, token):
+    def start_timer(self, after, token):
         self.timers.append((self.clock + after, token))
 
-    def line(self, table, index, weight):
+    def set_weight(self, table, index, weight):
         self.tables.setdefault(table, {})[index] = weight
         self.note(f"table {table}: server {index} {weight:g}")
 
-    def clear(self, table):
+    def clear_table(self, table):
         self.note(f"clear table {table}")
 
-    def bind(self, proxy, table, classes):
+    def assign_table(self, proxy, table, classes):
         self.note(f"bind proxy {proxy} to table {table} for {list(classes)}")
 
-    def withdraw(self, index, out):
-        self.note(f"{'withdraw' if out else 'let in'} server {index}")
+    def eject_server(self, index):
+        self.note(f"withdraw server {index}")
+
+    def uneject_server(self, index):
+        self.note(f"let in server {index}")
 
-    def forget(self, index):
+    def forget_server(self, index):
         self.note(f"forget server {index}")
 
-    def admit(self, table, classes, level, tries):
+    def set_admission(self, table, classes, level, tries):
         self.note(f"table {table}: level {level:.2f} of {list(classes)}, tries {tries}")
 
-    def mark(self, number, everyone):
+    def request_ack(self, number, everyone):
         if self.answers is not None:
             self.timers.append((self.clock + self.answers, -number))
 
-    def probe(self, index):
+    def check_health(self, index):
         self.note(f"probe server {index}")
 
-    def tell(self, peer, data):
+    def send_to_peer(self, peer, data):
         self.note(f"tell {peer}")
 
-    def watch(self, on):
+    def watch_endpoints(self, on):
         self.note(f"watch {on}")
 
-    def fetch(self):
+    def fetch_endpoints(self):
         self.note("fetch")
 
     def log(self, text):
         self.note(f"log: {text}")
 
     def start(self, servers, proxies=2, rate=50.0, zones=1):
-        self.assigner.listed(CACHED, servers)
+        self.assigner.on_endpoint_update(UpdateKind.CACHED, servers)
         for proxy in range(proxies):
-            self.assigner.proxy_joined(proxy, proxy % zones, rate, True)
+            self.assigner.on_proxy_joined(proxy, proxy % zones, rate, True)
         self.run(1 / SECOND)
 
     def change(self, *servers):
-        self.assigner.listed(CHANGES, list(servers))
+        self.assigner.on_endpoint_update(UpdateKind.CHANGES, list(servers))
 
     def run(self, seconds, reports=None):
         """Plays on; `reports`, if any, is called once a second before the assigner's own turn."""
@@ -137,9 +147,9 @@
             if reports and before // SECOND != self.clock // SECOND:
                 reports(self)
             if due[1] < 0:
-                self.assigner.applied(0, -due[1], self.answers)
+                self.assigner.on_ack(0, -due[1], self.answers)
             else:
-                self.assigner.woken(due[1])
+                self.assigner.on_timer(due[1])
         self.clock = end
 
     def report(
@@ -153,12 +163,14 @@
         for index in range(servers):
             if any(lines.get(index) for lines in self.tables.values()):
                 lost = min(tries, failed(index))
-                self.assigner.heard(
-                    0, index, tries, lost, took(index) if lost < tries else 0, SECOND, None
+                self.assigner.on_load_report(
+                    LoadReport(
+                        0, index, tries, lost, took(index) if lost < tries else 0, SECOND, None
+                    )
                 )
         for proxy in range(2):
             for place, exchanges in enumerate(demand):
-                self.assigner.demand(proxy, place, exchanges, 0, SECOND)
+                self.assigner.on_demand_report(DemandReport(proxy, place, exchanges, 0, SECOND))
 
 
 class TraceCase(unittest.TestCase):
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,29 +1,30 @@
 """The auditor must be able to fail: each rule's breach, and its nearest neighbour that is none."""
 
+import dataclasses
 import unittest
 
-from indigodeck.fronts.sasp import codec
-from indigodeck.fronts.sasp.codec import CONFIDENT, QUIESCED, Entry, Member
-from indigodeck.standins.audit import Day
-from indigodeck.standins.tap import Seen
+from rig import SECOND, deployment_settings
 
-SECOND = 1_000_000
-FIGURES = dict(
-    bare_time=4 * SECOND,
+from indigodeck.frontends.sasp import codec
+from indigodeck.frontends.sasp.codec import CONFIDENT, QUIESCED, Entry, Member
+from indigodeck.testbed.audit import Day
+from indigodeck.testbed.recording_proxy import Seen
+
+FIGURES = deployment_settings(
+    max_unserved_time=4 * SECOND,
     drain_grace=2 * SECOND,
-    cold_time=10 * SECOND,
-    tip_multiple=4,
-    tip_time=3 * SECOND,
-    messages_all=30,
-    messages_span=10 * SECOND,
-    gone_binds=True,
+    warm_up_time=10 * SECOND,
+    overload_multiple=4,
+    overload_time=3 * SECOND,
+    max_messages=30,
+    message_window=10 * SECOND,
 )
 WEB = Member.at("127.0.0.1", 80)
 
 
 class Breaches(unittest.TestCase):
     def setUp(self):
-        self.day = Day(dict(FIGURES), ["read"], 0)
+        self.day = Day(FIGURES, ["read"], 0)
         self.day.starts.append(0)
         self.day.seen.append(Seen(SECOND, "r1", "joined", b""))
         self.day.told.append((0, "h1", "ready", -60 * SECOND))
@@ -150,7 +151,7 @@
         self.day.told.append((5 * SECOND, "h1", "gone", 0))
         self.receive(9)
         self.assertEqual(list(self.broken()), ["drains kept"])
-        self.day.figures["gone_binds"] = False
+        self.day.figures = dataclasses.replace(FIGURES, removal_is_final=False)
         self.assertEqual(self.broken(), {})
 
     def test_a_planner_that_started_later_is_told_by_its_own_first_list(self):
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,11 +1,12 @@
 """What the assigner decides, as traces; each guards a decision named by its test."""
 
+import dataclasses
 import unittest
 
-from rig import SECOND, Rig, TraceCase, charter, server
+from rig import SECOND, Rig, TraceCase, deployment_settings, server
 
-from indigodeck import records
-from indigodeck.host import CHANGES, DRAINING, GONE
+from indigodeck.assignment import records
+from indigodeck.assignment.interface import DemandReport, LoadReport, ServerState, UpdateKind
 
 
 def fleet(count=12, **stated):
@@ -14,8 +15,12 @@
 
 def zoned():
     """Two zones, the second class bound to its own; odd servers and proxy 1 are in zone 1."""
-    classes = charter()["classes"]
-    rig = Rig(charter(zones=2, classes=[classes[0], dict(classes[1], own_zone=True)]))
+    read, write = deployment_settings().classes
+    rig = Rig(
+        deployment_settings(
+            zone_count=2, classes=(read, dataclasses.replace(write, zone_bound=True))
+        )
+    )
     rig.start([server(index, zone=index % 2) for index in range(12)], zones=2)
     return rig
 
@@ -30,8 +35,9 @@
         self.assertEqual(set().union(*rig.tables.values()), set(range(12)))
 
     def test_many_classes_leave_no_server_out(self):
-        classes = [dict(charter()["classes"][0], name=f"class {k}") for k in range(9)]
-        rig = Rig(charter(classes=classes))
+        read = deployment_settings().classes[0]
+        classes = tuple(dataclasses.replace(read, name=f"class {k}") for k in range(9))
+        rig = Rig(deployment_settings(classes=classes))
         rig.start(fleet(60))
         self.assertEqual(set().union(*rig.tables.values()), set(range(60)))
 
@@ -57,8 +63,8 @@
         rig.start(fleet())
         rig.run(1)
         rig.printed.clear()
-        rig.change(server(3, DRAINING))
-        rig.assigner.listed(CHANGES, [server(5, GONE)])
+        rig.change(server(3, ServerState.DRAINING))
+        rig.assigner.on_endpoint_update(UpdateKind.CHANGES, [server(5, ServerState.GONE)])
         rig.change(server(5, started=SECOND))
         self.compare("drain", rig)
 
@@ -74,11 +80,12 @@
     def test_starting_over_among_cold_servers_is_careful(self):
         rig = Rig()
         rig.clock = 60 * SECOND
-        rig.assigner.listed(
-            CHANGES, [server(index, started=57 * SECOND if index % 2 else 0) for index in range(8)]
+        rig.assigner.on_endpoint_update(
+            UpdateKind.CHANGES,
+            [server(index, started=57 * SECOND if index % 2 else 0) for index in range(8)],
         )
         for proxy in range(4):
-            rig.assigner.proxy_joined(proxy, 0, 80.0, False)
+            rig.assigner.on_proxy_joined(proxy, 0, 80.0, False)
         rig.run(3)
         self.compare("starting-over", rig)
 
@@ -113,7 +120,7 @@
     def test_cold_server_waits_while_proxies_that_step_away_lose_many_tries(self):
         # Day ha35910: reports came late, the median server was well, and cold ones got what others had lost.
         for strikes, weight in ((0, True), (3, False)):
-            rig = Rig(charter(strikes=strikes))
+            rig = Rig(deployment_settings(proxy_failure_limit=strikes))
             rig.start(fleet())
             rig.run(6, lambda rig: rig.report(failed=lambda index: 4 if index % 2 else 2))
             rig.change(server(12, started=rig.clock))
@@ -121,52 +128,53 @@
             self.assertEqual(any(lines.get(12) for lines in rig.tables.values()), weight)
 
     def test_messages_stay_under_the_limit(self):
-        rig = Rig(charter(messages_most=8))
+        rig = Rig(deployment_settings(max_messages=8))
         rig.start(fleet())
         rig.printed.clear()
         for step in range(24):
-            rig.change(server(step // 2, "ready" if step % 2 else DRAINING))
+            rig.change(server(step // 2, "ready" if step % 2 else ServerState.DRAINING))
             rig.run(0.4)
         moments = {line[:9] for line in rig.printed if "table" in line or "withdraw" in line}
         self.assertLessEqual(len(moments) + 1, 8)
 
     def test_joins_among_cold_servers_leave_messages_for_the_next_drains(self):
         # Day h8334b8: a restarted planner, proxies that join one by one, cold servers, and drains in waves.
-        rig = Rig(charter(messages_most=20, proxies=40))
+        rig = Rig(deployment_settings(max_messages=20, proxy_count=40))
         rig.clock = 60 * SECOND
-        rig.assigner.listed(
-            CHANGES, [server(index, started=index % 3 * 25 * SECOND) for index in range(12)]
+        rig.assigner.on_endpoint_update(
+            UpdateKind.CHANGES,
+            [server(index, started=index % 3 * 25 * SECOND) for index in range(12)],
         )
         for proxy in range(40):
-            rig.assigner.proxy_joined(proxy, 0, 2.0 + proxy % 7, False)
+            rig.assigner.on_proxy_joined(proxy, 0, 2.0 + proxy % 7, False)
             rig.run(0.1)
         most = max(len(proxy.written) for proxy in rig.assigner.proxies.values())
         rig.printed = [f"messages to one proxy while 40 joined: {most}"]
         for index in (4, 7, 9):
-            rig.change(server(index, DRAINING))
+            rig.change(server(index, ServerState.DRAINING))
             rig.run(0.4)
         rig.printed = [line for line in rig.printed if "withdraw" in line or "messages" in line]
         self.compare("drains-after-joins", rig)
         self.assertEqual(rig.assigner.withdrawn, {4, 7, 9})
 
     def test_a_proxy_at_its_limit_holds_back_its_own_drains_alone(self):
-        rig = Rig(charter(messages_most=20, proxies=40))
+        rig = Rig(deployment_settings(max_messages=20, proxy_count=40))
         rig.start(fleet(30), proxies=40)
         rig.run(3)
         first = rig.assigner.proxies[0]
         first.written.extend([rig.clock] * (19 - len(first.written)))
         held = set().union(*(table.lines for table in rig.assigner.tables if 0 in table.users))
         others = sorted(set(range(30)) - held)
-        rig.change(server(others[0], DRAINING), server(min(held), DRAINING))
+        rig.change(server(others[0], ServerState.DRAINING), server(min(held), ServerState.DRAINING))
         self.assertEqual(rig.assigner.withdrawn, {others[0]})
         rig.run(11)
         self.assertEqual(rig.assigner.withdrawn, {others[0], min(held)})
 
     def test_list_is_asked_again_after_failures_ever_later(self):
-        rig = Rig(charter(list_asked=True))
+        rig = Rig(deployment_settings(list_on_request=True))
         rig.start(fleet(4))
         for _ in range(4):
-            rig.assigner.list_failed()
+            rig.assigner.on_endpoint_list_failed()
             rig.run(9)
         rig.printed = [line for line in rig.printed if "watch" in line]
         self.compare("asking", rig)
@@ -227,11 +235,11 @@
         rig = Rig()
         rig.start(fleet())
         for proxy in range(2):
-            rig.assigner.proxy_left(proxy)
+            rig.assigner.on_proxy_left(proxy)
         rig.run(12, lambda rig: rig.report(lambda index: 900_000, lambda index: 6, 30))
         self.assertEqual(rig.assigner.valves[None].open, 1.0)
         for proxy in range(2):
-            rig.assigner.proxy_joined(proxy, 0, 50.0, False)
+            rig.assigner.on_proxy_joined(proxy, 0, 50.0, False)
         rig.run(6, lambda rig: rig.report(lambda index: 900_000, lambda index: 6, 30, (80, 40)))
         self.assertLess(rig.assigner.valves[None].open, 1.0)
 
@@ -262,7 +270,7 @@
             cuts[:] = [float(line.split()[0]) for line in rig.printed if "zone None open" in line]
             took, failed = (900_000, 45 if cuts else 6) if rig.clock > 10 * SECOND else (200_000, 0)
             for index in range(rig.clock // SECOND % 5, 12, 5):
-                rig.assigner.heard(0, index, 60, failed, took, span, None)
+                rig.assigner.on_load_report(LoadReport(0, index, 60, failed, took, span))
 
         rig.start(fleet())
         rig.run(40, reports)
@@ -317,8 +325,10 @@
         def reports(rig):
             rig.report(tries=40)
             for index in (1, 3):
-                rig.assigner.heard(
-                    1, index, 9, 0, 900_000 if rig.clock > 6 * SECOND else 200_000, SECOND, None
+                rig.assigner.on_load_report(
+                    LoadReport(
+                        1, index, 9, 0, 900_000 if rig.clock > 6 * SECOND else 200_000, SECOND, None
+                    )
                 )
             for index in (5, 7, 9, 11):
                 rig.assigner.health[index].reports.clear()
@@ -331,7 +341,7 @@
 
         def reports(rig):
             rig.report(demand=(10, 10))
-            rig.assigner.demand(1, 1, 90, 0, SECOND)
+            rig.assigner.on_demand_report(DemandReport(1, 1, 90, 0, SECOND))
 
         rig.run(14, reports)
         used = {index % 2 for index, weight in rig.tables[0].items() if weight}
@@ -342,10 +352,20 @@
     """Many proxies and servers: groups by zone, joins as the channel takes them."""
 
     def large(self, joined=270, **stated):
-        rig = Rig(charter(zones=3, proxies=270, lines_per_s=4500, waiting_most=6800, **stated))
-        rig.assigner.listed(CHANGES, [server(index, zone=index % 3) for index in range(90)])
+        rig = Rig(
+            deployment_settings(
+                zone_count=3,
+                proxy_count=270,
+                lines_per_second=4500,
+                max_waiting_lines=6800,
+                **stated,
+            )
+        )
+        rig.assigner.on_endpoint_update(
+            UpdateKind.CHANGES, [server(index, zone=index % 3) for index in range(90)]
+        )
         for proxy in range(joined):
-            rig.assigner.proxy_joined(proxy, proxy % 3, 4.0, True)
+            rig.assigner.on_proxy_joined(proxy, proxy % 3, 4.0, True)
         rig.run(1 / SECOND)
         return rig
 
@@ -376,23 +396,27 @@
 
 class Lists(TraceCase):
     def test_servers_wrongly_listed_as_gone_stay_while_they_answer(self):
-        rig = Rig(charter(gone_binds=False, probes=True))
+        rig = Rig(deployment_settings(removal_is_final=False, health_checks_allowed=True))
         rig.start(fleet())
         rig.run(1)
         rig.printed.clear()
-        rig.change(server(3, GONE), server(4, GONE), server(5, DRAINING))
-        rig.change(server(5, GONE))
+        rig.change(
+            server(3, ServerState.GONE),
+            server(4, ServerState.GONE),
+            server(5, ServerState.DRAINING),
+        )
+        rig.change(server(5, ServerState.GONE))
         rig.run(0.3)
-        rig.assigner.probed(3, "ok", 0, None)
-        rig.assigner.probed(4, "unreachable", 0, None)
+        rig.assigner.on_health_check(3, "ok", 0, None)
+        rig.assigner.on_health_check(4, "unreachable", 0, None)
         rig.run(1.5)
         self.compare("wrong-list", rig)
 
     def test_servers_listed_as_gone_stay_without_probes_while_they_complete(self):
-        rig = Rig(charter(gone_binds=False))
+        rig = Rig(deployment_settings(removal_is_final=False))
         rig.start(fleet())
         rig.run(3, lambda rig: rig.report())
-        rig.change(server(3, GONE), server(4, GONE))
+        rig.change(server(3, ServerState.GONE), server(4, ServerState.GONE))
         rig.run(5, lambda rig: rig.report(failed=lambda index: 20 if index == 4 else 0))
         self.assertTrue(rig.tables[0][3])
         self.assertFalse(rig.tables[0][4])
@@ -414,11 +438,11 @@
 
 class Channel(TraceCase):
     def moments(self, took):
-        rig = Rig(charter(lines_per_s=60, waiting_most=400))
+        rig = Rig(deployment_settings(lines_per_second=60, max_waiting_lines=400))
         rig.start(fleet())
         rig.run(8)
-        rig.change(server(0, DRAINING))
-        rig.assigner.applied(0, rig.assigner.channel.number, took)
+        rig.change(server(0, ServerState.DRAINING))
+        rig.assigner.on_ack(0, rig.assigner.channel.number, took)
         rig.printed.clear()
         rig.change(*[server(index, started=rig.clock) for index in range(12, 24)])
         rig.run(2)
@@ -431,39 +455,42 @@
 class Odd(unittest.TestCase):
     def test_zero_and_unknown_values_are_harmless(self):
         rig = Rig()
-        rig.assigner.listed(CHANGES, [server(0, weight=0.0), server(1, weight=float("nan"))])
+        rig.assigner.on_endpoint_update(
+            UpdateKind.CHANGES, [server(0, weight=0.0), server(1, weight=float("nan"))]
+        )
         rig.start([])
-        rig.assigner.heard(0, 7, 0, 0, 0, 0, None)
-        rig.assigner.heard(3, 7, 5, 9, 0, SECOND, {})
-        rig.assigner.demand(99, 0, 5, 0, 0)
-        rig.assigner.applied(99, 12, 0)
-        rig.assigner.probed(7, "silent", 0, None)
-        rig.assigner.proxy_left(42)
-        rig.assigner.told(3, b"?")
+        rig.assigner.on_load_report(LoadReport(0, 7, 0, 0, 0, 0))
+        rig.assigner.on_load_report(LoadReport(3, 7, 5, 9, 0, SECOND, {}))
+        rig.assigner.on_demand_report(DemandReport(99, 0, 5, 0, 0))
+        rig.assigner.on_ack(99, 12, 0)
+        rig.assigner.on_health_check(7, "silent", 0, None)
+        rig.assigner.on_proxy_left(42)
+        rig.assigner.on_peer_message(3, b"?")
         rig.run(5)
 
     def test_slices_keep_their_server_until_it_goes(self):
-        rig = Rig(charter(slices=8))
-        rig.assigner.listed(CHANGES, fleet(4))
-        rig.assigner.slice_given(2, True)
-        rig.assigner.slice_held(2, 1, 1.0)
-        rig.assigner.slice_demand(2, 0, 9, 1, SECOND)
+        rig = Rig(deployment_settings(key_range_count=8))
+        rig.assigner.on_endpoint_update(UpdateKind.CHANGES, fleet(4))
+        rig.assigner.on_key_range_assigned(2, True)
+        rig.assigner.on_key_range_server(2, 1, 1.0)
+        rig.assigner.on_key_range_demand(2, 0, 9, 1, SECOND)
         rig.run(
             4,
             lambda rig: [
-                rig.assigner.heard(0, index, 20, 19, 900_000, SECOND, None) for index in range(4)
+                rig.assigner.on_load_report(LoadReport(0, index, 20, 19, 900_000, SECOND))
+                for index in range(4)
             ],
         )
         self.assertFalse(rig.tables)
-        rig.change(server(1, GONE))
+        rig.change(server(1, ServerState.GONE))
         self.assertEqual(len(rig.tables[2]), 2)
 
     def test_single_owner_hands_over_after_a_rest(self):
-        rig = Rig(charter(slices=8, exclusive=True))
-        rig.assigner.listed(CHANGES, fleet(4))
-        rig.assigner.slice_given(2, True)
-        rig.assigner.slice_held(2, 1, 1.0)
-        rig.change(server(1, DRAINING))
+        rig = Rig(deployment_settings(key_range_count=8, exclusive_ownership=True))
+        rig.assigner.on_endpoint_update(UpdateKind.CHANGES, fleet(4))
+        rig.assigner.on_key_range_assigned(2, True)
+        rig.assigner.on_key_range_server(2, 1, 1.0)
+        rig.change(server(1, ServerState.DRAINING))
         self.assertFalse(rig.tables)
         rig.run(2)
         self.assertEqual(len(rig.tables[2]), 1)
@@ -473,7 +500,9 @@
     """The channel that stands still for ten seconds (a proxy's stall, a slow relay) and what is believed of it."""
 
     def channel(self):
-        stated = charter(lines_per_s=1000, head_lines=0, way_longest=SECOND // 2)
+        stated = deployment_settings(
+            lines_per_second=1000, message_overhead_lines=0, max_delivery_delay=SECOND // 2
+        )
         self.proxies = records.Proxies(stated, 20 * SECOND)
         self.proxies[1] = records.Proxy((0, 0), 1.0, {})
         return records.Channel(stated, 0, 20 * SECOND)
@@ -507,14 +536,14 @@
         rig.start(fleet())
         rig.run(4)
         before, rig.answers = rig.assigner._echo(), None
-        rig.change(server(3, DRAINING))
+        rig.change(server(3, ServerState.DRAINING))
         rig.run(4)
         self.assertGreater(rig.assigner._echo(), before + 2 * SECOND)
 
     def test_a_server_long_gone_is_forgotten(self):
         rig = Rig()
         rig.start(fleet())
-        rig.change(server(3, GONE))
+        rig.change(server(3, ServerState.GONE))
         rig.run(15)
         self.assertIn(3, rig.assigner.withdrawn)
         rig.run(15)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -22,11 +22,11 @@
 from tornado.testing import AsyncTestCase, gen_test
 from tornado.web import Application, RequestHandler
 
-from indigodeck.charter import Malformed, charter_of
 from indigodeck.edge import codec, dialling, listener, relay_client
-from indigodeck.edge.desk import Desk
+from indigodeck.edge.assigner_host import Desk
 from indigodeck.edge.membership import Membership
 from indigodeck.edge.outbox import Outbox, key_of
+from indigodeck.settings import MalformedMessageError, settings_from_object
 
 STATED = dict(
     SETTINGS,
@@ -43,8 +43,8 @@
     ),
     loadInfo={"how": "inline", "columns": ["busy_reqs"]},
 )
-CHARTER = charter_of(STATED)
-WORDS = codec.Words(CHARTER)
+CHARTER = settings_from_object(STATED)
+WORDS = codec.MessageCodec(CHARTER)
 OUTCOMES = {
     "type": "outcomes",
     "zone": "a",
@@ -131,7 +131,7 @@
             spoilt[name] = data.draw(STRANGE)
         try:
             fields = read(spoilt)
-        except Malformed:
+        except MalformedMessageError:
             return
         for value in fields:  # what passes is of the shape that the assigner counts on
             self.assertFalse(isinstance(value, float) and not 0 <= value <= 1e9, (name, spoilt))
@@ -152,7 +152,7 @@
             ("zone", "c"),
             ("server", ""),
         ):
-            with self.assertRaises(Malformed, msg=(field, value)):
+            with self.assertRaises(MalformedMessageError, msg=(field, value)):
                 WORDS.outcomes(dict(OUTCOMES, **{field: value}))
 
     def test_what_is_no_json_object(self):
@@ -169,7 +169,7 @@
             b"null",
             b'{"a":1}{"b":2}',
         ):
-            with self.assertRaises(Malformed, msg=data[:20]):
+            with self.assertRaises(MalformedMessageError, msg=data[:20]):
                 codec.read_object(data)
 
     @given(st.binary(max_size=60))
@@ -181,7 +181,7 @@
         ):
             try:
                 read(data)
-            except Malformed:
+            except MalformedMessageError:
                 pass
 
     def test_an_entry_that_cant_be_used_is_passed_over_alone(self):
@@ -199,7 +199,7 @@
             {"seq": -1, "whole": True, "hosts": []},
             {"seq": 1, "whole": 1, "hosts": []},
         ):
-            with self.assertRaises(Malformed):
+            with self.assertRaises(MalformedMessageError):
                 WORDS.catalog(strange)
 
     def test_answers_to_calls(self):
@@ -223,7 +223,7 @@
             dict(error="invalid"),
             dict(id=9, error="invalid"),
         ):
-            with self.assertRaises(Malformed, msg=spoilt):
+            with self.assertRaises(MalformedMessageError, msg=spoilt):
                 answer(**spoilt)
 
 
@@ -342,7 +342,7 @@
         if fate == "taken":
             relay.answered(answer)
         elif fate == "spoilt":
-            with self.assertRaises(Malformed):
+            with self.assertRaises(MalformedMessageError):
                 relay.answered(answer[:-3])
         else:
             relay.lost()
@@ -571,7 +571,7 @@
         self.assertEqual(believed, standing)
 
 
-class Outside(Loop):
+class Environment(Loop):
     """A desk's outside, which prints."""
 
     def wanted(self):
@@ -592,7 +592,7 @@
 
 class OneDesk(unittest.TestCase):
     def setUp(self):
-        self.outside = Outside()
+        self.outside = Environment()
         self.relay = Outbox(self.outside.now, self.outside.note)
         self.desk = Desk(self.outside, WORDS, self.relay, CHARTER, 7)
 
@@ -653,7 +653,7 @@
         def heard(*fields):
             raise KeyError("what any fault looks like")
 
-        self.desk.assigner.heard = heard
+        self.desk.assigner.on_load_report = heard
         self.desk.heard(0, "s-1", 3, 0, 1000, SECOND, None)
         self.assertIn("lost to a fault", "".join(self.outside.printed))
         self.join(3)
@@ -760,11 +760,11 @@
         self.relay = Outbox(now, self.noted.append)
 
     def linked(self, desk):
-        from indigodeck.chance import Chance
+        from indigodeck.assignment.seeded_random import SeededRandom
 
         news = Membership(desk, self.now)
         made = relay_client.RelayClient(
-            self.relay, news, desk, WORDS, self.now, self.noted.append, Chance(1)
+            self.relay, news, desk, WORDS, self.now, self.noted.append, SeededRandom(1)
         )
         made.start(self.script.listen_somewhere())
         return made
@@ -999,8 +999,8 @@
                 "jsonschema",
                 "click",
                 "indigodeck.store",
-                "indigodeck.takeover",
-                "indigodeck.fronts",
+                "indigodeck.leadership",
+                "indigodeck.frontends",
             ):
                 self.assertNotIn(f"'{unused}", names)
             program = subprocess.Popen(
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,8 +21,8 @@
     OUTCOMES,
     STATED,
     WORDS,
+    Environment,
     Held,
-    Outside,
     Script,
     Told,
     catalog,
@@ -36,14 +36,14 @@
 from tornado.tcpserver import TCPServer
 from tornado.testing import AsyncTestCase, bind_unused_port, gen_test
 
-from indigodeck.chance import Chance
-from indigodeck.charter import charter_of
+from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.clock import now
 from indigodeck.edge import codec, dialling, listener, relay_client
-from indigodeck.edge.desk import Desk
+from indigodeck.edge.assigner_host import Desk
 from indigodeck.edge.discovery import DOUBTS, Discovery
 from indigodeck.edge.membership import Membership
 from indigodeck.edge.outbox import Outbox
+from indigodeck.settings import settings_from_object
 
 
 def listing(*entries, version=1, whole=True):
@@ -121,7 +121,9 @@
         self.told, self.noted = [], []
 
     def watched(self, registry, filled=False):
-        made = Discovery(registry.place, WORDS, self.heard, self.noted.append, Chance(1), filled)
+        made = Discovery(
+            registry.place, WORDS, self.heard, self.noted.append, SeededRandom(1), filled
+        )
         made.start()
         return made
 
@@ -262,7 +264,7 @@
     def linked(self, script):
         self.relay, told = Outbox(now, self.noted.append), Told()
         made = relay_client.RelayClient(
-            self.relay, Membership(told, now), told, WORDS, now, self.noted.append, Chance(1)
+            self.relay, Membership(told, now), told, WORDS, now, self.noted.append, SeededRandom(1)
         )
         made.start(script.listen_somewhere())
         return made, told
@@ -613,8 +615,8 @@
         """Plays all of them step by step in turn; the orders of each."""
         made = []
         for stated in deployments:
-            charter, outside = charter_of(stated), Outside()
-            words, relay = codec.Words(charter), Outbox(outside.now, outside.note)
+            charter, outside = settings_from_object(stated), Environment()
+            words, relay = codec.MessageCodec(charter), Outbox(outside.now, outside.note)
             made.append((stated, words, outside, relay, Desk(outside, words, relay, charter, 7)))
         ordered = [[] for _ in made]
         for turn in range(12):
@@ -655,7 +657,7 @@
 
 class OneDesk(unittest.TestCase):
     def setUp(self):
-        self.outside = Outside()
+        self.outside = Environment()
         self.relay = Outbox(self.outside.now, self.outside.note)
         self.desk = Desk(self.outside, WORDS, self.relay, CHARTER, 7)
 
@@ -663,10 +665,10 @@
         asked, told = [], []
         self.outside.probe = lambda handed, dial: asked.append(handed)
         self.desk.listed(catalog(entry("s-1", born=5000)), cached=True)
-        self.desk.probe(0)
+        self.desk.check_health(0)
         self.desk.listed(catalog(entry("s-1", born=9000), version=2))
-        self.desk.assigner.probed = lambda *found: told.append(found)
-        self.desk.probe(0)
+        self.desk.assigner.on_health_check = lambda *found: told.append(found)
+        self.desk.check_health(0)
         self.desk.probed(asked[0], "silent", 500_000, None)
         self.assertEqual(told, [])
         self.desk.probed(asked[1], "ok", 100, None)
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -15,15 +15,15 @@
 
 import structlog
 
-from indigodeck.client import Malfunction, Refused, Tables, Unreachable
+from indigodeck.client import Malfunction, RejectedError, Tables, Unreachable
 from indigodeck.client.sasp import SaspClient
 from indigodeck.clock import now
-from indigodeck.fronts.sasp import codec
-from indigodeck.planner.charter import Charter
+from indigodeck.frontends.sasp import codec
+from indigodeck.planner.planner_settings import PlannerSettings
 from indigodeck.serve import assemble
-from indigodeck.standins import day
-from indigodeck.standins.host import Yard
-from indigodeck.standins.keeper import Keeper
+from indigodeck.testbed import scenario as day
+from indigodeck.testbed.discovery_server import DiscoveryServer
+from indigodeck.testbed.host_pool import HostPool
 
 ROOT = pathlib.Path(__file__).parent.parent
 EXAMPLE = json.loads((ROOT / "examples/bad-day.json").read_text())
@@ -75,7 +75,7 @@
             logger_factory=structlog.ReturnLoggerFactory(),
             cache_logger_on_first_use=False,
         )
-        self.service = assemble(Charter(self.document, self.folder.name))
+        self.service = assemble(PlannerSettings(self.document, self.folder.name))
         self.port = self.service.fronts[0].port()
         return self
 
@@ -203,7 +203,7 @@
             for nth in range(30):
                 planner.keep(**{f"host_{nth}": "draining"})
                 await until(lambda: not ports(tables) & set(range(nth + 1)))
-            limit = planner.service.desk.stated["waiting_most"]
+            limit = planner.service.desk.settings.channel.max_waiting_lines
             self.assertLess(planner.service.desk.most_waiting, limit)
             held, data = Tables(["reading"], now), b""
             deaf.setblocking(False)
@@ -227,7 +227,7 @@
 
     async def test_a_hung_host_loses_its_share_within_three_periods_and_comes_back_by_ramp(self):
         with open(os.devnull, "w") as nowhere:
-            yard = Yard(now, nowhere, {"reading": 20_000, "setpoint": 20_000})
+            yard = HostPool(now, nowhere, {"reading": 20_000, "setpoint": 20_000})
             async with Planner(
                 hosts=0, reports={"period_ms": 1000, "probes_per_s": 60, "probes_at_once": 40}
             ) as planner:
@@ -264,7 +264,7 @@
     async def test_the_list_from_a_service_that_pushes_or_is_asked_and_fails_for_a_while(self):
         for asked in (False, True):
             with self.subTest(asked=asked):
-                keeper = Keeper(late=100_000)
+                keeper = DiscoveryServer(late=100_000)
                 port = keeper.listen()
                 hosts = [
                     {
@@ -395,7 +395,15 @@
         await until(lambda: len(calls) >= 8)
         self.assertEqual(
             errors[:7],
-            [Unreachable, Unreachable, Unreachable, Malfunction, Refused, Malfunction, Unreachable],
+            [
+                Unreachable,
+                Unreachable,
+                Unreachable,
+                Malfunction,
+                RejectedError,
+                Malfunction,
+                Unreachable,
+            ],
         )
         # Whatever came after it, the table that was given once is kept, and its age is known.
         self.assertEqual(held, [{("127.0.0.1", 9001): 7}] * len(held))
--- a/tests/test_outlasting.py
+++ b/tests/test_outlasting.py
@@ -17,12 +17,12 @@
 from test_versions import Planner as Paper  # noqa: E402
 from test_versions import Shelf
 
-from indigodeck.chance import Chance  # noqa: E402
-from indigodeck.planner.belief import Belief  # noqa: E402
-from indigodeck.takeover import messages  # noqa: E402
-from indigodeck.versions import sheets  # noqa: E402
-from indigodeck.versions.copies import Copies  # noqa: E402
-from indigodeck.versions.ledger import DAY, Number  # noqa: E402
+from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
+from indigodeck.leadership import messages  # noqa: E402
+from indigodeck.planner.cached_endpoint_list import CachedEndpointList  # noqa: E402
+from indigodeck.versions import snapshots as sheets  # noqa: E402
+from indigodeck.versions.replication import VersionReplicator  # noqa: E402
+from indigodeck.versions.version_log import DAY, Number  # noqa: E402
 
 
 class Kept(Loop):
@@ -41,7 +41,7 @@
             }
             for name in hosts
         ]
-        self.belief = Belief(
+        self.belief = CachedEndpointList(
             self,
             {
                 "hosts": entries,
@@ -133,7 +133,7 @@
     """Controllers' messages on simulated time: lost, late, twice, out of order."""
 
     def __init__(self, seed, members=3):
-        self.loop, self.chance = Loop(), Chance(seed)
+        self.loop, self.chance = Loop(), SeededRandom(seed)
         self.loss, self.papers, self.copies, self.held, self.shown, self.proved = (
             0,
             {},
@@ -151,7 +151,7 @@
         self.papers[name] = paper
         paper.books.epoch = None
         seat = Seat(self, name)
-        self.copies[name] = Copies(seat, paper.books)
+        self.copies[name] = VersionReplicator(seat, paper.books)
         paper.wishes_changed, paper.published = (
             self.copies[name].wishes_changed,
             self.copies[name].published,
@@ -220,7 +220,7 @@
 
 def schedule(seed):
     """Changes, rollbacks, takeovers and restarts while messages are lost; then none are, and all must agree."""
-    net, chance, epoch, kept = Net(seed, 3 + 2 * (seed % 2)), Chance(seed + 7), 1, None
+    net, chance, epoch, kept = Net(seed, 3 + 2 * (seed % 2)), SeededRandom(seed + 7), 1, None
     net.take_over("c0", epoch)
     net.loss = (0, 20, 60)[seed % 3]
     for _ in range(40):
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -7,22 +7,22 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as some
-from rig import SECOND, Loop, TraceCase, charter, server
+from rig import SECOND, Loop, TraceCase, deployment_settings, server
 
+from indigodeck.assignment.interface import ServerState
 from indigodeck.client import Tables
-from indigodeck.fronts.sasp import codec
-from indigodeck.fronts.sasp.codec import Bounds, Member
-from indigodeck.fronts.sasp.conversation import Conversation, Office
-from indigodeck.host import DRAINING, GONE, READY
-from indigodeck.planner import arrivals
-from indigodeck.planner.allowance import Allowance
-from indigodeck.planner.arrivals import Arrivals
-from indigodeck.planner.charter import Charter
-from indigodeck.planner.desk import Desk, Door
-from indigodeck.planner.evidence import Evidence, Report
-from indigodeck.planner.roster import Roster, read
+from indigodeck.frontends.sasp import codec
+from indigodeck.frontends.sasp.codec import Bounds, Member
+from indigodeck.frontends.sasp.conversation import Conversation, RegistrationRegistry
+from indigodeck.json_documents import InvalidDocumentError
+from indigodeck.planner import join_admission as arrivals
+from indigodeck.planner.endpoint_list import EndpointList, read
+from indigodeck.planner.health_inference import HealthInference, Report
+from indigodeck.planner.join_admission import JoinAdmission
+from indigodeck.planner.message_quota import MessageQuota
+from indigodeck.planner.pending_updates import Desk, IdRegistry
+from indigodeck.planner.planner_settings import PlannerSettings
 from indigodeck.planner.weights import scaled
-from indigodeck.schema import BadDocument
 
 PORT = 8000
 
@@ -32,9 +32,11 @@
 
     def __init__(self, servers=6, **stated):
         super().__init__()
-        self.relays, self.quiet, self.fleet = Door(), [], {}
-        self.desk = Desk(self, charter(**stated), 3)
-        self.office = Office(self.desk, self, ["read", "write"], Bounds(members=64), 5, 10 * SECOND)
+        self.relays, self.quiet, self.fleet = IdRegistry(), [], {}
+        self.desk = Desk(self, deployment_settings(**stated), 3)
+        self.office = RegistrationRegistry(
+            self.desk, self, ["read", "write"], Bounds(members=64), 5, 10 * SECOND
+        )
         self.change(*[server(index) for index in range(servers)])
 
     def change(self, *servers):
@@ -137,7 +139,7 @@
         clerk.run(0.1)
         wire.push()
         clerk.note("server 3 drains, server 11 is new")
-        clerk.change(server(3, DRAINING), server(11, started=clerk.clock))
+        clerk.change(server(3, ServerState.DRAINING), server(11, started=clerk.clock))
         wire.push()
         clerk.run(12)
         wire.push()
@@ -220,13 +222,13 @@
 
     def test_a_server_wrongly_listed_as_gone_and_kept_by_the_assigner_keeps_its_weight(self):
         # Found on the first bad day: the front read the list itself and told weight 0 for half of the fleet.
-        clerk = Clerk(gone_binds=False, probes=True)
+        clerk = Clerk(removal_is_final=False, health_checks_allowed=True)
         wire = Wire(clerk)
         wire.ask(*hello())
         clerk.run(1)
         wire.push()
         held = dict(wire.talk.groups[0].told)
-        clerk.change(*[server(index, GONE) for index in range(3)])
+        clerk.change(*[server(index, ServerState.GONE) for index in range(3)])
         for index in range(3):
             clerk.desk.probed(index, "ok", 1000, None)
         wire.ask(codec.get_weights(4, [(b"r1", b"read")]))
@@ -256,7 +258,7 @@
         clerk.run(0.1)
         wire.ask(codec.deregister(3, True, 0, [((b"r1", b"read"), [])]))
         wire.push()
-        clerk.change(server(1, DRAINING))
+        clerk.change(server(1, ServerState.DRAINING))
         wire.push()
         self.assertFalse([line for line in clerk.printed if " read:" in line])
 
@@ -268,10 +270,10 @@
         clerk.run(0.1)
         messages = 0
         for nth in range(10):
-            clerk.change(server(nth, DRAINING))
+            clerk.change(server(nth, ServerState.DRAINING))
             clerk.run(1)
             messages += bool(other.push())
-            self.assertLess(clerk.desk.queue(), clerk.desk.stated["waiting_most"])
+            self.assertLess(clerk.desk.queue(), clerk.desk.settings.channel.max_waiting_lines)
         self.assertGreater(messages, 8)
         self.assertTrue(deaf.push())
         self.assertFalse(deaf.push())
@@ -295,7 +297,7 @@
 
     def test_old_tables_are_bound_by_drains_before_a_table_is_given(self):
         clerk = Clerk(servers=0)
-        clerk.change(server(0), server(1), server(2, DRAINING))
+        clerk.change(server(0), server(1), server(2, ServerState.DRAINING))
         first = Wire(clerk)
         first.ask(*hello())
         clerk.run(0.1)
@@ -357,7 +359,9 @@
             if step == "agent":
                 agent.ask(codec.register(7, False, [(read, [member(nth)])]))
             elif step in ("drain", "ready"):
-                clerk.change(server(nth, DRAINING if step == "drain" else READY))
+                clerk.change(
+                    server(nth, ServerState.DRAINING if step == "drain" else ServerState.READY)
+                )
             elif step == "push":
                 wire.push()
             elif step == "run":
@@ -385,10 +389,12 @@
 class Lists(unittest.TestCase):
     def setUp(self):
         self.calls = []
-        self.roster = Roster(self, Door(), ["a", "b"], ["std"], 5 * SECOND)
+        self.roster = EndpointList(self, IdRegistry(), ["a", "b"], ["std"], 5 * SECOND)
 
     def listed(self, kind, servers):
-        self.calls.append((kind, [(one.raw.decode(), one.state, one.started) for one in servers]))
+        self.calls.append(
+            (kind, [(one.stable_id.decode(), one.state, one.started) for one in servers])
+        )
 
     def older(self, hosts):
         self.left_aside = hosts
@@ -423,11 +429,11 @@
             self.calls,
             [
                 "ask",
-                ("cached", [("x", READY, 0), ("y", READY, 0)]),
-                ("changes", [("x", DRAINING, 0)]),
+                ("cached", [("x", ServerState.READY, 0), ("y", ServerState.READY, 0)]),
+                ("changes", [("x", ServerState.DRAINING, 0)]),
                 "ask",
                 "list 2 is older than 5: left aside",
-                ("whole", [("y", READY, 0)]),
+                ("whole", [("y", ServerState.READY, 0)]),
             ],
         )
 
@@ -437,7 +443,8 @@
         self.roster.whole(self.document(2, ("x", "ready")))
         self.roster.quiesced("127.0.0.1", 9000, False)
         self.assertEqual(
-            [servers[0][1] for _, servers in self.calls], [READY, DRAINING, DRAINING, READY]
+            [servers[0][1] for _, servers in self.calls],
+            [ServerState.READY, ServerState.DRAINING, ServerState.DRAINING, ServerState.READY],
         )
 
     def test_bad_documents_say_the_place(self):
@@ -448,13 +455,13 @@
             (json.dumps(self.document(1, ("x", "up"))), "hosts/0/state"),
             (json.dumps(dict(self.document(1), colour=1)), "'colour' was unexpected"),
         ):
-            with self.assertRaises(BadDocument) as caught:
+            with self.assertRaises(InvalidDocumentError) as caught:
                 read(text)
             self.assertIn(said, str(caught.exception))
 
     def test_charters_name_the_place_of_what_is_wrong(self):
         text = (pathlib.Path(__file__).parent.parent / "examples/charter.json").read_text()
-        self.assertEqual(Charter(json.loads(text)).stated["messages_most"], 20)
+        self.assertEqual(PlannerSettings(json.loads(text)).deployment.channel.max_messages, 20)
         for place, value, said in (
             (("hall",), "hall-z", "hall: 'hall-z'"),
             (("classes", 0, "patience_ms"), 1, "classes/0/patience_ms"),
@@ -467,16 +474,16 @@
             for step in place[:-1]:
                 spot = spot[step]
             spot[place[-1]] = value
-            with self.assertRaises(BadDocument) as caught:
-                Charter(broken)
+            with self.assertRaises(InvalidDocumentError) as caught:
+                PlannerSettings(broken)
             self.assertIn(said, str(caught.exception))
 
 
 class EvidenceOf(unittest.TestCase):
     def setUp(self):
         self.clock, self.met, self.brought = 0, {}, {}
-        stated = dict(charter(), own_zone=0)
-        self.evidence = Evidence(self, stated, 40, 16)
+        stated = deployment_settings(planner_zone=0)
+        self.evidence = HealthInference(self, stated, 40, 16)
         self.evidence.listed([server(index) for index in range(6)])
 
     def now(self):
@@ -578,7 +585,7 @@
     def setUp(self):
         self.loop, self.waiting, self.inside, self.away = Loop(), 0, [], []
         self.now, self.later = self.loop.now, self.loop.later
-        self.arrivals = Arrivals(self, 1000)
+        self.arrivals = JoinAdmission(self, 1000)
 
     def queue(self):
         return self.waiting
@@ -623,7 +630,7 @@
     @settings(max_examples=200, deadline=None)
     @given(some.lists(some.tuples(some.integers(0, 3000), some.booleans()), max_size=80))
     def test_no_span_holds_more_than_is_allowed(self, wishes):
-        allowance, clock, written = Allowance(7, 1000, 3), 0, []
+        allowance, clock, written = MessageQuota(7, 1000, 3), 0, []
         for gap, answer in wishes:
             clock += gap
             wait = allowance.answer_in(clock) if answer else allowance.order_in(clock)
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -9,18 +9,18 @@
 import xxhash  # noqa: E402
 from envoy.config.core.v3 import base_pb2  # noqa: E402
 from envoy.service.discovery.v3 import discovery_pb2  # noqa: E402
-from rig import Loop, charter, server  # noqa: E402
+from rig import Loop, deployment_settings, server  # noqa: E402
 from test_versions import Shelf as Paper  # noqa: E402
 
-from indigodeck.chance import Chance  # noqa: E402
+from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
 from indigodeck.client import Tables  # noqa: E402
-from indigodeck.client.xds import Refused, Talk  # noqa: E402
-from indigodeck.fronts.xds import codec  # noqa: E402
-from indigodeck.fronts.xds.streams import Bounds, Relay, Shelf, Stream  # noqa: E402
-from indigodeck.planner.desk import Desk, Door  # noqa: E402
-from indigodeck.planner.publishing import Publishing  # noqa: E402
+from indigodeck.client.xds import RejectedError, Talk  # noqa: E402
+from indigodeck.frontends.xds import codec  # noqa: E402
+from indigodeck.frontends.xds.streams import Bounds, Relay, ResourceCache, Stream  # noqa: E402
+from indigodeck.planner.pending_updates import Desk, IdRegistry  # noqa: E402
+from indigodeck.planner.version_source import VersionSource  # noqa: E402
 from indigodeck.planner.weights import scaled  # noqa: E402
-from indigodeck.versions.ledger import DAY  # noqa: E402
+from indigodeck.versions.version_log import DAY  # noqa: E402
 
 CLASSES = ["read", "write"]
 
@@ -50,7 +50,7 @@
 
     def __init__(self, seed):
         super().__init__()
-        self.chance, self.paper, self.epoch, self.loss = Chance(seed), Paper(), 0, 30
+        self.chance, self.paper, self.epoch, self.loss = SeededRandom(seed), Paper(), 0, 30
         self.published, self.served, self.versions = set(), 0, {}
         self.clock_gap, self.store = DAY, self
         self.fars = [Far(self, nth) for nth in range(4)]
@@ -60,18 +60,26 @@
 
     def begin(self):
         self.epoch += 1
-        self.servers = Door()
-        self.relays = Door()
+        self.servers = IdRegistry()
+        self.relays = IdRegistry()
         for nth in range(8):
             self.servers.index(f"h{nth}")
-        self.desk = Desk(self, charter(), 1, Drawn)
+        self.desk = Desk(self, deployment_settings(), 1, Drawn)
         self.desk.listed("whole", [server(nth) for nth in range(8)])
         held = {key: value for key, value in self.paper.held.items()}
-        self.desk.books = self.books = Publishing(
-            self, self.desk, self, held, charter(), CLASSES, 500, DAY, lambda document: None
+        self.desk.books = self.books = VersionSource(
+            self,
+            self.desk,
+            self,
+            held,
+            deployment_settings(),
+            CLASSES,
+            500,
+            DAY,
+            lambda document: None,
         ).books
         self.books.in_charge(self.epoch)
-        self.shelf = Shelf(self.desk, self, dict(zip(CLASSES, (0, 1))), scaled)
+        self.shelf = ResourceCache(self.desk, self, dict(zip(CLASSES, (0, 1))), scaled)
         self.known = {}
         for relay in self.fars:
             relay.broken()
@@ -225,7 +233,7 @@
     def read(self, data):
         try:
             answer = self.talk.read(discovery_pb2.DeltaDiscoveryResponse.FromString(data))
-        except Refused:
+        except RejectedError:
             return self.broken()
         if answer is not None:
             error = answer.error_detail.message or None
--- a/tests/test_sasp_codec.py
+++ b/tests/test_sasp_codec.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from indigodeck.fronts.sasp import codec
-from indigodeck.fronts.sasp.codec import Bounds, Entry, Malformed, Member
+from indigodeck.frontends.sasp import codec
+from indigodeck.frontends.sasp.codec import Bounds, Entry, MalformedMessageError, Member
 
 # 10.1.2.3, port 80, TCP, label "web": type 3010, length 4+1+2+16+1+3 = 27.
 WEB = "3010001b06005000000000000000000000ffff0a01020303776562"
@@ -120,7 +120,7 @@
             whole(1, "101000508000014010ffff0002" + READING + WEB + SIX),
             whole(1, "10100050800001401000490009" + READING + WEB + SIX),
         ):
-            with self.assertRaises(Malformed) as caught:
+            with self.assertRaises(MalformedMessageError) as caught:
                 read(data, Bounds(members=8))
             said.append(f"{caught.exception.code:#04x} {caught.exception}")
         self.assertEqual(
@@ -145,7 +145,7 @@
         data[at % len(data) : at % len(data) + len(put)] = put
         try:
             read(bytes(data), Bounds(members=64))
-        except Malformed as error:
+        except MalformedMessageError as error:
             self.assertLessEqual(error.at, len(data))
 
     @settings(max_examples=100, deadline=None)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -7,8 +7,9 @@
 import sys
 import unittest
 
-from indigodeck.simhost.adapter import Adapter
-from indigodeck.simhost.codec import Malformed, read_frame
+from indigodeck.errors import MalformedMessageError
+from indigodeck.simulator.adapter import Adapter
+from indigodeck.simulator.codec import read_frame
 
 SETTINGS = {
     "classes": [
@@ -90,7 +91,7 @@
             (start()[:7], "input ends"),
             (struct.pack("<IId", 9, 1, 0.0), "9 records in 1"),
         ):
-            with self.subTest(words), self.assertRaisesRegex(Malformed, words):
+            with self.subTest(words), self.assertRaisesRegex(MalformedMessageError, words):
                 play(Adapter(), data)
 
     def test_failing_decisions_are_told_over_the_wire(self):
@@ -102,12 +103,12 @@
 
     def test_the_program_says_what_is_wrong_and_writes_nothing_else(self):
         done = subprocess.run(
-            [sys.executable, "-m", "indigodeck.simhost"], input=b"\1\2\3", capture_output=True
+            [sys.executable, "-m", "indigodeck.simulator"], input=b"\1\2\3", capture_output=True
         )
         self.assertEqual((done.returncode, done.stdout), (2, b""))
         self.assertIn(b"input ends within a header", done.stderr)
         empty = subprocess.run(
-            [sys.executable, "-m", "indigodeck.simhost"], input=frame(), capture_output=True
+            [sys.executable, "-m", "indigodeck.simulator"], input=frame(), capture_output=True
         )
         self.assertEqual((empty.returncode, empty.stdout), (0, struct.pack("<II", 0, 0)))
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,12 +10,13 @@
 import unittest
 import unittest.mock
 
-from indigodeck.chance import Chance
-from indigodeck.standins.disk import Cut, Disk
-from indigodeck.store import frames, log
+from indigodeck.assignment.seeded_random import SeededRandom
+from indigodeck.store import framing as frames
+from indigodeck.store import write_ahead_log as log
 from indigodeck.store.files import Folder
-from indigodeck.store.log import Log, Stopped
+from indigodeck.store.write_ahead_log import StoreStoppedError, WriteAheadLog
 from indigodeck.store.writer import Writer
+from indigodeck.testbed.faulty_disk import Disk, PowerCutError
 
 KEYS = [f"key/{nth}" for nth in range(7)]
 
@@ -66,28 +67,28 @@
     """Commits and compacts on a disk until its power goes, or to the end; then starts until a start succeeds. `again`: when the
     first of these starts is cut as well. (what was wrong, or None; operations done before the cut)
     """
-    chance = Chance(seed)
-    disk, truth = Disk(chance, cut_at, fails), Truth(Chance(seed + 1))
+    chance = SeededRandom(seed)
+    disk, truth = Disk(chance, cut_at, fails), Truth(SeededRandom(seed + 1))
     try:
-        store = Log(disk)
+        store = WriteAheadLog(disk)
         for _ in range(commits):
             try:
                 truth.commit(store)
-            except Stopped:
+            except StoreStoppedError:
                 pass
             while store.due() and chance.below(4):
                 store.compact(200)
             if len(truth.states) == 1 and held(store) != truth.states[0]:
                 return f"seed {seed}: {held(store)} held, {truth.states[0]} acknowledged", disk.done
         return None, disk.done
-    except Cut:
+    except PowerCutError:
         done = disk.done
     for nth in range(3):
         disk = (disk.after_end if process_only else disk.after_cut)(again if nth == 0 else None)
         try:
-            store = Log(disk)
+            store = WriteAheadLog(disk)
             break
-        except Cut:
+        except PowerCutError:
             continue
     disk.cut_at = None
     if held(store) not in truth.states:
@@ -103,7 +104,7 @@
     # It goes on with what it found, and does not come back to what it had left out.
     truth.states = [held(store)]
     truth.commit(store)
-    later = Log(disk.after_cut())
+    later = WriteAheadLog(disk.after_cut())
     return (
         None
         if held(later) == truth.states[0]
@@ -143,7 +144,7 @@
 
     def test_errors_of_the_disk_stop_a_commit_and_nothing_that_was_acknowledged(self):
         for seed in range(60):
-            chance = Chance(seed)
+            chance = SeededRandom(seed)
             fails = {
                 chance.below(150): (errno.ENOSPC, errno.EIO)[chance.below(2)] for _ in range(12)
             }
@@ -153,8 +154,8 @@
 
 def filled(commits=30, seed=5):
     """A disk with a base before, a base, and logs; and each state that it was ever in, record by record."""
-    disk, truth = Disk(Chance(seed)), Truth(Chance(seed + 1))
-    store = Log(disk)
+    disk, truth = Disk(SeededRandom(seed)), Truth(SeededRandom(seed + 1))
+    store = WriteAheadLog(disk)
     for _ in range(commits):
         truth.commit(store)
         while store.due():
@@ -180,8 +181,8 @@
         real_sync, real_folder, real_begin, real_switch = (
             Disk.sync,
             Disk.sync_folder,
-            Log._begin,
-            Log._switch,
+            WriteAheadLog._begin,
+            WriteAheadLog._switch,
         )
         self.assertFalse(self.caught())
         self.without(
@@ -207,15 +208,15 @@
             store.size, store.sequence = len(store.files.read(store.name)), store.synced
             return None
 
-        self.without(Log, "_begin", goes_on)
+        self.without(WriteAheadLog, "_begin", goes_on)
 
         def removes_first(store, copying, name):
             for number in [number for number in store.logs if number <= copying.number]:
                 store.files.remove(store.logs.pop(number))
             real_switch(store, copying, name)
 
-        self.without(Log, "_switch", removes_first)
-        self.without(Log, "_missing", lambda store, name, bad, first, last, vouched: True)
+        self.without(WriteAheadLog, "_switch", removes_first)
+        self.without(WriteAheadLog, "_missing", lambda store, name, bad, first, last, vouched: True)
         self.without(frames, "at", no_sums(frames.at))
 
 
@@ -231,7 +232,7 @@
             return None
         try:
             frames.unpacked(bytes(data[start + frames.HEAD.size : end]))
-        except frames.Unreadable:
+        except frames.UnreadableRecordError:
             return None
         return frames.Frame(
             start, end, sequence, synced, bytes(data[start + frames.HEAD.size : end])
@@ -251,10 +252,10 @@
         self.history = {key: [state.get(key) for state in self.states] for key in KEYS}
 
     def opened(self, name, data):
-        disk = Disk(Chance(3))
+        disk = Disk(SeededRandom(3))
         for other, held_ in self.files.items():
             disk.put(other, data if other == name else held_)
-        return Log(disk)
+        return WriteAheadLog(disk)
 
     def whole(self):
         store = self.opened(None, b"")
@@ -298,7 +299,7 @@
 
     def test_a_file_that_can_not_be_read_is_said_to_be_so_and_the_rest_is_served(self):
         for name in self.files:
-            disk = Disk(Chance(3))
+            disk = Disk(SeededRandom(3))
             for other, data in self.files.items():
                 disk.put(other, data)
             real = disk.read
@@ -309,15 +310,15 @@
                 return real(asked)
 
             disk.read = read
-            store = Log(disk)
+            store = WriteAheadLog(disk)
             self.judge(store, name, "unreadable")
             disk.read = real
             store.commit([[("key/0", {"nth": 10_000, "fill": ""})]])
             self.assertEqual(store.get("key/0")["nth"], 10_000)
 
     def test_damage_amid_a_log_is_told_apart_from_an_end_that_was_torn(self):
-        disk = Disk(Chance(4))
-        store = Log(disk)
+        disk = Disk(SeededRandom(4))
+        store = WriteAheadLog(disk)
         for nth in range(3):
             store.commit([[("a", nth)], [("b", nth)]])
         first, data = "00000001.log", disk.read("00000001.log")
@@ -325,15 +326,15 @@
         for nth, lost in ((3, True), (6, False)):
             flipped = bytearray(data)
             flipped[found[nth].start + 20] ^= 4
-            disk = Disk(Chance(4))
+            disk = Disk(SeededRandom(4))
             disk.put(first, bytes(flipped))
-            again = Log(disk)
+            again = WriteAheadLog(disk)
             self.assertEqual((again.lost, {place.name for place in again.wrong}), (lost, {first}))
             self.assertEqual(again.get("b"), 2 if lost else 1)
 
     def test_a_record_that_goes_bad_while_the_store_is_open_is_not_served(self):
-        disk = Disk(Chance(4))
-        store = Log(disk)
+        disk = Disk(SeededRandom(4))
+        store = WriteAheadLog(disk)
         store.commit([[("a", "x" * 50)], [("b", 2)]])
         entry = store.index["a"]
         disk.held[disk.named[entry.name]][entry.end - 3] ^= 1
@@ -343,8 +344,8 @@
 
 class Bounds(Small):
     def test_a_store_of_a_newer_program_is_read_and_never_written_to(self):
-        disk = Disk(Chance(4))
-        store = Log(disk)
+        disk = Disk(SeededRandom(4))
+        store = WriteAheadLog(disk)
         store.commit([[("a", 1)]])
         salt = frames.salt_of(store.store, store.name)
         body = bytes([9]) + b"what is to come"
@@ -353,13 +354,13 @@
             + body
         )
         disk.append(store.name, made)
-        again = Log(disk)
+        again = WriteAheadLog(disk)
         self.assertEqual(again.get("a"), 1)
-        with self.assertRaisesRegex(Stopped, "newer program"):
+        with self.assertRaisesRegex(StoreStoppedError, "newer program"):
             again.commit([[("a", 2)]])
 
     def test_too_long_is_refused_and_nothing_is_written(self):
-        store = Log(Disk(Chance(4)))
+        store = WriteAheadLog(Disk(SeededRandom(4)))
         before = store.files.done
         for changes in ([("k" * 600, 1)], [("k", os.urandom(frames.LONGEST))], [(7, 1)]):
             with self.assertRaises(ValueError):
@@ -369,13 +370,13 @@
     def test_what_is_held_bounds_what_a_start_reads_however_long_the_history(self):
         read = []
         for commits in (300, 3000):
-            disk, truth = Disk(Chance(6)), Truth(Chance(7))
-            store = Log(disk)
+            disk, truth = Disk(SeededRandom(6)), Truth(SeededRandom(7))
+            store = WriteAheadLog(disk)
             for _ in range(commits):
                 truth.commit(store)
                 if store.due():
                     store.compact(500)
-            self.assertEqual(held(Log(disk)), truth.states[0])
+            self.assertEqual(held(WriteAheadLog(disk)), truth.states[0])
             read.append(sum(len(disk.read(name)) for name in disk.names()))
         self.assertLess(read[1], 2 * read[0])
 
@@ -388,7 +389,7 @@
 
     def test_it_is_there_after_a_process_was_killed_amid_commits(self):
         program = (
-            "import sys\nfrom indigodeck.store.files import Folder\nfrom indigodeck.store.log import Log\n"
+            "import sys\nfrom indigodeck.store.files import Folder\nfrom indigodeck.store.write_ahead_log import WriteAheadLog as Log\n"
             "store, nth = Log(Folder(sys.argv[1])), 0\n"
             "while True:\n    nth += 1\n    store.commit([[('nth', nth), ('twice', 2 * nth)]])\n    print(nth, flush=True)\n"
         )
@@ -403,13 +404,13 @@
             said += [int(line) for line in process.stdout.read().split()]
         folder = Folder(self.path)
         self.addCleanup(folder.close)
-        store = Log(folder)
+        store = WriteAheadLog(folder)
         self.assertIn(store.get("nth"), (said[-1], said[-1] + 1))
         self.assertEqual(store.get("twice"), 2 * store.get("nth"))
 
     def test_a_folder_that_can_not_be_written_is_read_and_says_so(self):
         folder = Folder(self.path)
-        store = Log(folder)
+        store = WriteAheadLog(folder)
         store.commit([[("a", 1)]])
 
         def full(name, data):
@@ -417,7 +418,7 @@
 
         folder.append, append = full, folder.append
         for _ in range(2):
-            with self.assertRaisesRegex(Stopped, "no space left"):
+            with self.assertRaisesRegex(StoreStoppedError, "no space left"):
                 store.commit([[("a", 2)]])
         self.assertEqual(store.get("a"), 1)
         folder.append = append
@@ -425,14 +426,19 @@
         folder.close()
         folder = Folder(self.path)
         self.addCleanup(folder.close)
-        self.assertEqual(Log(folder).get("a"), 3)
+        self.assertEqual(WriteAheadLog(folder).get("a"), 3)
 
 
 class Together(unittest.TestCase):
     """The thread that writes, on a disk in memory that a test may hold up."""
 
     def setUp(self):
-        self.disk, self.gate, self.notes, self.syncs = Disk(Chance(1)), threading.Event(), [], 0
+        self.disk, self.gate, self.notes, self.syncs = (
+            Disk(SeededRandom(1)),
+            threading.Event(),
+            [],
+            0,
+        )
         self.gate.set()
         self.disk.close = lambda: None
         real = self.disk.sync
@@ -454,8 +460,10 @@
             one.result(10)
         self.assertLessEqual(self.syncs - before, 3)
         self.writer.close()
-        self.assertEqual(held(Log(self.disk.after_cut())), {f"k{nth}": nth for nth in range(200)})
-        with self.assertRaisesRegex(Stopped, "closed"):
+        self.assertEqual(
+            held(WriteAheadLog(self.disk.after_cut())), {f"k{nth}": nth for nth in range(200)}
+        )
+        with self.assertRaisesRegex(StoreStoppedError, "closed"):
             self.writer.put([("a", 1)]).result(1)
 
     def test_one_that_can_not_be_written_is_told_and_the_others_do_not_notice(self):
@@ -476,18 +484,18 @@
         self.assertEqual((self.writer.get("a"), self.writer.get("b")), (2, None))
         self.assertEqual(self.notes, ["store stopped", "store goes on"])
         self.writer.close()
-        self.assertEqual(held(Log(self.disk.after_cut())), {"a": 2})
+        self.assertEqual(held(WriteAheadLog(self.disk.after_cut())), {"a": 2})
 
     def test_a_record_of_a_form_unknown_here_is_left_uncompacted_and_writing_goes_on(self):
         with (
-            unittest.mock.patch.object(Log, "compact", lambda log, *given: [][0]),
-            unittest.mock.patch.object(Log, "due", lambda log: log.undone is None),
+            unittest.mock.patch.object(WriteAheadLog, "compact", lambda log, *given: [][0]),
+            unittest.mock.patch.object(WriteAheadLog, "due", lambda log: log.undone is None),
         ):
             for nth in range(3):
                 self.assertTrue(self.writer.keep([("a", nth)]))
             self.writer.close()
         self.assertEqual(self.notes, ["store not compacted"])
-        self.assertEqual(held(Log(self.disk.after_cut())), {"a": 2})
+        self.assertEqual(held(WriteAheadLog(self.disk.after_cut())), {"a": 2})
 
     def test_no_more_wait_than_there_is_room_for(self):
         self.gate.clear()
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -8,15 +8,21 @@
 
 from test_versions import Planner, Shelf
 
-from indigodeck.chance import Chance
-from indigodeck.planner.roster import Roster
+from indigodeck.assignment.seeded_random import SeededRandom
+from indigodeck.leadership import messages
+from indigodeck.leadership.election import LeaderElection, LeaseRecord
+from indigodeck.leadership.lease_record import (
+    InStore,
+    RecordFile,
+    entries_of,
+    pack_entries,
+    unpack_entries,
+)
+from indigodeck.planner.endpoint_list import EndpointList
 from indigodeck.store.files import Folder
 from indigodeck.store.writer import Writer
-from indigodeck.takeover import messages
-from indigodeck.takeover.charge import Charge, Record
-from indigodeck.takeover.record import InStore, RecordFile, entries_of, pack_entries, unpack_entries
-from indigodeck.versions.ledger import Ledger, Number
-from indigodeck.versions.wishes import Wishes
+from indigodeck.versions.operator_requests import OperatorRequests
+from indigodeck.versions.version_log import Number, VersionLog
 
 DATA = pathlib.Path(__file__).parent / "data"
 STORED = json.loads((DATA / "store.json").read_text(encoding="utf-8"))
@@ -25,13 +31,13 @@
 
 MEMBERS = {"c1": "10.0.0.1:3900", "c2": "10.0.0.2:3900", "c3": "10.0.0.3:3900"}
 PLANNED_MEMBERS = {**MEMBERS, "c4": "10.0.0.4:3900"}
-LEASES = Record(
+LEASES = LeaseRecord(
     serial=42,
     wards={"fleet": (33, "c2"), "north": (48, "c3"), "south": (18, None)},
     fleet=(5, MEMBERS),
     plan=(6, 33, PLANNED_MEMBERS),
 )
-LEASES_WITHOUT_FLEET = Record(serial=7, wards={"fleet": (16, "c1"), "south": (2, None)})
+LEASES_WITHOUT_FLEET = LeaseRecord(serial=7, wards={"fleet": (16, "c1"), "south": (2, None)})
 REFUSALS = [("relay-1", "read", "00c0ffee00c0ffee"), ("relay-é", "write", "0123456789abcdef")]
 
 NUMBERS = [*((3, serial) for serial in range(1, 37)), (17, 1), (17, 2), (33, 1), (33, 2), (33, 3)]
@@ -109,7 +115,7 @@
         return shelf
 
     def ledger(self, shelf):
-        return Ledger(shelf, shelf.keys())
+        return VersionLog(shelf, shelf.keys())
 
 
 class Store(StoredFolder):
@@ -237,7 +243,7 @@
         )
 
     def test_the_hold_and_the_pins_are_kept(self):
-        wishes = Wishes(self.opened().held["wishes"])
+        wishes = OperatorRequests(self.opened().held["wishes"])
         self.assertEqual((wishes.serial, wishes.pins), ((33, 2), {(3, 12), (17, 1)}))
         self.assertEqual(
             {name: tuple(hold) for name, hold in wishes.holds.items()},
@@ -351,14 +357,14 @@
             (LEASES, 5, MEMBERS),
             (LEASES_WITHOUT_FLEET, 0, {"c1": "a:1", "c2": "a:2"}),
         ):
-            charge = Charge(
+            charge = LeaderElection(
                 Alone(),
                 "c1",
                 {"c1": "a:1", "c2": "a:2"},
                 ["fleet", "north"],
                 3_000_000,
                 0.01,
-                Chance(1),
+                SeededRandom(1),
                 1,
                 record,
             )
@@ -383,19 +389,19 @@
             def listed(self, kind, servers):
                 self.servers = servers
 
-        class Door:
+        class IdRegistry:
             def index(self, name):
                 return int(name.removeprefix("host-"))
 
         kept, listener = self.opened().held["roster"], Listener()
-        roster = Roster(
-            listener, Door(), ["north", "south"], ["small", "big"], 1_749_999_000_000_000 - 7
+        roster = EndpointList(
+            listener, IdRegistry(), ["north", "south"], ["small", "big"], 1_749_999_000_000_000 - 7
         )
         roster.believed(kept, kept["hosts"], True)
         self.assertEqual((roster.version, roster.epoch, roster.quiet), (1042, 2, {"host-7"}))
         self.assertEqual(
             [
-                plain([one.index, one.cell, one.kind, one.zone, one.weight, one.started])
+                plain([one.index, one.cell, one.machine_type, one.zone, one.weight, one.started])
                 for one in listener.servers
             ],
             [[3, 1, 1, 0, 2.5, 7], [7, 0, 2, 0, 1.0, 0], [9, 0, 2, 1, 1.0, 0]],
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -20,21 +20,27 @@
 from rig import SECOND, Loop  # noqa: E402
 from test_live import ROOT, until  # noqa: E402
 
-from indigodeck.chance import Chance  # noqa: E402
+from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
 from indigodeck.client import Tables  # noqa: E402
-from indigodeck.client.tables import Redial  # noqa: E402
-from indigodeck.client.xds import Refused, Talk, XdsClient  # noqa: E402
+from indigodeck.client.tables import ReconnectError  # noqa: E402
+from indigodeck.client.xds import RejectedError, Talk, XdsClient  # noqa: E402
 from indigodeck.clock import now  # noqa: E402
-from indigodeck.fronts.xds import codec  # noqa: E402
-from indigodeck.standins.controllers import Fleet, Gate  # noqa: E402
-from indigodeck.standins.fleet_day import FleetPlay  # noqa: E402
-from indigodeck.standins.stock import GrpcHost  # noqa: E402
-from indigodeck.takeover import messages, model  # noqa: E402
-from indigodeck.takeover.apart import Apart  # noqa: E402
-from indigodeck.takeover.charge import Charge, Record  # noqa: E402
-from indigodeck.takeover.peers import Peers, ask  # noqa: E402
-from indigodeck.takeover.record import RecordFile, pack, pack_entries, unpack, unpack_entries  # noqa: E402
-from indigodeck.takeover.refusals import Refusals  # noqa: E402
+from indigodeck.frontends.xds import codec  # noqa: E402
+from indigodeck.leadership import messages, model  # noqa: E402
+from indigodeck.leadership.election import LeaderElection, LeaseRecord  # noqa: E402
+from indigodeck.leadership.lease_record import (  # noqa: E402
+    RecordFile,
+    pack,
+    pack_entries,
+    unpack,
+    unpack_entries,
+)
+from indigodeck.leadership.member_thread import MemberThread  # noqa: E402
+from indigodeck.leadership.rejections import RejectionRegistry  # noqa: E402
+from indigodeck.leadership.transport import Peers, ask  # noqa: E402
+from indigodeck.testbed.controllers import Fleet, Gate  # noqa: E402
+from indigodeck.testbed.fleet_scenario import FleetScenarioRunner  # noqa: E402
+from indigodeck.testbed.stock_client import GrpcHost  # noqa: E402
 
 PLACES = {name: f"127.0.0.1:{nth}" for nth, name in enumerate("abc", 1)}
 
@@ -126,8 +132,8 @@
     def __init__(self, record=None, life=2):
         super().__init__()
         self.sent, self.kept, self.broken_disk, self.hung_since = [], [], False, None
-        self.charge = Charge(
-            self, "a", PLACES, ["fleet"], 2 * SECOND, 0.05, Chance(1), life, record
+        self.charge = LeaderElection(
+            self, "a", PLACES, ["fleet"], 2 * SECOND, 0.05, SeededRandom(1), life, record
         )
 
     def silent(self):
@@ -192,7 +198,7 @@
         self.assertEqual(alone.asked("b", 5), "deny")
 
     def test_a_disk_that_is_an_old_copy_or_lost_is_known_by_what_others_saw(self):
-        alone = Alone(record=Record(3, {"fleet": (4, "b")}))
+        alone = Alone(record=LeaseRecord(3, {"fleet": (4, "b")}))
         alone.charge.wanted = lambda ward: False
         alone.told("b", {"fleet": [11, "b"]}, 9)
         alone.told("c", {"fleet": [8, "c"]}, 0)
@@ -335,11 +341,11 @@
         self.assertIsNotNone(alone.charge.holds("fleet"))
 
     def test_a_relay_tries_all_controllers_before_it_waits_longer(self):
-        redial = Redial(Chance(3))
+        redial = ReconnectError(SeededRandom(3))
         waits = [redial.failed(3) for _ in range(15)]
         self.assertLess(max(waits[0], waits[1], waits[9], waits[10]), redial.first // 4)
         self.assertGreater(waits[14], redial.first)
-        alone = Redial(Chance(3))
+        alone = ReconnectError(SeededRandom(3))
         self.assertGreaterEqual(min(alone.failed() for _ in range(6)), alone.first // 4)
 
     def test_a_relay_refuses_an_epoch_below_the_highest_it_has_seen(self):
@@ -351,7 +357,7 @@
             return codec.changes(codec.ENDPOINTS, f"{epoch}.1", "n", [("read", *made)], [])
 
         talk.read(response(7, 80))
-        with self.assertRaises(Refused):
+        with self.assertRaises(RejectedError):
             talk.read(response(4, 81))
         self.assertEqual(tables.lines["read"], {("127.0.0.1", 80): 5})
         talk.read(response(8, 82))
@@ -360,8 +366,8 @@
 
 class Papers(unittest.TestCase):
     def test_a_record_cut_or_flipped_anywhere_is_no_record(self):
-        data = pack(Record(12, {"fleet": (31, "c2")}))
-        self.assertEqual(unpack(data), Record(12, {"fleet": (31, "c2")}))
+        data = pack(LeaseRecord(12, {"fleet": (31, "c2")}))
+        self.assertEqual(unpack(data), LeaseRecord(12, {"fleet": (31, "c2")}))
         for at in range(len(data)):
             self.assertIsNone(unpack(data[:at]))
             for bit in range(8):
@@ -371,16 +377,18 @@
         with tempfile.TemporaryDirectory() as folder:
             file = RecordFile(pathlib.Path(folder) / "c1")
             self.assertIsNone(file.read())
-            self.assertTrue(file.keep(Record(1, {"fleet": (4, "c1")})))
+            self.assertTrue(file.keep(LeaseRecord(1, {"fleet": (4, "c1")})))
             (pathlib.Path(folder) / "c1.new").write_bytes(b"torn")
-            self.assertEqual(file.read(), Record(1, {"fleet": (4, "c1")}))
-            self.assertFalse(RecordFile(pathlib.Path(folder) / "none" / "c1").keep(Record(1, {})))
+            self.assertEqual(file.read(), LeaseRecord(1, {"fleet": (4, "c1")}))
+            self.assertFalse(
+                RecordFile(pathlib.Path(folder) / "none" / "c1").keep(LeaseRecord(1, {}))
+            )
 
     KEY = b"a key that all of them share"
 
     def test_messages_are_refused_with_a_reason(self):
         def said(data, key=self.KEY):
-            with self.assertRaises(messages.Refused) as caught:
+            with self.assertRaises(messages.RejectedError) as caught:
                 messages.unpack(key, data[messages.HEAD :], {"c1"}.__contains__)
             return str(caught.exception)
 
@@ -463,7 +471,7 @@
             ),
             "'sheets': sheets is of no known shape",
         )
-        with self.assertRaises(messages.Refused):
+        with self.assertRaises(messages.RejectedError):
             messages.length((1 << 30).to_bytes(4, "big"))
 
     def test_an_older_version_says_what_it_can_and_is_understood(self):
@@ -491,7 +499,7 @@
             lambda entries: kept.append(entries) or True,
             said.append,
         )
-        held = Refusals(loop)
+        held = RejectionRegistry(loop)
         for nth in range(40):
             held.refused("r1", "read", f"v{nth}")
         loop.run(0.5)
@@ -500,10 +508,11 @@
         loop.run(2)
         self.assertEqual((len(kept), len(said)), (2, 1))  # what was heard is kept, not said again
         self.assertEqual(
-            Refusals(loop, unpack_entries(pack_entries(kept[-1]))).of("r2"), {"write": "v7"}
+            RejectionRegistry(loop, unpack_entries(pack_entries(kept[-1]))).of("r2"),
+            {"write": "v7"},
         )
         self.assertEqual(unpack_entries(pack_entries(kept[-1])[:-4]), [])
-        many = Refusals(loop, [(f"r{nth}", "read", "v") for nth in range(5000)])
+        many = RejectionRegistry(loop, [(f"r{nth}", "read", "v") for nth in range(5000)])
         self.assertEqual(len(many.by_relay), 4096)
 
     @settings(max_examples=300, deadline=None)
@@ -515,7 +524,7 @@
         at %= len(good)
         damaged = good[:at] + put + good[at + len(put) :]
         if damaged != good:
-            with self.assertRaises(messages.Refused):
+            with self.assertRaises(messages.RejectedError):
                 messages.unpack(self.KEY, damaged, {"c1"}.__contains__)
 
 
@@ -553,13 +562,13 @@
                 key,
                 RecordFile(record),
                 RecordFile(record.with_name("f"), pack_entries, unpack_entries),
-                Chance(1),
+                SeededRandom(1),
                 1,
                 2,
                 False,
             )
 
-        apart = Apart(self, made, lease)
+        apart = MemberThread(self, made, lease)
         self.addCleanup(apart.cease)
         await until(lambda: self.charges, 20)
         first = self.charges[0]
@@ -704,7 +713,7 @@
         script["charter"]["fronts"]["sasp"]["interval_s"] = 1
         script["charter"]["channel"].update(messages_most=60, answers_most=30)
         with tempfile.TemporaryDirectory() as folder:
-            play = FleetPlay(script, pathlib.Path(folder))
+            play = FleetScenarioRunner(script, pathlib.Path(folder))
             result = await play.play()
             charges = play.charges()
         self.assertEqual(
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as some
 from rig import SECOND
 
-from indigodeck.chance import Chance
-from indigodeck.versions import sheets
-from indigodeck.versions.books import Books
-from indigodeck.versions.holds import COLD, OUT, WARM, brought_together
-from indigodeck.versions.ledger import CHAIN, DAY, Ledger, Number, number
-from indigodeck.versions.wishes import Refused, Wishes
+from indigodeck.assignment.seeded_random import SeededRandom
+from indigodeck.versions import snapshots as sheets
+from indigodeck.versions.operator_requests import OperatorRequests, RejectedError
+from indigodeck.versions.publisher import TablePublisher
+from indigodeck.versions.rollback_pins import COLD, OUT, WARM, brought_together
+from indigodeck.versions.version_log import CHAIN, DAY, Number, VersionLog, number
 
 HOSTS = [f"host-{nth}" for nth in range(12)]
 Lines = some.dictionaries(some.sampled_from(HOSTS), some.floats(0.01, 5), max_size=8)
@@ -39,7 +39,7 @@
         )
         for table, change in changes.items():
             if change and "of" in change and other.get(table) != old[table]:
-                with self.assertRaises(sheets.Mismatch):
+                with self.assertRaises(sheets.SnapshotMismatchError):
                     sheets.changed(other, changes)
 
 
@@ -78,10 +78,10 @@
 
 class Ledgers(unittest.TestCase):
     def setUp(self):
-        self.shelf, self.chance = Shelf(), Chance(4)
+        self.shelf, self.chance = Shelf(), SeededRandom(4)
 
     def started(self, epoch, **given):
-        ledger = Ledger(self.shelf, self.shelf.keys(), **given)
+        ledger = VersionLog(self.shelf, self.shelf.keys(), **given)
         ledger.in_charge(epoch)
         return ledger
 
@@ -218,7 +218,7 @@
             [],
             [],
         )
-        self.books = Books(self, ["read", "write"], 2000, DAY)
+        self.books = TablePublisher(self, ["read", "write"], 2000, DAY)
         if epoch:
             self.books.in_charge(epoch)
         self.books.settle("start")
@@ -387,7 +387,7 @@
         self.assertEqual(len(planner.shown()["0"]), 2)
         self.assertIn("nothing changes", planner.books.rollback(second, ["read"], "night", "b"))
         for wrong, classes in ((Number(9, 9), []), (first, ["none"])):
-            with self.assertRaises(Refused):
+            with self.assertRaises(RejectedError):
                 planner.books.rollback(wrong, classes, "duty", "")
         planner.books.release([], "duty", "")
         self.assertEqual(planner.books.release([], "duty", ""), "nothing was held: nothing changes")
@@ -430,7 +430,7 @@
         self.assertFalse(
             other.books.wishes_copied(planner.told[-1])
         )  # what was said before it is older
-        with self.assertRaises(Refused):
+        with self.assertRaises(RejectedError):
             Planner(None, 0).books.rollback(first, [], "duty", "")
 
     def test_the_way_there_and_back_is_paced_by_the_channel(self):
@@ -476,17 +476,18 @@
 
 class WishesOf(unittest.TestCase):
     def test_pins_and_holds_are_what_must_be_kept(self):
-        wishes = Wishes()
+        wishes = OperatorRequests()
         self.assertTrue(wishes.pin((1, 4), True, 1))
         self.assertFalse(wishes.pin((1, 4), True, 1))
         wishes.rollback((1, 9), ["read"], "duty", "", 0, 1)
         self.assertEqual(wishes.needed(), {(1, 4), (1, 9)})
         self.assertEqual(
-            Wishes(json.loads(json.dumps(wishes.document()))).document(), wishes.document()
+            OperatorRequests(json.loads(json.dumps(wishes.document()))).document(),
+            wishes.document(),
         )
         for nth in range(255):
             wishes.pin((2, nth), True, 2)
-        with self.assertRaises(Refused):
+        with self.assertRaises(RejectedError):
             wishes.pin((3, 1), True, 2)
 
 
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -26,14 +26,14 @@
 from indigodeck.client.sasp import SaspClient  # noqa: E402
 from indigodeck.client.xds import XdsClient  # noqa: E402
 from indigodeck.client.xds import read as read_assignment
-from indigodeck.fronts.xds import codec  # noqa: E402
-from indigodeck.fronts.xds.codec import CLUSTER, ENDPOINTS, KINDS, LISTENER, ROUTE  # noqa: E402
-from indigodeck.fronts.xds.streams import UNDERWAY_MOST, Bounds, Relay, TooMuch  # noqa: E402
-from indigodeck.planner.charter import Charter  # noqa: E402
-from indigodeck.planner.sums import Sums  # noqa: E402
+from indigodeck.frontends.xds import codec  # noqa: E402
+from indigodeck.frontends.xds.codec import CLUSTER, ENDPOINTS, KINDS, LISTENER, ROUTE  # noqa: E402
+from indigodeck.frontends.xds.streams import UNDERWAY_MOST, Bounds, LimitExceededError, Relay  # noqa: E402
+from indigodeck.planner.demand_aggregation import DemandAggregator  # noqa: E402
+from indigodeck.planner.planner_settings import PlannerSettings  # noqa: E402
 from indigodeck.serve import assemble  # noqa: E402
-from indigodeck.standins.conversation import Talkers  # noqa: E402
-from indigodeck.standins.stock import GrpcHost  # noqa: E402
+from indigodeck.testbed.conversation import Talkers  # noqa: E402
+from indigodeck.testbed.stock_client import GrpcHost  # noqa: E402
 
 SHORT = {CLUSTER: "cluster", ENDPOINTS: "endpoints", LISTENER: "listener", ROUTE: "route"}
 NAMED = {short: kind for kind, short in SHORT.items()}
@@ -200,9 +200,9 @@
     def test_bounds(self):
         fleet = Fleet("read")
         peer, _ = Peer(fleet), Peer(fleet)
-        with self.assertRaises(TooMuch):
+        with self.assertRaises(LimitExceededError):
             Peer(fleet)
-        with self.assertRaises(TooMuch):
+        with self.assertRaises(LimitExceededError):
             peer.ask("endpoints", *[f"n{nth}" for nth in range(17)])
         peer.stream.asked_whole("type.googleapis.com/unknown", ["x"] * 1000, "", None)
         peer.drain()
@@ -293,7 +293,7 @@
 class Reports(unittest.TestCase):
     def setUp(self):
         self.clock, self.lines = 0, []
-        self.sums = Sums(self, 10, SECOND)
+        self.sums = DemandAggregator(self, 10, SECOND)
 
     def now(self):
         return self.clock
@@ -425,7 +425,7 @@
                 for at, relay, _ in hosts[1].receipts
                 if relay != "planner" and at > drained
             ]
-            self.assertLess(max(late, default=0), planner.service.charter.stated["drain_grace"])
+            self.assertLess(max(late, default=0), planner.service.settings.deployment.drain_grace)
             # What they met and what came to them reached the assigner: it is told of nothing else here.
             self.assertGreater(planner.service.fronts[0].reports_read, 4)
             self.assertTrue(planner.service.desk.assigner.valves[None].shown)
@@ -497,14 +497,14 @@
             await until(lambda: len(planner.service.desk.withdrawn) == 6)
             planner.service.cease()
             await asyncio.sleep(0.5)
-            planner.service = assemble(Charter(planner.document, planner.folder.name))
+            planner.service = assemble(PlannerSettings(planner.document, planner.folder.name))
             planner.service.patience = 1_000_000
             said = [
                 json.loads(line)
                 for relay in relays
                 for line in (await relay.communicate())[0].splitlines()
             ]
-            grace = planner.service.charter.stated["drain_grace"]
+            grace = planner.service.settings.deployment.drain_grace
             lost, outcomes = (
                 [line for line in said if line["outcome"] != "ok"],
                 Counter(line["outcome"][:30] for line in said),
@@ -539,7 +539,7 @@
 
     def relay(self, planner, wire, uid):
         tables, errors = Tables(["reading", "setpoint"], now), []
-        port = dict(zip(planner.service.charter.fronts, planner.service.fronts))
+        port = dict(zip(planner.service.settings.fronts, planner.service.fronts))
         client = {"sasp": SaspClient, "xds": XdsClient}[wire](
             uid, lambda: [("127.0.0.1", port[wire].port())], tables, failed=errors.append
         )
@@ -589,7 +589,7 @@
             flooding = False
             await flooder
             wrote = planner.service.allowance("hall-a/flood").written
-            self.assertLessEqual(len(wrote), planner.service.charter.channel["messages_most"])
+            self.assertLessEqual(len(wrote), planner.service.settings.channel["messages_most"])
             # More names than are allowed end its stream, with the reason.
             with self.assertRaises(grpc.aio.AioRpcError) as caught:
                 await stream.write(
@@ -619,7 +619,7 @@
                 tables.changed = lambda name, tables=tables: tables.lines[name] or bare.append(name)
             planner.service.cease()
             await asyncio.sleep(0.3)
-            planner.service = assemble(Charter(planner.document, planner.folder.name))
+            planner.service = assemble(PlannerSettings(planner.document, planner.folder.name))
             for tables, client, *_ in relays:
                 front = planner.service.fronts[isinstance(client, XdsClient)]
                 client.planners = lambda front=front: [("127.0.0.1", front.port())]
@@ -631,7 +631,7 @@
                 ),
                 10,
             )
-            channel, service = planner.service.charter.channel, planner.service
+            channel, service = planner.service.settings.channel, planner.service
             self.assertEqual(bare, [])
             self.assertLess(service.desk.most_waiting, channel["waiting_most"])
             self.assertLessEqual(
