--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -31,17 +31,17 @@
     def __init__(self, desk, stated, seed):
         self.desk = desk
 
-    def listed(self, kind, servers):
+    def on_endpoint_update(self, kind, servers):
         pass
 
-    def proxy_joined(self, proxy, zone, rate, fresh):
+    def on_proxy_joined(self, proxy, zone, rate, fresh):
         for place in (0, 1):
-            self.desk.bind(proxy, 2 * (proxy % 2) + place, [place])
+            self.desk.assign_table(proxy, 2 * (proxy % 2) + place, [place])
 
-    def proxy_left(self, proxy):
+    def on_proxy_left(self, proxy):
         pass
 
-    def applied(self, proxy, number, took):
+    def on_ack(self, proxy, number, took):
         pass
 
 
@@ -92,7 +92,7 @@
             self.desk.place_of[table] = table % 2
             for nth in range(8):
                 if all_of_them or self.chance.below(3) == 0:
-                    self.desk.line(table, nth, self.chance.below(3) * 1.0 if nth else 1.0)
+                    self.desk.set_weight(table, nth, self.chance.below(3) * 1.0 if nth else 1.0)
         self.desk._settle("a turn")
         self.note_published()
 
