--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from rig import SECOND, Loop
-from test_live import until
+from support import until
 from test_simhost import SETTINGS
 from tornado.httpserver import HTTPServer
 from tornado.iostream import StreamClosedError
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,6 +15,7 @@
 import unittest.mock
 
 from rig import SECOND
+from support import until
 from test_edge import (
     CHARTER,
     HELLO,
@@ -28,7 +29,6 @@
     catalog,
     entry,
 )
-from test_live import until
 from tornado.ioloop import IOLoop, PeriodicCallback
 from tornado.iostream import StreamClosedError
 from tornado.locks import Event
--- a/tests/test_outlasting.py
+++ b/tests/test_outlasting.py
@@ -12,7 +12,7 @@
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
 from rig import SECOND, Loop, TraceCase  # noqa: E402
-from test_live import ROOT, Planner, ports, until  # noqa: E402
+from support import ROOT, Planner, ports, until  # noqa: E402
 from test_takeover import Controllers  # noqa: E402
 from test_versions import Planner as Paper  # noqa: E402
 from test_versions import Shelf
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -18,7 +18,7 @@
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
 from rig import SECOND, Loop  # noqa: E402
-from test_live import ROOT, until  # noqa: E402
+from support import ROOT, until  # noqa: E402
 
 from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
 from indigodeck.client import Tables  # noqa: E402
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -20,7 +20,7 @@
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
 from rig import SECOND, Loop, TraceCase  # noqa: E402
-from test_live import ROOT, Planner, now, until  # noqa: E402
+from support import ROOT, Planner, now, until  # noqa: E402
 
 from indigodeck.client import Tables  # noqa: E402
 from indigodeck.client.sasp import SaspClient  # noqa: E402
