--- a/indigodeck/assignment/interface.py
+++ b/indigodeck/assignment/interface.py
@@ -54,7 +54,7 @@
     its process started, on the host's clock; 0 means long ago.
     """
 
-    index: int
+    index: int  # type: ignore[assignment]  # hides tuple.index, which no entry needs
     stable_id: bytes
     cell: int
     machine_type: int
@@ -123,7 +123,7 @@
         """Set how much of these classes is admitted, and when proxies may retry."""
 
     def request_ack(self, number: int, everyone: bool) -> None:
-        """Ask each proxy that the orders of this call reach, or everyone, to answer with `on_ack`."""
+        """Ask each proxy that this call's orders reach, or everyone, to answer with `on_ack`."""
 
     def check_health(self, server: int) -> None:
         """Send the server a request, and report its end with `on_health_check`."""
--- a/indigodeck/planner/endpoint_list.py
+++ b/indigodeck/planner/endpoint_list.py
@@ -5,15 +5,15 @@
 """
 
 from ..assignment.interface import Server, ServerState, UpdateKind
-from ..json_documents import InvalidDocumentError, parse, shipped
+from ..json_documents import InvalidDocumentError, load_schema, parse_document
 
-SCHEMA = shipped(__file__, "endpoint_list.schema.json")
+SCHEMA = load_schema(__file__, "endpoint_list.schema.json")
 STATES = {"ready": ServerState.READY, "draining": ServerState.DRAINING, "gone": ServerState.GONE}
 
 
 def read(text):
     """A list's document, checked: {"version", "kind", "hosts": [..]}."""
-    document, seen = parse(text, SCHEMA, "roster"), set()
+    document, seen = parse_document(text, SCHEMA, "roster"), set()
     for place, host in enumerate(document["hosts"]):
         if host["id"] in seen:
             raise InvalidDocumentError(f"roster: hosts/{place}/id: {host['id']!r} stands twice")
--- a/indigodeck/planner/planner_settings.py
+++ b/indigodeck/planner/planner_settings.py
@@ -2,7 +2,7 @@
 
 import pathlib
 
-from ..json_documents import InvalidDocumentError, load, shipped, wrong
+from ..json_documents import InvalidDocumentError, load_document, load_schema, schema_errors
 from ..settings import (
     AdmissionMode,
     ChannelSettings,
@@ -12,20 +12,20 @@
     microseconds,
 )
 
-SCHEMA = shipped(__file__, "settings.schema.json")
+SCHEMA = load_schema(__file__, "settings.schema.json")
 
 
 def read(path):
     """The charter in a file, checked; relative paths in it are seen from its folder."""
     path = pathlib.Path(path)
-    return PlannerSettings(load(path, SCHEMA), path.parent, path.name)
+    return PlannerSettings(load_document(path, SCHEMA), path.parent, path.name)
 
 
 class PlannerSettings:
     """`deployment`: the settings that the assigner is handed, times in microseconds; the rest by sections."""
 
     def __init__(self, document, folder=pathlib.Path("."), name="charter"):
-        against = wrong(document, SCHEMA) or list(self._crossed(document))
+        against = schema_errors(document, SCHEMA) or list(self._crossed(document))
         if against:
             raise InvalidDocumentError("\n".join(f"{name}: {line}" for line in against))
         self.document, self.folder = document, pathlib.Path(folder)
--- a/indigodeck/simulator/__init__.py
+++ b/indigodeck/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts assigners on the simulator's wire: codec, adapter and loop."""
+"""The assigner's host on the simulator's wire: batches of events in, batches of actions out."""
--- a/indigodeck/simulator/__main__.py
+++ b/indigodeck/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""python -m indigodeck.simulator: batches on standard input, one reply each on standard output."""
+"""Read batches of events on standard input and answer each with a reply on standard output."""
 
 import sys
 
@@ -7,11 +7,14 @@
 from .codec import read_frame
 
 
-def main():
-    adapter, source, sink = Adapter(), sys.stdin.buffer, sys.stdout.buffer
+def main() -> int:
+    """Run until the input ends; return the exit code: 0 at its end, 2 for malformed input."""
+    adapter = Adapter()
+    source = sys.stdin.buffer
+    sink = sys.stdout.buffer
     try:
         while (frame := read_frame(source)) is not None:
-            sink.write(adapter.batch(*frame))
+            sink.write(adapter.process(frame))
             sink.flush()
     except MalformedMessageError as error:
         print(f"indigodeck.simulator: {error}", file=sys.stderr)
--- a/indigodeck/simulator/adapter.py
+++ b/indigodeck/simulator/adapter.py
@@ -1,295 +1,352 @@
-"""Turns the simulator's events straight into calls on an assigner, and its orders into records."""
+"""Turn the simulator's events into calls on assigners, and their orders into action records.
 
-import struct
+Many instances run in one process and share nothing. An event that is malformed ends the run; a
+fault in the decision code is reported over the wire, and the other instances go on.
+"""
+
+from collections.abc import Callable, Sequence
+from typing import Any
 
 from ..assignment.assigner import Assigner
 from ..assignment.interface import (
     DemandReport,
     HealthCheckOutcome,
     LoadReport,
+    RetryPolicy,
     Server,
-    ServerState,
-    UpdateKind,
 )
 from ..errors import MalformedMessageError
-from ..settings import microseconds, settings_from_json
+from ..settings import DeploymentSettings, microseconds, settings_from_json
 from . import codec
-from .codec import ACTION_SIZE, ENTRY, ENTRY_SIZE, EVENT_SIZE, tail_slice
-
-STATES = {0: ServerState.DRAINING, 1: ServerState.READY, 2: ServerState.GONE}
-LIST_KINDS = {1: UpdateKind.CHANGES, 3: UpdateKind.CACHED, 4: UpdateKind.WHOLE}
-OUTCOMES = {
-    0: HealthCheckOutcome.OK,
-    1: HealthCheckOutcome.ERROR,
-    2: HealthCheckOutcome.FULL,
-    3: HealthCheckOutcome.SILENT,
-    4: HealthCheckOutcome.UNREACHABLE,
-    5: HealthCheckOutcome.BROKEN,
-}
-ALL_PEERS = 0xFFFFFFFF
-EVERY_TABLE = 65535
-
-
-def packer(layout):
-    """Packs one action record, zero-filled to its size."""
-    shape = struct.Struct("<" + layout)
-    fill = bytes(ACTION_SIZE - shape.size)
-    return lambda *fields: shape.pack(*fields) + fill
+from .codec import ActionCode, EventCode, Frame, ListEntry
 
-
-SPEAKING, DEBUG, CRASH, DEFER = packer("HH"), packer("HII"), packer("HII"), packer("HdQ")
-RESOLVE, FOLLOW, SAMPLE, POST = packer("H"), packer("HB"), packer("H6s"), packer("HIII")
-PUT_LINE, WIPE, HAND_TABLE, PULL = packer("HH6sf"), packer("HH"), packer("HHHH"), packer("H6sB")
-THROTTLE, CHECKPOINT = packer("HHBHf"), packer("HIB")
+MICROSECONDS_PER_MILLISECOND = 1000
 
 
 class Reply:
-    """The records and tail of the reply being written."""
-
-    def __init__(self):
-        self.records, self.tail, self.speaker, self.clock = [], bytearray(), None, 0
-
-    def add(self, speaker, record):
-        if speaker != self.speaker:
-            self.speaker = speaker
-            self.records.append(SPEAKING(1030, speaker))
-        self.records.append(record)
-
-    def stow(self, data):
-        at = len(self.tail)
-        self.tail += data
-        return at, len(data)
-
-    def take(self):
-        body = b"".join(self.records) + bytes(self.tail)
-        head = codec.REPLY_HEADER.pack(len(self.records), len(body))
-        self.records, self.tail, self.speaker = [], bytearray(), None
-        return head + body
-
-
-class Desk:
-    """One instance's host: its own ids, its own assigner, nothing shared with other desks."""
-
-    def __init__(self, number, reply):
-        self.number, self.reply = number, reply
-        self.index_of, self.raw_of = {}, []
-        self.assigner = None
-
-    def index(self, raw):
-        found = self.index_of.get(raw)
+    """The reply being written: action records, and the tail that some of them point into."""
+
+    def __init__(self) -> None:
+        self.clock = 0  # of the batch that is answered
+        self._records: list[bytes] = []
+        self._tail = bytearray()
+        self._speaker: int | None = None
+
+    def add(self, speaker: int, record: bytes) -> None:
+        """Append an action of one instance."""
+        if speaker != self._speaker:
+            self._speaker = speaker
+            self._records.append(codec.pack_speaker(ActionCode.SPEAKER, speaker))
+        self._records.append(record)
+
+    def append_to_tail(self, data: bytes) -> tuple[int, int]:
+        """Append bytes to the tail; return their offset and length."""
+        offset = len(self._tail)
+        self._tail += data
+        return offset, len(data)
+
+    def take(self) -> bytes:
+        """Return the whole reply and begin a new one."""
+        body = b"".join(self._records) + bytes(self._tail)
+        header = codec.REPLY_HEADER.pack(len(self._records), len(body))
+        self._records = []
+        self._tail = bytearray()
+        self._speaker = None
+        return header + body
+
+
+class InstanceHost:
+    """The assigner's host for one instance; implements `AssignerHost`."""
+
+    def __init__(self, instance: int, settings: DeploymentSettings, reply: Reply) -> None:
+        self.instance = instance
+        self.settings = settings
+        self.assigner: Any = None  # set once it is made: it acts through this host at once
+        self._reply = reply
+        self._index_of: dict[bytes, int] = {}
+        self._id_of: list[bytes] = []
+
+    def server_index(self, server_id: bytes) -> int:
+        """Return the index of a server id; a new one gets the next index."""
+        found = self._index_of.get(server_id)
         if found is None:
-            found = self.index_of[raw] = len(self.raw_of)
-            self.raw_of.append(raw)
+            found = self._index_of[server_id] = len(self._id_of)
+            self._id_of.append(server_id)
         return found
 
-    # What the assigner may do.
-
-    def now(self):
-        return self.reply.clock
-
-    def _act(self, record):
-        self.reply.add(self.number, record)
+    def now(self) -> int:
+        """Return the clock of the batch."""
+        return self._reply.clock
 
-    def start_timer(self, after, token):
-        self._act(DEFER(1040, after / 1000, token))
+    def start_timer(self, delay: int, token: int) -> None:
+        """Order a timer."""
+        delay_ms = delay / MICROSECONDS_PER_MILLISECOND
+        self._add(codec.pack_timer(ActionCode.TIMER, delay_ms, token))
 
-    def set_weight(self, table, server, weight):
-        self._act(PUT_LINE(1120, table, self.raw_of[server], weight))
+    def set_weight(self, table: int, server: int, weight: float) -> None:
+        """Order one line of a table."""
+        self._add(codec.pack_weight(ActionCode.WEIGHT, table, self._id_of[server], weight))
 
-    def clear_table(self, table):
-        self._act(WIPE(1100, table))
+    def clear_table(self, table: int) -> None:
+        """Order the removal of a table's lines."""
+        self._add(codec.pack_clear_table(ActionCode.CLEAR_TABLE, table))
 
-    def assign_table(self, proxy, table, classes):
-        self._act(HAND_TABLE(1090, proxy, table, sum(1 << k for k in classes)))
+    def assign_table(self, proxy: int, table: int, classes: Sequence[int]) -> None:
+        """Order a proxy onto a table."""
+        mask = _class_mask(classes)
+        self._add(codec.pack_table_assignment(ActionCode.TABLE_ASSIGNMENT, proxy, table, mask))
 
-    def eject_server(self, server):
-        self._act(PULL(1000, self.raw_of[server], True))
+    def eject_server(self, server: int) -> None:
+        """Order all proxies off a server."""
+        self._add(codec.pack_eject(ActionCode.EJECT, self._id_of[server], True))
 
-    def uneject_server(self, server):
-        self._act(PULL(1000, self.raw_of[server], False))
+    def uneject_server(self, server: int) -> None:
+        """Let proxies return to a server."""
+        self._add(codec.pack_eject(ActionCode.EJECT, self._id_of[server], False))
 
-    def forget_server(self, server):
+    def forget_server(self, server: int) -> None:
+        """Uneject a server that is gone; its index stays, for late events may still name it."""
         self.uneject_server(server)
 
-    def set_admission(self, table, classes, level, tries):
-        number = EVERY_TABLE if table < 0 else table
-        self._act(THROTTLE(1070, sum(1 << k for k in classes), tries, number, level))
+    def set_admission(
+        self, table: int, classes: Sequence[int], level: float, retry_policy: RetryPolicy
+    ) -> None:
+        """Order the admission level and retry policy of classes; a negative table means all."""
+        number = codec.EVERY_TABLE if table < 0 else table
+        mask = _class_mask(classes)
+        self._add(codec.pack_admission(ActionCode.ADMISSION, mask, retry_policy, number, level))
 
-    def request_ack(self, number, everyone):
-        self._act(CHECKPOINT(1020, number & 0xFFFF, everyone))
+    def request_ack(self, number: int, everyone: bool) -> None:
+        """Ask for an acknowledgement of the orders up to here."""
+        self._add(codec.pack_ack_request(ActionCode.ACK_REQUEST, number & 0xFFFF, everyone))
 
-    def check_health(self, server):
-        self._act(SAMPLE(1130, self.raw_of[server]))
+    def check_health(self, server: int) -> None:
+        """Order a health check."""
+        self._add(codec.pack_health_check(ActionCode.HEALTH_CHECK, self._id_of[server]))
 
-    def send_to_peer(self, peer, data):
-        self._act(POST(1010, ALL_PEERS if peer is None else peer, *self.reply.stow(data)))
+    def send_to_peer(self, peer: int | None, data: bytes) -> None:
+        """Send bytes to another planner, or to all."""
+        receiver = codec.ALL_PEERS if peer is None else peer
+        offset, length = self._reply.append_to_tail(data)
+        self._add(codec.pack_peer_message(ActionCode.PEER_MESSAGE, receiver, offset, length))
 
-    def watch_endpoints(self, on):
-        self._act(FOLLOW(1080, on))
+    def watch_endpoints(self, on: bool) -> None:
+        """Subscribe to changes of the endpoint list, or stop that."""
+        self._add(codec.pack_list_subscription(ActionCode.LIST_SUBSCRIPTION, on))
 
-    def fetch_endpoints(self):
-        self._act(RESOLVE(1060))
+    def fetch_endpoints(self) -> None:
+        """Ask for the whole endpoint list."""
+        self._add(codec.pack_list_request(ActionCode.LIST_REQUEST))
 
-    def log(self, text):
-        self._act(DEBUG(1110, *self.reply.stow(text.encode())))
+    def log(self, text: str) -> None:
+        """Write a line to the simulator's log."""
+        offset, length = self._reply.append_to_tail(text.encode())
+        self._add(codec.pack_log(ActionCode.LOG, offset, length))
 
-    def crash(self, text):
-        self._act(CRASH(1050, *self.reply.stow(text.encode())))
+    def _add(self, record: bytes) -> None:
+        self._reply.add(self.instance, record)
 
 
-def load_map(columns, data):
-    return dict(zip(columns, struct.unpack_from("<4f", data, 1)[: data[0]])) if data[0] else None
-
-
-def read_entries(data, count):
-    for at in range(0, count * ENTRY_SIZE, ENTRY_SIZE):
-        cell, kind, weight, raw, started, state, zone = ENTRY.unpack_from(data, at)
-        if state not in STATES:
-            raise MalformedMessageError(f"list entry {at // ENTRY_SIZE}: unknown state {state}")
-        yield cell, kind, weight, raw, microseconds(started), STATES[state], zone
+def _class_mask(classes: Sequence[int]) -> int:
+    return sum(1 << class_index for class_index in classes)
 
 
 class Adapter:
-    """Many instances in one process. Reads batches, calls assigners, answers with one reply a batch."""
-
-    def __init__(self, make=Assigner):
-        self.make, self.reply, self.desks, self.lists = make, Reply(), {}, {}
-        self.read = {
-            1000: (struct.Struct("<III"), None),
-            1010: (struct.Struct("<IIB"), self.members),
-            1020: (struct.Struct("<H"), self.left),
-            1030: (struct.Struct("<"), self.stop),
-            1040: (struct.Struct("<HII"), self.memo),
-            1050: (struct.Struct("<QII"), self.start),
-            1060: (struct.Struct("<HId"), self.applied),
-            1070: (struct.Struct("<6sfH"), self.held),
-            1080: (struct.Struct("<HBIId"), self.heat),
-            1090: (struct.Struct("<6sHd17s"), self.probed),
-            1100: (struct.Struct("<Q"), self.woken),
-            1110: (struct.Struct("<BH"), self.given),
-            1120: (struct.Struct("<B6sIIdd17s"), self.heard),
-            1130: (struct.Struct("<BdIHI"), self.demand),
-            1140: (struct.Struct("<HBfB"), self.joined),
-            1150: (struct.Struct("<H"), None),
+    """Answer each batch of events with one reply; `make_assigner` may make another policy."""
+
+    def __init__(self, make_assigner: Callable[..., Any] = Assigner) -> None:
+        self._make_assigner = make_assigner
+        self._reply = Reply()
+        self._hosts: dict[int, InstanceHost] = {}
+        self._lists: dict[int, list[ListEntry]] = {}  # by the number that events name them by
+        self._handlers: dict[EventCode, Callable[..., None]] = {
+            EventCode.ENDPOINT_UPDATE: self._on_endpoint_update,
+            EventCode.PROXY_LEFT: self._on_proxy_left,
+            EventCode.STOP: self._on_stop,
+            EventCode.ACK: self._on_ack,
+            EventCode.KEY_RANGE_SERVER: self._on_key_range_server,
+            EventCode.KEY_RANGE_DEMAND: self._on_key_range_demand,
+            EventCode.HEALTH_CHECK: self._on_health_check,
+            EventCode.TIMER: self._on_timer,
+            EventCode.KEY_RANGE_ASSIGNED: self._on_key_range_assigned,
+            EventCode.LOAD_REPORT: self._on_load_report,
+            EventCode.DEMAND_REPORT: self._on_demand_report,
+            EventCode.PROXY_JOINED: self._on_proxy_joined,
         }
 
-    def batch(self, clock, count, body):
-        self.reply.clock = clock
-        chosen = None
-        for place in range(count):
-            at = place * EVENT_SIZE
-            code = body[at] | body[at + 1] << 8
-            if code not in self.read:
-                raise MalformedMessageError(f"record {place}: unknown code {code}")
-            shape, call = self.read[code]
-            fields = shape.unpack_from(body, at + 2)
+    def process(self, frame: Frame) -> bytes:
+        """Return the reply to one batch.
+
+        Raises
+        ------
+        MalformedMessageError
+            If a record is not what the wire allows; the message names it.
+        """
+        self._reply.clock = frame.clock
+        instance: int | None = None
+        for index, code, fields in frame.events():
+            if code == EventCode.SELECT_INSTANCE:
+                (instance,) = fields
+                continue
             try:
-                if code == 1150:
-                    (chosen,) = fields
-                elif code == 1000:
-                    number, offset, entries = fields
-                    data = tail_slice(body, count, offset, entries * ENTRY_SIZE, f"list {number}")
-                    self.lists[number] = list(read_entries(data, entries))
-                elif chosen is None:
-                    raise MalformedMessageError(f"code {code} before any instance was selected")
-                elif code == 1050:
-                    seed, offset, length = fields
-                    self.start(chosen, seed, tail_slice(body, count, offset, length, "settings"))
-                elif chosen not in self.desks:
-                    raise MalformedMessageError(
-                        f"code {code} for instance {chosen}, which has not started"
-                    )
-                elif code == 1040:
-                    peer, offset, length = fields
-                    self.memo(
-                        self.desks[chosen], peer, tail_slice(body, count, offset, length, "memo")
-                    )
-                else:
-                    call(self.desks[chosen], *fields)
+                self._process_event(frame, instance, code, fields)
             except MalformedMessageError as error:
-                raise MalformedMessageError(f"record {place}: {error}") from error
-            except Exception as error:  # the decision code failed: the wire has an action for that
-                Desk(chosen, self.reply).crash(
-                    f"{type(error).__name__}: {error} (record {place}, code {code})"
-                )
-        return self.reply.take()
-
-    def start(self, number, seed, data):
-        settings = settings_from_json(data)
-        desk = self.desks[number] = Desk(number, self.reply)
-        desk.columns = settings.load_columns
-        desk.classes, desk.zones = len(settings.classes), settings.zone_count
-        desk.assigner = self.make(desk, settings, seed)
-
-    def stop(self, desk):
-        del self.desks[desk.number]
-
-    def members(self, desk, number, version, kind):
-        if kind == 0:
-            return desk.assigner.on_endpoint_list_failed()
-        if kind not in LIST_KINDS:
+                raise MalformedMessageError(f"record {index}: {error}") from error
+            except Exception as error:  # a fault of the decision code must not end the others
+                where = f"record {index}, code {code.value}"
+                text = f"{type(error).__name__}: {error} ({where})"
+                self._report_crash(instance or 0, text)
+        return self._reply.take()
+
+    def _process_event(
+        self, frame: Frame, instance: int | None, code: EventCode, fields: tuple
+    ) -> None:
+        if code == EventCode.ENDPOINT_LIST:
+            self._declare_list(frame, *fields)
+            return
+        if instance is None:
+            raise MalformedMessageError(f"code {code.value} before any instance was selected")
+        if code == EventCode.START:
+            self._start(frame, instance, *fields)
+            return
+        host = self._hosts.get(instance)
+        if host is None:
+            raise MalformedMessageError(
+                f"code {code.value} for instance {instance}, which has not started"
+            )
+        if code == EventCode.PEER_MESSAGE:
+            self._on_peer_message(frame, host, *fields)
+            return
+        self._handlers[code](host, *fields)
+
+    def _report_crash(self, instance: int, text: str) -> None:
+        offset, length = self._reply.append_to_tail(text.encode())
+        self._reply.add(instance, codec.pack_crash(ActionCode.CRASH, offset, length))
+
+    def _declare_list(self, frame: Frame, number: int, offset: int, count: int) -> None:
+        data = frame.tail(offset, count * codec.LIST_ENTRY.size, f"list {number}")
+        self._lists[number] = list(codec.read_list_entries(data, count))
+
+    def _start(self, frame: Frame, instance: int, seed: int, offset: int, length: int) -> None:
+        settings = settings_from_json(frame.tail(offset, length, "settings"))
+        host = self._hosts[instance] = InstanceHost(instance, settings, self._reply)
+        host.assigner = self._make_assigner(host, settings, seed)
+
+    def _on_stop(self, host: InstanceHost) -> None:
+        del self._hosts[host.instance]
+
+    def _on_endpoint_update(self, host: InstanceHost, number: int, version: int, kind: int) -> None:
+        if kind == codec.LIST_FAILED:
+            host.assigner.on_endpoint_list_failed()
+            return
+        if kind not in codec.UPDATE_KINDS:
             raise MalformedMessageError(f"unknown kind of list {kind}")
-        if number not in self.lists:
+        if number not in self._lists:
             raise MalformedMessageError(f"list {number} was not declared")
         servers = [
-            Server(desk.index(raw), raw, cell, machine, zone, weight, started, state)
-            for cell, machine, weight, raw, started, state, zone in self.lists[number]
+            Server(
+                index=host.server_index(entry.server_id),
+                stable_id=entry.server_id,
+                cell=entry.cell,
+                machine_type=entry.machine_type,
+                zone=entry.zone,
+                weight=entry.weight,
+                started=entry.started,
+                state=entry.state,
+            )
+            for entry in self._lists[number]
         ]
-        desk.assigner.on_endpoint_update(LIST_KINDS[kind], servers)
-
-    def left(self, desk, proxy):
-        desk.assigner.on_proxy_left(proxy)
-
-    def joined(self, desk, proxy, zone, rate, fresh):
-        desk.assigner.on_proxy_joined(proxy, zone, rate, bool(fresh))
-
-    def memo(self, desk, peer, data):
-        desk.assigner.on_peer_message(peer, bytes(data))
-
-    def applied(self, desk, proxy, number, took):
-        desk.assigner.on_ack(proxy, number, microseconds(took))
-
-    def held(self, desk, raw, weight, table):
-        desk.assigner.on_key_range_server(table, desk.index(raw), weight)
-
-    def given(self, desk, on, table):
-        desk.assigner.on_key_range_assigned(table, bool(on))
-
-    def heat(self, desk, table, place, exchanges, failed, span):
-        self.check_class(desk, place)
-        desk.assigner.on_key_range_demand(table, place, exchanges, failed, microseconds(span))
-
-    def probed(self, desk, raw, outcome, took, load):
-        desk.assigner.on_health_check(
-            desk.index(raw),
-            OUTCOMES.get(outcome, HealthCheckOutcome.ERROR),
-            microseconds(took),
-            load_map(desk.columns, load),
+        host.assigner.on_endpoint_update(codec.UPDATE_KINDS[kind], servers)
+
+    def _on_proxy_joined(
+        self, host: InstanceHost, proxy: int, zone: int, rate: float, fresh: int
+    ) -> None:
+        host.assigner.on_proxy_joined(proxy, zone, rate, bool(fresh))
+
+    def _on_proxy_left(self, host: InstanceHost, proxy: int) -> None:
+        host.assigner.on_proxy_left(proxy)
+
+    def _on_peer_message(
+        self, frame: Frame, host: InstanceHost, peer: int, offset: int, length: int
+    ) -> None:
+        data = frame.tail(offset, length, "memo")
+        host.assigner.on_peer_message(peer, bytes(data))
+
+    def _on_ack(self, host: InstanceHost, proxy: int, number: int, duration_ms: float) -> None:
+        host.assigner.on_ack(proxy, number, microseconds(duration_ms))
+
+    def _on_timer(self, host: InstanceHost, token: int) -> None:
+        host.assigner.on_timer(token)
+
+    def _on_health_check(
+        self, host: InstanceHost, server_id: bytes, outcome: int, duration_ms: float, load: bytes
+    ) -> None:
+        host.assigner.on_health_check(
+            host.server_index(server_id),
+            codec.HEALTH_CHECK_OUTCOMES.get(outcome, HealthCheckOutcome.ERROR),
+            microseconds(duration_ms),
+            codec.read_load(host.settings.load_columns, load),
         )
 
-    def woken(self, desk, token):
-        desk.assigner.on_timer(token)
-
-    def heard(self, desk, zone, raw, tries, failed, took, span, load):
-        desk.assigner.on_load_report(
-            LoadReport(
-                zone,
-                desk.index(raw),
-                tries,
-                failed,
-                microseconds(took),
-                microseconds(span),
-                load_map(desk.columns, load),
-            )
+    def _on_load_report(
+        self,
+        host: InstanceHost,
+        zone: int,
+        server_id: bytes,
+        attempts: int,
+        failures: int,
+        mean_latency_ms: float,
+        span_ms: float,
+        load: bytes,
+    ) -> None:
+        report = LoadReport(
+            zone=zone,
+            server=host.server_index(server_id),
+            attempts=attempts,
+            failures=failures,
+            mean_latency=microseconds(mean_latency_ms),
+            span=microseconds(span_ms),
+            load=codec.read_load(host.settings.load_columns, load),
         )
-
-    def demand(self, desk, place, span, failed, proxy, exchanges):
-        self.check_class(desk, place)
-        desk.assigner.on_demand_report(
-            DemandReport(proxy, place, exchanges, failed, microseconds(span))
+        host.assigner.on_load_report(report)
+
+    def _on_demand_report(
+        self,
+        host: InstanceHost,
+        class_index: int,
+        span_ms: float,
+        failures: int,
+        proxy: int,
+        requests: int,
+    ) -> None:
+        _check_class(host, class_index)
+        report = DemandReport(proxy, class_index, requests, failures, microseconds(span_ms))
+        host.assigner.on_demand_report(report)
+
+    def _on_key_range_assigned(self, host: InstanceHost, on: int, table: int) -> None:
+        host.assigner.on_key_range_assigned(table, bool(on))
+
+    def _on_key_range_server(
+        self, host: InstanceHost, server_id: bytes, weight: float, table: int
+    ) -> None:
+        host.assigner.on_key_range_server(table, host.server_index(server_id), weight)
+
+    def _on_key_range_demand(
+        self,
+        host: InstanceHost,
+        table: int,
+        class_index: int,
+        requests: int,
+        failures: int,
+        span_ms: float,
+    ) -> None:
+        _check_class(host, class_index)
+        host.assigner.on_key_range_demand(
+            table, class_index, requests, failures, microseconds(span_ms)
         )
 
-    @staticmethod
-    def check_class(desk, place):
-        if place >= desk.classes:
-            raise MalformedMessageError(f"class {place} of {desk.classes}")
+
+def _check_class(host: InstanceHost, class_index: int) -> None:
+    count = len(host.settings.classes)
+    if class_index >= count:
+        raise MalformedMessageError(f"class {class_index} of {count}")
--- a/indigodeck/testbed/scenario.py
+++ b/indigodeck/testbed/scenario.py
@@ -17,14 +17,14 @@
 
 from ..assignment.seeded_random import SeededRandom
 from ..clock import now
-from ..json_documents import InvalidDocumentError, shipped, wrong
+from ..json_documents import InvalidDocumentError, load_schema, schema_errors
 from ..planner.planner_settings import PlannerSettings
 from . import audit
 from .discovery_server import DiscoveryServer
 from .recording_proxy import RecordingProxy, Seen
 
 SECOND = 1_000_000
-SCHEMA = shipped(__file__, "scenario.schema.json")
+SCHEMA = load_schema(__file__, "scenario.schema.json")
 # What a bench day calls its troubles, and which of ours each is; the others have no counterpart on sockets.
 FROM_BENCH = {
     "crash": "crash",
@@ -66,7 +66,7 @@
 
 def check(script):
     """What is wrong with a script, by place; its charter's faults among them."""
-    against = wrong(script, SCHEMA)
+    against = schema_errors(script, SCHEMA)
     if not against:
         try:
             settings = PlannerSettings(settings_document(script, 1))
--- a/indigodeck/versions/admin_api.py
+++ b/indigodeck/versions/admin_api.py
@@ -2,11 +2,11 @@
 
 import json
 
-from ..json_documents import shipped, wrong
+from ..json_documents import load_schema, schema_errors
 from .operator_requests import RejectedError
 from .version_log import number
 
-SCHEMA = shipped(__file__, "operator_request.schema.json")
+SCHEMA = load_schema(__file__, "operator_request.schema.json")
 PAGE, PAGE_BYTES = 100, 24 << 10
 
 
@@ -27,7 +27,7 @@
 
     def answer(self, wish):
         """{..} for a wish as `operator_request.schema.json` says; {"why_not": text} where it can't be."""
-        against = wrong(wish, SCHEMA)
+        against = schema_errors(wish, SCHEMA)
         if against:
             return {"why_not": against[0][:500]}
         try:
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -55,7 +55,7 @@
 
 
 def play(adapter, data):
-    return adapter.batch(*read_frame(io.BytesIO(data)))
+    return adapter.process(read_frame(io.BytesIO(data)))
 
 
 class Wire(unittest.TestCase):
