--- /dev/null
+++ b/indigodeck/cli/controller_group.py
@@ -0,0 +1,112 @@
+"""Which controllers a settings file names, and requests to all of them.
+
+Requests and answers are the maps of `leadership/transport.py`; their keys are its words. A
+controller that cannot be reached is stated as {"unreached": why}.
+"""
+
+import asyncio
+from dataclasses import dataclass
+from typing import Any
+
+from ..json_documents import InvalidDocumentError
+from .output import fail
+
+Address = tuple[str, int]
+Answer = dict[str, Any]
+
+
+@dataclass(frozen=True, slots=True)
+class OperatorTargets:
+    """The programs that answer operators' requests, by name, and the key that they share."""
+
+    addresses: dict[str, Address]
+    key: bytes
+
+    def ask(self, request: str, only: str | None = None, **fields: Any) -> dict[str, Answer]:
+        """Return each one's answer to a request; `only` names a single one to be asked."""
+        addresses = self.addresses if only is None else {only: self.addresses[only]}
+        return asyncio.run(ask_all(addresses, self.key, request, **fields))
+
+
+@dataclass(frozen=True, slots=True)
+class ControllerGroup(OperatorTargets):
+    """All controllers, and what each of them says of the group."""
+
+    states: dict[str, Answer]
+
+
+def is_reached(answer: Answer) -> bool:
+    """Return whether a controller has answered."""
+    return "unreached" not in answer
+
+
+def any_reached(answers: dict[str, Answer]) -> bool:
+    """Return whether one controller at least has answered."""
+    return any(is_reached(answer) for answer in answers.values())
+
+
+async def ask_all(
+    addresses: dict[str, Address], key: bytes, request: str, **fields: Any
+) -> dict[str, Answer]:
+    """Send one request to several controllers at once; return the answer of each."""
+    from tornado.iostream import StreamClosedError
+    from tornado.util import TimeoutError as DeadlineExceededError
+
+    from ..leadership.messages import RejectedError
+    from ..leadership.transport import ask
+
+    async def ask_one(address: Address) -> Answer:
+        try:
+            return await ask(address, key, request, **fields)
+        except (OSError, StreamClosedError, DeadlineExceededError, RejectedError) as error:
+            return {"unreached": str(error) or type(error).__name__}
+
+    answers = await asyncio.gather(*(ask_one(address) for address in addresses.values()))
+    return dict(zip(addresses, answers, strict=True))
+
+
+def read_controller_group(settings_path: str) -> ControllerGroup:
+    """Ask the controllers of a settings file, and those that were added since, for their state."""
+    from ..leadership.transport import place_of
+    from ..planner.planner_settings import read
+    from ..serve import key_of
+
+    try:
+        settings = read(settings_path)
+        if not settings.takeover:
+            fail(f"{settings_path}: controllers share nothing here: no section takeover")
+        members = settings.takeover["members"]
+        addresses = {name: place_of(text) for name, text in members.items()}
+        key = key_of(settings, settings.takeover["key_file"])
+    except (InvalidDocumentError, OSError) as error:
+        fail(str(error))
+    states = asyncio.run(ask_all(addresses, key, "fleet"))
+    added_since = {
+        name: place_of(member["place"])
+        for state in states.values()
+        for name, member in state.get("members", {}).items()
+        if isinstance(member, dict) and name not in addresses
+    }
+    states_of_added = asyncio.run(ask_all(added_since, key, "fleet"))
+    return ControllerGroup({**addresses, **added_since}, key, {**states, **states_of_added})
+
+
+def read_operator_targets(settings_path: str) -> OperatorTargets:
+    """Return the programs of a settings file that answer requests about versions."""
+    from ..planner.planner_settings import read
+    from ..serve import key_of
+
+    try:
+        settings = read(settings_path)
+        if settings.takeover:
+            return read_controller_group(settings_path)
+        if not settings.operators:
+            fail(
+                f"{settings_path}: neither a section operators nor takeover: "
+                "this planner hears no operators"
+            )
+        section = settings.operators
+        address = (section.get("address", "127.0.0.1"), section["port"])
+        return OperatorTargets({settings.name: address}, key_of(settings, section["key_file"]))
+    except (InvalidDocumentError, OSError) as error:
+        fail(str(error))
--- /dev/null
+++ b/indigodeck/cli/documents.py
@@ -0,0 +1,47 @@
+"""The command `check`, which checks documents against their schemas."""
+
+import json
+import sys
+from collections.abc import Callable
+from typing import Any
+
+import click
+
+from ..json_documents import InvalidDocumentError
+from .output import ExitCode, read_document
+
+
+@click.command()
+@click.argument("paths", nargs=-1, required=True, type=click.Path(dir_okay=False))
+def check(paths: tuple[str, ...]) -> None:
+    """Check charters, scripts and rosters against their schemas."""
+    found = False
+    for path in paths:
+        document_type, mistakes = _check_document(path)
+        found = found or bool(mistakes)
+        if mistakes:
+            click.echo("\n".join(f"{path}: {mistake}" for mistake in mistakes))
+        else:
+            click.echo(f"{path}: a {document_type}, nothing wrong")
+    sys.exit(ExitCode.FOUND if found else ExitCode.DONE)
+
+
+def _check_document(path: str) -> tuple[str, list[str]]:
+    """Return the type of the document in a file, and what is wrong with it, by place."""
+    from ..planner import endpoint_list, planner_settings
+    from ..testbed import scenario
+
+    document = read_document(path)
+    if "hosts" in document and isinstance(document["hosts"], list):
+        return "roster", _mistakes(lambda: endpoint_list.read(json.dumps(document)))
+    if "relays" in document and "seconds" in document:
+        return "script", scenario.check(document)
+    return "charter", _mistakes(lambda: planner_settings.read(path))
+
+
+def _mistakes(read: Callable[[], Any]) -> list[str]:
+    try:
+        read()
+    except InvalidDocumentError as error:
+        return str(error).splitlines()
+    return []
--- /dev/null
+++ b/indigodeck/cli/output.py
@@ -0,0 +1,51 @@
+"""What all commands share: exit codes, failing with a message, options, and reading documents."""
+
+import json
+import pathlib
+import sys
+from collections.abc import Iterable
+from enum import IntEnum
+from typing import Any, NoReturn
+
+import click
+
+FORMATS = ("people", "json")
+
+
+class ExitCode(IntEnum):
+    """Exit codes of all commands."""
+
+    DONE = 0
+    FOUND = 1  # something was found wrong: a rule broken, a document with faults, a rejection
+    WRONG_CALL = 2  # called wrongly, or a document that cannot be read
+    UNREACHED = 3  # nothing could be reached
+
+
+settings_option = click.option(
+    "--charter", "settings_path", required=True, type=click.Path(dir_okay=False)
+)
+format_option = click.option(
+    "--format", "output_format", default="people", type=click.Choice(FORMATS)
+)
+
+
+def fail(message: str, code: ExitCode = ExitCode.WRONG_CALL) -> NoReturn:
+    """Print a message on standard error and end the program with an exit code."""
+    click.echo(message, err=True)
+    sys.exit(code)
+
+
+def print_answer(output_format: str, answer: Any, lines: Iterable[str]) -> None:
+    """Print an answer as JSON, or as lines for people."""
+    if output_format == "json":
+        click.echo(json.dumps(answer))
+    else:
+        click.echo("\n".join(lines))
+
+
+def read_document(path: str | pathlib.Path) -> Any:
+    """Return the JSON document in a file; one that cannot be read ends the program."""
+    try:
+        return json.loads(pathlib.Path(path).read_text())
+    except (OSError, ValueError) as error:
+        fail(f"{path}: {error}")
--- /dev/null
+++ b/indigodeck/cli/planner.py
@@ -0,0 +1,71 @@
+"""Commands that run a planner: `serve` from a settings file, `edge` on the platform."""
+
+import asyncio
+import sys
+from collections.abc import Callable
+from typing import Any
+
+import click
+import structlog
+
+from ..json_documents import InvalidDocumentError
+from .output import ExitCode, fail
+
+
+@click.command()
+@click.option(
+    "--charter",
+    "settings_path",
+    required=True,
+    type=click.Path(dir_okay=False),
+    help="What the planner is told at start (JSON).",
+)
+@click.option(
+    "--log", "log_format", default="json", type=click.Choice(["json", "people"]), show_default=True
+)
+@click.option("--policy", default="indigodeck", hidden=True)
+def serve(settings_path: str, log_format: str, policy: str) -> None:
+    """Run a planner until it is told to end."""
+    from ..assignment.assigner import Assigner
+    from ..planner.planner_settings import read
+    from ..serve import serve as run_planner
+
+    configure_logging(log_format)
+    make_assigner: Callable[..., Any] = Assigner
+    if policy != "indigodeck":
+        from ..testbed.baselines import BASELINES
+
+        make_assigner = BASELINES[policy]
+    try:
+        settings = read(settings_path)
+        asyncio.run(run_planner(settings, make_assigner))
+    except InvalidDocumentError as error:
+        fail(str(error))
+    except OSError as error:
+        fail(f"{settings_path}: {error}", ExitCode.UNREACHED)
+
+
+@click.command()
+def edge() -> None:
+    """Run a planner on the platform, told by EDGE_CONFIG (docs/edge.md)."""
+    from ..edge.service import main as run_on_platform
+
+    sys.exit(run_on_platform())
+
+
+def configure_logging(log_format: str) -> None:
+    """Log JSON lines to standard output for programs, or coloured lines to standard error."""
+    as_json = log_format == "json"
+    renderer = (
+        structlog.processors.JSONRenderer()
+        if as_json
+        else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
+    )
+    structlog.configure(
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            renderer,
+        ],
+        logger_factory=structlog.PrintLoggerFactory(sys.stdout if as_json else sys.stderr),
+    )
--- /dev/null
+++ b/indigodeck/cli/scenario.py
@@ -0,0 +1,66 @@
+"""The command `day`, which plays a scripted scenario on loopback."""
+
+import asyncio
+import json
+import sys
+import time
+
+import click
+
+from .output import FORMATS, ExitCode, fail, read_document
+
+
+@click.command()
+@click.argument("path", type=click.Path(dir_okay=False))
+@click.option(
+    "--against",
+    "baselines",
+    multiple=True,
+    type=click.Choice(["equal", "frozen"]),
+    help="Play a baseline beside it.",
+)
+@click.option(
+    "--keep",
+    "kept_folder",
+    type=click.Path(file_okay=False),
+    help="Keep receipts, outcomes and logs in this folder.",
+)
+@click.option("--format", "output_format", default="people", type=click.Choice(FORMATS))
+@click.option(
+    "--bench-troubles",
+    "bench_faults_path",
+    type=click.Path(dir_okay=False),
+    help="Troubles as found in a bench day, in place of the script's own.",
+)
+def day(
+    path: str,
+    baselines: tuple[str, ...],
+    kept_folder: str | None,
+    output_format: str,
+    bench_faults_path: str | None,
+) -> None:
+    """Play a scripted day on loopback and judge it by its sockets."""
+    from ..testbed import scenario
+
+    script = read_document(path)
+    if bench_faults_path:
+        script["troubles"], without_counterpart = scenario.from_bench(
+            read_document(bench_faults_path)
+        )
+        if without_counterpart:
+            click.echo(f"no counterpart on sockets: {', '.join(without_counterpart)}", err=True)
+    mistakes = scenario.check(script)
+    if mistakes:
+        fail("\n".join(f"{path}: {mistake}" for mistake in mistakes))
+    started = time.monotonic()
+
+    def report(text: str) -> None:
+        click.echo(f"{time.monotonic() - started:6.1f} s  {text}", err=True)
+
+    results = asyncio.run(scenario.run(script, ("indigodeck", *baselines), kept_folder, report))
+    if output_format == "json":
+        click.echo(json.dumps(results))
+    else:
+        click.echo("\n".join(scenario.printed(result) for result in results))
+    if not all(rule["kept"] for rule in results[0]["rules"]):
+        sys.exit(ExitCode.FOUND)
--- /dev/null
+++ b/indigodeck/cli/trust.py
@@ -0,0 +1,37 @@
+"""The command `trust`: whether a planner works from a cached endpoint list."""
+
+import json
+import sys
+
+import click
+
+from .controller_group import Answer, any_reached, is_reached, read_operator_targets
+from .output import ExitCode, format_option, settings_option
+
+
+@click.command()
+@settings_option
+@format_option
+def trust(settings_path: str, output_format: str) -> None:
+    """Whether a planner goes by a list that was kept on disk, and how far that is borne out."""
+    answers = read_operator_targets(settings_path).ask("versions", wish={"what": "trust"})
+    if output_format == "json":
+        click.echo(json.dumps(answers))
+    else:
+        for name, answer in answers.items():
+            click.echo(f"{name:10} {_trust_text(answer)}")
+    if not any_reached(answers):
+        sys.exit(ExitCode.UNREACHED)
+
+
+def _trust_text(answer: Answer) -> str:
+    if not is_reached(answer):
+        return f"unreached: {answer['unreached']}"
+    cached = answer.get("trust")
+    if cached is None:
+        return f"goes by list {answer['list']}"
+    return (
+        f"goes by list {answer['list']}, kept {cached['age_s']} s ago: "
+        f"of {cached['named']} hosts {cached['answer']} answer, {cached['do_not']} do not; "
+        f"trust {cached['trust']}"
+    )
