--- a/tests/test_simhost.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: frames in, frames out, and plain words on what is malformed."""
+"""Tests of the simulator's adapter: frames in, frames out, and errors for malformed input."""
 
 import io
 import json
@@ -33,15 +33,18 @@
 
 
 def event(code, layout="", *fields):
+    """Return one event record."""
     return struct.pack("<H" + layout, code, *fields).ljust(56, b"\0")
 
 
 def frame(*records, tail=b"", clock=1000.0):
+    """Return a frame of records."""
     body = b"".join(records) + tail
     return struct.pack("<IId", len(records), len(body), clock) + body
 
 
 def start(settings=SETTINGS):
+    """Return a frame that starts instance 3 with one server and one proxy."""
     text = json.dumps(settings).encode()
     entry = struct.pack("<HBf6sdBB", 0, 0, 1.0, b"server", 0.0, 1, 0)
     return frame(
@@ -55,11 +58,15 @@
 
 
 def play(adapter, data):
+    """Return the adapter's reply to one frame."""
     return adapter.process(read_frame(io.BytesIO(data)))
 
 
-class Wire(unittest.TestCase):
-    def test_start_binds_a_proxy_to_a_table_with_the_listed_server(self):
+class AdapterTest(unittest.TestCase):
+    """The adapter, and the program around it."""
+
+    def test_start_assigns_a_proxy_a_table_with_the_listed_server(self):
+        """The actions of a start and a join, by their codes, in order."""
         adapter = Adapter()
         replies = [
             play(adapter, start()),
@@ -73,6 +80,7 @@
         self.assertEqual(codes, [1030, 1040, 1040, 1030, 1070, 1120, 1090, 1020])
 
     def test_instances_share_nothing_and_start_anew(self):
+        """An instance that was stopped and started answers as the first time."""
         adapter = Adapter()
         first = play(adapter, start())
         stop = frame(event(1150, "H", 3), event(1030))
@@ -80,6 +88,7 @@
         self.assertEqual(play(adapter, start()), first)
 
     def test_malformed_input_is_named(self):
+        """Each kind of malformed input raises an error that names it."""
         strange = dict(SETTINGS, rules={})
         for data, words in (
             (frame(event(9)), "unknown code 9"),
@@ -94,14 +103,17 @@
             with self.subTest(words), self.assertRaisesRegex(MalformedMessageError, words):
                 play(Adapter(), data)
 
-    def test_failing_decisions_are_told_over_the_wire(self):
+    def test_a_fault_of_the_decision_code_is_reported_over_the_wire(self):
+        """A fault of the assigner becomes a crash action."""
+
         class Broken:
-            def __init__(self, host, charter, seed):
+            def __init__(self, host, settings, seed):
                 raise ValueError("no idea")
 
         self.assertIn(b"ValueError: no idea", play(Adapter(Broken), start()))
 
-    def test_the_program_says_what_is_wrong_and_writes_nothing_else(self):
+    def test_the_program_reports_malformed_input_and_writes_nothing_else(self):
+        """The exit code, and what stands on both outputs."""
         done = subprocess.run(
             [sys.executable, "-m", "indigodeck.simulator"], input=b"\1\2\3", capture_output=True
         )
