--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 PYTHON := $(VENV)/bin/python
 READY := $(VENV)/.ready-$(shell cat requirements.txt requirements-dev.txt pyproject.toml | cksum | cut -d' ' -f1)
 
-.PHONY: day test setup
+.PHONY: day test lint setup
 
 day: setup
 	$(PYTHON) -m indigodeck day examples/bad-day.json --against equal --against frozen
@@ -11,6 +11,12 @@
 test: setup
 	$(PYTHON) tests/run.py
 
+# Formatter, linter and types, over the whole tree; mypy's packages are those in pyproject.toml.
+lint: setup
+	$(VENV)/bin/ruff format --check .
+	$(VENV)/bin/ruff check .
+	$(VENV)/bin/mypy
+
 setup: $(READY)
 
 $(READY):
