--- a/indigodeck/assignment/assigner.py
+++ b/indigodeck/assignment/assigner.py
@@ -11,7 +11,10 @@
 from ..clock import SECOND
 from ..settings import AdmissionMode
 from .interface import HealthCheckOutcome, RetryPolicy, ServerState, UpdateKind
-from .records import Channel, Health, Proxies, Proxy, Table, quantile, weigh
+from .channel_account import ChannelAccount
+from .demand import Locality, Proxy, ProxyRegistry
+from .server_health import EJECTION_TIME, ReceivedReport, ServerHealth
+from .tables import Table, total_weight
 from .seeded_random import SeededRandom, seed_from
 
 TURN = SECOND // 4  # between two looks at reports, shards and the channel
@@ -40,6 +43,15 @@
 )  # seconds of the channel an ordinary push may take; part of its limit
 
 
+def quantile(part, samples):
+    """Return the quantile of values that each come with a weight; None if there are none."""
+    left = part * sum(weight for _, weight in samples)
+    for value, weight in sorted(samples):
+        left -= weight
+        if left <= 0:
+            return value
+
+
 class Valve:
     """How much is let in to servers that share load. Answer times tell: they rise before failures do."""
 
@@ -91,10 +103,14 @@
 
 class Assigner:
     def __init__(self, host, settings, seed):
-        self.host, self.settings, self.chance = host, settings, SeededRandom(seed)
+        self.host, self.settings, self.random = host, settings, SeededRandom(seed)
         self.classes, zones = settings.classes, settings.zone_count
         self.order = sorted(range(len(self.classes)), key=lambda k: self.classes[k].name)
-        self.tables, self.valves, self.proxies = [], {None: Valve()}, Proxies(settings, FORGET)
+        self.tables, self.valves, self.proxies = (
+            [],
+            {None: Valve()},
+            ProxyRegistry(settings, FORGET),
+        )
         # Where proxies are many, one table means too many connections: groups are classes of their own.
         apart = self.apart = settings.proxy_count >= zones * GROUP
         self.parts = max(1, settings.proxy_count // (zones * GROUP))
@@ -107,13 +123,13 @@
                 name_here = f"{name} {zone} {part}" if apart else name
                 self.tables.append(Table(number, place, zone, own, name_here))
                 for near in range(zones) if zone is None else [zone]:
-                    self.proxies.serving[near, part].append(self.tables[-1])
+                    self.proxies.tables_by_locality[near, part].append(self.tables[-1])
                 self.valves.setdefault(zone if own else None, Valve())
-        self.health = defaultdict(lambda: Health(spell=SPELL))
+        self.health = defaultdict(ServerHealth)
         self.fleet, self.joining, self.withdrawn, self.shares, self.shared_at = {}, [], set(), {}, 0
         self.natural = {place: 1 / len(self.order) for place in self.order}
         self.levels = dict.fromkeys(self.order, 1.0)
-        self.channel, self.spans = Channel(settings, host.now(), FORGET), deque(maxlen=64)
+        self.channel, self.spans = ChannelAccount(settings, host.now(), FORGET), deque(maxlen=64)
         self.pushed_at, self.pause, self.subscribed = (
             -SPELL_MOST,
             SECOND,
@@ -131,7 +147,7 @@
     def on_endpoint_list_failed(self):
         # Later each time, not in step with others, so that a slow list service is not kept down.
         self.subscribed, self.pause = False, min(self.pause * 2, 8 * SECOND)
-        self.host.start_timer(self.pause // 2 + self.chance.below(self.pause), 1)
+        self.host.start_timer(self.pause // 2 + self.random.below(self.pause), 1)
 
     def on_endpoint_update(self, kind, servers):
         self.subscribed, self.pause = self.subscribed or kind != UpdateKind.CACHED, SECOND
@@ -152,13 +168,13 @@
                     0 if kind == UpdateKind.CACHED else self.host.now() + self._echo(),
                     health,
                 )
-                health = self.health[server.index] = Health(server.started, judge_from, SPELL)
+                health = self.health[server.index] = ServerHealth(server.started, judge_from, SPELL)
                 if old and 0 < old.started > server.started - 4 * self.settings.warm_up_time:
                     # But one that falls by turns never gets warm, and takes what it is sent with it.
-                    health.falls = old.falls + 1
-                    health.spell = min(SPELL_MOST, SPELL << health.falls)
+                    health.restarts = old.restarts + 1
+                    health.ejection_time = min(SPELL_MOST, SPELL << health.restarts)
                     self._bar(server.index, self.order, self._ready(), "falls again")
-            health.doubted = False
+            health.suspect = False
         self._act()
 
     def _gone(self, index):
@@ -168,7 +184,7 @@
             and index in self.fleet
             and self.fleet[index].state == ServerState.READY
         ):
-            self.health[index].doubted, self.health[index].until = True, self.host.now()
+            self.health[index].suspect, self.health[index].next_check_at = True, self.host.now()
         else:
             self.fleet.pop(index, None)
 
@@ -183,7 +199,7 @@
         demand = self.proxies[proxy].demand if proxy in self.proxies else {}
         # The same group at every planner; not by remainder, for numbers may go with zones.
         group, rate = SeededRandom(proxy).below(self.parts), rate if 0 < rate < 1e9 else 1.0
-        self.proxies[proxy] = Proxy((zone, group), rate, demand)
+        self.proxies[proxy] = Proxy(Locality(zone, group), rate, demand)
         if not self.joining:
             self.host.start_timer(
                 1, 2
@@ -194,25 +210,28 @@
         """Puts proxies on their tables as the channel has room; until then old ones hold. Busiest first."""
         rest, now, limit = [], self.host.now(), self.settings.channel.max_waiting_lines * QUEUE_PART
         waiting = {proxy for proxy in self.joining if self.proxies[proxy].joined}
-        for proxy in sorted(waiting, key=lambda p: (-self.proxies[p].rate, p)):
-            tables, queue = self.proxies.tables_of(proxy), self.channel.queue(now)
+        for proxy in sorted(waiting, key=lambda p: (-self.proxies[p].stated_rate, p)):
+            tables, queue = self.proxies.tables_of(proxy), self.channel.queued_lines(now)
             lines = sum(
-                2 + len(table.lines) + len(self.withdrawn & table.lines.keys()) for table in tables
+                2
+                + len(table.published_weights)
+                + len(self.withdrawn & table.published_weights.keys())
+                for table in tables
             )
             if rest or queue and queue + self.channel.cost({proxy}, lines) > limit:
                 rest.append(proxy)
                 continue
             for table in tables:
-                table.users.add(proxy)
-                self.host.assign_table(proxy, table.number, [table.place])
-            self.channel.charge(self.proxies, {proxy}, lines, now)
+                table.proxies.add(proxy)
+                self.host.assign_table(proxy, table.number, [table.class_index])
+            self.channel.record_orders(self.proxies, {proxy}, lines, now)
         self.joining = rest
 
     def on_proxy_left(self, proxy):
         if proxy in self.proxies:
             self.proxies[proxy].joined, self.proxies[proxy].left_at = False, self.host.now()
         for table in self.tables:
-            table.users.discard(proxy)
+            table.proxies.discard(proxy)
 
     def on_load_report(self, report):
         zone, server, tries, failed, took, span, _ = report
@@ -220,26 +239,28 @@
         if tries and span:
             self.spans.append(span)
             self.health[server].reports[zone].append(
-                (self.heard_at, tries, min(failed, tries), took, span)
+                ReceivedReport(self.heard_at, tries, min(failed, tries), took, span)
             )
 
     def on_demand_report(self, report):
         if report.proxy in self.proxies and report.span:
-            self.proxies[report.proxy].note(report.class_index, report.requests, report.span)
+            self.proxies[report.proxy].record_demand(
+                report.class_index, report.requests, report.span
+            )
 
     def on_ack(self, proxy, number, took):
-        self.channel.answered(number, took, self.host.now())
+        self.channel.on_ack(number, took, self.host.now())
 
     def on_health_check(self, server, outcome, took, load):
         health = self.health[server]
-        health.probing, health.until = (
+        health.health_check_pending, health.next_check_at = (
             False,
-            self.host.now() + (DOUBT if health.doubted else SPELL // 2),
+            self.host.now() + (DOUBT if health.suspect else SPELL // 2),
         )
-        if health.doubted and outcome not in (HealthCheckOutcome.OK, HealthCheckOutcome.FULL):
+        if health.suspect and outcome not in (HealthCheckOutcome.OK, HealthCheckOutcome.FULL):
             self.fleet.pop(server, None)
             self._act()
-        elif health.barred and outcome == HealthCheckOutcome.OK:
+        elif health.ejected_classes and outcome == HealthCheckOutcome.OK:
             self._try_again(health)
 
     def on_peer_message(self, peer, data):
@@ -253,8 +274,8 @@
             self.host.start_timer(TURN, 0)
         for server in sorted(self.withdrawn - self.fleet.keys() if not self.joining else ()):
             # No table has it, and no late report can name it any more: who runs for long keeps nothing of it.
-            if now - self.health[server].until > FORGET and not any(
-                server in t.lines for t in self.tables
+            if now - self.health[server].next_check_at > FORGET and not any(
+                server in t.published_weights for t in self.tables
             ):
                 self.withdrawn.remove(server)
                 del self.health[server]
@@ -266,15 +287,17 @@
             self._review()
         for index, health in self.health.items():
             asked = (
-                index in self.fleet and now >= health.until and (health.barred or health.doubted)
+                index in self.fleet
+                and now >= health.next_check_at
+                and (health.ejected_classes or health.suspect)
             )
             if asked and self.settings.health_checks_allowed:
-                if not health.probing:
-                    health.probing = True
+                if not health.health_check_pending:
+                    health.health_check_pending = True
                     self.host.check_health(index)
-            elif asked and not health.doubted:
+            elif asked and not health.suspect:
                 self._try_again(health)
-            elif asked and not health.flow(now, DOUBT)[1]:
+            elif asked and not health.request_rates(now, DOUBT)[1]:
                 self.fleet.pop(index)
         self._act()
 
@@ -284,19 +307,19 @@
             return self._settle_slices()
         if not self.proxies:
             return  # draws go by planned load: without any, busy servers would be met by chance
-        expected = self.proxies.expected(self.host.now())
+        expected = self.proxies.planned_rates(self.host.now())
         self._resize(expected)
         self._shards(expected)
-        self._weigh(self.proxies.rates(self.host.now(), peak=True))
+        self._weigh(self.proxies.table_rates(self.host.now(), peak=True))
         self._push()
         self._bind()
         if self.channel.reached:
-            self.channel.charge(self.proxies, self.channel.reached, 1, self.host.now())
-            self.host.request_ack(self.channel.mark(self.host.now()), False)
+            self.channel.record_orders(self.proxies, self.channel.reached, 1, self.host.now())
+            self.host.request_ack(self.channel.new_ack_request(self.host.now()), False)
 
     def _echo(self):
         # When reports can show an order. Cut again before the last cut arrived, levels refused half of all.
-        way = self.settings.channel.max_delivery_delay + self.channel.late(self.host.now())
+        way = self.settings.channel.max_delivery_delay + self.channel.lateness(self.host.now())
         return way + self.settings.report_period + self._cycle()
 
     def _cycle(self):
@@ -312,7 +335,9 @@
             self.valves[None].open == 1 and total
         ):  # else repeats of refused ones would count as demand
             self.natural = {
-                place: sum(rates[table.number] for table in self.tables if table.place == place)
+                place: sum(
+                    rates[table.number] for table in self.tables if table.class_index == place
+                )
                 / total
                 for place in self.order
             }
@@ -323,19 +348,20 @@
     # Shards.
 
     def _pool(self, table):
-        ready, full = self._ready(table.zone if table.bound else None), self._full()
+        ready, full = self._ready(table.zone if table.zone_bound else None), self._full()
         fit = {
             index: server
             for index, server in ready.items()
-            if not self.health[index].out and (full or table.place not in self.health[index].barred)
+            if not self.health[index].fully_ejected
+            and (full or table.class_index not in self.health[index].ejected_classes)
         }
         # With most barred, doubtful servers beat too few: those left would be next.
-        return fit if 2 * weigh(fit.values()) >= weigh(ready.values()) else ready
+        return fit if 2 * total_weight(fit.values()) >= total_weight(ready.values()) else ready
 
     def _plan(self, table, rates, loads, sign=1):
         """Adds a shard's planned load on each of its servers, by listed weight, or takes it off again."""
         members = [self.fleet[m] for m in table.members if m in self.fleet]
-        rate = sign * self._rate(table, rates) / max(1e-9, weigh(members))
+        rate = sign * self._rate(table, rates) / max(1e-9, total_weight(members))
         for server in members:
             loads[server.index] += rate * server.weight
 
@@ -346,21 +372,27 @@
             for index, server in pool.items()
         }
         spared = {index: server for index, server in pool.items() if loads[index] <= most[index]}
-        enough = len(spared) >= LEAST_SERVERS and 2 * weigh(spared.values()) >= weigh(pool.values())
+        enough = len(spared) >= LEAST_SERVERS and 2 * total_weight(spared.values()) >= total_weight(
+            pool.values()
+        )
         return spared if enough else pool
 
     def _sides(self, table, halves, rates, asked, mean, whole):
         """What a shard holds of near servers, and of others above what near ones do at the mean."""
         (near, close), (far, distant) = halves
-        need, part = close if table.bound else close + distant, 1.0
+        need, part = close if table.zone_bound else close + distant, 1.0
         if not self._full() or self.parts > 1:
-            share = self.shares[table.place] * rates[table.number] / max(1e-9, asked[table.place])
+            share = (
+                self.shares[table.class_index]
+                * rates[table.number]
+                / max(1e-9, asked[table.class_index])
+            )
             # Larger shards are evener; where proxies can't step away, groups keep a failure from one another.
             target = (
                 TARGET_APART if self.apart and not self.settings.proxy_failure_limit else TARGET
             )
             need = min(need, target * share * (whole if table.zone is not None else need))
-        if not (table.bound or table.zone is None):
+        if not (table.zone_bound or table.zone is None):
             part = (mean * close - asked[table.zone, True]) / max(1e-9, asked[table.zone, False])
             part = round(max(0.0, min(1.0, part)) * 8) / 8  # in steps, for demand is never steady
         return (near, close, need * part), (far, distant, need * (1 - part))
@@ -369,7 +401,7 @@
         """Adds servers drawn at random, the least loaded of a few, until each side holds what it should."""
         for side, all_of_it, need in sides:
             weight, half = (
-                weigh(side[m] for m in shard if m in side),
+                total_weight(side[m] for m in shard if m in side),
                 slack * all_of_it / max(1, len(side)),
             )
             lacks = weight < need - half or len(shard) < LEAST_SERVERS
@@ -418,18 +450,18 @@
         return valve.open < 1 or len(valve.seen) > 2 and min(valve.seen) > FULL * valve.calmest
 
     def _shards(self, rates):
-        now, whole = self.host.now(), weigh(self._ready().values())
+        now, whole = self.host.now(), total_weight(self._ready().values())
         # Sums and halves serve all tables: with hundreds of these a turn would outlast the time to the next.
         (loads, bound, asked), pools, halves = (defaultdict(float) for _ in range(3)), {}, {}
         for table in self.tables:
             self._plan(table, rates, loads)
-            if table.bound:
+            if table.zone_bound:
                 self._plan(table, rates, bound)
-            asked[table.place] += rates[table.number]
-            asked[table.zone, table.bound] += self._rate(table, rates)
+            asked[table.class_index] += rates[table.number]
+            asked[table.zone, table.zone_bound] += self._rate(table, rates)
         mean = sum(self._rate(table, rates) for table in self.tables) / max(1e-9, whole)
         for table in self.tables:
-            same = table.place, table.bound and table.zone
+            same = table.class_index, table.zone_bound and table.zone
             pool = pools[same] = pools.get(same) or self._pool(table)
             if not pool:
                 table.members = []
@@ -437,7 +469,7 @@
             self._plan(table, rates, loads, -1)
             pool = pool if table.zone is not None else self._spared(table, pool, bound, mean)
             key = table if table.zone is None else (same, table.zone)
-            halves[key] = halves.get(key) or table.halves(pool)
+            halves[key] = halves.get(key) or table.near_and_far(pool)
             sides = self._sides(table, halves[key], rates, asked, mean, whole)
             if not table.drawn:
                 table.members, table.drawn = self._draw(table, pool, sides, loads), True
@@ -452,7 +484,9 @@
                     key=lambda m: (loads[m] / pool[m].weight, pool[m].stable_id),
                     default=None,
                 )
-                over = weigh(side[m] for m in members) - (all_of_it / len(side) / 2 if need else 0)
+                over = total_weight(side[m] for m in members) - (
+                    all_of_it / len(side) / 2 if need else 0
+                )
                 if (
                     len(table.members) > LEAST_SERVERS
                     and members
@@ -466,14 +500,18 @@
         for server in sorted(
             (s for i, s in self._ready().items() if i not in covered), key=lambda s: s.stable_id
         ):
-            open_to = [t for t in self.tables if server.index in pools[t.place, t.bound and t.zone]]
+            open_to = [
+                t
+                for t in self.tables
+                if server.index in pools[t.class_index, t.zone_bound and t.zone]
+            ]
             if open_to:
                 max(
                     open_to,
                     key=lambda table: (
                         table.zone in (None, server.zone),
                         self._rate(table, rates)
-                        / max(1e-9, weigh(self.fleet[m] for m in table.members)),
+                        / max(1e-9, total_weight(self.fleet[m] for m in table.members)),
                     ),
                 ).members.append(server.index)
 
@@ -485,7 +523,7 @@
     # Weights: as listed, but for the ramp and the guard over cold servers.
 
     def _ramp(self, server):
-        now, born = self.host.now(), max(server.started, self.health[server.index].trial)
+        now, born = self.host.now(), max(server.started, self.health[server.index].unejected_at)
         doublings = (now - born) // (self.settings.warm_up_time // RAMP_STEPS)
         return min(1.0, RAMP_FROM * 2**doublings) if born and now >= born else 1.0
 
@@ -501,8 +539,8 @@
         pace = (
             shown[-min(3, len(shown))]
             if shown
-            else sum(proxy.rate for proxy in self.proxies.values())
-            / max(1e-9, 2 * weigh(ready.values()))
+            else sum(proxy.stated_rate for proxy in self.proxies.values())
+            / max(1e-9, 2 * total_weight(ready.values()))
         )
         pace *= self.settings.overload_multiple * TIP_MARGIN / self.settings.planner_count
         grown = (1 - share) / cold_time
@@ -525,30 +563,36 @@
                 or self.valves[None].open < 1
                 or (self.settings.proxy_failure_limit and self.valves[None].lost > LOST)
             )
-            table.want = {m: ramps[m] for m in (warm if few else table.members)}
+            table.target_weights = {m: ramps[m] for m in (warm if few else table.members)}
         # Ramps are relative: so load on each cold server is bounded too, and levels keep out what is over.
-        cold = [table for table in self.tables if table.want.keys() & budgets.keys()]
+        cold = [table for table in self.tables if table.target_weights.keys() & budgets.keys()]
         for last in [False] * 6 + [True]:
             loads = defaultdict(float)
             for table in cold:
-                weight, rate = sum(table.want.values()), self._rate(table, rates)
-                for member, part in table.want.items():
+                weight, rate = sum(table.target_weights.values()), self._rate(table, rates)
+                for member, part in table.target_weights.items():
                     loads[member] += rate * part / weight
             over = {
                 m: budget / loads[m] for m, budget in budgets.items() if loads[m] > budget * 1.02
             }
             for table in cold if over and not last else ():
-                table.want = {m: w * over.get(m, 1.0) for m, w in table.want.items()}
+                table.target_weights = {
+                    m: w * over.get(m, 1.0) for m, w in table.target_weights.items()
+                }
         for table in self.tables:
             # Only proportions count: as near to the ramp as they allow, or lines would change for ever.
-            spare = max((w / ramps[m] for m, w in table.want.items()), default=1.0)
-            table.want = {m: w / spare for m, w in table.want.items()}
-            table.guard = min([1.0] + [over[m] for m in table.want if over.get(m, 1.0) < 0.9])
+            spare = max((w / ramps[m] for m, w in table.target_weights.items()), default=1.0)
+            table.target_weights = {m: w / spare for m, w in table.target_weights.items()}
+            table.cold_level = min(
+                [1.0] + [over[m] for m in table.target_weights if over.get(m, 1.0) < 0.9]
+            )
 
-    # Health and levels.
+    # ServerHealth and levels.
 
     def _level(self, table):
-        return self.levels[table.place] * (self.valves[table.zone].open if table.bound else 1.0)
+        return self.levels[table.class_index] * (
+            self.valves[table.zone].open if table.zone_bound else 1.0
+        )
 
     def _review(self):
         agreed, ready = min(kind.latency_objective for kind in self.classes), self._ready()
@@ -556,10 +600,11 @@
         # Its kind: the same machine, heard of by proxies of one zone, for the same classes: work differs.
         recent, times, fails = {}, defaultdict(list), {}
         serves = {
-            i: frozenset(table.place for table in self.tables if i in table.lines) for i in ready
+            i: frozenset(table.class_index for table in self.tables if i in table.published_weights)
+            for i in ready
         }
         for index, server in ready.items():
-            recent[index] = self.health[index].since(since)
+            recent[index] = self.health[index].reports_since(since)
             for zone, (at, tries, failed, took, span) in recent[index]:
                 if tries > failed and took:
                     sample = index, took, min(ENOUGH, tries - failed), at - span
@@ -595,14 +640,14 @@
             elif ratio > SLOW and good >= ENOUGH and own > agreed * 0.4:
                 bad[index] = "slow"
             elif reports:
-                self.health[index].strikes = 0
+                self.health[index].consecutive_failures = 0
         for index in sorted(bad, key=lambda i: (bad[i] != "failing", ready[i].stable_id)):
             self._strike(index, bad[index], ready, busy > BUSY)
 
     def _strike(self, index, cause, ready, busy):
         health, now = self.health[index], self.host.now()
-        health.strikes += 1
-        left = [place for place in self.order if place not in health.barred]
+        health.consecutive_failures += 1
+        left = [place for place in self.order if place not in health.ejected_classes]
         if cause == "slow":
             # It still works: it leaves one shard, for a server not in it, and none while all are busy.
             most = 0 if busy or len(left) < 2 else 1
@@ -613,45 +658,65 @@
                     index in table.members
                     and table.near(self._pool(table)).keys() - set(table.members)
                     for table in self.tables
-                    if table.place == place
+                    if table.class_index == place
                 )
             ][:most]
-        if health.strikes < (1 if cause == "failing" or health.trial else 2) or not left:
+        if (
+            health.consecutive_failures < (1 if cause == "failing" or health.unejected_at else 2)
+            or not left
+        ):
             return
-        longer = min(SPELL_MOST, health.spell * 2) if health.trial else SPELL
-        health.spell = SPELL_MOST if cause == "slow" else longer
+        longer = min(SPELL_MOST, health.ejection_time * 2) if health.unejected_at else SPELL
+        health.ejection_time = SPELL_MOST if cause == "slow" else longer
         self._bar(index, left, ready, cause)
 
     def _bar(self, index, places, ready, cause):
         health, out = (
             self.health[index],
-            weigh(server for i, server in ready.items() if self.health[i].barred or i == index),
+            total_weight(
+                server
+                for i, server in ready.items()
+                if self.health[i].ejected_classes or i == index
+            ),
         )
-        if out > weigh(ready.values()) * (OUT_SLOW if cause == "slow" else OUT_FAILED):
+        if out > total_weight(ready.values()) * (OUT_SLOW if cause == "slow" else OUT_FAILED):
             return
-        health.barred, health.trial, health.strikes = health.barred | frozenset(places), 0, 0
-        health.out, health.until = cause != "slow", self.host.now() + health.spell
+        health.ejected_classes, health.unejected_at, health.consecutive_failures = (
+            health.ejected_classes | frozenset(places),
+            0,
+            0,
+        )
+        health.fully_ejected, health.next_check_at = (
+            cause != "slow",
+            self.host.now() + health.ejection_time,
+        )
         self.host.log(f"server {index} leaves classes {places}: {cause}")
 
     def _try_again(self, health):
-        health.barred, health.out, health.strikes, health.trial = (
+        (
+            health.ejected_classes,
+            health.fully_ejected,
+            health.consecutive_failures,
+            health.unejected_at,
+        ) = (
             frozenset(),
             False,
             0,
             self.host.now(),
         )
-        health.judge_from = health.trial + self._echo()
+        health.judged_from = health.unejected_at + self._echo()
 
     def _turn_valve(self, zone, valve, ready, everything, fails, agreed, fleet_busy):
         now, period = self.host.now(), self.settings.report_period
         tried, done = (
-            sum(flow) for flow in zip((0, 0), *(self.health[i].flow(now, period) for i in ready))
+            sum(flow)
+            for flow in zip((0, 0), *(self.health[i].request_rates(now, period) for i in ready))
         )
         weight = sum(server.weight * self._ramp(server) for server in ready.values())
         took = [sample[1:3] for sample in everything if sample[0] in ready]
         # Reports begun before the last turn arrived tell of what was before: cut by them, levels fell twice.
         arrived = (
-            valve.turned_at + self.settings.channel.max_delivery_delay + self.channel.late(now)
+            valve.turned_at + self.settings.channel.max_delivery_delay + self.channel.lateness(now)
         )
         since = [sample[1:3] for sample in everything if sample[0] in ready and sample[3] > arrived]
         told = since if 2 * len(since) >= len(took) else took
@@ -687,8 +752,11 @@
         ready, changes = self._ready(), []
         drained = pressing = self._withdraw(ready)
         for table in self.tables:
-            for server in table.lines.keys() | table.want.keys():
-                old, new = table.lines.get(server, 0.0), round(table.want.get(server, 0.0), 4)
+            for server in table.published_weights.keys() | table.target_weights.keys():
+                old, new = (
+                    table.published_weights.get(server, 0.0),
+                    round(table.target_weights.get(server, 0.0), 4),
+                )
                 if abs(new - old) > 0.1 * max(new, old):
                     cold = (
                         server in ready and now - ready[server].started < self.settings.warm_up_time
@@ -703,13 +771,15 @@
                             table,
                         )
                     )
-            level = min(table.guard, self._level(table))
+            level = min(table.cold_level, self._level(table))
             if (
-                table.level is None
-                or abs(level - table.level) > 0.03
-                or (level == 1.0 != table.level)
+                table.published_level is None
+                or abs(level - table.published_level) > 0.03
+                or (level == 1.0 != table.published_level)
             ):
-                changes.append((level >= (table.level or 0), -9e9, table.number, -1, level, table))
+                changes.append(
+                    (level >= (table.published_level or 0), -9e9, table.number, -1, level, table)
+                )
         pressing = pressing or any(not change[0] for change in changes)
         # Cold lines and levels move with each join: written at once they spent what a drain needed then.
         gap = 0 if drained else span // most if most else 0
@@ -719,26 +789,26 @@
         for ordinary, _, _, server, value, table in sorted(changes, key=lambda change: change[:4]):
             turn = self.settings.channel.lines_per_second * self.channel.pace * LINES_TURN
             room = min(limit, turn) if ordinary else limit
-            queue = self.channel.queue(now) + self.channel.cost(table.users, 1)
-            if table.users and (
-                queue > room or not self._may_write(table.users, 5 if ordinary else 3)
+            queue = self.channel.queued_lines(now) + self.channel.cost(table.proxies, 1)
+            if table.proxies and (
+                queue > room or not self._may_write(table.proxies, 5 if ordinary else 3)
             ):
                 continue
-            self.channel.charge(self.proxies, table.users, 1, now)
+            self.channel.record_orders(self.proxies, table.proxies, 1, now)
             if server < 0:
-                table.level = value
+                table.published_level = value
                 # Tried again on proof that it never ran: else work doubles, and may take effect twice.
                 self.host.set_admission(
                     table.number,
-                    [table.place],
+                    [table.class_index],
                     self._stated(table, value),
                     RetryPolicy.ONCE_IF_NOT_EXECUTED,
                 )
             else:
                 self.host.set_weight(table.number, server, value)
-                table.lines[server] = value
+                table.published_weights[server] = value
                 if not value:
-                    del table.lines[server]
+                    del table.published_weights[server]
         self.pushed_at = now if self.channel.reached else self.pushed_at
 
     def _withdraw(self, ready):
@@ -749,7 +819,7 @@
         for server in sorted(stale):
             # Those that hold it, or may, are written to; who can't be holds back no other tables' drains.
             holders = joined.intersection(self.joining).union(
-                *(t.users for t in self.tables if server in t.lines)
+                *(t.proxies for t in self.tables if server in t.published_weights)
             )
             if not self._may_write(holders, 1):
                 continue
@@ -757,8 +827,8 @@
                 self.host.uneject_server(server)
             else:
                 self.host.eject_server(server)
-            self.health[server].until = now
-            self.channel.charge(self.proxies, holders, 1, now)
+            self.health[server].next_check_at = now
+            self.channel.record_orders(self.proxies, holders, 1, now)
             self.withdrawn ^= {server}
         return self.withdrawn != before
 
@@ -766,7 +836,7 @@
         """Whether so many messages more, beside this one, would stay under what each may be written."""
         most, now = self.settings.channel.max_messages, self.host.now()
         return not most or all(
-            self.channel.written(self.proxies[proxy], now) + spare < most
+            self.channel.messages_written(self.proxies[proxy], now) + spare < most
             for proxy in proxies
             if proxy not in self.channel.reached
         )
@@ -774,8 +844,12 @@
     def _stated(self, table, level):
         if self.settings.admission_mode != AdmissionMode.RATE:
             return level
-        rate = self._rate(table, self.proxies.rates(self.host.now())) * level / self._level(table)
-        return 1e6 if level >= 1 else max(0.1, rate / max(1, len(table.users)))
+        rate = (
+            self._rate(table, self.proxies.table_rates(self.host.now()))
+            * level
+            / self._level(table)
+        )
+        return 1e6 if level >= 1 else max(0.1, rate / max(1, len(table.proxies)))
 
     # Sites with slices: each slice's server stays until it drains or goes, then the next in a seeded draw.
 
@@ -804,12 +878,13 @@
         ranked = sorted(ready.values(), key=lambda server: server.stable_id)
         for table, held in sorted(self.slices.items()):
             free = not held & ready.keys() and all(
-                now >= self.health[old].until + rest for old in held
+                now >= self.health[old].next_check_at + rest for old in held
             )
             if (
                 free
                 and ranked
-                and self.channel.queue(now) < self.settings.channel.max_waiting_lines * QUEUE_PART
+                and self.channel.queued_lines(now)
+                < self.settings.channel.max_waiting_lines * QUEUE_PART
             ):
                 chance = SeededRandom(
                     seed_from(str(table), [server.stable_id for server in ranked])
@@ -817,4 +892,4 @@
                 self.slices[table] = {ranked[chance.below(len(ranked))].index}
                 for server in ([] if single else sorted(held)) + list(self.slices[table]):
                     self.host.set_weight(table, server, 0.0 if server in held else 1.0)
-                self.channel.charge(self.proxies, self.proxies.joined(), 2, now)
+                self.channel.record_orders(self.proxies, self.proxies.joined(), 2, now)
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -565,7 +565,7 @@
             except (OSError, UnicodeDecodeError, InvalidDocumentError, HTTPClientError) as error:
                 self.log.warning("list not followed", why=str(error))
             pause = 0.2 if good else min(5.0, pause * 2)
-            await sleep(pause * (0.5 + self.desk.assigner.chance.below(1000) / 1000))
+            await sleep(pause * (0.5 + self.desk.assigner.random.below(1000) / 1000))
 
     # What hosts answer.
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -5,7 +5,8 @@
 
 from rig import SECOND, Rig, TraceCase, deployment_settings, server
 
-from indigodeck.assignment import records
+from indigodeck.assignment.channel_account import ChannelAccount
+from indigodeck.assignment.demand import Locality, Proxy, ProxyRegistry
 from indigodeck.assignment.interface import DemandReport, LoadReport, ServerState, UpdateKind
 
 
@@ -148,7 +149,7 @@
         for proxy in range(40):
             rig.assigner.on_proxy_joined(proxy, 0, 2.0 + proxy % 7, False)
             rig.run(0.1)
-        most = max(len(proxy.written) for proxy in rig.assigner.proxies.values())
+        most = max(len(proxy.message_times) for proxy in rig.assigner.proxies.values())
         rig.printed = [f"messages to one proxy while 40 joined: {most}"]
         for index in (4, 7, 9):
             rig.change(server(index, ServerState.DRAINING))
@@ -162,8 +163,10 @@
         rig.start(fleet(30), proxies=40)
         rig.run(3)
         first = rig.assigner.proxies[0]
-        first.written.extend([rig.clock] * (19 - len(first.written)))
-        held = set().union(*(table.lines for table in rig.assigner.tables if 0 in table.users))
+        first.message_times.extend([rig.clock] * (19 - len(first.message_times)))
+        held = set().union(
+            *(table.published_weights for table in rig.assigner.tables if 0 in table.proxies)
+        )
         others = sorted(set(range(30)) - held)
         rig.change(server(others[0], ServerState.DRAINING), server(min(held), ServerState.DRAINING))
         self.assertEqual(rig.assigner.withdrawn, {others[0]})
@@ -371,7 +374,7 @@
 
     def test_joins_of_many_wait_for_the_channel_and_all_are_bound(self):
         rig = self.large()
-        self.assertLess(rig.assigner.channel.waiting, 6800 / 2)
+        self.assertLess(rig.assigner.channel.lines_waiting, 6800 / 2)
         rig.run(6)
         binds = [line.split() for line in rig.printed if "bind" in line]
         self.assertEqual(len(binds), 2 * 270)
@@ -383,7 +386,7 @@
         for table in rig.assigner.tables:
             self.assertTrue(all(index % 3 == table.zone for index in table.members))
             for index in table.members:
-                loads[index] += rig.assigner.proxies.rates(rig.clock)[table.number] / len(
+                loads[index] += rig.assigner.proxies.table_rates(rig.clock)[table.number] / len(
                     table.members
                 )
         self.assertLess(max(loads), 1.7 * sum(loads) / 90)
@@ -442,7 +445,7 @@
         rig.start(fleet())
         rig.run(8)
         rig.change(server(0, ServerState.DRAINING))
-        rig.assigner.on_ack(0, rig.assigner.channel.number, took)
+        rig.assigner.on_ack(0, rig.assigner.channel.last_ack_number, took)
         rig.printed.clear()
         rig.change(*[server(index, started=rig.clock) for index in range(12, 24)])
         rig.run(2)
@@ -503,33 +506,33 @@
         stated = deployment_settings(
             lines_per_second=1000, message_overhead_lines=0, max_delivery_delay=SECOND // 2
         )
-        self.proxies = records.Proxies(stated, 20 * SECOND)
-        self.proxies[1] = records.Proxy((0, 0), 1.0, {})
-        return records.Channel(stated, 0, 20 * SECOND)
+        self.proxies = ProxyRegistry(stated, 20 * SECOND)
+        self.proxies[1] = Proxy(Locality(0, 0), 1.0, {})
+        return ChannelAccount(stated, 0, 20 * SECOND)
 
     def order(self, channel, lines, now):
         channel.reached = set()
-        channel.charge(self.proxies, {1}, lines, now)
-        return channel.mark(now)
+        channel.record_orders(self.proxies, {1}, lines, now)
+        return channel.new_ack_request(now)
 
     def test_what_no_answer_accounts_for_waits(self):
         channel = self.channel()
         marks = [self.order(channel, 300, now * SECOND) for now in range(4)]
         # At its stated pace all would have left; nobody has answered.
-        self.assertEqual(channel.queue(4 * SECOND), 1200)
-        self.assertEqual(channel.late(4 * SECOND), 4 * SECOND - 800_000)
-        channel.answered(marks[1], 4 * SECOND, 5 * SECOND)
-        self.assertEqual(channel.queue(5 * SECOND), 600)
+        self.assertEqual(channel.queued_lines(4 * SECOND), 1200)
+        self.assertEqual(channel.lateness(4 * SECOND), 4 * SECOND - 800_000)
+        channel.on_ack(marks[1], 4 * SECOND, 5 * SECOND)
+        self.assertEqual(channel.queued_lines(5 * SECOND), 600)
         self.assertLess(channel.pace, 0.25)
-        channel.answered(marks[3], SECOND // 2, 5 * SECOND)
-        self.assertEqual(channel.queue(6 * SECOND), 0)
-        self.assertEqual((channel.pace, channel.late(6 * SECOND)), (1.0, 0))
+        channel.on_ack(marks[3], SECOND // 2, 5 * SECOND)
+        self.assertEqual(channel.queued_lines(6 * SECOND), 0)
+        self.assertEqual((channel.pace, channel.lateness(6 * SECOND)), (1.0, 0))
 
     def test_marks_of_those_who_left_hold_nothing_up_for_ever(self):
         channel = self.channel()
         self.order(channel, 300, 0)
-        self.assertEqual(channel.queue(10 * SECOND), 300)
-        self.assertEqual(channel.queue(21 * SECOND), 0)
+        self.assertEqual(channel.queued_lines(10 * SECOND), 300)
+        self.assertEqual(channel.queued_lines(21 * SECOND), 0)
 
     def test_reports_are_waited_for_as_long_as_orders_take(self):
         rig = Rig()
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -631,7 +631,7 @@
         self.desk.applied(3, number, 50 * SECOND)
         self.assertEqual(self.desk.passed_over, 1)
         self.desk.applied(3, number, SECOND // 2)
-        self.assertFalse(self.desk.assigner.channel.marks)
+        self.assertFalse(self.desk.assigner.channel.pending_acks)
 
     def test_a_start_has_one_time_however_often_it_is_listed(self):
         ahead = self.outside.now() // 1000 + 5000
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -430,7 +430,7 @@
             self.assertGreater(planner.service.fronts[0].reports_read, 4)
             self.assertTrue(planner.service.desk.assigner.valves[None].shown)
             # Marks of the last orders were answered by acknowledgements.
-            self.assertLessEqual(len(planner.service.desk.assigner.channel.marks), 2)
+            self.assertLessEqual(len(planner.service.desk.assigner.channel.pending_acks), 2)
 
     async def test_stock_clients_in_several_processes_on_a_bad_day(self):
         hosts = [GrpcHost(now, f"host-{nth}", 5_000) for nth in range(15)]
