--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -33,7 +33,7 @@
     def sent_weights(self, number, groups):
         for named, entries in groups:
             for entry in entries:
-                size, key = len(codec.entry_bytes(entry)), (named, entry.member.place())
+                size, key = len(codec.entry_bytes(entry)), (named, entry.member.endpoint())
                 self.all += size
                 if self.told.get(key) != (entry.weight, entry.flags):
                     self.changed += size
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -53,7 +53,7 @@
                 ("127.0.0.1", out) not in tables.lines["reading"] and tables.lines["reading"]
             )  # noqa: E731
             await until(
-                lambda: all(tables.held_since["reading"] is not None for _, tables, *_ in relays)
+                lambda: all(tables.updated_at["reading"] is not None for _, tables, *_ in relays)
             )
             for nth in range(takeovers):
                 old, began, out = fleet.holder(), now(), 9000 + nth % 2
@@ -73,7 +73,7 @@
                 await asyncio.sleep(2)
         finally:
             for _, _, client, _ in relays:
-                client.leave()
+                client.stop()
             await fleet.end()
     return {
         "relays": many,
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -74,7 +74,7 @@
             fleet.signal(old, signal.SIGCONT)
         finally:
             for _, client, _ in relays:
-                client.leave()
+                client.stop()
             await fleet.end()
     result = {
         "what": "an upgrade one by one from an earlier version",
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -109,7 +109,7 @@
                                 f"hall-{'abc'[nth % 3]}/r{nth}",
                                 [("127.0.0.1", port)],
                                 tables,
-                                patience=3.0,
+                                response_timeout=3.0,
                             ),
                             ("sasp", "xds")[nth % 2],
                         )
@@ -119,7 +119,7 @@
                 def holds(tables, without):
                     lines = {port - 9000 for _, port in tables.lines["reading"]}
                     return (
-                        tables.held_since["reading"] is not None
+                        tables.updated_at["reading"] is not None
                         and lines
                         and bool(lines & gone) != without
                     )
@@ -132,7 +132,7 @@
                     )
 
                 await until(
-                    lambda: all(tables.held_since["reading"] is not None for tables, *_ in clients)
+                    lambda: all(tables.updated_at["reading"] is not None for tables, *_ in clients)
                 )
                 await asyncio.sleep(4)
                 full = (await wish(what="list"))["newest"]
@@ -171,7 +171,7 @@
                 listed_relays = await wish(what="relays")
             finally:
                 for _, client, _ in clients:
-                    client.leave()
+                    client.stop()
                 planner.terminate()
                 await planner.wait()
                 for one in held:
--- a/indigodeck/client/__init__.py
+++ b/indigodeck/client/__init__.py
@@ -1,8 +1,23 @@
-"""For relays: tables by class, kept up to date by a planner, whichever protocol it speaks.
+"""For proxies: traffic tables by class, kept up to date by a planner, whichever protocol it speaks.
 
-`Tables` holds what a relay goes by and picks from it; `sasp.SaspClient` keeps one up to date over SASP.
+`Tables` holds what a proxy goes by and picks servers from it. `sasp.SaspClient` and
+`xds.XdsClient` keep one up to date over SASP and over xDS.
 """
 
-from .tables import ClientError, Malfunction, NoServerError, RejectedError, Tables, Unreachable
+from .tables import (
+    ClientError,
+    MalformedResponseError,
+    NoServerError,
+    RequestRejectedError,
+    Tables,
+    UnreachableError,
+)
 
-__all__ = ["ClientError", "Malfunction", "NoServerError", "RejectedError", "Tables", "Unreachable"]
+__all__ = [
+    "ClientError",
+    "MalformedResponseError",
+    "NoServerError",
+    "RequestRejectedError",
+    "Tables",
+    "UnreachableError",
+]
--- a/indigodeck/client/sasp.py
+++ b/indigodeck/client/sasp.py
@@ -1,150 +1,231 @@
-"""Keeps a relay's tables up to date over SASP (RFC 4678), on Tornado's streams."""
+"""Keeps a proxy's tables up to date over SASP (RFC 4678), on Tornado's streams."""
+
+import asyncio
+from collections.abc import Callable, Iterator, Sequence
+from typing import NoReturn
 
 from tornado.gen import sleep, with_timeout
 from tornado.ioloop import IOLoop
-from tornado.iostream import StreamClosedError
+from tornado.iostream import IOStream, StreamClosedError
 from tornado.tcpclient import TCPClient
 from tornado.util import TimeoutError as DeadlineExceededError
 
 from ..frontends.sasp import codec
-from .dialling import Dialling
-from .tables import Malfunction, RejectedError, Unreachable
-
-
-class Talk:
-    """One connection as the relay sees it, free of I/O: what it asked, what came, what that means."""
-
-    def __init__(self, uid, classes, members, tables, push=True):
-        self.uid, self.classes, self.members = uid, classes, members
-        self.tables, self.push = tables, push
-        # Asked again soon at first, to learn how often the planner wants it.
-        self.number, self.waiting, self.interval, self.brought = 0, {}, 1, False
-
-    def opening(self):
-        """The first messages: who this is, and what it wants weights for."""
+from .reconnecting import RESPONSE_TIMEOUT_S, ReconnectingClient
+from .tables import (
+    Address,
+    ClientError,
+    MalformedResponseError,
+    RequestRejectedError,
+    TableEntry,
+    Tables,
+    UnreachableError,
+)
+
+LOAD_BALANCER_HEALTH = 0x7F  # what this proxy says of its own health: the protocol's full mark
+MAX_BUFFERED_BYTES = 4 << 20
+
+
+def table_entry(entry: codec.Entry) -> TableEntry:
+    """Return what a weight entry says of one server."""
+    return TableEntry(
+        entry.member.endpoint(),
+        entry.weight,
+        bool(entry.flags & codec.CONFIDENT),
+        bool(entry.flags & codec.QUIESCED),
+    )
+
+
+class SaspSession:
+    """One connection as the proxy sees it, free of I/O: what it asked, what answers mean."""
+
+    def __init__(
+        self,
+        load_balancer_id: bytes,
+        classes: Sequence[str],
+        members: Sequence[Address],
+        tables: Tables,
+        push: bool = True,
+    ) -> None:
+        self.load_balancer_id = load_balancer_id
+        self.classes = classes
+        self.members = members
+        self.tables = tables
+        self.push = push
+        self.last_message_id = 0
+        self.unanswered: dict[int, str] = {}  # what was asked, by message id
+        # Seconds; polled soon at first, to learn how often the planner wants it.
+        self.poll_interval = 1
+        self.received_table = False
+
+    def opening_messages(self) -> Iterator[bytes]:
+        """Yield the first messages: who this is, and what it wants weights for."""
         groups = [
-            ((self.uid, name.encode()), [codec.Member.at(*where) for where in self.members])
+            (
+                (self.load_balancer_id, name.encode()),
+                [codec.Member.at(*address) for address in self.members],
+            )
             for name in self.classes
         ]
-        yield codec.set_balancer(self._asks("who it is"), self.uid, 0x7F, self.push, True, True)
-        yield codec.register(self._asks("its groups"), True, groups)
+        yield codec.set_balancer(
+            self._next_message_id("who it is"),
+            self.load_balancer_id,
+            LOAD_BALANCER_HEALTH,
+            self.push,
+            True,
+            True,
+        )
+        yield codec.register(self._next_message_id("its groups"), True, groups)
 
-    def asking(self):
-        """A request for all weights: what a relay that polls lives by, and a sign of life for others."""
+    def poll(self) -> bytes:
+        """Return a request for all weights; its answer also shows that the planner lives."""
         return codec.get_weights(
-            self._asks("weights"), [(self.uid, name.encode()) for name in self.classes]
+            self._next_message_id("weights"),
+            [(self.load_balancer_id, name.encode()) for name in self.classes],
         )
 
-    def _asks(self, what):
-        self.number += 1
-        self.waiting[self.number] = what
-        return self.number
-
-    def read(self, message):
+    def _next_message_id(self, asked: str) -> int:
+        self.last_message_id += 1
+        self.unanswered[self.last_message_id] = asked
+        return self.last_message_id
+
+    def read(self, message: bytes) -> None:
+        """Apply one whole message.
+
+        Raises
+        ------
+        MalformedResponseError
+            If it is no message, or one that a planner does not send.
+        RequestRejectedError
+            If it rejects what was asked.
+        """
         try:
             codec.dispatch(message, self)
-        except codec.MalformedMessageError as error:
-            raise Malfunction(str(error)) from error
-
-    def answered(self, number, kind, code):
-        what = self.waiting.pop(number, None)
-        if what is None:
-            raise Malfunction(f"an answer to {number}, which was not asked")
-        if code != codec.DONE:
-            raise RejectedError(f"{what}: {codec.MEANINGS.get(code, hex(code))}", code)
-
-    def weights(self, number, code, interval, groups):
-        self.answered(number, codec.WEIGHTS, code)
-        self.interval = max(1, interval)
-        self.sent_weights(number, groups)
-
-    def sent_weights(self, number, groups):
-        for (uid, name), entries in groups:
-            name = name.decode("utf-8", "replace")
+        except codec.MalformedSaspMessageError as error:
+            raise MalformedResponseError(str(error)) from error
+
+    # The messages that a load balancer receives, as `codec.dispatch` names them.
+
+    def answered(self, message_id: int, reply_type: int, return_code: int) -> None:
+        """Take the answer to a request."""
+        asked = self.unanswered.pop(message_id, None)
+        if asked is None:
+            raise MalformedResponseError(f"an answer to {message_id}, which was not asked")
+        if return_code != codec.DONE:
+            meaning = codec.MEANINGS.get(return_code, hex(return_code))
+            raise RequestRejectedError(f"{asked}: {meaning}", return_code)
+
+    def weights(
+        self, message_id: int, return_code: int, interval: int, groups: list[codec.WeightGroup]
+    ) -> None:
+        """Take the weights that were polled; `interval` is the planner's, in seconds."""
+        self.answered(message_id, codec.WEIGHTS, return_code)
+        self.poll_interval = max(1, interval)
+        self.sent_weights(message_id, groups)
+
+    def sent_weights(self, message_id: int, groups: list[codec.WeightGroup]) -> None:
+        """Take weights that the planner pushed."""
+        for (load_balancer_id, group_name), entries in groups:
+            name = group_name.decode("utf-8", "replace")
             # Weights may still be on their way for a group that was given up.
-            if uid != self.uid or name not in self.classes:
+            if load_balancer_id != self.load_balancer_id or name not in self.classes:
                 continue
-            self.brought = True
-            self.tables.told(
-                name,
-                [
-                    (
-                        entry.member.place(),
-                        entry.weight,
-                        bool(entry.flags & codec.CONFIDENT),
-                        bool(entry.flags & codec.QUIESCED),
-                    )
-                    for entry in entries
-                ],
-            )
-
-    def _unasked(self, *_):
-        raise Malfunction("a request, sent to a relay")
-
-    register = deregister = get_weights = set_balancer = set_members = _unasked
-
-
-class SaspClient(Dialling):
-    """Dials planners in turn and keeps tables up to date until `leave`."""
-
-    losses = (StreamClosedError, DeadlineExceededError, OSError, RejectedError, Malfunction)
-
-    def __init__(self, uid, planners, tables, members=(), push=True, patience=3.0, failed=None):
-        super().__init__(uid, planners, tables, patience, failed)
-        self.uid, self.members, self.push = uid.encode(), tuple(members), push
-
-    @staticmethod
-    def _error(caught):
-        if isinstance(caught, (RejectedError, Malfunction)):
+            self.received_table = True
+            self.tables.update(name, [table_entry(entry) for entry in entries])
+
+    def _reject_request(self, *_: object) -> NoReturn:
+        raise MalformedResponseError("a request, sent to a relay")
+
+    register = _reject_request
+    deregister = _reject_request
+    get_weights = _reject_request
+    set_balancer = _reject_request
+    set_members = _reject_request
+
+
+class SaspClient(ReconnectingClient):
+    """Connects to planners in turn over SASP and keeps tables up to date until `stop`."""
+
+    connection_errors = (
+        StreamClosedError,
+        DeadlineExceededError,
+        OSError,
+        RequestRejectedError,
+        MalformedResponseError,
+    )
+
+    def __init__(
+        self,
+        proxy_id: str,
+        planners: Sequence[Address] | Callable[[], Sequence[Address]],
+        tables: Tables,
+        members: Sequence[Address] = (),
+        push: bool = True,
+        response_timeout: float = RESPONSE_TIMEOUT_S,
+        connection_lost: Callable[[ClientError], object] | None = None,
+    ) -> None:
+        super().__init__(proxy_id, planners, tables, response_timeout, connection_lost)
+        self.load_balancer_id = proxy_id.encode()
+        self.members = tuple(members)
+        self.push = push
+        self.stream: IOStream | None = None
+
+    def _client_error(self, caught: BaseException) -> ClientError:
+        if isinstance(caught, (RequestRejectedError, MalformedResponseError)):
             return caught
-        return Unreachable(str(caught) or "the planner stopped answering")
+        return UnreachableError(str(caught) or "the planner stopped answering")
 
-    async def _follow(self, place):
+    async def _run_session(self, address: Address) -> None:
         loop = IOLoop.current()
-        self.stream = await TCPClient().connect(
-            *place, timeout=self.patience, max_buffer_size=4 << 20
+        stream = await TCPClient().connect(
+            *address, timeout=self.response_timeout, max_buffer_size=MAX_BUFFERED_BYTES
         )
-        self.stream.set_nodelay(True)
-        talk = self.talk = Talk(
-            self.uid, list(self.tables.lines), self.members, self.tables, self.push
+        self.stream = stream
+        stream.set_nodelay(True)
+        session = SaspSession(
+            self.load_balancer_id, list(self.tables.lines), self.members, self.tables, self.push
         )
-        self.tables.opened()
-        for message in talk.opening():
-            await self.stream.write(message)
-        asker = loop.asyncio_loop.create_task(self._ask(talk))
+        self.session = session
+        self.tables.connection_opened()
+        for message in session.opening_messages():
+            await stream.write(message)
+        poller = asyncio.get_running_loop().create_task(self._poll(stream, session))
         try:
             while True:
-                # A planner that answers nothing it was asked, or stops within a message, is left.
-                due = loop.time() + (
-                    self.patience if talk.waiting else talk.interval + self.patience
+                # A planner that does not answer in time, or stops within a message, is left.
+                wait = self.response_timeout
+                if not session.unanswered:
+                    wait += session.poll_interval
+                message = await with_timeout(
+                    loop.time() + wait, self._read_message(stream), StreamClosedError
                 )
-                message = await with_timeout(due, self._message(), StreamClosedError)
-                talk.read(message)
+                session.read(message)
         finally:
-            asker.cancel()
+            poller.cancel()
 
-    async def _message(self):
-        head = await self.stream.read_bytes(codec.HEADER.size)
+    async def _read_message(self, stream: IOStream) -> bytes:
+        header = await stream.read_bytes(codec.HEADER.size)
         try:
-            whole, _ = codec.head(head, codec.Bounds())
-        except codec.MalformedMessageError as error:
-            raise Malfunction(str(error)) from error
-        return head + await self.stream.read_bytes(whole - codec.HEADER.size)
+            length, _ = codec.read_header(header, codec.Bounds())
+        except codec.MalformedSaspMessageError as error:
+            raise MalformedResponseError(str(error)) from error
+        return header + await stream.read_bytes(length - codec.HEADER.size)
 
-    async def _ask(self, talk):
-        """Asks at the planner's interval: relays that are pushed to learn so that it still lives."""
+    async def _poll(self, stream: IOStream, session: SaspSession) -> None:
+        """Poll at the planner's interval, also where it pushes: the answers show that it lives."""
         try:
             while True:
-                await sleep(talk.interval * (0.9 + self.chance.below(200) / 1000))
-                if not talk.waiting:
-                    await self.stream.write(talk.asking())
+                jitter = 0.9 + self.random.below(200) / 1000
+                await sleep(session.poll_interval * jitter)
+                if not session.unanswered:
+                    await stream.write(session.poll())
         except StreamClosedError:
-            pass
+            pass  # the reader meets the same, and reconnects
 
-    async def _close(self):
-        self.drop()
+    async def _close(self) -> None:
+        self.disconnect()
 
-    def drop(self):
-        """Breaks the stream, as a network might; the client dials again."""
+    def disconnect(self) -> None:
+        """Break the connection, as a network might; the client connects again."""
         if self.stream is not None:
             self.stream.close()
--- a/indigodeck/client/tables.py
+++ b/indigodeck/client/tables.py
@@ -1,12 +1,21 @@
-"""What a relay holds and goes by, free of I/O: a table for each class, its age, and picks by weight.
+"""The tables that a proxy holds and goes by, free of I/O: one for each class, and picks from it.
 
-Tables outlive the planner that gave them: a broken connection changes nothing but their age. Picks are even by
-weight: stride scheduling (C. Waldspurger and W. Weihl, "Stride Scheduling", MIT/LCS/TM-528, 1995), in which a
-newcomer starts level with the others and so gets no burst.
+Tables outlive the planner that gave them: a broken connection changes nothing but their age. Picks
+are even by weight: stride scheduling (C. Waldspurger and W. Weihl, "Stride Scheduling",
+MIT/LCS/TM-528, 1995), in which a new server starts level with the others and so gets no burst.
 """
 
+from collections.abc import Callable, Collection, Iterable
+from typing import NamedTuple
 
-class ClientError(Exception):
+from ..errors import IndigodeckError, MalformedMessageError, RejectedError
+
+Address = tuple[str, int]  # a server's host and port
+# Passes above this are counted from zero again, so that sums keep their precision.
+LARGEST_PASS = 1e9
+
+
+class ClientError(IndigodeckError):
     """Whatever a client of a planner may meet."""
 
 
@@ -14,130 +23,165 @@
     """The table of a class has no server to pick."""
 
 
-class RejectedError(ClientError):
-    """The planner refuses this relay or what it asked; `code` is the protocol's own."""
+class RequestRejectedError(ClientError, RejectedError):
+    """The planner rejects this proxy or what it asked; `code` is the protocol's own."""
 
-    def __init__(self, text, code=None):
+    def __init__(self, text: str, code: int | None = None) -> None:
         super().__init__(text)
         self.code = code
 
 
-class Unreachable(ClientError):
+class UnreachableError(ClientError):
     """No planner answers, or one stopped answering."""
 
 
-class Malfunction(ClientError):
-    """A planner sent what can't be understood."""
+class MalformedResponseError(ClientError, MalformedMessageError):
+    """A planner sent what its protocol does not allow."""
+
+
+class TableEntry(NamedTuple):
+    """What a planner says of one server in the table of a class.
+
+    A server that is `quiesced` takes no new requests, in any case. An entry that is not
+    `confident` says that the planner has no opinion yet.
+    """
+
+    address: Address
+    weight: int
+    confident: bool
+    quiesced: bool
 
 
 class Tables:
-    """Tables by class: {class: {(address, port): weight}}. `changed(class)`, if given, is called after a change."""
-
-    def __init__(self, classes, now, standing=(), changed=None):
-        self.now, self.changed = now, changed
-        self.lines = {name: {where: 1 for where in standing} for name in classes}
-        self.held_since = dict.fromkeys(classes)  # None: what it started with
-        self.passes, self.level, self.out = (
-            {name: {} for name in classes},
-            dict.fromkeys(classes, 0.0),
-            set(),
-        )
-        self.confirmed = set()  # classes whose table this connection has given
-        self.let_in, self.versions = dict.fromkeys(classes, 1.0), {}
+    """Tables by class, as `lines`: `{class: {address: weight}}`.
+
+    Parameters
+    ----------
+    classes
+        The names of the classes.
+    now
+        The clock, in microseconds.
+    initial
+        The servers that each table holds, alike, until a planner gives one.
+    changed
+        Called with the name of a class after its table has changed.
+    """
+
+    def __init__(
+        self,
+        classes: Iterable[str],
+        now: Callable[[], int],
+        initial: Iterable[Address] = (),
+        changed: Callable[[str], object] | None = None,
+    ) -> None:
+        names = list(classes)
+        servers = list(initial)
+        self.now = now
+        self.changed = changed
+        self.lines: dict[str, dict[Address, int]] = {
+            name: dict.fromkeys(servers, 1) for name in names
+        }
+        # When a planner last spoke of a class; None while the table is the initial one.
+        self.updated_at: dict[str, int | None] = dict.fromkeys(names)
+        self.confirmed: set[str] = set()  # classes whose table this connection has given
+        self.admitted_share = dict.fromkeys(names, 1.0)
+        self.versions: dict[str, str] = {}
         self.epoch = 0  # the highest under which an order came, where orders say
+        self._passes: dict[str, dict[Address, float]] = {name: {} for name in names}
+        self._base_pass = dict.fromkeys(names, 0.0)
 
-    def opened(self):
-        """A new connection: what it first says of a class stands for the whole of its table."""
+    def connection_opened(self) -> None:
+        """Begin a connection: what it first says of a class replaces the whole table."""
         self.confirmed.clear()
 
-    def age(self, name):
-        """Microseconds since a planner last spoke of the class, or None if none ever did."""
-        since = self.held_since[name]
-        return None if since is None else self.now() - since
+    def age(self, name: str) -> int | None:
+        """Return microseconds since a planner last spoke of the class, or None if none ever did."""
+        updated_at = self.updated_at[name]
+        return None if updated_at is None else self.now() - updated_at
+
+    def update(self, name: str, entries: Collection[TableEntry]) -> None:
+        """Apply entries of one class.
 
-    def told(self, name, entries):
-        """Entries (place, weight, confident, out) of one class. Who is `out` takes nothing new, in any case.
-        Entries that are not confident say that the planner has no opinion yet: they fill an empty table, and
+        A quiesced server leaves the table. Entries that are not confident fill an empty table and
         change nothing of another.
         """
-        before = dict(self.lines[name])
-        # That somebody is out is no table: whole ones name who is in, or who has weight 0 beside them.
-        lines, sure = (
-            dict(before),
-            [entry for entry in entries if entry[2] and not (entry[3] and entry[0])],
-        )
-        if sure and name not in self.confirmed:
+        # That a server is quiesced is no table: a whole one names who is in, or has weight 0.
+        confirms = any(confident and not quiesced for _, _, confident, quiesced in entries)
+        self._apply(name, entries, confirms)
+
+    def replace(self, name: str, entries: Collection[TableEntry]) -> None:
+        """Replace the table of one class: a server that is not among the entries leaves it."""
+        self.confirmed.discard(name)
+        self._apply(name, entries, True)
+
+    def _apply(self, name: str, entries: Collection[TableEntry], confirms: bool) -> None:
+        before = self.lines[name]
+        lines = dict(before)
+        if confirms and name not in self.confirmed:
             lines = {}
             self.confirmed.add(name)
-        for where, weight, confident, out in entries:
-            if weight and not out and (confident or not before and name not in self.confirmed):
-                lines[where] = weight
-            elif out or confident:
-                lines.pop(where, None)
-        self.held_since[name] = self.now()
+        takes_any = not before and name not in self.confirmed
+        for address, weight, confident, quiesced in entries:
+            if weight and not quiesced and (confident or takes_any):
+                lines[address] = weight
+            elif quiesced or confident:
+                lines.pop(address, None)
+        self.updated_at[name] = self.now()
         if lines != before:
-            self._hold(name, lines)
+            self._set_lines(name, lines)
 
-    def _hold(self, name, lines):
-        passes, self.lines[name] = self.passes[name], lines
-        self.passes[name] = {
-            where: max(passes.get(where, 0.0), self.level[name]) for where in lines
-        }
+    def _set_lines(self, name: str, lines: dict[Address, int]) -> None:
+        passes = self._passes[name]
+        base = self._base_pass[name]
+        self.lines[name] = lines
+        self._passes[name] = {address: max(passes.get(address, 0.0), base) for address in lines}
         if self.changed:
             self.changed(name)
 
-    def level_set(self, name, part):
-        """How much of a class is let in, where a protocol can say so: `admits` refuses the rest, at once."""
-        self.let_in[name] = part
-
-    def admits(self, name, point):
-        """Whether an exchange of this class is let in; `point`: its own place between 0 and 1, drawn or hashed."""
-        return point < self.let_in[name]
+    def set_admitted_share(self, name: str, share: float) -> None:
+        """Set which part of a class's requests is admitted, where a protocol can say so."""
+        self.admitted_share[name] = share
 
-    def shares(self, name):
-        """{(address, port): part of the class's exchanges}"""
-        total = sum(self.lines[name].values())
-        return {where: weight / total for where, weight in self.lines[name].items()}
+    def admits(self, name: str, point: float) -> bool:
+        """Return whether a request is admitted; `point`, 0 to 1, is its own, drawn or hashed."""
+        return point < self.admitted_share[name]
 
-    def pick(self, name, avoid=()):
-        """The next server of a class, but for those to avoid while there are others."""
+    def shares(self, name: str) -> dict[Address, float]:
+        """Return the part of the class's requests that each server gets."""
         lines = self.lines[name]
-        if not lines:
-            raise NoServerError(f"no server for {name}")
-        passes = self.passes[name]
-        for where in lines.keys() - passes.keys():
-            passes[where] = self.level[name]
-        open_to = [where for where in lines if where not in avoid] or list(lines)
         total = sum(lines.values())
-        # By place where passes are equal, so that the same calls give the same picks.
-        chosen = min(open_to, key=lambda where: (passes[where] + total / lines[where] / 2, where))
-        self.level[name] = max(self.level[name], passes[chosen])
-        passes[chosen] += total / lines[chosen]
-        if passes[chosen] > 1e9:
-            self.passes[name] = {where: at - self.level[name] for where, at in passes.items()}
-            self.level[name] = 0.0
-        return chosen
-
-
-class ReconnectError:
-    """When to dial again: later each time up to a bound, jittered over the whole wait, so that relays that
-    lost one planner together do not come back together. `chance`: chance.Chance, seeded by the relay.
-    """
+        return {address: weight / total for address, weight in lines.items()}
 
-    def __init__(self, chance, first=200_000, most=5_000_000):
-        self.chance, self.first, self.most, self.failures = chance, first, most, 0
+    def pick(self, name: str, avoid: Collection[Address] = ()) -> Address:
+        """Return the next server of a class, one not to avoid while there is any.
 
-    def failed(self, places=1):
-        """Microseconds to wait before the next call. Each of the places is tried once before the wait grows: of several
-        controllers all but one refuse, and who waits after each is without orders for most of a takeover.
+        Raises
+        ------
+        NoServerError
+            If the table of the class is empty.
         """
-        round_, nth = divmod(self.failures, max(1, places))
-        self.failures += 1
-        if nth < places - 1:
-            return self.chance.below(self.first // 4)
-        bound = min(self.most, self.first << min(round_, 16))
-        return bound // 4 + self.chance.below(bound - bound // 4)
-
-    def held(self):
-        """A connection gave tables: the next loss starts over."""
-        self.failures = 0
+        lines = self.lines[name]
+        if not lines:
+            raise NoServerError(f"no server for {name}")
+        passes = self._passes[name]
+        for address in lines.keys() - passes.keys():
+            passes[address] = self._base_pass[name]
+        candidates = [address for address in lines if address not in avoid] or list(lines)
+        total = sum(lines.values())
+        # By address where passes are equal, so that the same calls give the same picks.
+        picked = min(
+            candidates,
+            key=lambda address: (passes[address] + total / lines[address] / 2, address),
+        )
+        self._base_pass[name] = max(self._base_pass[name], passes[picked])
+        passes[picked] += total / lines[picked]
+        if passes[picked] > LARGEST_PASS:
+            self._rebase_passes(name)
+        return picked
+
+    def _rebase_passes(self, name: str) -> None:
+        base = self._base_pass[name]
+        self._passes[name] = {
+            address: reached - base for address, reached in self._passes[name].items()
+        }
+        self._base_pass[name] = 0.0
--- a/indigodeck/client/xds.py
+++ b/indigodeck/client/xds.py
@@ -1,251 +1,376 @@
-"""Keeps a relay's tables up to date over xDS, incremental form, and reports what it met (LRS), on grpcio's loop."""
+"""Keeps a proxy's tables up to date over incremental xDS, and reports its load (LRS), on grpcio."""
 
 import asyncio
 import ipaddress
+from collections import defaultdict
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 import grpc
 import xxhash
-from envoy.config.core.v3 import base_pb2
+from envoy.config.core.v3 import base_pb2, health_check_pb2
 from envoy.config.endpoint.v3 import endpoint_pb2, load_report_pb2
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 from envoy.service.load_stats.v3 import lrs_pb2, lrs_pb2_grpc
 
-from .dialling import SECOND, Dialling
-from .tables import Malfunction, RejectedError, Unreachable
+from ..clock import SECOND
+from .reconnecting import RESPONSE_TIMEOUT_S, ReconnectingClient
+from .tables import (
+    Address,
+    ClientError,
+    MalformedResponseError,
+    RequestRejectedError,
+    TableEntry,
+    Tables,
+    UnreachableError,
+)
 
-KIND = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-DRAINING = 3  # of envoy.config.core.v3.HealthStatus
-WHOLE = (None, 0, True, True)  # of nobody: says that what stands beside it is a whole table
-PARTS = {0: 100, 1: 10_000, 2: 1_000_000}
+ENDPOINTS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
+LATENCY_METRIC = "took_ms"
+# By type.v3.FractionalPercent.DenominatorType.
+PERCENT_DENOMINATORS = {0: 100, 1: 10_000, 2: 1_000_000}
+INVALID_ARGUMENT = 3  # of google.rpc.Code
+LONGEST_ERROR_TEXT = 500
+# grpcio pings no more often than this.
+SHORTEST_KEEPALIVE_MS = 1000
 
 
-def target(place):
-    """Where a channel leads, named so that an address in figures is not looked up first."""
-    address, port = place
+class Locality(NamedTuple):
+    """Where a server is: its zone, and its id as the planner knows it."""
+
+    zone: str
+    host_id: str
+
+
+class Assignment(NamedTuple):
+    """One class's resource: its table, its admitted share of requests, its servers' places."""
+
+    name: str
+    entries: list[TableEntry]
+    admitted_share: float
+    localities: dict[Address, Locality]
+
+
+def channel_target(address: Address) -> str:
+    """Return where a channel leads, named so that an address in figures is not looked up first."""
+    host, port = address
     try:
-        kind = f"ipv{ipaddress.ip_address(address).version}:"
+        scheme = f"ipv{ipaddress.ip_address(host).version}:"
     except ValueError:
-        kind = "dns:"
-    return f"{kind}[{address}]:{port}" if ":" in address else f"{kind}{address}:{port}"
-
-
-def read(data):
-    """(class, [(place, weight, sure, out)], part let in, {place: (hall, host's id)}) of one assignment."""
-    assignment = endpoint_pb2.ClusterLoadAssignment.FromString(data)
-    entries, names, level = [], {}, 1.0
-    for group in assignment.endpoints:
-        for point in group.lb_endpoints:
-            at = point.endpoint.address.socket_address
-            place = at.address, at.port_value
-            weight = point.load_balancing_weight.value or group.load_balancing_weight.value
-            entries.append((place, weight, True, point.health_status == DRAINING))
-            names[place] = group.locality.zone, group.locality.sub_zone
-    for dropped in assignment.policy.drop_overloads:
-        level *= 1 - dropped.drop_percentage.numerator / PARTS[dropped.drop_percentage.denominator]
-    return assignment.cluster_name, entries, level, names
-
-
-class Talk:
-    """One stream as the relay sees it, free of I/O: what it holds, what came, what it answers."""
-
-    def __init__(self, tables, names):
-        self.tables, self.names = tables, names
-        self.brought, self.waiting, self.newest = False, True, (0, 0)
-
-    def opening(self, node):
+        scheme = "dns:"
+    return f"{scheme}[{host}]:{port}" if ":" in host else f"{scheme}{host}:{port}"
+
+
+def read_assignment(data: bytes) -> Assignment:
+    """Read the bytes of a ClusterLoadAssignment.
+
+    Raises
+    ------
+    Exception
+        Whatever the protobuf library raises for bytes that are none.
+    """
+    message = endpoint_pb2.ClusterLoadAssignment.FromString(data)
+    entries = []
+    localities = {}
+    for group in message.endpoints:
+        for endpoint in group.lb_endpoints:
+            socket_address = endpoint.endpoint.address.socket_address
+            address = (socket_address.address, socket_address.port_value)
+            weight = endpoint.load_balancing_weight.value or group.load_balancing_weight.value
+            draining = endpoint.health_status == health_check_pb2.DRAINING
+            entries.append(TableEntry(address, weight, True, draining))
+            localities[address] = Locality(group.locality.zone, group.locality.sub_zone)
+    admitted_share = 1.0
+    for overload in message.policy.drop_overloads:
+        dropped = overload.drop_percentage
+        admitted_share *= 1 - dropped.numerator / PERCENT_DENOMINATORS[dropped.denominator]
+    return Assignment(message.cluster_name, entries, admitted_share, localities)
+
+
+class XdsSession:
+    """One stream as the proxy sees it, free of I/O: what it holds, what came, what it answers."""
+
+    def __init__(self, tables: Tables, localities: dict[Address, Locality]) -> None:
+        self.tables = tables
+        self.localities = localities
+        self.received_table = False
+        self.awaits_first_response = True
+        self.newest_version = (0, 0)  # epoch and serial of the newest response
+
+    def opening_request(self, node: base_pb2.Node) -> discovery_pb2.DeltaDiscoveryRequest:
+        """Return the first request: who this is, what it wants, and what it holds."""
         return discovery_pb2.DeltaDiscoveryRequest(
             node=node,
-            type_url=KIND,
+            type_url=ENDPOINTS,
             resource_names_subscribe=sorted(self.tables.lines),
             initial_resource_versions=self.tables.versions,
         )
 
-    def read(self, response):
-        """Takes a response; the request that acknowledges or refuses it, or None for one that came before."""
-        self.waiting = False
-        epoch, _, serial = response.system_version_info.partition(".")
-        epoch, serial = (
-            int(part) if part.isascii() and part.isdigit() else 0 for part in (epoch, serial)
-        )
+    def read(
+        self, response: discovery_pb2.DeltaDiscoveryResponse
+    ) -> discovery_pb2.DeltaDiscoveryRequest | None:
+        """Apply a response, and return the request that acknowledges or rejects it.
+
+        Returns None for a response that repeats an earlier one, or came after a later one.
+
+        Raises
+        ------
+        RequestRejectedError
+            If a controller sent it that was replaced and does not know it.
+        """
+        self.awaits_first_response = False
+        epoch, serial = _version_numbers(response.system_version_info)
         if epoch < self.tables.epoch:
-            # A controller that was replaced and does not know it: nothing of it may take effect.
-            raise RejectedError(
+            raise RequestRejectedError(
                 f"an order under epoch {epoch}, {self.tables.epoch} was seen", epoch
             )
         self.tables.epoch = epoch
-        if serial and (epoch, serial) <= self.newest:
-            return None  # twice, or after one that was made later: what it says has been said
-        self.newest = epoch, serial
-        answer = discovery_pb2.DeltaDiscoveryRequest(type_url=KIND, response_nonce=response.nonce)
-        taken = []
+        if serial and (epoch, serial) <= self.newest_version:
+            return None
+        self.newest_version = (epoch, serial)
+        answer = discovery_pb2.DeltaDiscoveryRequest(
+            type_url=ENDPOINTS, response_nonce=response.nonce
+        )
         try:
-            if response.type_url != KIND:
-                raise ValueError(f"{response.type_url} was not asked for")
-            for resource in response.resources:
-                name, *rest = read(resource.resource.value)
-                if name not in self.tables.lines or name != resource.name:
-                    raise ValueError(f"{resource.name!r} was not asked for")
-                if resource.version != xxhash.xxh3_64_hexdigest(resource.resource.value):
-                    raise ValueError(f"{resource.name!r} is not what its version says")
-                taken.append((resource.version, name, *rest))
-        except (
-            Exception
-        ) as error:  # whatever the bytes hold: the last good tables stay, and the planner is told
-            answer.error_detail.code, answer.error_detail.message = (
-                3,
-                f"{type(error).__name__}: {error}"[:500],
-            )
+            accepted = self._read_resources(response)
+        except Exception as error:  # whatever the bytes hold: the last good tables stay
+            answer.error_detail.code = INVALID_ARGUMENT
+            answer.error_detail.message = f"{type(error).__name__}: {error}"[:LONGEST_ERROR_TEXT]
             return answer
-        for version, name, entries, level, names in taken:
-            self.brought = True
-            # An assignment is the whole of a table: who is not in it is out of it.
-            self.tables.confirmed.discard(name)
-            self.tables.told(name, [WHOLE, *entries])
-            self.tables.level_set(name, level)
-            self.tables.versions[name] = version
-            self.names.update(names)
+        for version, assignment in accepted:
+            self._apply(version, assignment)
         return answer
 
+    def _read_resources(
+        self, response: discovery_pb2.DeltaDiscoveryResponse
+    ) -> list[tuple[str, Assignment]]:
+        """Return all assignments with their versions, or raise an error if any is wrong."""
+        if response.type_url != ENDPOINTS:
+            raise ValueError(f"{response.type_url} was not asked for")
+        accepted = []
+        for resource in response.resources:
+            assignment = read_assignment(resource.resource.value)
+            if assignment.name not in self.tables.lines or assignment.name != resource.name:
+                raise ValueError(f"{resource.name!r} was not asked for")
+            if resource.version != xxhash.xxh3_64_hexdigest(resource.resource.value):
+                raise ValueError(f"{resource.name!r} is not what its version says")
+            accepted.append((resource.version, assignment))
+        return accepted
+
+    def _apply(self, version: str, assignment: Assignment) -> None:
+        name = assignment.name
+        self.received_table = True
+        self.tables.replace(name, assignment.entries)
+        self.tables.set_admitted_share(name, assignment.admitted_share)
+        self.tables.versions[name] = version
+        self.localities.update(assignment.localities)
+
+
+def _version_numbers(version: str) -> tuple[int, int]:
+    """Return the epoch and the serial number of a response; 0 for what is no number."""
+    epoch, _, serial = version.partition(".")
+    return _number(epoch), _number(serial)
+
+
+def _number(text: str) -> int:
+    return int(text) if text.isascii() and text.isdigit() else 0
+
+
+@dataclass(slots=True)
+class RequestCounts:
+    """Requests of one class to one server; `total_latency`, in us, is of those that succeeded."""
 
-class XdsClient(Dialling):
-    """The same interface as `sasp.SaspClient`; `hall`: the relay's own. `report_to` takes exchanges' outcomes."""
+    succeeded: int = 0
+    failed: int = 0
+    total_latency: int = 0
 
-    # grpcio has the last for a write on a stream whose connection was refused meanwhile.
-    losses = (
+
+def _ignore_event(event: str, tables: list[tuple[str, list[TableEntry]]]) -> None:
+    """Observe nothing."""
+
+
+class XdsClient(ReconnectingClient):
+    """Connects to planners in turn over xDS and keeps tables up to date until `stop`.
+
+    Parameters
+    ----------
+    zone
+        The proxy's own zone.
+    observer
+        Called for each stream that opens ("joined") or ends ("left"), and with each message
+        ("message") and the tables in it.
+
+    The others are those of `sasp.SaspClient`; `members` is ignored.
+    """
+
+    connection_errors = (
         grpc.aio.AioRpcError,
-        RejectedError,
+        RequestRejectedError,
         asyncio.TimeoutError,
         OSError,
         asyncio.CancelledError,
+        # grpcio raises it for a write on a stream whose connection was refused meanwhile.
         asyncio.InvalidStateError,
     )
 
     def __init__(
-        self, uid, planners, tables, members=(), patience=3.0, failed=None, hall="", witness=None
-    ):
-        super().__init__(uid, planners, tables, patience, failed)
-        self.uid, self.names, self.channel = uid, {}, None
-        self.node = base_pb2.Node(id=uid, locality=base_pb2.Locality(zone=hall))
-        self.witness = witness or (
-            lambda what, tables: None
-        )  # hears of each stream and each message
-        self.met = {}  # (class, place): [succeeded, failed, time]
-
-    @staticmethod
-    def _error(caught):
-        if isinstance(caught, RejectedError):
+        self,
+        proxy_id: str,
+        planners: Sequence[Address] | Callable[[], Sequence[Address]],
+        tables: Tables,
+        members: Sequence[Address] = (),
+        response_timeout: float = RESPONSE_TIMEOUT_S,
+        connection_lost: Callable[[ClientError], object] | None = None,
+        zone: str = "",
+        observer: Callable[[str, list[tuple[str, list[TableEntry]]]], object] | None = None,
+    ) -> None:
+        super().__init__(proxy_id, planners, tables, response_timeout, connection_lost)
+        self.localities: dict[Address, Locality] = {}
+        self.node = base_pb2.Node(id=proxy_id, locality=base_pb2.Locality(zone=zone))
+        self.observer = observer or _ignore_event
+        self.channel: grpc.aio.Channel | None = None
+        self.stream: Any = None  # grpcio's own call
+        self._counts: dict[tuple[str, Address], RequestCounts] = defaultdict(RequestCounts)
+
+    def _client_error(self, caught: BaseException) -> ClientError:
+        if isinstance(caught, RequestRejectedError):
             return caught
         if not isinstance(caught, grpc.aio.AioRpcError):
             stopped = isinstance(caught, (asyncio.TimeoutError, OSError))
-            return Unreachable(
+            return UnreachableError(
                 "the planner stopped answering" if stopped else "the stream was broken"
             )
         details = caught.details() or str(caught.code())
         if caught.code() == grpc.StatusCode.RESOURCE_EXHAUSTED:
-            return RejectedError(details)
-        # For bytes that are no HTTP/2 the library has the code of a planner that can't be reached, and words.
-        nonsense = caught.code() == grpc.StatusCode.INTERNAL or "Failed parsing HTTP/2" in details
-        return (Malfunction if nonsense else Unreachable)(details)
-
-    async def _follow(self, place):
-        # Keepalive finds a planner that stands still, by pings that its library answers. How long one may take is a
-        # setting of its own in grpcio, a minute if left out: a stopped planner was held on to for that long. The period
-        # counts as well: at 2 s beside a patience of 1 s, drains came too late to those that followed a stopped one. A ping is
-        # answered by the library's own thread however busy the planner is, so half of the patience is long; a whole one
-        # after 1 s left one of 303 relays with a drain that was 2.2 s old.
-        self.channel = grpc.aio.insecure_channel(
-            target(place),
+            return RequestRejectedError(details)
+        # grpcio gives bytes that are no HTTP/2 the code of a planner that can't be reached.
+        malformed = caught.code() == grpc.StatusCode.INTERNAL or "Failed parsing HTTP/2" in details
+        return MalformedResponseError(details) if malformed else UnreachableError(details)
+
+    async def _run_session(self, address: Address) -> None:
+        channel = self._open_channel(address)
+        self.channel = channel
+        self.tables.connection_opened()
+        session = XdsSession(self.tables, self.localities)
+        self.session = session
+        stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel)
+        self.stream = stub.DeltaAggregatedResources()
+        opening = session.opening_request(self.node)
+        await asyncio.wait_for(self.stream.write(opening), self.response_timeout)
+        self.observer("joined", [])
+        reporter = asyncio.get_running_loop().create_task(self._report_load(channel))
+        try:
+            while True:
+                await self._exchange(session)
+        finally:
+            self.observer("left", [])
+            reporter.cancel()
+
+    def _open_channel(self, address: Address) -> grpc.aio.Channel:
+        # Keepalive finds a stopped planner by pings that its library answers, however busy it is.
+        # How long one ping may take is a setting of its own in grpcio, a minute if left out: a
+        # stopped planner was followed for that long. The period counts as well: at 2 s beside a
+        # response time-out of 1 s drains came too late to proxies that followed a stopped one, and
+        # with a whole one after 1 s one of 303 proxies had a drain that was 2.2 s old. So half.
+        ping_timeout_ms = round(self.response_timeout * 500)
+        return grpc.aio.insecure_channel(
+            channel_target(address),
             options=[
-                ("grpc.keepalive_time_ms", max(1000, round(self.patience * 500))),
+                ("grpc.keepalive_time_ms", max(SHORTEST_KEEPALIVE_MS, ping_timeout_ms)),
                 ("grpc.http2.max_pings_without_data", 0),
                 ("grpc.keepalive_permit_without_calls", 1),
-                ("grpc.http2.ping_timeout_ms", round(self.patience * 500)),
-                ("grpc.keepalive_timeout_ms", round(self.patience * 500)),
+                ("grpc.http2.ping_timeout_ms", ping_timeout_ms),
+                ("grpc.keepalive_timeout_ms", ping_timeout_ms),
                 ("grpc.use_local_subchannel_pool", 1),
                 ("grpc.enable_retries", 0),
             ],
         )
-        self.tables.opened()
-        talk = self.talk = Talk(self.tables, self.names)
-        self.stream = ads_pb2_grpc.AggregatedDiscoveryServiceStub(
-            self.channel
-        ).DeltaAggregatedResources()
-        await asyncio.wait_for(self.stream.write(talk.opening(self.node)), self.patience)
-        self.witness("joined", [])
-        reporter = asyncio.get_running_loop().create_task(self._report())
-        try:
-            while True:
-                # The first answer is due within patience; afterwards silence means that nothing changed.
-                held = all(name in self.tables.versions for name in self.tables.lines)
-                due = self.patience if talk.waiting and not held else None
-                response = await asyncio.wait_for(self.stream.read(), due)
-                if response is grpc.aio.EOF:
-                    raise OSError("the planner ended the stream")
-                answer = talk.read(response)
-                if answer is None:
-                    continue
-                self.witness(
-                    "message",
-                    [read(resource.resource.value)[:2] for resource in response.resources],
-                )
-                await self.stream.write(answer)
-        finally:
-            self.witness("left", [])
-            reporter.cancel()
 
-    def report(self, name, place, good, took):
-        """One exchange that was sent, for the next load report; `took` in microseconds."""
-        held = self.met.setdefault((name, place), [0, 0, 0])
-        held[0 if good else 1] += 1
-        held[2] += took if good else 0
+    async def _exchange(self, session: XdsSession) -> None:
+        """Take one response and answer it."""
+        # The first is due in time; afterwards silence means that nothing changed.
+        complete = all(name in self.tables.versions for name in self.tables.lines)
+        due = self.response_timeout if session.awaits_first_response and not complete else None
+        response = await asyncio.wait_for(self.stream.read(), due)
+        if response is grpc.aio.EOF:
+            raise OSError("the planner ended the stream")
+        answer = session.read(response)
+        if answer is None:
+            return
+        assignments = [read_assignment(resource.resource.value) for resource in response.resources]
+        self.observer(
+            "message", [(assignment.name, assignment.entries) for assignment in assignments]
+        )
+        await self.stream.write(answer)
+
+    def count_request(self, name: str, address: Address, succeeded: bool, latency: int) -> None:
+        """Count one request that was sent, for the next load report; `latency` in microseconds."""
+        counts = self._counts[name, address]
+        if succeeded:
+            counts.succeeded += 1
+            counts.total_latency += latency
+        else:
+            counts.failed += 1
 
-    async def _report(self):
+    async def _report_load(self, channel: grpc.aio.Channel) -> None:
         try:
-            stream = lrs_pb2_grpc.LoadReportingServiceStub(self.channel).StreamLoadStats()
+            stream = lrs_pb2_grpc.LoadReportingServiceStub(channel).StreamLoadStats()
             await stream.write(lrs_pb2.LoadStatsRequest(node=self.node))
             asked = await stream.read()
-            period = (
-                asked.load_reporting_interval.ToMicroseconds() if asked is not grpc.aio.EOF else 0
-            )
-            began = self.tables.now()
+            if asked is grpc.aio.EOF:
+                return
+            period = asked.load_reporting_interval.ToMicroseconds()
+            period_start = self.tables.now()
             while period > 0:
                 await asyncio.sleep(period / SECOND)
-                now, met, self.met = self.tables.now(), self.met, {}
-                await stream.write(self._stats(met, now - began))
-                began = now
+                now = self.tables.now()
+                counts = self._counts
+                self._counts = defaultdict(RequestCounts)
+                await stream.write(self._load_report(counts, now - period_start))
+                period_start = now
         except grpc.aio.AioRpcError:
             pass  # tables matter more than reports: these go on with the next connection
 
-    def _stats(self, met, span):
+    def _load_report(
+        self, counts: dict[tuple[str, Address], RequestCounts], span: int
+    ) -> lrs_pb2.LoadStatsRequest:
+        """Return the load report of all classes over `span` microseconds."""
         request = lrs_pb2.LoadStatsRequest()
-        for name in sorted({name for name, _ in met}):
+        for name in sorted({name for name, _ in counts}):
             stats = request.cluster_stats.add(cluster_name=name)
             stats.load_report_interval.FromMicroseconds(span)
-            for (kind, place), (good, failed, took) in met.items():
-                if kind == name:
-                    hall, host = self.names.get(place, ("", ""))
-                    group = stats.upstream_locality_stats.add(
-                        locality=base_pb2.Locality(zone=hall, sub_zone=host),
-                        total_successful_requests=good,
-                        total_error_requests=failed,
-                        total_issued_requests=good + failed,
-                    )
-                    if good:
-                        group.load_metric_stats.append(
-                            load_report_pb2.EndpointLoadMetricStats(
-                                metric_name="took_ms",
-                                num_requests_finished_with_metric=good,
-                                total_metric_value=took / 1000,
-                            )
-                        )
+            for (counted_name, address), counted in counts.items():
+                if counted_name == name:
+                    self._add_server(stats, address, counted)
         return request
 
-    async def _close(self):
-        channel, self.channel = self.channel, None
+    def _add_server(
+        self, stats: load_report_pb2.ClusterStats, address: Address, counted: RequestCounts
+    ) -> None:
+        zone, host_id = self.localities.get(address, Locality("", ""))
+        group = stats.upstream_locality_stats.add(
+            locality=base_pb2.Locality(zone=zone, sub_zone=host_id),
+            total_successful_requests=counted.succeeded,
+            total_error_requests=counted.failed,
+            total_issued_requests=counted.succeeded + counted.failed,
+        )
+        if counted.succeeded:
+            group.load_metric_stats.append(
+                load_report_pb2.EndpointLoadMetricStats(
+                    metric_name=LATENCY_METRIC,
+                    num_requests_finished_with_metric=counted.succeeded,
+                    total_metric_value=counted.total_latency / 1000,
+                )
+            )
+
+    async def _close(self) -> None:
+        channel = self.channel
+        self.channel = None
         if channel is not None:
             await channel.close()
 
-    def drop(self):
-        """Breaks the stream, as a network might; the client dials again."""
+    def disconnect(self) -> None:
+        """Break the stream, as a network might; the client connects again."""
         if self.stream is not None:
             self.stream.cancel()
--- a/indigodeck/frontends/sasp/codec.py
+++ b/indigodeck/frontends/sasp/codec.py
@@ -1,37 +1,58 @@
 """The bytes of the Server/Application State Protocol, version 1 (RFC 4678).
 
-`dispatch` reads one whole message and calls the method of a handler that is named for it; the functions at
-the end write messages. Numbers are big-endian. docs/sasp.md names the section for each layout, and the
-readings that were chosen where the text was not at hand.
+`dispatch` reads one whole message and calls the method of a handler that is named for it; the
+functions at the end write messages. Numbers are big-endian. docs/sasp.md names the section for
+each layout, and the readings that were chosen where the text was not at hand.
 """
 
 import ipaddress
 import struct
-from typing import NamedTuple
+from collections.abc import Callable, Iterable, Sequence
+from typing import Any, NamedTuple, NoReturn, TypeVar
+
+from ...errors import MalformedMessageError
 
 VERSION = 1
 HEADER = struct.Struct("!HHBII")  # type, length, version, message length, message id
 HEADER_TYPE = 0x2010
-(
-    REGISTER,
-    REGISTERED,
-    DEREGISTER,
-    DEREGISTERED,
-    GET_WEIGHTS,
-    WEIGHTS,
-    SEND_WEIGHTS,
-    SET_BALANCER,
-    BALANCER_SET,
-    SET_MEMBERS,
-    MEMBERS_SET,
-) = (0x1010, 0x1015, 0x1020, 0x1025, 0x1030, 0x1035, 0x1040, 0x1050, 0x1055, 0x1060, 0x1065)
-MEMBER, GROUP, WEIGHT_ENTRY, MEMBER_STATE = 0x3010, 0x3011, 0x3012, 0x3013
-GROUP_OF_MEMBERS, GROUP_OF_WEIGHTS, GROUP_OF_STATES = 0x4010, 0x4011, 0x4012
-
-DONE, NOT_UNDERSTOOD, NOT_ACCEPTED = 0x00, 0x10, 0x11
-ALREADY_REGISTERED, NOT_REGISTERED, UNKNOWN_GROUP, UNKNOWN_BALANCER = 0x40, 0x41, 0x42, 0x43
-DUPLICATE_MEMBER, INVALID_GROUP, DUPLICATE_GROUP = 0x44, 0x45, 0x46
-GROUP_NAME_SIZE, BALANCER_SIZE, BALANCER_ABSENT = 0x50, 0x51, 0x61
+COMPONENT_HEADER = struct.Struct("!HH")  # type, length
+
+# Types of messages.
+REGISTER = 0x1010
+REGISTERED = 0x1015
+DEREGISTER = 0x1020
+DEREGISTERED = 0x1025
+GET_WEIGHTS = 0x1030
+WEIGHTS = 0x1035
+SEND_WEIGHTS = 0x1040
+SET_BALANCER = 0x1050
+BALANCER_SET = 0x1055
+SET_MEMBERS = 0x1060
+MEMBERS_SET = 0x1065
+
+# Types of components.
+MEMBER = 0x3010
+GROUP = 0x3011
+WEIGHT_ENTRY = 0x3012
+MEMBER_STATE = 0x3013
+GROUP_OF_MEMBERS = 0x4010
+GROUP_OF_WEIGHTS = 0x4011
+GROUP_OF_STATES = 0x4012
+
+# Return codes.
+DONE = 0x00
+NOT_UNDERSTOOD = 0x10
+NOT_ACCEPTED = 0x11
+ALREADY_REGISTERED = 0x40
+NOT_REGISTERED = 0x41
+UNKNOWN_GROUP = 0x42
+UNKNOWN_BALANCER = 0x43
+DUPLICATE_MEMBER = 0x44
+INVALID_GROUP = 0x45
+DUPLICATE_GROUP = 0x46
+GROUP_NAME_SIZE = 0x50
+BALANCER_SIZE = 0x51
+BALANCER_ABSENT = 0x61
 MEANINGS = {
     DONE: "successful",
     NOT_UNDERSTOOD: "message not understood",
@@ -48,23 +69,46 @@
     BALANCER_ABSENT: "the load balancer of this member has not yet contacted the manager",
 }
 
-# Flags are read from the most significant bit down, as the diagrams of RFCs number bits (docs/sasp.md).
-PUSH, TRUST, NO_CHANGE = 0x80, 0x40, 0x20
-CONTACT, QUIESCED, BY_BALANCER, CONFIDENT = 0x80, 0x40, 0x20, 0x10
+# Flags are read from the most significant bit down, as RFCs number bits (docs/sasp.md).
+PUSH = 0x80
+TRUST = 0x40
+NO_CHANGE = 0x20
+CONTACT = 0x80
+QUIESCED = 0x40
+BY_BALANCER = 0x20
+CONFIDENT = 0x10
 FROM_BALANCER = 0x80
 QUIESCE = 0x80
-MAPPED = bytes(10) + b"\xff\xff"
-MOST_WEIGHT = LONGEST = 0xFFFF
+
+TCP = 6  # of IP's protocol numbers
+IPV4_MAPPED_PREFIX = bytes(10) + b"\xff\xff"
+IPV4_COMPATIBLE_PREFIX = bytes(12)
+LONGEST_COMPONENT = 0xFFFF
+LONGEST_TEXT = 0xFF
+
+GroupName = tuple[bytes, bytes]  # the load balancer's id, the group's name
+Address = tuple[str, int]
+_Item = TypeVar("_Item")
 
 
-class MalformedMessageError(Exception):
-    """Bytes that are no message of this protocol. `code`: the return code that says so; `at`: the offset;
-    `reply`: the type of the reply that the message would have had, or None.
+class MalformedSaspMessageError(MalformedMessageError):
+    """Bytes that are no message of this protocol.
+
+    `return_code` is the code that says so, `offset` where it was found, and `reply_type` the type
+    of the reply that the message would have had, or None.
     """
 
-    def __init__(self, text, at=0, code=NOT_UNDERSTOOD, reply=None):
-        super().__init__(f"{text} (byte {at})")
-        self.code, self.at, self.reply = code, at, reply
+    def __init__(
+        self,
+        text: str,
+        offset: int = 0,
+        return_code: int = NOT_UNDERSTOOD,
+        reply_type: int | None = None,
+    ) -> None:
+        super().__init__(f"{text} (byte {offset})")
+        self.return_code = return_code
+        self.offset = offset
+        self.reply_type = reply_type
 
 
 class Bounds(NamedTuple):
@@ -76,7 +120,7 @@
 
 
 class Member(NamedTuple):
-    """A member: IP protocol number, port, address as 16 bytes (IPv4 as ::ffff:a.b.c.d), and a label."""
+    """A member of a group; an IPv4 address is written as ::ffff:a.b.c.d, in 16 bytes."""
 
     protocol: int
     port: int
@@ -84,23 +128,24 @@
     label: bytes = b""
 
     @classmethod
-    def at(cls, address, port, label=b"", protocol=6):
+    def at(cls, address: str, port: int, label: bytes = b"", protocol: int = TCP) -> "Member":
+        """Return the member at an address in text form."""
         parsed = ipaddress.ip_address(address)
-        return cls(
-            protocol, port, MAPPED + parsed.packed if parsed.version == 4 else parsed.packed, label
-        )
-
-    def place(self):
-        """(address, port): an IPv4 address is the same in its mapped and in its older compatible form."""
-        mapped = self.address[:12] == MAPPED or (
-            self.address[:12] == bytes(12) and self.address[12:] > b"\0\0\0\1"
+        packed = IPV4_MAPPED_PREFIX + parsed.packed if parsed.version == 4 else parsed.packed
+        return cls(protocol, port, packed, label)
+
+    def endpoint(self) -> Address:
+        """Return address and port; IPv4 is the same in its mapped and its older compatible form."""
+        prefix = self.address[:12]
+        rest = self.address[12:]
+        is_ipv4 = prefix == IPV4_MAPPED_PREFIX or (
+            prefix == IPV4_COMPATIBLE_PREFIX and rest > b"\0\0\0\1"
         )
-        packed = self.address[12:] if mapped else self.address
-        return str(ipaddress.ip_address(packed)), self.port
+        return str(ipaddress.ip_address(rest if is_ipv4 else self.address)), self.port
 
 
 class Entry(NamedTuple):
-    """A member's weight: 0 to 65535, the opaque state that its agent last gave, and flags."""
+    """A member's weight, 0 to 65535, with flags and the opaque state that its agent last gave."""
 
     member: Member
     weight: int
@@ -108,323 +153,414 @@
     state: int = 0
 
 
-# Reading.
+class StatedMember(NamedTuple):
+    """What is stated of a member: an opaque state, and whether it wants no new work."""
 
+    member: Member
+    state: int
+    quiesce: bool
+
+
+MemberGroup = tuple[GroupName, list[Member]]
+WeightGroup = tuple[GroupName, list[Entry]]
+StateGroup = tuple[GroupName, list[StatedMember]]
 
-class Reader:
-    """Steps through one message and never past the end of what is open."""
 
-    def __init__(self, data, bounds, reply=None):
-        self.data, self.at, self.end, self.bounds, self.reply = data, 0, len(data), bounds, reply
+class _Reader:
+    """Steps through one message and never past the end of the component that is open."""
 
-    def fail(self, text, code=NOT_UNDERSTOOD):
-        raise MalformedMessageError(text, self.at, code, self.reply)
+    def __init__(self, data: bytes, bounds: Bounds, reply_type: int | None = None) -> None:
+        self.data = data
+        self.offset = 0
+        self.end = len(data)
+        self.bounds = bounds
+        self.reply_type = reply_type
 
-    def take(self, size, what):
-        if self.at + size > self.end:
-            self.fail(f"{what} needs {size} bytes, {self.end - self.at} are left")
-        piece = self.data[self.at : self.at + size]
-        self.at += size
+    def fail(self, text: str, return_code: int = NOT_UNDERSTOOD) -> NoReturn:
+        raise MalformedSaspMessageError(text, self.offset, return_code, self.reply_type)
+
+    def take(self, size: int, what: str) -> bytes:
+        if self.offset + size > self.end:
+            self.fail(f"{what} needs {size} bytes, {self.end - self.offset} are left")
+        piece = self.data[self.offset : self.offset + size]
+        self.offset += size
         return piece
 
-    def number(self, size, what):
+    def number(self, size: int, what: str) -> int:
         return int.from_bytes(self.take(size, what), "big")
 
-    def text(self, what):
+    def text(self, what: str) -> bytes:
         return bytes(self.take(self.number(1, f"length of {what}"), what))
 
-    def open(self, kind, what):
-        """Enters a component; returns what `close` needs to check that it was filled exactly."""
-        start, outer = self.at, self.end
-        found, length = self.number(2, f"type of {what}"), self.number(2, f"length of {what}")
-        if found != kind:
-            self.at = start
-            self.fail(f"{what} should have type {kind:#06x}, not {found:#06x}")
-        if length < 4 or start + length > outer:
-            self.fail(f"{what} states {length} bytes, {outer - start} are left")
+    def open(self, component_type: int, what: str) -> int:
+        """Enter a component; return what `close` needs to check that it was filled exactly."""
+        start = self.offset
+        outer_end = self.end
+        found = self.number(2, f"type of {what}")
+        length = self.number(2, f"length of {what}")
+        if found != component_type:
+            self.offset = start
+            self.fail(f"{what} should have type {component_type:#06x}, not {found:#06x}")
+        if length < COMPONENT_HEADER.size or start + length > outer_end:
+            self.fail(f"{what} states {length} bytes, {outer_end - start} are left")
         self.end = start + length
-        return outer
+        return outer_end
 
-    def close(self, outer, what):
-        if self.at != self.end:
-            self.fail(f"{what} states {self.end - self.at} bytes more than it holds")
-        self.end = outer
+    def close(self, outer_end: int, what: str) -> None:
+        if self.offset != self.end:
+            self.fail(f"{what} states {self.end - self.offset} bytes more than it holds")
+        self.end = outer_end
 
-    def count(self, most, what):
+    def count(self, limit: int, what: str) -> int:
         count = self.number(2, f"count of {what}")
-        if count > most:
-            self.fail(f"{count} {what}, {most} at most", NOT_ACCEPTED)
+        if count > limit:
+            self.fail(f"{count} {what}, {limit} at most", NOT_ACCEPTED)
         return count
 
-    def member(self):
-        outer = self.open(MEMBER, "a member")
-        protocol, port = self.number(1, "protocol"), self.number(2, "port")
+    def member(self) -> Member:
+        outer_end = self.open(MEMBER, "a member")
+        protocol = self.number(1, "protocol")
+        port = self.number(2, "port")
         member = Member(protocol, port, bytes(self.take(16, "address")), self.text("label"))
-        self.close(outer, "a member")
+        self.close(outer_end, "a member")
         return member
 
-    def group(self):
-        """(load balancer's id, group's name)"""
-        outer = self.open(GROUP, "a group")
-        named = self.text("load balancer's id"), self.text("group's name")
-        self.close(outer, "a group")
-        return named
+    def group_name(self) -> GroupName:
+        outer_end = self.open(GROUP, "a group")
+        name = (self.text("load balancer's id"), self.text("group's name"))
+        self.close(outer_end, "a group")
+        return name
 
-    def entry(self):
-        outer = self.open(WEIGHT_ENTRY, "a weight entry")
+    def entry(self) -> Entry:
+        outer_end = self.open(WEIGHT_ENTRY, "a weight entry")
         member = self.member()
-        state, flags, weight = (
-            self.number(1, "state"),
-            self.number(1, "flags"),
-            self.number(2, "weight"),
-        )
-        self.close(outer, "a weight entry")
+        state = self.number(1, "state")
+        flags = self.number(1, "flags")
+        weight = self.number(2, "weight")
+        self.close(outer_end, "a weight entry")
         return Entry(member, weight, flags, state)
 
-    def state(self):
-        """(member, opaque state, quiesce)"""
-        outer = self.open(MEMBER_STATE, "a member's state")
+    def stated_member(self) -> StatedMember:
+        outer_end = self.open(MEMBER_STATE, "a member's state")
         member = self.member()
-        stated = member, self.number(1, "state"), bool(self.number(1, "quiesce flag") & QUIESCE)
-        self.close(outer, "a member's state")
-        return stated
-
-    def groups(self, kind, one, what):
-        """Groups with what they hold: [((id, name), [..]), ..]"""
-        found = []
+        state = self.number(1, "state")
+        quiesce = bool(self.number(1, "quiesce flag") & QUIESCE)
+        self.close(outer_end, "a member's state")
+        return StatedMember(member, state, quiesce)
+
+    def groups(
+        self, component_type: int, read_item: Callable[[], _Item], what: str
+    ) -> list[tuple[GroupName, list[_Item]]]:
+        """Read groups with what they hold."""
+        groups = []
         for _ in range(self.count(self.bounds.groups, "groups")):
-            outer = self.open(kind, what)
+            outer_end = self.open(component_type, what)
             count = self.count(self.bounds.members, "members")
-            named = self.group()
-            found.append((named, [one() for _ in range(count)]))
-            self.close(outer, what)
-        return found
+            name = self.group_name()
+            groups.append((name, [read_item() for _ in range(count)]))
+            self.close(outer_end, what)
+        return groups
 
-    def names(self):
-        return [self.group() for _ in range(self.count(self.bounds.groups, "groups"))]
+    def group_names(self) -> list[GroupName]:
+        return [self.group_name() for _ in range(self.count(self.bounds.groups, "groups"))]
 
+    def by_balancer(self) -> bool:
+        return bool(self.number(1, "flags") & FROM_BALANCER)
 
-REPLIES = {
-    REGISTER: REGISTERED,
-    DEREGISTER: DEREGISTERED,
-    GET_WEIGHTS: WEIGHTS,
-    SET_BALANCER: BALANCER_SET,
-    SET_MEMBERS: MEMBERS_SET,
-}
+    def member_groups(self) -> list[MemberGroup]:
+        return self.groups(GROUP_OF_MEMBERS, self.member, "a group of members")
 
+    def weight_groups(self) -> list[WeightGroup]:
+        return self.groups(GROUP_OF_WEIGHTS, self.entry, "a group of weights")
 
-def head(data, bounds):
-    """(length, id) of the message that begins with these 13 bytes."""
-    kind, length, version, whole, number = HEADER.unpack(data)
-    if kind != HEADER_TYPE or length != HEADER.size:
-        raise MalformedMessageError(f"no message header: type {kind:#06x}, length {length}")
-    if version != VERSION:
-        raise MalformedMessageError(f"version {version}, only {VERSION} is spoken", 4)
-    if not HEADER.size + 4 <= whole <= bounds.message_bytes:
-        raise MalformedMessageError(
-            f"a message of {whole} bytes, {bounds.message_bytes} at most", 5
-        )
-    return whole, number
+    def state_groups(self) -> list[StateGroup]:
+        return self.groups(GROUP_OF_STATES, self.stated_member, "a group of states")
 
 
-def dispatch(data, handler, bounds=Bounds()):
-    """Reads one whole message, header included, and calls the handler's method for it; the id goes first.
+# What a message of each type calls: the handler's method, and its arguments after the message id.
 
-    Methods: register(id, by_balancer, groups of members), deregister(id, by_balancer, reason, groups),
-    get_weights(id, group names), set_balancer(id, uid, health, push, trust, no_change),
-    set_members(id, by_balancer, groups of states); and for a load balancer: answered(id, reply type, code),
-    weights(id, code, interval in seconds, groups of entries), sent_weights(id, groups of entries).
-    """
-    whole, number = head(data[: HEADER.size], bounds)
-    if whole != len(data):
-        raise MalformedMessageError(f"a message of {len(data)} bytes states {whole}", 5)
-    kind, length = struct.unpack_from("!HH", data, HEADER.size)
-    reader = Reader(data, bounds, REPLIES.get(kind))
-    reader.at = HEADER.size + 4
-    # Whether a message component counts the groups in it is read both ways; nothing else is.
-    fixed = {
-        REGISTER: 7,
-        DEREGISTER: 8,
-        GET_WEIGHTS: 6,
-        WEIGHTS: 9,
-        SEND_WEIGHTS: 6,
-        SET_MEMBERS: 7,
-    }.get(kind)
-    if length not in (whole - HEADER.size, fixed):
-        reader.fail(
-            f"a message component states {length} bytes, {whole - HEADER.size} follow the header"
-        )
-    if kind == REGISTER:
-        by_balancer = bool(reader.number(1, "flags") & FROM_BALANCER)
-        call = (
-            handler.register,
-            by_balancer,
-            reader.groups(GROUP_OF_MEMBERS, reader.member, "a group of members"),
-        )
-    elif kind == DEREGISTER:
-        by_balancer, reason = (
-            bool(reader.number(1, "flags") & FROM_BALANCER),
-            reader.number(1, "reason"),
-        )
-        groups = reader.groups(GROUP_OF_MEMBERS, reader.member, "a group of members")
-        call = handler.deregister, by_balancer, reason, groups
-    elif kind == GET_WEIGHTS:
-        call = handler.get_weights, reader.names()
-    elif kind == SET_BALANCER:
-        uid, health, flags = (
-            reader.text("load balancer's id"),
-            reader.number(1, "health"),
-            reader.number(1, "flags"),
-        )
-        call = (
-            handler.set_balancer,
-            uid,
-            health,
-            bool(flags & PUSH),
-            bool(flags & TRUST),
-            bool(flags & NO_CHANGE),
-        )
-    elif kind == SET_MEMBERS:
-        by_balancer = bool(reader.number(1, "flags") & FROM_BALANCER)
-        call = (
-            handler.set_members,
-            by_balancer,
-            reader.groups(GROUP_OF_STATES, reader.state, "a group of states"),
-        )
-    elif kind in (REGISTERED, DEREGISTERED, BALANCER_SET, MEMBERS_SET):
-        call = handler.answered, kind, reader.number(1, "return code")
-    elif kind == WEIGHTS:
-        code, interval = reader.number(1, "return code"), reader.number(2, "interval")
-        call = (
-            handler.weights,
-            code,
-            interval,
-            reader.groups(GROUP_OF_WEIGHTS, reader.entry, "a group of weights"),
-        )
-    elif kind == SEND_WEIGHTS:
-        call = (
-            handler.sent_weights,
-            reader.groups(GROUP_OF_WEIGHTS, reader.entry, "a group of weights"),
-        )
-    else:
-        reader.fail(f"unknown message type {kind:#06x}")
-    if reader.at != reader.end:
-        reader.fail(f"{reader.end - reader.at} bytes after the end of the message")
-    method, *fields = call
-    method(number, *fields)
 
+def _read_register(reader: _Reader) -> tuple[str, tuple[Any, ...]]:
+    by_balancer = reader.by_balancer()
+    return "register", (by_balancer, reader.member_groups())
 
-def introduces(data):
-    """Whether this message, whole or not, is one in which a load balancer says who it is."""
-    return data[HEADER.size : HEADER.size + 2] == struct.pack("!H", SET_BALANCER)
 
+def _read_deregister(reader: _Reader) -> tuple[str, tuple[Any, ...]]:
+    by_balancer = reader.by_balancer()
+    reason = reader.number(1, "reason")
+    return "deregister", (by_balancer, reason, reader.member_groups())
 
-# Writing.
 
+def _read_get_weights(reader: _Reader) -> tuple[str, tuple[Any, ...]]:
+    return "get_weights", (reader.group_names(),)
 
-def component(kind, *parts):
-    body = b"".join(parts)
-    if len(body) > LONGEST - 4:
-        raise ValueError(f"a component of {len(body) + 4} bytes; its length can state {LONGEST}")
-    return struct.pack("!HH", kind, len(body) + 4) + body
 
+def _read_set_balancer(reader: _Reader) -> tuple[str, tuple[Any, ...]]:
+    load_balancer_id = reader.text("load balancer's id")
+    health = reader.number(1, "health")
+    flags = reader.number(1, "flags")
+    return "set_balancer", (
+        load_balancer_id,
+        health,
+        bool(flags & PUSH),
+        bool(flags & TRUST),
+        bool(flags & NO_CHANGE),
+    )
 
-def short(text):
-    if len(text) > 255:
-        raise ValueError(f"{len(text)} bytes, 255 at most")
-    return bytes([len(text)]) + text
 
+def _read_set_members(reader: _Reader) -> tuple[str, tuple[Any, ...]]:
+    by_balancer = reader.by_balancer()
+    return "set_members", (by_balancer, reader.state_groups())
 
-def message(number, kind, *parts):
-    body = component(kind, *parts)
-    return HEADER.pack(HEADER_TYPE, HEADER.size, VERSION, HEADER.size + len(body), number) + body
 
+def _read_weights(reader: _Reader) -> tuple[str, tuple[Any, ...]]:
+    return_code = reader.number(1, "return code")
+    interval = reader.number(2, "interval")
+    return "weights", (return_code, interval, reader.weight_groups())
 
-def member_bytes(member):
-    return component(
-        MEMBER,
-        struct.pack("!BH", member.protocol, member.port),
-        member.address,
-        short(member.label),
-    )
 
+def _read_send_weights(reader: _Reader) -> tuple[str, tuple[Any, ...]]:
+    return "sent_weights", (reader.weight_groups(),)
 
-def group_bytes(named):
-    return component(GROUP, short(named[0]), short(named[1]))
 
+def _answer_reader(reply_type: int) -> Callable[[_Reader], tuple[str, tuple[Any, ...]]]:
+    return lambda reader: ("answered", (reply_type, reader.number(1, "return code")))
 
-def entry_bytes(entry):
-    return component(
-        WEIGHT_ENTRY,
-        member_bytes(entry.member),
-        struct.pack("!BBH", entry.state, entry.flags, entry.weight),
-    )
 
+class _MessageLayout(NamedTuple):
+    """How a message is read, the type of its reply, and the length that leaves its groups out."""
 
-def state_bytes(stated):
-    member, state, quiesce = stated
-    return component(MEMBER_STATE, member_bytes(member), bytes([state, QUIESCE if quiesce else 0]))
+    read: Callable[[_Reader], tuple[str, tuple[Any, ...]]]
+    reply_type: int | None = None
+    fixed_length: int | None = None
 
 
-def many(kind, groups, one):
-    parts = [
-        component(kind, struct.pack("!H", len(held)), group_bytes(named), *map(one, held))
-        for named, held in groups
-    ]
-    return struct.pack("!H", len(parts)) + b"".join(parts)
+_LAYOUTS = {
+    REGISTER: _MessageLayout(_read_register, REGISTERED, 7),
+    DEREGISTER: _MessageLayout(_read_deregister, DEREGISTERED, 8),
+    GET_WEIGHTS: _MessageLayout(_read_get_weights, WEIGHTS, 6),
+    WEIGHTS: _MessageLayout(_read_weights, None, 9),
+    SEND_WEIGHTS: _MessageLayout(_read_send_weights, None, 6),
+    SET_BALANCER: _MessageLayout(_read_set_balancer, BALANCER_SET),
+    SET_MEMBERS: _MessageLayout(_read_set_members, MEMBERS_SET, 7),
+    REGISTERED: _MessageLayout(_answer_reader(REGISTERED)),
+    DEREGISTERED: _MessageLayout(_answer_reader(DEREGISTERED)),
+    BALANCER_SET: _MessageLayout(_answer_reader(BALANCER_SET)),
+    MEMBERS_SET: _MessageLayout(_answer_reader(MEMBERS_SET)),
+}
+
+
+def read_header(data: bytes, bounds: Bounds) -> tuple[int, int]:
+    """Return length and id of the message that begins with these 13 bytes.
+
+    Raises
+    ------
+    MalformedSaspMessageError
+        If they are no header, or the message is longer than `bounds` allow.
+    """
+    header_type, header_length, version, length, message_id = HEADER.unpack(data)
+    if header_type != HEADER_TYPE or header_length != HEADER.size:
+        raise MalformedSaspMessageError(
+            f"no message header: type {header_type:#06x}, length {header_length}"
+        )
+    if version != VERSION:
+        raise MalformedSaspMessageError(f"version {version}, only {VERSION} is spoken", 4)
+    if not HEADER.size + COMPONENT_HEADER.size <= length <= bounds.message_bytes:
+        raise MalformedSaspMessageError(
+            f"a message of {length} bytes, {bounds.message_bytes} at most", 5
+        )
+    return length, message_id
+
+
+def dispatch(data: bytes, handler: Any, bounds: Bounds | None = None) -> None:
+    """Read one whole message, header included, and call the handler's method for it.
+
+    The message id is the first argument. A handler has the methods `register(id, by_balancer,
+    member groups)`, `deregister(id, by_balancer, reason, member groups)`, `get_weights(id, group
+    names)`, `set_balancer(id, load balancer's id, health, push, trust, no_change)`,
+    `set_members(id, by_balancer, state groups)`; and for a load balancer `answered(id, reply type,
+    return code)`, `weights(id, return code, interval in seconds, weight groups)`,
+    `sent_weights(id, weight groups)`.
+
+    Raises
+    ------
+    MalformedSaspMessageError
+        If the bytes are no message, or it exceeds a bound; nothing was called then.
+    """
+    bounds = bounds or Bounds()
+    length, message_id = read_header(data[: HEADER.size], bounds)
+    if length != len(data):
+        raise MalformedSaspMessageError(f"a message of {len(data)} bytes states {length}", 5)
+    message_type, component_length = COMPONENT_HEADER.unpack_from(data, HEADER.size)
+    layout = _LAYOUTS.get(message_type)
+    reader = _Reader(data, bounds, layout.reply_type if layout else None)
+    reader.offset = HEADER.size + COMPONENT_HEADER.size
+    # Whether a message component counts the groups in it is read both ways; nothing else is.
+    fixed_length = layout.fixed_length if layout else None
+    if component_length not in (length - HEADER.size, fixed_length):
+        reader.fail(
+            f"a message component states {component_length} bytes,"
+            f" {length - HEADER.size} follow the header"
+        )
+    if layout is None:
+        reader.fail(f"unknown message type {message_type:#06x}")
+    method_name, arguments = layout.read(reader)
+    if reader.offset != reader.end:
+        reader.fail(f"{reader.end - reader.offset} bytes after the end of the message")
+    getattr(handler, method_name)(message_id, *arguments)
+
+
+def reply_id(data: bytes) -> int:
+    """Return the id of a whole message, which its reply repeats."""
+    return int.from_bytes(data[HEADER.size - 4 : HEADER.size], "big")
+
 
+def introduces(data: bytes) -> bool:
+    """Return whether this message, whole or not, is one in which a load balancer says who it is."""
+    return data[HEADER.size : HEADER.size + 2] == struct.pack("!H", SET_BALANCER)
+
+
+# Writing. Each returns one whole message; ValueError if a part is longer than its length can state.
 
-def register(number, by_balancer, groups):
+
+def register(message_id: int, by_balancer: bool, groups: Iterable[MemberGroup]) -> bytes:
+    """Write a registration of members, by their load balancer or by themselves."""
     return message(
-        number,
+        message_id,
         REGISTER,
-        bytes([FROM_BALANCER if by_balancer else 0]),
-        many(GROUP_OF_MEMBERS, groups, member_bytes),
+        _by_balancer_flags(by_balancer),
+        _groups(GROUP_OF_MEMBERS, groups, _member),
     )
 
 
-def deregister(number, by_balancer, reason, groups):
+def deregister(
+    message_id: int, by_balancer: bool, reason: int, groups: Iterable[MemberGroup]
+) -> bytes:
+    """Write a deregistration; a group without members goes whole, and no group means all."""
     return message(
-        number,
+        message_id,
         DEREGISTER,
-        bytes([FROM_BALANCER if by_balancer else 0, reason]),
-        many(GROUP_OF_MEMBERS, groups, member_bytes),
+        _by_balancer_flags(by_balancer),
+        bytes([reason]),
+        _groups(GROUP_OF_MEMBERS, groups, _member),
     )
 
 
-def get_weights(number, names):
-    return message(number, GET_WEIGHTS, struct.pack("!H", len(names)), *map(group_bytes, names))
+def get_weights(message_id: int, names: Sequence[GroupName]) -> bytes:
+    """Write a request for the weights of groups; none named means all."""
+    return message(message_id, GET_WEIGHTS, struct.pack("!H", len(names)), *map(_group_name, names))
 
 
-def set_balancer(number, uid, health, push, trust, no_change):
+def set_balancer(
+    message_id: int, load_balancer_id: bytes, health: int, push: bool, trust: bool, no_change: bool
+) -> bytes:
+    """Write a load balancer's own state: who it is and how it wants weights."""
     flags = (PUSH if push else 0) | (TRUST if trust else 0) | (NO_CHANGE if no_change else 0)
-    return message(number, SET_BALANCER, short(uid), bytes([health, flags]))
+    return message(message_id, SET_BALANCER, _text(load_balancer_id), bytes([health, flags]))
 
 
-def set_members(number, by_balancer, groups):
+def set_members(
+    message_id: int,
+    by_balancer: bool,
+    groups: Iterable[tuple[GroupName, Sequence[tuple[Member, int, bool]]]],
+) -> bytes:
+    """Write states of members."""
     return message(
-        number,
+        message_id,
         SET_MEMBERS,
-        bytes([FROM_BALANCER if by_balancer else 0]),
-        many(GROUP_OF_STATES, groups, state_bytes),
+        _by_balancer_flags(by_balancer),
+        _groups(GROUP_OF_STATES, groups, _stated_member),
     )
 
 
-def answer(number, kind, code):
-    """The reply to a registration, deregistration or state message; to a request for weights, one without any."""
-    if kind == WEIGHTS:
-        return weights(number, code, 0, [])
-    return message(number, kind, bytes([code]))
+def answer(message_id: int, reply_type: int, return_code: int) -> bytes:
+    """Write the reply to a request; to a request for weights, one without any."""
+    if reply_type == WEIGHTS:
+        return weights(message_id, return_code, 0, [])
+    return message(message_id, reply_type, bytes([return_code]))
 
 
-def weights(number, code, interval, groups):
+def weights(
+    message_id: int, return_code: int, interval: int, groups: Iterable[WeightGroup]
+) -> bytes:
+    """Write the reply to a request for weights; `interval`, in seconds, is when to ask again."""
     return message(
-        number,
+        message_id,
         WEIGHTS,
-        struct.pack("!BH", code, interval),
-        many(GROUP_OF_WEIGHTS, groups, entry_bytes),
+        struct.pack("!BH", return_code, interval),
+        _groups(GROUP_OF_WEIGHTS, groups, entry_bytes),
+    )
+
+
+def send_weights(message_id: int, groups: Iterable[WeightGroup]) -> bytes:
+    """Write weights that nobody asked for."""
+    return message(message_id, SEND_WEIGHTS, _groups(GROUP_OF_WEIGHTS, groups, entry_bytes))
+
+
+def message(message_id: int, message_type: int, *parts: bytes) -> bytes:
+    """Write a message of any type with its header."""
+    body = _component(message_type, *parts)
+    length = HEADER.size + len(body)
+    return HEADER.pack(HEADER_TYPE, HEADER.size, VERSION, length, message_id) + body
+
+
+def entry_bytes(entry: Entry) -> bytes:
+    """Write the component of one weight entry."""
+    return _component(
+        WEIGHT_ENTRY,
+        _member(entry.member),
+        struct.pack("!BBH", entry.state, entry.flags, entry.weight),
+    )
+
+
+def _component(component_type: int, *parts: bytes) -> bytes:
+    body = b"".join(parts)
+    length = COMPONENT_HEADER.size + len(body)
+    if length > LONGEST_COMPONENT:
+        raise ValueError(f"a component of {length} bytes; its length can state {LONGEST_COMPONENT}")
+    return COMPONENT_HEADER.pack(component_type, length) + body
+
+
+def _text(text: bytes) -> bytes:
+    if len(text) > LONGEST_TEXT:
+        raise ValueError(f"{len(text)} bytes, {LONGEST_TEXT} at most")
+    return bytes([len(text)]) + text
+
+
+def _by_balancer_flags(by_balancer: bool) -> bytes:
+    return bytes([FROM_BALANCER if by_balancer else 0])
+
+
+def _member(member: Member) -> bytes:
+    return _component(
+        MEMBER,
+        struct.pack("!BH", member.protocol, member.port),
+        member.address,
+        _text(member.label),
     )
 
 
-def send_weights(number, groups):
-    return message(number, SEND_WEIGHTS, many(GROUP_OF_WEIGHTS, groups, entry_bytes))
+def _group_name(name: GroupName) -> bytes:
+    return _component(GROUP, _text(name[0]), _text(name[1]))
+
+
+def _stated_member(stated: tuple[Member, int, bool]) -> bytes:
+    member, state, quiesce = stated
+    return _component(MEMBER_STATE, _member(member), bytes([state, QUIESCE if quiesce else 0]))
+
+
+def _groups(
+    component_type: int,
+    groups: Iterable[tuple[GroupName, Sequence[_Item]]],
+    item_bytes: Callable[[_Item], bytes],
+) -> bytes:
+    parts = [
+        _component(
+            component_type,
+            struct.pack("!H", len(items)),
+            _group_name(name),
+            *map(item_bytes, items),
+        )
+        for name, items in groups
+    ]
+    return struct.pack("!H", len(parts)) + b"".join(parts)
--- a/indigodeck/frontends/sasp/conversation.py
+++ b/indigodeck/frontends/sasp/conversation.py
@@ -29,7 +29,7 @@
     UNKNOWN_BALANCER,
     UNKNOWN_GROUP,
     Entry,
-    MalformedMessageError,
+    MalformedSaspMessageError,
     Member,
 )
 
@@ -103,12 +103,14 @@
             self.desk.spoke(self.proxy)
         try:
             codec.dispatch(message, self, self.office.bounds)
-        except MalformedMessageError as error:
-            self.office.clerk.note("malformed", peer=self.name(), why=str(error), code=error.code)
-            if error.reply is None:
+        except MalformedSaspMessageError as error:
+            self.office.clerk.note(
+                "malformed", peer=self.name(), why=str(error), code=error.return_code
+            )
+            if error.reply_type is None:
                 return self.line.close(str(error))
             number = int.from_bytes(message[9:13], "big")
-            self.line.send(codec.answer(number, error.reply, error.code))
+            self.line.send(codec.answer(number, error.reply_type, error.return_code))
 
     def name(self):
         return self.uid.decode("utf-8", "replace") if self.uid else None
@@ -170,22 +172,25 @@
             if place is None:
                 return INVALID_GROUP, self
             held = speaker.groups.get(place, Group()).members
-            places = [member.place() for member in members]
+            places = [member.endpoint() for member in members]
             if len(set(places)) < len(places) or any(place == other for other, _ in adding):
                 return DUPLICATE_MEMBER, self
             if any(where in held for where in places):
                 return ALREADY_REGISTERED, self
             # Its weights must fit a component, whose length is 16 bits: long labels can fill that with few.
             room = sum(44 + len(member.label) for member in [*held.values(), *members])
-            if len(held) + len(places) > self.office.bounds.members or room > codec.LONGEST - 1024:
+            if (
+                len(held) + len(places) > self.office.bounds.members
+                or room > codec.LONGEST_COMPONENT - 1024
+            ):
                 return NOT_ACCEPTED, self
             adding.append((place, members))
         for place, members in adding:
             group = target.groups.setdefault(place, Group())
             for member in members:
-                group.members[member.place()] = member
+                group.members[member.endpoint()] = member
                 if by_balancer:
-                    group.by_balancer.add(member.place())
+                    group.by_balancer.add(member.endpoint())
         return DONE, target
 
     def deregister(self, number, by_balancer, reason, groups):
@@ -207,7 +212,7 @@
             group = speaker.groups.get(place)
             if group is None:
                 return UNKNOWN_GROUP
-            places = [member.place() for member in members]
+            places = [member.endpoint() for member in members]
             if len(set(places)) < len(places):
                 return DUPLICATE_MEMBER
             if any(other == place for _, other, _ in leaving):
@@ -264,12 +269,12 @@
                 else group.members.keys()
                 | {self.office.clerk.address(server) for server in self._lines(named[1], speaker)}
             )
-            if any(member.place() not in known for member, _, _ in states):
+            if any(member.endpoint() not in known for member, _, _ in states):
                 return NOT_REGISTERED
             changes.append((speaker, group, states))
         for speaker, group, states in changes:
             for member, state, quiesce in states:
-                where = member.place()
+                where = member.endpoint()
                 group.states[where] = state
                 if by_balancer:
                     # A relay's own wish, for its own exchanges; what a member says of itself holds for all.
@@ -284,13 +289,13 @@
         return self.desk.view(speaker.proxy, self.office.places[name]) or {}
 
     def answered(self, number, kind, code):
-        raise MalformedMessageError(f"a reply ({kind:#06x}) to nothing that was asked")
+        raise MalformedSaspMessageError(f"a reply ({kind:#06x}) to nothing that was asked")
 
     def weights(self, number, code, interval, groups):
-        raise MalformedMessageError("weights are sent to relays, not by them")
+        raise MalformedSaspMessageError("weights are sent to relays, not by them")
 
     def sent_weights(self, number, groups):
-        raise MalformedMessageError("weights are sent to relays, not by them")
+        raise MalformedSaspMessageError("weights are sent to relays, not by them")
 
     # What goes out.
 
@@ -306,7 +311,7 @@
                 entries = [
                     entry
                     for entry in entries
-                    if told.get(entry.member.place()) != (entry.weight, entry.flags, entry.state)
+                    if told.get(entry.member.endpoint()) != (entry.weight, entry.flags, entry.state)
                 ]
             if entries:
                 groups.append((named, entries))
@@ -317,7 +322,7 @@
         group, lines = self.groups[place], self.desk.view(self.proxy, place)
         entries = self._no_table(group) if lines is None else self._table(group, lines)
         for entry in entries:
-            group.told[entry.member.place()] = entry.weight, entry.flags, entry.state
+            group.told[entry.member.endpoint()] = entry.weight, entry.flags, entry.state
         for where in [
             where
             for where, told in group.told.items()
@@ -359,7 +364,7 @@
         entries = []
         for where in sorted(group.members):
             entries.append(self._entry(group, where, NEUTRAL, self.office.clerk.server_at(where)))
-        held = {entry.member.place() for entry in entries}
+        held = {entry.member.endpoint() for entry in entries}
         for server in sorted(self.desk.withdrawn):
             # It may hold such a host from an earlier connection, and never have registered it.
             where = self.office.clerk.address(server)
--- a/indigodeck/frontends/sasp/server.py
+++ b/indigodeck/frontends/sasp/server.py
@@ -64,9 +64,9 @@
             pass
         except DeadlineExceededError:
             self.close("a message was begun and not ended in time")
-        except codec.MalformedMessageError as error:
+        except codec.MalformedSaspMessageError as error:
             self.front.note(
-                "malformed", peer=self.conversation.name(), why=str(error), code=error.code
+                "malformed", peer=self.conversation.name(), why=str(error), code=error.return_code
             )
             self.close(str(error))
         finally:
@@ -81,7 +81,7 @@
         rest = await with_timeout(
             deadline, self.stream.read_bytes(codec.HEADER.size - 1), StreamClosedError
         )
-        whole, _ = codec.head(first + rest, self.front.office.bounds)
+        whole, _ = codec.read_header(first + rest, self.front.office.bounds)
         body = await with_timeout(
             deadline, self.stream.read_bytes(whole - codec.HEADER.size), StreamClosedError
         )
--- a/indigodeck/testbed/audit.py
+++ b/indigodeck/testbed/audit.py
@@ -9,7 +9,8 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from ..client.tables import Tables
+from ..client.sasp import table_entry
+from ..client.tables import TableEntry, Tables
 from ..frontends.sasp import codec
 
 SECOND = 1_000_000
@@ -40,18 +41,7 @@
 
     def sent_weights(self, number, groups):
         for (_, name), entries in groups:
-            self.tables.told(
-                name.decode(),
-                [
-                    (
-                        entry.member.place(),
-                        entry.weight,
-                        bool(entry.flags & codec.CONFIDENT),
-                        bool(entry.flags & codec.QUIESCED),
-                    )
-                    for entry in entries
-                ],
-            )
+            self.tables.update(name.decode(), [table_entry(entry) for entry in entries])
 
 
 class Count(Ear):
@@ -130,23 +120,20 @@
                 ear = ears.setdefault(event.relay, Ear(self.classes, lambda: clock[0]))
                 if event.what == "joined":
                     joined.add(event.relay)
-                    ear.tables.opened()
+                    ear.tables.connection_opened()
                 elif event.what == "left":
                     joined.discard(event.relay)
                 elif isinstance(event.data, bytes):
                     codec.dispatch(event.data, ear)
                 else:
                     for name, entries in event.data:  # of a stream that the relay itself told of
-                        ear.tables.confirmed.discard(name)
-                        ear.tables.told(
-                            name,
-                            [(None, 0, True, True)]
-                            + [(tuple(where), *rest) for where, *rest in entries],
+                        ear.tables.replace(
+                            name, [TableEntry(tuple(where), *rest) for where, *rest in entries]
                         )
                 for name in self.classes:
                     empty = (
                         event.relay in joined
-                        and ear.tables.held_since[name] is not None
+                        and ear.tables.updated_at[name] is not None
                         and not ear.tables.lines[name]
                     )
                     if empty:
--- a/indigodeck/testbed/controllers.py
+++ b/indigodeck/testbed/controllers.py
@@ -249,9 +249,9 @@
             uid,
             known or [("127.0.0.1", ports[wire]) for ports in self.wires.values()],
             tables,
-            patience=0.5,
+            response_timeout=0.5,
         )
-        client.redial.first, client.redial.most = 50_000, 300_000
+        client.backoff.first_delay, client.backoff.max_delay = 50_000, 300_000
         return tables, client, asyncio.get_running_loop().create_task(client.run())
 
     async def end(self):
--- a/indigodeck/testbed/conversation.py
+++ b/indigodeck/testbed/conversation.py
@@ -12,8 +12,8 @@
 
 from ..assignment.seeded_random import SeededRandom
 from ..client import Tables
+from ..client.reconnecting import ReconnectBackoff
 from ..client.sasp import SaspClient
-from ..client.tables import ReconnectError
 from ..client.xds import XdsClient
 from ..clock import now
 from ..planner.planner_settings import PlannerSettings
@@ -34,10 +34,10 @@
             f"party-{wire}",
             [("127.0.0.1", self.tap.open())],
             self.tables,
-            patience=0.5,
-            failed=lambda error: self.errors.append(type(error).__name__),
+            response_timeout=0.5,
+            connection_lost=lambda error: self.errors.append(type(error).__name__),
         )
-        self.client.redial = ReconnectError(SeededRandom(7), 50_000, 200_000)
+        self.client.backoff = ReconnectBackoff(SeededRandom(7), 50_000, 200_000)
         self.task = asyncio.get_running_loop().create_task(self.client.run())
 
     def told(self, ports):
@@ -108,7 +108,7 @@
                 await self.step(step, parties)
         finally:
             for party in parties.values():
-                party.client.leave()
+                party.client.stop()
                 await asyncio.wait([party.task], timeout=2)
                 party.tap.stop()
             await self.stop()
--- a/indigodeck/testbed/relay_pool.py
+++ b/indigodeck/testbed/relay_pool.py
@@ -41,12 +41,14 @@
                 self.uid,
                 planners,
                 self.tables,
-                patience=patience,
-                hall=stated.get("hall", ""),
-                witness=self._seen,
+                response_timeout=patience,
+                zone=stated.get("hall", ""),
+                observer=self._seen,
             )
         else:
-            self.wire = SaspClient(self.uid, planners, self.tables, standing, patience=patience)
+            self.wire = SaspClient(
+                self.uid, planners, self.tables, standing, response_timeout=patience
+            )
         self.strikes, self.away, self.count, self.unruly = {}, {}, 0, stated.get("unruly")
         self.kept = None
 
@@ -64,7 +66,7 @@
                 "seen": what,
                 "tables": tables,
                 "epoch": self.tables.epoch,
-                "to": self.wire.dials % len(self.stated["planners"]),
+                "to": self.wire.attempts % len(self.stated["planners"]),
             }
         )
 
@@ -144,7 +146,7 @@
             )
             self._judge(where, outcome)
             if self.stated.get("wire") == "xds":
-                self.wire.report(name, where, outcome == "ok", self.now() - sent)
+                self.wire.count_request(name, where, outcome == "ok", self.now() - sent)
             if outcome not in ("unreachable",) and not (
                 self.unruly == "repeats" and outcome != "ok"
             ):
@@ -154,7 +156,7 @@
     def _pick(self, name, avoid):
         if self.unruly == "keeps":
             # Goes by the first table that it was ever given, whatever it is told.
-            if self.kept is None and self.tables.held_since[name] is not None:
+            if self.kept is None and self.tables.updated_at[name] is not None:
                 self.kept = Tables(self.classes, self.now)
                 self.kept.lines = {kind: dict(lines) for kind, lines in self.tables.lines.items()}
             if self.kept is not None:
@@ -214,7 +216,7 @@
             )
             relay.start()
         elif do == "drop":
-            self.relays[line["uid"]].wire.drop()
+            self.relays[line["uid"]].wire.disconnect()
         elif do == "tables":
             return {
                 uid: {
@@ -232,5 +234,5 @@
             return {"lost": lost}
         elif do == "leave":
             for relay in self.relays.values():
-                relay.wire.leave()
+                relay.wire.stop()
         return {}
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -14,8 +14,8 @@
 
 from support import EXAMPLE, ROOT, Planner, peer, ports, until
 
-from indigodeck.client import Malfunction, RejectedError, Tables, Unreachable
-from indigodeck.client.sasp import SaspClient
+from indigodeck.client import MalformedResponseError, RequestRejectedError, Tables, UnreachableError
+from indigodeck.client.sasp import SaspClient, table_entry
 from indigodeck.clock import now
 from indigodeck.frontends.sasp import codec
 from indigodeck.testbed import scenario as day
@@ -57,7 +57,7 @@
                 self.assertEqual((code, fine[-1]), (codec.NOT_UNDERSTOOD, codec.DONE))
             planner.keep(host_2="draining")
             await until(lambda: ports(tables) == {0, 1, 3, 4, 5})
-            client.leave()
+            client.stop()
             await task
 
     async def test_one_byte_at_a_time_is_slow_and_fine(self):
@@ -93,7 +93,7 @@
                         await until(lambda: ports(tables) == {0, 2, 3, 4, 5})
                 # No more than eight within the span, whatever is asked: the ninth comes after it.
                 self.assertGreaterEqual(min(b - a for a, b in zip(times, times[8:])), 450_000)
-            client.leave()
+            client.stop()
             await task
 
     async def test_a_deaf_relay_holds_up_nobody_and_ends_on_the_newest_state(self):
@@ -126,7 +126,7 @@
             self.assertLess(messages, 30)
             self.assertEqual(set(held.lines["reading"]), set(tables.lines["reading"]))
             deaf.close()
-            client.leave()
+            client.stop()
             await task
 
     async def test_a_hung_host_loses_its_share_within_three_periods_and_comes_back_by_ramp(self):
@@ -160,7 +160,7 @@
                 yard.hosts["host-3"].hurt(None)
                 await until(lambda: hung in tables.lines["reading"], 30)
                 self.assertLess(tables.lines["reading"][hung], full)
-                client.leave()
+                client.stop()
                 await task
                 for host in yard.hosts.values():
                     await host.shut()
@@ -200,7 +200,7 @@
                     self.assertEqual(ports(tables), {0, 2, 3, 4, 5})
                     keeper.refusing = False
                     await until(lambda: 2 not in planner.service.desk.assigner.fleet, 12)
-                    client.leave()
+                    client.stop()
                     await task
                 keeper.server.stop()
 
@@ -214,7 +214,7 @@
             planner.keep(host_0="draining")
             await until(lambda: ports(tables) == set(range(1, 6)))
             self.assertLessEqual(len(wrote) - before, 4)
-            client.leave()
+            client.stop()
             await task
 
 
@@ -227,18 +227,7 @@
 
     def sent_weights(self, number, groups):
         for (_, name), entries in groups:
-            self.tables.told(
-                name.decode(),
-                [
-                    (
-                        entry.member.place(),
-                        entry.weight,
-                        bool(entry.flags & codec.CONFIDENT),
-                        bool(entry.flags & codec.QUIESCED),
-                    )
-                    for entry in entries
-                ],
-            )
+            self.tables.update(name.decode(), [table_entry(entry) for entry in entries])
 
 
 class Clients(unittest.IsolatedAsyncioTestCase):
@@ -288,31 +277,31 @@
             "r",
             [server.sockets[0].getsockname()[:2]],
             tables,
-            patience=0.3,
-            failed=lambda error: (
+            response_timeout=0.3,
+            connection_lost=lambda error: (
                 errors.append(type(error)),
                 held.append(dict(tables.lines["reading"])),
             ),
         )
-        client.redial.first, client.redial.most = 10_000, 40_000
+        client.backoff.first_delay, client.backoff.max_delay = 10_000, 40_000
         task = asyncio.get_running_loop().create_task(client.run())
         await until(lambda: len(calls) >= 8)
         self.assertEqual(
             errors[:7],
             [
-                Unreachable,
-                Unreachable,
-                Unreachable,
-                Malfunction,
-                RejectedError,
-                Malfunction,
-                Unreachable,
+                UnreachableError,
+                UnreachableError,
+                UnreachableError,
+                MalformedResponseError,
+                RequestRejectedError,
+                MalformedResponseError,
+                UnreachableError,
             ],
         )
         # Whatever came after it, the table that was given once is kept, and its age is known.
         self.assertEqual(held, [{("127.0.0.1", 9001): 7}] * len(held))
         self.assertGreater(tables.age("reading"), 0)
-        client.leave()
+        client.stop()
         await task
         server.close()
 
--- a/tests/test_outlasting.py
+++ b/tests/test_outlasting.py
@@ -309,7 +309,7 @@
         return tables, client, task
 
     async def end(self, client, task):
-        client.leave()
+        client.stop()
         await asyncio.wait([task], timeout=3)
 
     async def test_a_restart_goes_on_with_numbers_tables_and_what_is_held(self):
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -97,7 +97,7 @@
     def sent_weights(self, number, groups):
         for (_, name), entries in groups:
             told = " ".join(
-                f"{entry.member.place()[1] - PORT}:{entry.weight}{'q' if entry.flags & codec.QUIESCED else ''}"
+                f"{entry.member.endpoint()[1] - PORT}:{entry.weight}{'q' if entry.flags & codec.QUIESCED else ''}"
                 f"{'' if entry.flags & codec.CONFIDENT else '?'}"
                 for entry in entries
             )
@@ -311,7 +311,7 @@
         bare.push()
         held = Tables(["read"], clerk.now, [("127.0.0.1", PORT), ("127.0.0.1", PORT + 2)])
         for confident in (False, True):
-            held.told("read", [(("127.0.0.1", PORT + 2), 0, confident, True)])
+            held.update("read", [(("127.0.0.1", PORT + 2), 0, confident, True)])
             self.assertEqual(list(held.lines["read"]), [("127.0.0.1", PORT)])
         self.compare("sasp-old-tables", clerk)
 
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -14,7 +14,7 @@
 
 from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
 from indigodeck.client import Tables  # noqa: E402
-from indigodeck.client.xds import RejectedError, Talk  # noqa: E402
+from indigodeck.client.xds import RequestRejectedError, XdsSession  # noqa: E402
 from indigodeck.frontends.xds import codec  # noqa: E402
 from indigodeck.frontends.xds.streams import Bounds, Relay, ResourceCache, Stream  # noqa: E402
 from indigodeck.planner.pending_updates import Desk, IdRegistry  # noqa: E402
@@ -192,10 +192,10 @@
         self.relay = Relay(
             self.uid, self.proxy, self.day.shelf, self.day.desk, Clerk(self.day), Bounds()
         )
-        self.stream, self.talk = self.relay.opened(self, True), Talk(self.tables, {})
+        self.stream, self.session = self.relay.opened(self, True), XdsSession(self.tables, {})
         self.day.known[self.proxy] = self
         self.day.desk.proxy_joined(self.proxy, 0, 1.0, False)
-        opening = self.talk.opening(base_pb2.Node(id=self.uid))
+        opening = self.session.opening_request(base_pb2.Node(id=self.uid))
         # The first message opens the connection: without it there is none.
         self.stream.asked_changes(
             opening.type_url,
@@ -232,8 +232,8 @@
 
     def read(self, data):
         try:
-            answer = self.talk.read(discovery_pb2.DeltaDiscoveryResponse.FromString(data))
-        except RejectedError:
+            answer = self.session.read(discovery_pb2.DeltaDiscoveryResponse.FromString(data))
+        except RequestRejectedError:
             return self.broken()
         if answer is not None:
             error = answer.error_detail.message or None
@@ -334,20 +334,20 @@
 
     def test_what_comes_after_a_later_one_or_twice_says_nothing(self):
         tables = Tables(CLASSES, lambda: 0)
-        talk = Talk(tables, {})
+        session = XdsSession(tables, {})
 
         def response(serial, port):
             made = codec.endpoints("read", [("a", "h", "127.0.0.1", port, 5)], [], 1.0)
             return codec.changes(codec.ENDPOINTS, f"7.{serial}", str(serial), [("read", *made)], [])
 
         self.assertEqual(
-            [talk.read(response(serial, serial)) is None for serial in (1, 3, 2, 3, 4)],
+            [session.read(response(serial, serial)) is None for serial in (1, 3, 2, 3, 4)],
             [False, False, True, True, False],
         )
         self.assertEqual(tables.lines["read"], {("127.0.0.1", 4): 5})
         wrong = response(5, 80)
         wrong.resources[0].version = "0" * 16
-        self.assertIn("is not what its version says", talk.read(wrong).error_detail.message)
+        self.assertIn("is not what its version says", session.read(wrong).error_detail.message)
         self.assertEqual(tables.lines["read"], {("127.0.0.1", 4): 5})
 
 
--- a/tests/test_sasp_codec.py
+++ b/tests/test_sasp_codec.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as some
 
 from indigodeck.frontends.sasp import codec
-from indigodeck.frontends.sasp.codec import Bounds, Entry, MalformedMessageError, Member
+from indigodeck.frontends.sasp.codec import Bounds, Entry, MalformedSaspMessageError, Member
 
 # 10.1.2.3, port 80, TCP, label "web": type 3010, length 4+1+2+16+1+3 = 27.
 WEB = "3010001b06005000000000000000000000ffff0a01020303776562"
@@ -104,8 +104,8 @@
 
     def test_both_forms_of_an_ipv4_address_name_one_place(self):
         older = Member(6, 80, bytes(12) + bytes([10, 1, 2, 3]))
-        self.assertEqual(older.place(), HOST.place())
-        self.assertEqual(Member.at("::1", 80).place(), ("::1", 80))
+        self.assertEqual(older.endpoint(), HOST.endpoint())
+        self.assertEqual(Member.at("::1", 80).endpoint(), ("::1", 80))
 
     def test_what_is_no_message_is_said_with_its_code_and_place(self):
         said = []
@@ -120,9 +120,9 @@
             whole(1, "101000508000014010ffff0002" + READING + WEB + SIX),
             whole(1, "10100050800001401000490009" + READING + WEB + SIX),
         ):
-            with self.assertRaises(MalformedMessageError) as caught:
+            with self.assertRaises(MalformedSaspMessageError) as caught:
                 read(data, Bounds(members=8))
-            said.append(f"{caught.exception.code:#04x} {caught.exception}")
+            said.append(f"{caught.exception.return_code:#04x} {caught.exception}")
         self.assertEqual(
             said,
             [
@@ -145,8 +145,8 @@
         data[at % len(data) : at % len(data) + len(put)] = put
         try:
             read(bytes(data), Bounds(members=64))
-        except MalformedMessageError as error:
-            self.assertLessEqual(error.at, len(data))
+        except MalformedSaspMessageError as error:
+            self.assertLessEqual(error.offset, len(data))
 
     @settings(max_examples=100, deadline=None)
     @given(
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -22,8 +22,8 @@
 
 from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
 from indigodeck.client import Tables  # noqa: E402
-from indigodeck.client.tables import ReconnectError  # noqa: E402
-from indigodeck.client.xds import RejectedError, Talk, XdsClient  # noqa: E402
+from indigodeck.client.reconnecting import ReconnectBackoff  # noqa: E402
+from indigodeck.client.xds import RequestRejectedError, XdsClient, XdsSession  # noqa: E402
 from indigodeck.clock import now  # noqa: E402
 from indigodeck.frontends.xds import codec  # noqa: E402
 from indigodeck.leadership import messages, model  # noqa: E402
@@ -341,26 +341,26 @@
         self.assertIsNotNone(alone.charge.holds("fleet"))
 
     def test_a_relay_tries_all_controllers_before_it_waits_longer(self):
-        redial = ReconnectError(SeededRandom(3))
-        waits = [redial.failed(3) for _ in range(15)]
-        self.assertLess(max(waits[0], waits[1], waits[9], waits[10]), redial.first // 4)
-        self.assertGreater(waits[14], redial.first)
-        alone = ReconnectError(SeededRandom(3))
-        self.assertGreaterEqual(min(alone.failed() for _ in range(6)), alone.first // 4)
+        backoff = ReconnectBackoff(SeededRandom(3))
+        waits = [backoff.next_delay(3) for _ in range(15)]
+        self.assertLess(max(waits[0], waits[1], waits[9], waits[10]), backoff.first_delay // 4)
+        self.assertGreater(waits[14], backoff.first_delay)
+        alone = ReconnectBackoff(SeededRandom(3))
+        self.assertGreaterEqual(min(alone.next_delay() for _ in range(6)), alone.first_delay // 4)
 
     def test_a_relay_refuses_an_epoch_below_the_highest_it_has_seen(self):
         tables = Tables(["read"], lambda: 0)
-        talk = Talk(tables, {})
+        session = XdsSession(tables, {})
 
         def response(epoch, port):
             made = codec.endpoints("read", [("a", "h", "127.0.0.1", port, 5)], [], 1.0)
             return codec.changes(codec.ENDPOINTS, f"{epoch}.1", "n", [("read", *made)], [])
 
-        talk.read(response(7, 80))
-        with self.assertRaises(RejectedError):
-            talk.read(response(4, 81))
+        session.read(response(7, 80))
+        with self.assertRaises(RequestRejectedError):
+            session.read(response(4, 81))
         self.assertEqual(tables.lines["read"], {("127.0.0.1", 80): 5})
-        talk.read(response(8, 82))
+        session.read(response(8, 82))
         self.assertEqual(tables.lines["read"], {("127.0.0.1", 82): 5})
 
 
@@ -639,7 +639,7 @@
 
     async def asyncTearDown(self):
         for _, client, task in getattr(self, "relays", ()):
-            client.leave()
+            client.stop()
             await asyncio.wait([task], timeout=3)
 
     def all_hold(self, hosts):
@@ -887,19 +887,19 @@
     async def test_no_relay_is_pushed_a_table_that_it_refused_after_all_start_anew(self):
         await self.set_up()
         tables, client, _ = next(relay for relay in self.relays if isinstance(relay[1], XdsClient))
-        pushed, read = [], Talk.read
+        pushed, read = [], XdsSession.read
 
         def refusing(talk, response):
             if talk.tables is not tables:
                 return read(talk, response)
             pushed.extend((resource.name, resource.version) for resource in response.resources)
             answer = read(
-                Talk(Tables([], lambda: 0), {}), response
+                XdsSession(Tables([], lambda: 0), {}), response
             )  # which knows no class, so can't use any
             self.assertTrue(answer.error_detail.message)
             return answer
 
-        with unittest.mock.patch.object(Talk, "read", refusing):
+        with unittest.mock.patch.object(XdsSession, "read", refusing):
             self.fleet.keep(h2="draining")
             await until(lambda: len(pushed) >= 2, 20)
             await asyncio.sleep(1.5)
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -25,7 +25,7 @@
 from indigodeck.client import Tables  # noqa: E402
 from indigodeck.client.sasp import SaspClient  # noqa: E402
 from indigodeck.client.xds import XdsClient  # noqa: E402
-from indigodeck.client.xds import read as read_assignment
+from indigodeck.client.xds import read_assignment
 from indigodeck.frontends.xds import codec  # noqa: E402
 from indigodeck.frontends.xds.codec import CLUSTER, ENDPOINTS, KINDS, LISTENER, ROUTE  # noqa: E402
 from indigodeck.frontends.xds.streams import UNDERWAY_MOST, Bounds, LimitExceededError, Relay  # noqa: E402
@@ -541,9 +541,9 @@
         tables, errors = Tables(["reading", "setpoint"], now), []
         port = dict(zip(planner.service.settings.fronts, planner.service.fronts))
         client = {"sasp": SaspClient, "xds": XdsClient}[wire](
-            uid, lambda: [("127.0.0.1", port[wire].port())], tables, failed=errors.append
+            uid, lambda: [("127.0.0.1", port[wire].port())], tables, connection_lost=errors.append
         )
-        client.redial.first, client.redial.most = 50_000, 400_000
+        client.backoff.first_delay, client.backoff.max_delay = 50_000, 400_000
         return tables, client, asyncio.get_running_loop().create_task(client.run()), errors
 
     async def test_one_name_over_both_protocols_is_one_proxy_and_the_newest_speaks_for_it(self):
@@ -553,10 +553,10 @@
             xds = self.relay(planner, "xds", "hall-a/r1")
             await until(lambda: xds[0].versions and sasp[3])
             self.assertEqual(len(planner.service.desk.holdings), 1)
-            sasp[1].leave()
+            sasp[1].stop()
             planner.keep(host_3="draining")
             await until(lambda: len(xds[0].lines["reading"]) == 5)
-            xds[1].leave()
+            xds[1].stop()
             await asyncio.gather(sasp[2], xds[2])
 
     async def test_a_flood_of_requests_from_one_relay_costs_the_others_nothing(self):
@@ -602,7 +602,7 @@
                 raise await_error(stream, await stream.code(), await stream.details())
             self.assertEqual(caught.exception.code(), grpc.StatusCode.RESOURCE_EXHAUSTED)
             await channel.close()
-            client.leave()
+            client.stop()
             await task
 
     async def test_a_planner_restarts_and_all_come_back_over_both_fronts_never_bare(self):
@@ -639,7 +639,7 @@
                 channel["messages_most"],
             )
             for _, client, *_ in relays:
-                client.leave()
+                client.stop()
             await asyncio.gather(*(task for _, _, task, _ in relays))
 
 
