--- a/indigodeck/cli/tables.py
+++ b/indigodeck/cli/tables.py
@@ -37,7 +37,7 @@
     planner: str, class_names: tuple[str, ...], uid: str, timeout_s: float, output_format: str
 ) -> None:
     """Ask a running planner (ADDRESS:PORT) for the tables of classes, over SASP."""
-    from ..client import Unreachable
+    from ..client import UnreachableError
 
     address, _, port = planner.rpartition(":")
     if not port.isdigit():
@@ -45,7 +45,7 @@
     endpoint = (address.strip("[]") or "127.0.0.1", int(port))
     shares, errors = asyncio.run(_read_tables(endpoint, class_names, uid, timeout_s))
     if errors:
-        unreached = isinstance(errors[0], Unreachable)
+        unreached = isinstance(errors[0], UnreachableError)
         fail(f"{planner}: {errors[0]}", ExitCode.UNREACHED if unreached else ExitCode.FOUND)
     if output_format == "json":
         click.echo(json.dumps(_as_json(shares)))
@@ -64,12 +64,12 @@
 
     errors: list[Exception] = []
     tables = Tables(class_names, now)
-    client = SaspClient(uid, [endpoint], tables, failed=errors.append)
+    client = SaspClient(uid, [endpoint], tables, connection_lost=errors.append)
     task = asyncio.get_running_loop().create_task(client.run())
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline and not all(tables.lines.values()) and not errors:
         await asyncio.sleep(POLL_INTERVAL_S)
-    client.leave()
+    client.stop()
     await asyncio.wait([task], timeout=DISCONNECT_TIMEOUT_S)
     return {name: tables.shares(name) for name in class_names if tables.lines[name]}, errors
 
