--- a/benchmarks/cuts.py
+++ b/benchmarks/cuts.py
@@ -1,4 +1,7 @@
-"""The store's crash tests at ten times the size that CI plays: python benchmarks/cuts.py [TIMES]"""
+"""The crash tests of the store at ten times the size that CI plays.
+
+Run `python benchmarks/cuts.py [TIMES]`; TIMES is 10 unless stated.
+"""
 
 import json
 import os
@@ -6,61 +9,77 @@
 import platform
 import sys
 import time
+import unittest.mock
 from concurrent.futures import ProcessPoolExecutor
+from typing import NamedTuple
 
 ROOT = pathlib.Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-import test_store  # noqa: E402
-
-from indigodeck.store import write_ahead_log as log  # noqa: E402
-
-
-def part(nth, times):
-    """Every `times`-th of all cases: (played, the first that broke or None)."""
-    log.SEGMENT, log.AT_LEAST, log.GARBAGE = 700, 900, 1
-    most, played = test_store.play(1, 40)[1], 0
-    cases = [
-        (seed, dict(cut_at=cut, process_only=bool(seed % 2)))
-        for cut in range(most)
-        for seed in range(1, 4 * times + 1)
-    ]
-    cases += [
-        (cut * 7 + again, dict(cut_at=cut, again=again))
-        for cut in range(most)
-        for again in range(2 * times)
-    ]
-    for seed, given in cases[nth::8]:
-        played += 1
-        broken = test_store.play(seed, 40, **given)[0]
-        if broken:
-            return played, broken
-    return played, None
-
-
-def every_byte(seed):
-    """Each file of one more store, cut and flipped at every byte."""
-    found = test_store.Damage("test_each_file_cut_at_every_byte")
-    found.setUp()
-    found.disk, found.states = test_store.filled(30 + seed % 20, seed)
-    found.files = {name: found.disk.read(name) for name in found.disk.names()}
-    found.history = {key: [state.get(key) for state in found.states] for key in test_store.KEYS}
-    if len(log.numbered(found.files, "base")) > 1:
-        found.test_each_file_cut_at_every_byte()
-        found.test_each_file_with_a_bit_flipped_anywhere()
-    return 2 * sum(map(len, found.files.values()))
-
-
-def main(times):
+from store.crash_scenarios import SMALL_LIMITS, CrashScenario  # noqa: E402 - needs the path set above
+from store.test_damage import DamagedFileTest  # noqa: E402 - needs the path set above
+
+from indigodeck.store import segments, write_ahead_log  # noqa: E402 - needs the path set above
+from indigodeck.store.segments import FileType  # noqa: E402 - needs the path set above
+
+PARTS = 8  # of the power cuts, played by the processes one after the other
+
+
+class CutsPlayed(NamedTuple):
+    """How many scenarios were played, and what was wrong in the first that failed, or None."""
+
+    count: int
+    problem: str | None
+
+
+def play_power_cuts(part: int, times: int) -> CutsPlayed:
+    """Play one of `PARTS` parts of all scenarios, up to the first that fails."""
+    with unittest.mock.patch.multiple(write_ahead_log, **SMALL_LIMITS):
+        operation_count = CrashScenario(seed=1).run().operation_count
+        scenarios = [
+            CrashScenario(seed, cut_at, process_only=bool(seed % 2))
+            for cut_at in range(operation_count)
+            for seed in range(1, 4 * times + 1)
+        ]
+        scenarios += [
+            CrashScenario(cut_at * 7 + restart_cut_at, cut_at, restart_cut_at)
+            for cut_at in range(operation_count)
+            for restart_cut_at in range(2 * times)
+        ]
+        played = 0
+        for scenario in scenarios[part::PARTS]:
+            played += 1
+            problem = scenario.run().problem
+            if problem:
+                return CutsPlayed(played, problem)
+        return CutsPlayed(played, None)
+
+
+def damage_every_byte(seed: int) -> int:
+    """Cut and flip each file of one more store at every byte, and return how many times."""
+    test = DamagedFileTest("test_each_file_cut_at_every_byte")
+    test.setUp()
+    try:
+        test.fill(30 + seed % 20, seed)
+        if len(segments.numbered_files(test.files, FileType.BASE)) > 1:
+            test.test_each_file_cut_at_every_byte()
+            test.test_each_file_with_a_bit_flipped_anywhere()
+    finally:
+        test.doCleanups()
+    return 2 * sum(map(len, test.files.values()))
+
+
+def main(times: int) -> None:
+    """Play everything, write the result to benchmarks/results/cuts.json and print it."""
     began = time.monotonic()
     with ProcessPoolExecutor(4) as pool:
-        cuts = list(pool.map(part, range(8), [times] * 8))
-        damage = list(pool.map(every_byte, range(5, 5 + times)))
+        cuts = list(pool.map(play_power_cuts, range(PARTS), [times] * PARTS))
+        damage = list(pool.map(damage_every_byte, range(5, 5 + times)))
     result = {
         "what": "crash tests of the store",
         "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
-        "power_cuts": sum(played for played, _ in cuts),
-        "broken": [broken for _, broken in cuts if broken],
+        "power_cuts": sum(played.count for played in cuts),
+        "broken": [played.problem for played in cuts if played.problem],
         "files_cut_or_flipped": sum(damage),
         "seconds": round(time.monotonic() - began),
     }
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,7 +1,11 @@
-"""What the store costs: python benchmarks/store.py
+"""What the store costs.
 
-Commits a second, one after the other and from 64 threads together, against plain appends with fsync to one file of the same bytes and
-against SQLite as it comes with Python, by turns in one run; recovery over the size of the log, with and without compaction; bytes written by compaction over bytes committed.
+Run `python benchmarks/store.py [FOLDER]`; FOLDER is on the disk to measure.
+
+Commits a second, one after the other and from 64 threads together, against plain appends with fsync
+to one file of the same bytes and against SQLite as it comes with Python, by turns in one run;
+recovery over the size of the log, with and without compaction; bytes written by compaction over
+bytes committed.
 """
 
 import json
@@ -13,89 +17,94 @@
 import tempfile
 import threading
 import time
+from collections.abc import Callable
+from contextlib import closing
+from typing import Any
 
-sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
+ROOT = pathlib.Path(__file__).parent.parent
+sys.path.insert(0, str(ROOT))
 
-from indigodeck.store.files import Folder  # noqa: E402
-from indigodeck.store.write_ahead_log import WriteAheadLog  # noqa: E402
-from indigodeck.store.writer import Writer  # noqa: E402
+from indigodeck.store.files import StoreFolder  # noqa: E402 - needs the path set above
+from indigodeck.store.write_ahead_log import WriteAheadLog  # noqa: E402 - likewise
+from indigodeck.store.writer import StoreWriter  # noqa: E402 - likewise
 
-ROOT = pathlib.Path(__file__).parent.parent
-BODY = {"lines": {f"host-{nth}": 1.25 + nth for nth in range(8)}, "cause": "server leaves"}
-SECONDS = 2.0
+RECORD = {"lines": {f"host-{nth}": 1.25 + nth for nth in range(8)}, "cause": "server leaves"}
+MEASURED_SECONDS = 2.0
+ROUNDS = 3
+KEY_COUNT = 500
+KEYS_PER_THREAD = 50
+BATCHES_PER_COMMIT = 500  # while a log for a recovery is filled
 
 
-def plain(folder):
-    """Appends with fsync, one after the other, a second."""
-    file, many, data = (
-        os.open(folder / "plain", os.O_WRONLY | os.O_CREAT | os.O_APPEND),
-        0,
-        json.dumps(BODY).encode(),
-    )
+def repeats_per_second(operation: Callable[[int], object]) -> float:
+    """Call an operation with 0, 1, 2 ... and return how often a second it was done."""
+    count = 0
     began = time.monotonic()
-    while time.monotonic() - began < SECONDS:
-        os.write(file, data)
-        os.fsync(file)
-        many += 1
-    os.close(file)
-    return many / (time.monotonic() - began)
+    while time.monotonic() - began < MEASURED_SECONDS:
+        operation(count)
+        count += 1
+    return count / (time.monotonic() - began)
 
 
-def alone(folder):
-    log, many = WriteAheadLog(Folder(folder / "alone")), 0
-    began = time.monotonic()
-    while time.monotonic() - began < SECONDS:
-        log.commit([[(f"k{many % 500}", BODY)]])
-        many += 1
-    return many / (time.monotonic() - began)
-
-
-def tables_in_sqlite(folder):
-    """The same, in a database with a write-ahead log that is synced at every commit."""
-    base, many = sqlite3.connect(folder / "base", isolation_level=None), 0
-    base.execute("pragma journal_mode=wal")
-    base.execute("pragma synchronous=full")
-    base.execute("create table held (key text primary key, value blob)")
-    began = time.monotonic()
-    while time.monotonic() - began < SECONDS:
-        base.execute(
-            "insert or replace into held values (?, ?)", (f"k{many % 500}", json.dumps(BODY))
+def plain_appends(folder: pathlib.Path) -> float:
+    """Append with fsync to a plain file, one after the other; appends a second."""
+    data = json.dumps(RECORD).encode()
+    with open(folder / "plain", "ab", buffering=0) as file:
+
+        def append(_: int) -> None:
+            file.write(data)
+            os.fsync(file.fileno())
+
+        return repeats_per_second(append)
+
+
+def commits(folder: pathlib.Path) -> float:
+    """Commit to a log, one after the other; commits a second."""
+    with closing(StoreFolder(folder / "alone")) as files:
+        log = WriteAheadLog(files)
+        return repeats_per_second(lambda number: log.commit([[(f"k{number % KEY_COUNT}", RECORD)]]))
+
+
+def sqlite_commits(folder: pathlib.Path) -> float:
+    """Commit to SQLite with a write-ahead log that is synced each time; commits a second."""
+    with closing(sqlite3.connect(folder / "base", isolation_level=None)) as base:
+        base.execute("pragma journal_mode=wal")
+        base.execute("pragma synchronous=full")
+        base.execute("create table held (key text primary key, value blob)")
+        return repeats_per_second(
+            lambda number: base.execute(
+                "insert or replace into held values (?, ?)",
+                (f"k{number % KEY_COUNT}", json.dumps(RECORD)),
+            )
         )
-        many += 1
-    base.close()
-    return many / (time.monotonic() - began)
-
-
-def together(folder, threads, delay):
-    writer, done, waits = (
-        Writer(Folder(folder / f"together-{threads}-{delay}"), lambda *_, **__: None, delay),
-        [],
-        [],
-    )
-    end = time.monotonic() + SECONDS
-
-    def put(nth):
-        many = 0
-        while time.monotonic() < end:
-            began = time.monotonic()
-            writer.put([(f"k{nth}/{many % 50}", BODY)]).result()
-            waits.append(time.monotonic() - began)
-            many += 1
-        done.append(many)
-
-    running = [threading.Thread(target=put, args=(nth,)) for nth in range(threads)]
-    for one in running:
-        one.start()
-    for one in running:
-        one.join()
-    commits = writer.commits
-    writer.close()
+
+
+def group_commits(folder: pathlib.Path, threads: int, delay: float) -> dict[str, Any]:
+    """Put changes from several threads, each waiting for its own; `delay` is in seconds."""
+    files = StoreFolder(folder / f"together-{threads}-{delay}")
+    with closing(StoreWriter(files, lambda *_, **__: None, delay)) as writer:
+        waits: list[float] = []
+        end = time.monotonic() + MEASURED_SECONDS
+
+        def put_until_end(thread: int) -> None:
+            number = 0
+            while time.monotonic() < end:
+                began = time.monotonic()
+                writer.put([(f"k{thread}/{number % KEYS_PER_THREAD}", RECORD)]).result()
+                waits.append(time.monotonic() - began)
+                number += 1
+
+        running = [threading.Thread(target=put_until_end, args=(nth,)) for nth in range(threads)]
+        for thread in running:
+            thread.start()
+        for thread in running:
+            thread.join()
     waits.sort()
     return {
         "threads": threads,
         "delay_ms": delay * 1000,
-        "changes_per_s": round(sum(done) / SECONDS),
-        "changes_per_sync": round(sum(done) / commits, 1),
+        "changes_per_s": round(len(waits) / MEASURED_SECONDS),
+        "changes_per_sync": round(len(waits) / writer.commit_count, 1),
         "wait_ms": {
             "p50": round(waits[len(waits) // 2] * 1000, 2),
             "p99": round(waits[int(len(waits) * 0.99)] * 1000, 2),
@@ -103,58 +112,63 @@
     }
 
 
-def recovery(folder, records, keys, compacted):
-    log = WriteAheadLog(Folder(folder / f"r{records}-{keys}-{compacted}"))
-    for first in range(0, records, 500):
-        log.commit(
-            [[(f"k{nth % keys}", {**BODY, "nth": nth})] for nth in range(first, first + 500)]
-        )
-        while compacted and log.due():
-            log.compact()
-    log.files.close()
-    kept = sum(
-        path.stat().st_size for path in (folder / f"r{records}-{keys}-{compacted}").iterdir()
-    )
+def recovery(
+    folder: pathlib.Path, record_count: int, key_count: int, compacted: bool
+) -> dict[str, Any]:
+    """Fill a log, and time how long it takes to open."""
+    path = folder / f"r{record_count}-{key_count}-{compacted}"
+    with closing(StoreFolder(path)) as files:
+        log = WriteAheadLog(files)
+        for first in range(0, record_count, BATCHES_PER_COMMIT):
+            numbers = range(first, first + BATCHES_PER_COMMIT)
+            log.commit([[(f"k{nth % key_count}", {**RECORD, "nth": nth})] for nth in numbers])
+            while compacted and log.compaction_due():
+                log.compact()
+    stored_bytes = sum(file.stat().st_size for file in path.iterdir())
     began = time.monotonic()
-    again = WriteAheadLog(Folder(folder / f"r{records}-{keys}-{compacted}"))
-    took = time.monotonic() - began
-    assert len(again.index) == keys and not again.lost
+    with closing(StoreFolder(path)) as files:
+        recovered = WriteAheadLog(files)
+        seconds = time.monotonic() - began
+    assert len(recovered.index) == key_count and not recovered.data_lost
     return {
-        "records": records,
-        "keys": keys,
+        "records": record_count,
+        "keys": key_count,
         "compacted": compacted,
-        "kept_mb": round(kept / 1e6, 2),
-        "open_ms": round(took * 1000, 1),
-        "amplification": round(1 + log.copied_bytes / log.written, 2),
+        "kept_mb": round(stored_bytes / 1e6, 2),
+        "open_ms": round(seconds * 1000, 1),
+        "amplification": round(1 + log.copied_bytes / log.written_bytes, 2),
     }
 
 
-def main():
+def append_round(folder: pathlib.Path) -> dict[str, int]:
+    """Measure each way to append once."""
+    folder.mkdir()
+    return {
+        "plain_fsync_per_s": round(plain_appends(folder)),
+        "one_after_the_other_per_s": round(commits(folder)),
+        "sqlite_per_s": round(sqlite_commits(folder)),
+    }
+
+
+def main() -> None:
+    """Measure everything, write the result to benchmarks/results/store.json and print it."""
     with tempfile.TemporaryDirectory(dir=sys.argv[1] if len(sys.argv) > 1 else None) as made:
-        folder, rounds = pathlib.Path(made), []
-        for nth in range(3):
-            (folder / f"{nth}").mkdir()
-            rounds.append(
-                {
-                    "plain_fsync_per_s": round(plain(folder / f"{nth}")),
-                    "one_after_the_other_per_s": round(alone(folder / f"{nth}")),
-                    "sqlite_per_s": round(tables_in_sqlite(folder / f"{nth}")),
-                }
-            )
+        folder = pathlib.Path(made)
+        rounds = [append_round(folder / f"{nth}") for nth in range(ROUNDS)]
         groups = [
-            together(folder, threads, delay)
+            group_commits(folder, threads, delay)
             for threads, delay in ((1, 0.0), (8, 0.0), (64, 0.0), (64, 0.002))
         ]
         recovered = [
-            recovery(folder, records, 500, compacted)
-            for records in (2000, 20_000, 100_000)
+            recovery(folder, record_count, KEY_COUNT, compacted)
+            for record_count in (2000, 20_000, 100_000)
             for compacted in (False, True)
         ]
-        recovered += [recovery(folder, 20_000, keys, True) for keys in (50, 5000)]
+        recovered += [recovery(folder, 20_000, key_count, True) for key_count in (50, 5000)]
     result = {
         "what": "the store",
         "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
-        "record_bytes": len(json.dumps(BODY)),
+        "record_bytes": len(json.dumps(RECORD)),
         "appends": rounds,
         "together": groups,
         "recovery": recovered,
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -21,7 +21,7 @@
 from indigodeck.client.xds import XdsClient  # noqa: E402
 from indigodeck.clock import now  # noqa: E402
 from indigodeck.leadership.transport import ask  # noqa: E402
-from indigodeck.store.files import Folder  # noqa: E402
+from indigodeck.store.files import StoreFolder  # noqa: E402
 from indigodeck.store.write_ahead_log import WriteAheadLog  # noqa: E402
 from indigodeck.testbed.controllers import free_ports  # noqa: E402
 from indigodeck.testbed.discovery_server import ListFile  # noqa: E402
@@ -193,8 +193,7 @@
     """A store, opened to be read, as a ledger sees it."""
 
     def __init__(self, folder):
-        log = WriteAheadLog(Folder(folder))
-        self.held = {key: log.get(key) for key in log.keys()}
+        self.held = WriteAheadLog(StoreFolder(folder)).read_all()
 
     def kept(self, key):
         return self.held[key]
--- a/indigodeck/leadership/lease_record.py
+++ b/indigodeck/leadership/lease_record.py
@@ -113,7 +113,7 @@
 
 
 class InStore:
-    """The same two calls on a planner's store: what stands under one key. `store`: store.writer.Writer; `held`: what it held at
+    """The same two calls on a planner's store: what stands under one key. `store`: store.writer.StoreWriter; `held`: what it held at
     the start; `file`: where it lay before there was a store, read if the store has none.
     """
 
@@ -132,4 +132,4 @@
         return self.file.read() if found is None else self.of(found)
 
     def keep(self, record):
-        return self.store.keep([(self.key, self.told(record))])
+        return self.store.put_and_wait([(self.key, self.told(record))])
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -213,7 +213,7 @@
     # What outlasts a restart.
 
     def keep_books(self, store, held):
-        """`store`: store.writer.Writer; `held`: {key: value} of all that it holds."""
+        """`store`: store.writer.StoreWriter; `held`: {key: value} of all that it holds."""
         stated = self.settings.store.get("versions", {})
         self.store = store
         self.books = self.desk.books = VersionSource(
@@ -232,7 +232,7 @@
             self.copies = VersionReplicator(Others(self), self.books)
         else:
             # One that lost something may have lost its last starts: numbers go on far ahead of any that were given.
-            self._count_start(held.get("starts", 0) + (STARTS_AHEAD if store.log.lost else 1))
+            self._count_start(held.get("starts", 0) + (STARTS_AHEAD if store.log.data_lost else 1))
 
         self.kept = held.get("roster")
 
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -67,16 +67,17 @@
 
 def opened(settings, note):
     """(the planner's store, {key: value} of all that it holds)"""
-    from .store.files import Folder
-    from .store.writer import Writer
+    from .store.files import StoreFolder
+    from .store.write_ahead_log import WriteAheadLog
+    from .store.writer import StoreWriter
 
-    store = Writer(
-        Folder(settings.folder / settings.store["folder"]),
+    store = StoreWriter(
+        StoreFolder(settings.folder / settings.store["folder"]),
         note,
         settings.store.get("delay_ms", 0) / 1000,
     )
-    held = store.ask(lambda log: {key: log.get(key) for key in log.keys()}).result()
-    note("store opened", records=len(held), lost=store.log.lost)
+    held = store.query(WriteAheadLog.read_all).result()
+    note("store_opened", records=len(held), data_lost=store.log.data_lost)
     return store, held
 
 
--- a/indigodeck/store/files.py
+++ b/indigodeck/store/files.py
@@ -1,81 +1,149 @@
-"""The folder of a store on a real disk. One process holds it at a time, by a lock that ends with it."""
+"""The files of a store: the interface that the log writes through, and a folder on a real disk."""
 
 import fcntl
 import os
 import pathlib
+from collections.abc import Iterator
+from contextlib import contextmanager
+from typing import NamedTuple, Protocol
 
+STORE_ID_BYTES = 16
+LOCK_FILE = "lock"
+FILE_MODE = 0o644
 
-class Folder:
-    """`log.Files` on a folder, which is made if there is none. OSError if another process holds it."""
 
-    def __init__(self, path):
-        self.path = pathlib.Path(path)
-        self.path.mkdir(parents=True, exist_ok=True)
-        self.lock = os.open(self.path / "lock", os.O_RDWR | os.O_CREAT, 0o644)
-        try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError as error:
-            os.close(self.lock)
-            raise OSError(error.errno, "another process holds it", str(self.path)) from error
-        self.open = None  # (name, file) that was appended to last
+class StoreFiles(Protocol):
+    """The files of one store, by name. Every call may raise OSError.
 
-    def names(self):
-        return sorted(entry.name for entry in self.path.iterdir())
+    What is appended outlasts a power cut only after `sync` of its file. A file that is made,
+    renamed or removed is so after a power cut only after `sync_folder`.
+    """
 
-    def read(self, name):
-        return (self.path / name).read_bytes()
+    def names(self) -> list[str]:
+        """Return the names of all files, sorted."""
 
-    def read_at(self, name, start, size):
-        with open(self.path / name, "rb") as file:
-            file.seek(start)
-            return file.read(size)
+    def read(self, name: str) -> bytes:
+        """Return all bytes of a file."""
 
-    def append(self, name, data):
-        file, left = self._file(name), memoryview(data)
-        while left:
-            # A short write is no error of its own; the next one says why.
-            left = left[os.write(file, left) :]
-
-    def _file(self, name):
-        if self.open is None or self.open[0] != name:
-            self._close()
-            self.open = (
-                name,
-                os.open(self.path / name, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644),
-            )
-        return self.open[1]
-
-    def _close(self):
-        if self.open is not None:
-            os.close(self.open[1])
-            self.open = None
-
-    def sync(self, name):
-        if self.open is not None and self.open[0] == name:
-            return os.fsync(self.open[1])
-        file = os.open(self.path / name, os.O_RDONLY)
-        try:
-            os.fsync(file)
-        finally:
-            os.close(file)
+    def read_at(self, name: str, offset: int, size: int) -> bytes:
+        """Return at most `size` bytes of a file from an offset on."""
 
-    def sync_folder(self):
-        folder = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
-        try:
-            os.fsync(folder)
-        finally:
-            os.close(folder)
+    def append(self, name: str, data: bytes) -> None:
+        """Write at the end of a file, which is made if there is none."""
+
+    def sync(self, name: str) -> None:
+        """Make the bytes of a file outlast a power cut."""
+
+    def sync_folder(self) -> None:
+        """Make the files' names outlast a power cut."""
+
+    def rename(self, name: str, new_name: str) -> None:
+        """Rename a file; it takes the place of any that had the new name."""
 
-    def rename(self, name, new):
-        self._close()
-        os.replace(self.path / name, self.path / new)
+    def remove(self, name: str) -> None:
+        """Remove a file."""
 
-    def remove(self, name):
-        (self.path / name).unlink()
+    def new_store_id(self) -> bytes:
+        """Return `STORE_ID_BYTES` bytes that no other store has."""
 
-    def fresh(self):
-        return os.urandom(16)
+    def close(self) -> None:
+        """Give the files free for another process."""
 
-    def close(self):
-        self._close()
-        os.close(self.lock)
+
+class StoreFolder:
+    """`StoreFiles` in a folder on a disk, which is made if there is none.
+
+    One process holds the folder at a time, by a lock that ends with the process. Raises OSError if
+    another process holds it.
+    """
+
+    def __init__(self, path: str | os.PathLike[str]) -> None:
+        self._path = pathlib.Path(path)
+        self._path.mkdir(parents=True, exist_ok=True)
+        self._lock_descriptor = os.open(self._path / LOCK_FILE, os.O_RDWR | os.O_CREAT, FILE_MODE)
+        try:
+            fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except OSError as error:
+            os.close(self._lock_descriptor)
+            raise OSError(error.errno, "another process holds it", str(self._path)) from error
+        self._append_file: _OpenFile | None = None  # kept open, as most appends go to one file
+
+    def names(self) -> list[str]:
+        """Return the names of all files, sorted."""
+        return sorted(entry.name for entry in self._path.iterdir())
+
+    def read(self, name: str) -> bytes:
+        """Return all bytes of a file."""
+        return (self._path / name).read_bytes()
+
+    def read_at(self, name: str, offset: int, size: int) -> bytes:
+        """Return at most `size` bytes of a file from an offset on."""
+        with open(self._path / name, "rb") as file:
+            file.seek(offset)
+            return file.read(size)
+
+    def append(self, name: str, data: bytes) -> None:
+        """Write at the end of a file, which is made if there is none."""
+        descriptor = self._append_descriptor(name)
+        remaining = memoryview(data)
+        while remaining:
+            # A short write is no error of its own; the next one says why.
+            written = os.write(descriptor, remaining)
+            remaining = remaining[written:]
+
+    def sync(self, name: str) -> None:
+        """Make the bytes of a file outlast a power cut."""
+        if self._append_file is not None and self._append_file.name == name:
+            os.fsync(self._append_file.descriptor)
+            return
+        with _opened(self._path / name, os.O_RDONLY) as descriptor:
+            os.fsync(descriptor)
+
+    def sync_folder(self) -> None:
+        """Make the files' names outlast a power cut."""
+        with _opened(self._path, os.O_RDONLY | os.O_DIRECTORY) as descriptor:
+            os.fsync(descriptor)
+
+    def rename(self, name: str, new_name: str) -> None:
+        """Rename a file; it takes the place of any that had the new name."""
+        self._close_append_file()
+        os.replace(self._path / name, self._path / new_name)
+
+    def remove(self, name: str) -> None:
+        """Remove a file."""
+        (self._path / name).unlink()
+
+    def new_store_id(self) -> bytes:
+        """Return random bytes that no other store has."""
+        return os.urandom(STORE_ID_BYTES)
+
+    def close(self) -> None:
+        """Give the folder free for another process."""
+        self._close_append_file()
+        os.close(self._lock_descriptor)
+
+    def _append_descriptor(self, name: str) -> int:
+        if self._append_file is None or self._append_file.name != name:
+            self._close_append_file()
+            flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT
+            self._append_file = _OpenFile(name, os.open(self._path / name, flags, FILE_MODE))
+        return self._append_file.descriptor
+
+    def _close_append_file(self) -> None:
+        if self._append_file is not None:
+            os.close(self._append_file.descriptor)
+            self._append_file = None
+
+
+class _OpenFile(NamedTuple):
+    name: str
+    descriptor: int
+
+
+@contextmanager
+def _opened(path: pathlib.Path, flags: int) -> Iterator[int]:
+    descriptor = os.open(path, flags)
+    try:
+        yield descriptor
+    finally:
+        os.close(descriptor)
--- a/indigodeck/store/framing.py
+++ b/indigodeck/store/framing.py
@@ -1,113 +1,160 @@
-"""Records as bytes, free of I/O: framed, numbered, checksummed, and compressed where that pays.
+"""Record framing: values as bytes that are numbered, checksummed, and compressed where that pays.
 
-A frame is a mark (4 bytes), the length of its body, a CRC-32C (RFC 3720, B.4) over salt, length, numbers and body, its
-sequence number, the highest sequence that was synced when it was written, and the body: one byte for its form, then
-MessagePack, plain or within a Zstandard frame (RFC 8878). The salt is the store's own and the file's name, so that bytes of
-another file, another store or within a value never pass for a frame of this one.
+A frame is a mark (4 bytes), the length of its body, a CRC-32C (RFC 3720, B.4) over salt, length,
+numbers and body, its sequence number, the highest sequence number that was synced when it was
+written, and the body: one byte for its form, then MessagePack, either plain or compressed with
+Zstandard (RFC 8878). The salt is the store's identity and the file's name, so that bytes of
+another file, of another store or from within a value never pass for a frame of this file.
 
-`synced` tells two ends apart that look alike: a frame that is bad though a later one says that it was synced has been
-damaged; one that nothing vouches for was never acknowledged, and may be torn or missing without any harm.
+`synced_sequence` tells apart two file ends that look alike. If a later frame says that a bad frame
+was synced, then it has been damaged. If none does, it was never acknowledged, and it may be torn or
+missing without harm.
+
+No I/O.
 """
 
 import struct
-from typing import NamedTuple
+from enum import IntEnum
+from typing import Any, NamedTuple
 
 import msgpack
 import zstandard
 from crc32c import crc32c
 
-MARK = b"\xc5\x1d\xec\x0d"
-HEAD = struct.Struct("<4sIIQQ")
-NUMBERS = struct.Struct("<IQQ")
-LONGEST = 16 << 20
-PLAIN, COMPRESSED = 1, 2
-WORTH_IT = 256  # shorter bodies gain nothing from compression
+from ..errors import IndigodeckError
+
+FRAME_MARK = b"\xc5\x1d\xec\x0d"
+# mark, length of the body, checksum, sequence number, synced sequence number
+FRAME_HEAD = struct.Struct("<4sIIQQ")
+CHECKSUMMED_NUMBERS = struct.Struct("<IQQ")  # length, sequence number, synced sequence number
+MAX_BODY_BYTES = 16 << 20
+MAX_UNPACKED_BYTES = 8 * MAX_BODY_BYTES  # guards against a body that expands without bound
+MIN_COMPRESSED_BYTES = 256  # shorter bodies gain nothing from compression
+MAX_COMPRESSED_SHARE = 0.9  # of the plain length; compression that saves less is not used
+COMPRESSION_LEVEL = 3
+
 
+class BodyForm(IntEnum):
+    """The first byte of a body: how the rest of it is encoded."""
 
-class UnreadableRecordError(Exception):
-    """A whole frame that this program does not understand: of a newer one."""
+    PLAIN = 1
+    COMPRESSED = 2
+
+
+class UnreadableRecordError(IndigodeckError):
+    """A complete frame whose body this program does not understand: a newer program wrote it."""
 
 
 class Frame(NamedTuple):
-    """One frame as found: where it begins and ends, its numbers, and its body, still packed."""
+    """A frame as found in a file: its first offset, the offset after it, and its packed body."""
 
     start: int
     end: int
     sequence: int
-    synced: int
+    synced_sequence: int
     body: bytes
 
 
-def salt_of(store, name):
-    """`store`: 16 bytes drawn when it was made; `name`: of the file as it is called once it counts."""
-    return store + name.encode()
+class ByteRange(NamedTuple):
+    """The bytes of a file from offset `start` up to offset `end`, exclusive."""
+
+    start: int
+    end: int
+
+
+class ScannedFrames(NamedTuple):
+    """The complete frames of a file in order, and the ranges of bytes that are none."""
+
+    frames: list[Frame]
+    bad_ranges: list[ByteRange]
 
 
-def packed(value):
+def frame_salt(store_id: bytes, file_name: str) -> bytes:
+    """Return what the checksums of a file are salted with.
+
+    `file_name` is the name under which the file counts, also while it is written under another.
+    """
+    return store_id + file_name.encode()
+
+
+def pack_value(value: Any) -> bytes:
+    """Return the body of a frame that holds a value."""
     data = msgpack.packb(value, use_bin_type=True)
-    if len(data) >= WORTH_IT:
-        small = zstandard.ZstdCompressor(level=3).compress(data)
-        if len(small) < len(data) * 0.9:
-            return bytes([COMPRESSED]) + small
-    return bytes([PLAIN]) + data
+    if len(data) >= MIN_COMPRESSED_BYTES:
+        compressed = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(data)
+        if len(compressed) < len(data) * MAX_COMPRESSED_SHARE:
+            return bytes([BodyForm.COMPRESSED]) + compressed
+    return bytes([BodyForm.PLAIN]) + data
 
 
-def unpacked(body):
-    """The value in a whole frame's body."""
+def unpack_value(body: bytes) -> Any:
+    """Return the value in the body of a complete frame.
+
+    Raises `UnreadableRecordError` if the body is of a form that this program does not know.
+    """
+    form = body[0]
     try:
-        if body[0] == COMPRESSED:
-            return msgpack.unpackb(
-                zstandard.ZstdDecompressor().decompress(body[1:], max_output_size=8 * LONGEST),
-                strict_map_key=False,
+        if form == BodyForm.COMPRESSED:
+            data = zstandard.ZstdDecompressor().decompress(
+                body[1:], max_output_size=MAX_UNPACKED_BYTES
             )
-        if body[0] == PLAIN:
+            return msgpack.unpackb(data, strict_map_key=False)
+        if form == BodyForm.PLAIN:
             return msgpack.unpackb(body[1:], strict_map_key=False)
     except (ValueError, msgpack.UnpackException, zstandard.ZstdError) as error:
         raise UnreadableRecordError(f"a body that can't be unpacked: {error}") from error
-    raise UnreadableRecordError(f"form {body[0]}: written by a newer program")
-
+    raise UnreadableRecordError(f"body form {form}: written by a newer program")
 
-def _sum(salt, length, sequence, synced, body):
-    return crc32c(body, crc32c(NUMBERS.pack(length, sequence, synced), crc32c(salt)))
 
+def encode_frame(salt: bytes, sequence: int, synced_sequence: int, value: Any) -> bytes:
+    """Return the bytes of one frame; raises ValueError if the value is too long."""
+    body = pack_value(value)
+    if len(body) > MAX_BODY_BYTES:
+        raise ValueError(f"a record of {len(body)} bytes, {MAX_BODY_BYTES} at most")
+    checksum = frame_checksum(salt, sequence, synced_sequence, body)
+    return FRAME_HEAD.pack(FRAME_MARK, len(body), checksum, sequence, synced_sequence) + body
 
-def frame(salt, sequence, synced, value):
-    """One frame's bytes; ValueError if the value is too long."""
-    body = packed(value)
-    if len(body) > LONGEST:
-        raise ValueError(f"a record of {len(body)} bytes, {LONGEST} at most")
-    return (
-        HEAD.pack(MARK, len(body), _sum(salt, len(body), sequence, synced, body), sequence, synced)
-        + body
-    )
 
-
-def at(salt, data, start=0):
-    """The whole frame that begins at this place of `data`, or None."""
-    if len(data) - start < HEAD.size:
+def decode_frame(salt: bytes, data: bytes, offset: int = 0) -> Frame | None:
+    """Return the complete frame that begins at an offset of `data`, or None."""
+    if len(data) - offset < FRAME_HEAD.size:
         return None
-    mark, length, checksum, sequence, synced = HEAD.unpack_from(data, start)
-    end = start + HEAD.size + length
-    if mark != MARK or not 0 < length <= LONGEST or end > len(data):
+    mark, length, checksum, sequence, synced_sequence = FRAME_HEAD.unpack_from(data, offset)
+    end = offset + FRAME_HEAD.size + length
+    if mark != FRAME_MARK or not 0 < length <= MAX_BODY_BYTES or end > len(data):
         return None
-    body = bytes(data[start + HEAD.size : end])
-    if checksum != _sum(salt, length, sequence, synced, body):
+    body = bytes(data[offset + FRAME_HEAD.size : end])
+    if checksum != frame_checksum(salt, sequence, synced_sequence, body):
         return None
-    return Frame(start, end, sequence, synced, body)
+    return Frame(offset, end, sequence, synced_sequence, body)
+
+
+def scan_frames(salt: bytes, data: bytes, offset: int) -> ScannedFrames:
+    """Find all complete frames of a file from an offset on."""
+    frames: list[Frame] = []
+    bad_ranges: list[ByteRange] = []
+    while offset < len(data):
+        frame = decode_frame(salt, data, offset)
+        if frame is not None:
+            frames.append(frame)
+            offset = frame.end
+            continue
+        next_offset = _next_frame_offset(salt, data, offset + 1)
+        bad_ranges.append(ByteRange(offset, next_offset))
+        offset = next_offset
+    return ScannedFrames(frames, bad_ranges)
 
 
-def scan(salt, data, place):
-    """All whole frames of a file from a place on, in order: [Frame], and where bytes stand that are none: [(start, end)]."""
-    found, bad = [], []
-    while place < len(data):
-        whole = at(salt, data, place)
-        if whole is not None:
-            found.append(whole)
-            place = whole.end
-            continue
-        start, place = place, place + 1
-        while (place := data.find(MARK, place)) >= 0 and at(salt, data, place) is None:
-            place += 1
-        place = len(data) if place < 0 else place
-        bad.append((start, place))
-    return found, bad
+def _next_frame_offset(salt: bytes, data: bytes, offset: int) -> int:
+    """Return where the next complete frame begins, or the length of `data`."""
+    while (offset := data.find(FRAME_MARK, offset)) >= 0:
+        if decode_frame(salt, data, offset) is not None:
+            return offset
+        offset += 1
+    return len(data)
+
+
+def frame_checksum(salt: bytes, sequence: int, synced_sequence: int, body: bytes) -> int:
+    """Return the CRC-32C that stands in the head of a frame."""
+    numbers = CHECKSUMMED_NUMBERS.pack(len(body), sequence, synced_sequence)
+    return crc32c(body, crc32c(numbers, crc32c(salt)))
--- a/indigodeck/store/writer.py
+++ b/indigodeck/store/writer.py
@@ -1,170 +1,216 @@
-"""The thread that writes a planner's store: a slow disk holds up nobody who decides, and one sync serves all that wait.
+"""The thread that writes a planner's store: a slow disk delays nobody who decides.
 
-Whoever puts something gets a future, which is done when it would outlast a power cut. Group commit (as in P. Helland and
-others, "Group Commit Timers and High Volume Transaction Systems", HPTS 1987): what comes while a sync is under way, or within
-`delay` of the first that waits, is written and synced together; each stays a record of its own, there whole or not at all. A
-delay helped nowhere it was measured (64 at a time: 8,760 changes a second without, 5,912 with 2 ms), so there is none unless stated.
+Whoever puts a change gets a future, which is done when the change would outlast a power cut. Group
+commit (as in P. Helland and others, "Group Commit Timers and High Volume Transaction Systems", HPTS
+1987): changes that arrive while a sync is under way, or within `delay` of the first one that waits,
+are written and synced together; each stays a record of its own. A delay helped nowhere it was
+measured (64 threads: 8,760 changes a second without, 5,912 with 2 ms), so the default is none.
 """
 
 import queue
 import threading
 import time
+from collections.abc import Callable, Sequence
 from concurrent.futures import Future
+from dataclasses import dataclass, field
+from typing import Any, TypeAlias
 
+from .files import StoreFiles
+from .index import Changes
 from .write_ahead_log import StoreStoppedError, WriteAheadLog
 
-WAITING_MOST = 4096  # changes that may wait to be written; what comes then is refused at once
-TOGETHER_MOST = 256
-PATIENCE = 5  # seconds for what waits to be written at the end; a disk that hangs must not keep a planner from ending
-IDLE = 0.05  # seconds without anything to write, after which a compaction goes on
+MAX_WAITING_REQUESTS = 4096  # further ones are rejected at once
+MAX_GROUP_SIZE = 256  # requests that are written with one sync
+CLOSE_TIMEOUT_SECONDS = 5  # a disk that hangs must not keep a planner from ending
+IDLE_SECONDS = 0.05  # without any request, after which a compaction goes on
 
 
-class Writer:
-    """Opens the store in a folder (`files`: `log.Files`). `delay`: seconds that a change may wait for company; `note(event, **facts)`
-    hears of what was found wrong, of each stop and of each compaction, on the thread.
+@dataclass(slots=True)
+class _Write:
+    """Changes to commit as one record; the future gives None."""
+
+    changes: Changes
+    future: Future = field(default_factory=Future)
+
+
+@dataclass(slots=True)
+class _Query:
+    """A function of the log to call between two commits; the future gives its result."""
+
+    function: Callable[[WriteAheadLog], Any]
+    future: Future = field(default_factory=Future)
+
+
+class _Close:
+    """The last request."""
+
+
+_Request: TypeAlias = _Write | _Query | _Close
+
+
+class StoreWriter:
+    """Opens the store in `files` and owns it until `close`.
+
+    `delay`: seconds for which a change may wait for others. `log_event(event, **facts)` is called
+    on the thread, and for damage on the caller's, when damage is found, when writing stops or
+    resumes, and for each compaction.
     """
 
-    def __init__(self, files, note, delay=0.0):
-        self.note, self.delay, self.files = note, delay, files
+    def __init__(
+        self, files: StoreFiles, log_event: Callable[..., None], delay: float = 0.0
+    ) -> None:
+        self.files = files
         self.log = WriteAheadLog(files)
-        self.waiting, self.ending, self.stopped, self.commits = (
-            queue.Queue(WAITING_MOST),
-            False,
-            None,
-            0,
-        )
-        for place in self.log.wrong:
-            note(
-                "store damaged" if self.log.lost else "store cut off",
-                file=place.name,
-                byte=place.start,
-                why=place.why,
+        self.commit_count = 0  # syncs, however many requests each of them served
+        self._log_event = log_event
+        self._delay = delay
+        self._requests: queue.Queue[_Request] = queue.Queue(MAX_WAITING_REQUESTS)
+        self._closing = False
+        self._stopped = False
+        self._report_damage()
+        self._thread = threading.Thread(target=self._run, name="store", daemon=True)
+        self._thread.start()
+
+    def _report_damage(self) -> None:
+        event = "store_damaged" if self.log.data_lost else "store_tail_truncated"
+        for damage in self.log.damage:
+            self._log_event(
+                event, file=damage.file_name, offset=damage.offset, reason=damage.reason
             )
-        self.thread = threading.Thread(target=self._run, name="store", daemon=True)
-        self.thread.start()
 
-    # What others may do, from any thread.
+    # For any thread.
+
+    def put(self, changes: Changes) -> Future:
+        """Write changes, all or none; the future is done when they are durable.
 
-    def put(self, changes):
-        """[(key, value, or None to drop it)], all or none. A future: None once they are kept; Stopped, ValueError as `Log`."""
-        return self._queued(changes, None)
+        The future raises StoreStoppedError or ValueError as `WriteAheadLog.commit` does.
+        """
+        return self._enqueue(_Write(changes))
 
-    def ask(self, call):
-        """What `call(log)` gives, between two commits; as a future."""
-        return self._queued(None, call)
+    def query(self, function: Callable[[WriteAheadLog], Any]) -> Future:
+        """Call a function of the log between two commits; the future gives its result."""
+        return self._enqueue(_Query(function))
 
-    def keep(self, changes):
-        """As `put`, for who must wait: True once they are kept."""
+    def put_and_wait(self, changes: Changes) -> bool:
+        """Write changes as `put` does, and return whether they are durable."""
         try:
             self.put(changes).result()
-            return True
         except StoreStoppedError:
             return False
+        return True
+
+    def get(self, key: str) -> Any:
+        """Return the newest value of a key, or None; waits for the thread."""
+        return self.query(lambda log: log.get(key)).result()
+
+    def close(self) -> None:
+        """Write what waits, and give the files free."""
+        self._closing = True
+        self._requests.put(_Close())
+        self._thread.join(CLOSE_TIMEOUT_SECONDS)
+        if not self._thread.is_alive():
+            self.files.close()
 
-    def get(self, key):
-        return self.ask(lambda log: log.get(key)).result()
-
-    def _queued(self, changes, call):
-        told = Future()
+    def _enqueue(self, request: _Write | _Query) -> Future:
+        if self._closing:
+            request.future.set_exception(StoreStoppedError("the store is closed"))
+            return request.future
         try:
-            if self.ending:
-                raise queue.Full
-            self.waiting.put_nowait((changes, call, told))
+            self._requests.put_nowait(request)
         except queue.Full:
-            told.set_exception(
-                StoreStoppedError(
-                    "the store is closed" if self.ending else f"{WAITING_MOST} changes wait already"
-                )
+            request.future.set_exception(
+                StoreStoppedError(f"{MAX_WAITING_REQUESTS} changes wait already")
             )
-        return told
-
-    def close(self):
-        """What waits is written first."""
-        self.ending = True
-        self.waiting.put((None, None, None))
-        self.thread.join(PATIENCE)
-        if not self.thread.is_alive():
-            self.files.close()
+        return request.future
 
     # The thread.
 
-    def _run(self):
+    def _run(self) -> None:
         while True:
             try:
-                first = self.waiting.get(timeout=IDLE)
+                first = self._requests.get(timeout=IDLE_SECONDS)
             except queue.Empty:
                 self._compact()
                 continue
-            batch = self._company(first)
-            self._serve([one for one in batch if one[2] is not None])
-            if batch[-1][2] is None:
+            group = self._collect_group(first)
+            self._serve(group)
+            if isinstance(group[-1], _Close):
                 return
             self._compact()
 
-    def _company(self, first):
-        """What is written with it: all that waits, and what comes within the delay, up to what asks or ends."""
-        batch, until = [first], time.monotonic() + self.delay
-        while batch[-1][0] is not None and len(batch) < TOGETHER_MOST:
+    def _collect_group(self, first: _Request) -> list[_Request]:
+        """Return what is served at once: writes that wait, up to one request of another sort."""
+        group = [first]
+        deadline = time.monotonic() + self._delay
+        while isinstance(group[-1], _Write) and len(group) < MAX_GROUP_SIZE:
             try:
-                batch.append(self.waiting.get(timeout=max(0.0, until - time.monotonic())))
+                group.append(self._requests.get(timeout=max(0.0, deadline - time.monotonic())))
             except queue.Empty:
                 break
-        return batch
+        return group
 
-    def _serve(self, batch):
-        changes = [one for one in batch if one[0] is not None]
-        if changes:
-            self._commit(changes)
-        for _, call, told in batch:
-            if call is not None:
-                self._answer(told, lambda: call(self.log))
+    def _serve(self, group: Sequence[_Request]) -> None:
+        writes = [request for request in group if isinstance(request, _Write)]
+        if writes:
+            self._commit(writes)
+        for request in group:
+            if isinstance(request, _Query):
+                self._answer(request)
 
-    def _commit(self, batch):
+    def _commit(self, writes: Sequence[_Write]) -> None:
         try:
-            self.log.commit([changes for changes, _, _ in batch])
+            self.log.commit([write.changes for write in writes])
         except ValueError as error:
-            # One of them can't be written: the others must not notice.
-            if len(batch) > 1:
-                for one in batch:
-                    self._commit([one])
-            else:
-                batch[0][2].set_exception(error)
-            return
-        except (
-            Exception
-        ) as error:  # whatever it is, whoever waits must be told, and the thread must go on
-            error = (
-                error
-                if isinstance(error, StoreStoppedError)
-                else StoreStoppedError(f"{type(error).__name__}: {error}")
-            )
-            if self.stopped is None:
-                self.note("store stopped", why=str(error))
-            self.stopped = str(error)
-            for _, _, told in batch:
-                told.set_exception(error)
+            self._commit_one_by_one(writes, error)
+        except StoreStoppedError as error:
+            self._fail(writes, error)
+        except Exception as error:  # whoever waits must be notified, and the thread must go on
+            self._fail(writes, StoreStoppedError(f"{type(error).__name__}: {error}"))
+        else:
+            self._succeed(writes)
+
+    def _commit_one_by_one(self, writes: Sequence[_Write], error: ValueError) -> None:
+        """One of these can't be written, which must not affect the others."""
+        if len(writes) == 1:
+            writes[0].future.set_exception(error)
             return
-        if self.stopped is not None:
-            self.note("store goes on")
-        self.stopped, self.commits = None, self.commits + 1
-        for _, _, told in batch:
-            told.set_result(None)
-
-    @staticmethod
-    def _answer(told, call):
+        for write in writes:
+            self._commit([write])
+
+    def _fail(self, writes: Sequence[_Write], error: StoreStoppedError) -> None:
+        if not self._stopped:
+            self._log_event("store_stopped", reason=str(error))
+        self._stopped = True
+        for write in writes:
+            write.future.set_exception(error)
+
+    def _succeed(self, writes: Sequence[_Write]) -> None:
+        if self._stopped:
+            self._log_event("store_resumed")
+        self._stopped = False
+        self.commit_count += 1
+        for write in writes:
+            write.future.set_result(None)
+
+    def _answer(self, query: _Query) -> None:
         try:
-            told.set_result(call())
-        except Exception as error:  # whoever asked is told, whatever it is; the thread goes on
-            told.set_exception(error)
+            query.future.set_result(query.function(self.log))
+        except Exception as error:  # whoever asked is notified, and the thread goes on
+            query.future.set_exception(error)
 
-    def _compact(self):
-        if not self.log.due():
+    def _compact(self) -> None:
+        if not self.log.compaction_due():
             return
         try:
-            done = self.log.compact()
-        except Exception as error:  # the logs hold everything: it is left until the next start
-            self.log.undone, done = f"{type(error).__name__}: {error}", False
-        if done:
-            self.note("store compacted", bytes=round(self.log.live), records=len(self.log.index))
-        elif self.log.undone is not None:
-            self.note("store not compacted", why=self.log.undone)
+            finished = self.log.compact()
+        except Exception as error:  # the segments hold everything: it is left until the next start
+            self.log.compaction_error = f"{type(error).__name__}: {error}"
+            finished = False
+        if finished:
+            self._log_event(
+                "store_compacted",
+                bytes=round(self.log.index.live_bytes),
+                records=len(self.log.index),
+            )
+        elif self.log.compaction_error is not None:
+            self._log_event("store_compaction_failed", reason=self.log.compaction_error)
--- /dev/null
+++ b/tests/store/test_damage.py
@@ -0,0 +1,133 @@
+"""Files that are cut, flipped or unreadable: what can be read is served, the rest is reported."""
+
+import errno
+import unittest
+
+from indigodeck.assignment.seeded_random import SeededRandom
+from indigodeck.store import segments
+from indigodeck.store.segments import FileType
+from indigodeck.store.write_ahead_log import WriteAheadLog
+from indigodeck.testbed.faulty_disk import FaultyDisk
+
+from .crash_scenarios import KEYS, SmallLimitsCase, filled_disk
+
+
+class DamagedFileTest(SmallLimitsCase):
+    """One file of a store is damaged after everything was synced."""
+
+    def setUp(self):
+        """Fill a disk."""
+        super().setUp()
+        self.fill()
+
+    def fill(self, commits: int = 30, seed: int = 5) -> None:
+        """Fill a disk, and note every value that a key ever had."""
+        disk, self.states = filled_disk(commits, seed)
+        self.files = {name: disk.read(name) for name in disk.names()}
+        self.history = {key: [state.get(key) for state in self.states] for key in KEYS}
+
+    def filled_disk(self) -> FaultyDisk:
+        """Return a disk with the files as they were."""
+        disk = FaultyDisk(SeededRandom(3))
+        for name, data in self.files.items():
+            disk.put(name, data)
+        return disk
+
+    def opened_with(self, name: str, data: bytes) -> WriteAheadLog:
+        """Open the store with other bytes in one file."""
+        disk = self.filled_disk()
+        disk.put(name, data)
+        return WriteAheadLog(disk)
+
+    def assert_undamaged(self) -> None:
+        """Check that the store opens with its last state, from several bases and segments."""
+        log = WriteAheadLog(self.filled_disk())
+        self.assertEqual((log.read_all(), log.damage, log.data_lost), (self.states[-1], [], False))
+        for file_type in (FileType.BASE, FileType.SEGMENT):
+            self.assertGreater(len(segments.numbered_files(self.files, file_type)), 1, file_type)
+
+    def assert_nothing_invented(self, log: WriteAheadLog, name: str, case: object) -> None:
+        """Check that what differs from all states is reported, with the name of the file."""
+        values = log.read_all()
+        for key in KEYS:
+            self.assertIn(values.get(key), [None, *self.history[key]], (name, case))
+        if values not in self.states:
+            self.assertTrue(log.data_lost, (name, case))
+            self.assertIn(name, [damage.file_name for damage in log.damage], case)
+
+    def test_each_file_cut_at_every_byte(self):
+        self.assert_undamaged()
+        last_segment = max(name for name in self.files if name.endswith(FileType.SEGMENT))
+        for name, data in self.files.items():
+            for size in range(len(data)):
+                log = self.opened_with(name, data[:size])
+                self.assert_nothing_invented(log, name, size)
+                if name == last_segment:
+                    # All that a cut may cost is the end of the log: the newest records.
+                    self.assertIn(log.read_all(), self.states, size)
+                elif name.endswith(FileType.BASE):
+                    self.assertEqual(log.read_all(), self.states[-1], (name, size))
+
+    def test_each_file_with_a_bit_flipped_anywhere(self):
+        for name, data in self.files.items():
+            for offset in range(len(data)):
+                flipped = bytearray(data)
+                flipped[offset] ^= 1 << offset % 8
+                log = self.opened_with(name, bytes(flipped))
+                self.assert_nothing_invented(log, name, offset)
+                if name.endswith(FileType.BASE):
+                    self.assertEqual(log.read_all(), self.states[-1], (name, offset))
+
+    def test_an_unreadable_file_is_reported_and_the_rest_is_served(self):
+        for name in self.files:
+            disk = self.filled_disk()
+            real_read = disk.read
+
+            def read(asked, name=name, real_read=real_read):
+                if asked == name:
+                    raise OSError(errno.EIO, "input/output error")
+                return real_read(asked)
+
+            disk.read = read
+            log = WriteAheadLog(disk)
+            self.assert_nothing_invented(log, name, "unreadable")
+            disk.read = real_read
+            log.commit([[("key/0", {"nth": 10_000, "fill": ""})]])
+            self.assertEqual(log.get("key/0")["nth"], 10_000)
+
+
+class DamagedRecordTest(SmallLimitsCase):
+    """One record is damaged."""
+
+    def test_damage_within_a_segment_is_told_apart_from_a_torn_end(self):
+        disk = FaultyDisk(SeededRandom(4))
+        log = WriteAheadLog(disk)
+        for number in range(3):
+            log.commit([[("a", number)], [("b", number)]])
+        name = "00000001.log"
+        data = disk.read(name)
+        frames, _ = segments.scan_file(log.store_id, name, data)
+        for damaged, data_lost in ((3, True), (6, False)):
+            flipped = bytearray(data)
+            flipped[frames[damaged].start + 20] ^= 4
+            disk = FaultyDisk(SeededRandom(4))
+            disk.put(name, bytes(flipped))
+            recovered = WriteAheadLog(disk)
+            self.assertEqual(
+                (recovered.data_lost, {damage.file_name for damage in recovered.damage}),
+                (data_lost, {name}),
+            )
+            self.assertEqual(recovered.get("b"), 2 if data_lost else 1)
+
+    def test_a_record_damaged_while_the_store_is_open_is_not_served(self):
+        disk = FaultyDisk(SeededRandom(4))
+        log = WriteAheadLog(disk)
+        log.commit([[("a", "x" * 50)], [("b", 2)]])
+        entry = log.index["a"]
+        disk.files[entry.file_name].data[entry.end - 3] ^= 1
+        self.assertEqual((log.get("a"), log.get("b")), (None, 2))
+        self.assertEqual(log.damage[0][:2], (entry.file_name, entry.start))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_outlasting.py
+++ b/tests/test_outlasting.py
@@ -452,7 +452,7 @@
             planner.service.store.files.append = full
             planner.keep(host_0="draining")
             await until(lambda: 0 not in ports(tables))
-            await until(lambda: planner.said("store stopped"))
+            await until(lambda: planner.said("store_stopped"))
             await self.end(client, task)
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -19,8 +19,9 @@
     unpack_entries,
 )
 from indigodeck.planner.endpoint_list import EndpointList
-from indigodeck.store.files import Folder
-from indigodeck.store.writer import Writer
+from indigodeck.store.files import StoreFolder
+from indigodeck.store.write_ahead_log import WriteAheadLog
+from indigodeck.store.writer import StoreWriter
 from indigodeck.versions.operator_requests import OperatorRequests
 from indigodeck.versions.version_log import Number, VersionLog
 
@@ -88,13 +89,13 @@
         self.open()
 
     def open(self):
-        self.store = Writer(
-            Folder(self.folder), lambda event, **facts: self.notes.append((event, facts))
+        self.store = StoreWriter(
+            StoreFolder(self.folder), lambda event, **facts: self.notes.append((event, facts))
         )
-        self.held = self.store.ask(lambda log: {key: log.get(key) for key in log.keys()}).result()
+        self.held = self.store.query(WriteAheadLog.read_all).result()
 
     def keep(self, changes):
-        if not self.store.keep(changes):
+        if not self.store.put_and_wait(changes):
             raise AssertionError("the store can't be written")
 
     def reopen(self):
@@ -135,7 +136,7 @@
     def test_every_record_is_read_back_and_nothing_is_found_wrong(self):
         shelf = self.opened()
         self.assertEqual(
-            (shelf.notes, shelf.store.log.wrong, shelf.store.log.lost), ([], [], False)
+            (shelf.notes, shelf.store.log.damage, shelf.store.log.data_lost), ([], [], False)
         )
         self.assertEqual(
             sorted(shelf.held),
@@ -155,7 +156,7 @@
         data[len(data) // 2] ^= 1
         base.write_bytes(data)
         shelf = self.opened()
-        self.assertEqual([event for event, _ in shelf.notes], ["store cut off"])
+        self.assertEqual([event for event, _ in shelf.notes], ["store_tail_truncated"])
         self.assertEqual(shelf.held, STORED["records"])
 
     def test_the_last_log_holds_what_came_after_the_base(self):
@@ -173,7 +174,7 @@
     def test_it_is_written_to_and_compacted_again(self):
         shelf = self.opened()
         shelf.keep([("starts", 5), ("relays", None)])
-        self.assertTrue(shelf.store.ask(lambda log: log.compact(1 << 20)).result())
+        self.assertTrue(shelf.store.query(lambda log: log.compact(1 << 20)).result())
         shelf.reopen()
         want = {**STORED["records"], "starts": 5}
         del want["relays"]
