--- a/benchmarks/codec.py
+++ b/benchmarks/codec.py
@@ -6,63 +6,72 @@
 import platform
 import sys
 import time
+from collections.abc import Callable
 
-sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
+ROOT = pathlib.Path(__file__).parent.parent
+sys.path.insert(0, str(ROOT))
 
-from indigodeck.frontends.sasp import codec  # noqa: E402
+from indigodeck.frontends.sasp import codec  # noqa: E402  # follows the change of the path above
 
+RESULTS = ROOT / "benchmarks/results/codec.json"
+ENTRY_COUNTS = (1, 10, 105, 1000)
+MEASURED_SECONDS = 1.0
+ENTRY_FLAGS = 0x90
 
-class Nobody:
-    def __getattr__(self, name):
+
+class IgnoringHandler:
+    """Takes any message, and does nothing."""
+
+    def __getattr__(self, name: str) -> Callable[..., None]:
+        """Return a method that does nothing."""
         return lambda *given: None
 
 
-def rate(call, seconds=1.0):
-    calls, end = 0, time.perf_counter() + seconds
+def calls_per_second(call: Callable[[], object]) -> float:
+    """Return how often `call` can be made in a second."""
+    calls = 0
+    end = time.perf_counter() + MEASURED_SECONDS
     while time.perf_counter() < end:
         call()
         calls += 1
-    return calls / seconds
+    return calls / MEASURED_SECONDS
 
 
-def main():
-    results, nobody = [], Nobody()
-    for members in (1, 10, 105, 1000):
-        groups = [
-            (
-                (b"hall-a/relay-1", b"reading"),
-                [
-                    codec.Entry(
-                        codec.Member.at("127.0.0.1", 1 + nth, b"host-%d" % nth), 1 + nth, 0x90
-                    )
-                    for nth in range(members)
-                ],
-            )
-        ]
-        data = codec.send_weights(1, groups)
-        wrote, read = (
-            rate(lambda: codec.send_weights(1, groups)),
-            rate(lambda: codec.dispatch(data, nobody)),
-        )
-        results.append(
-            {
-                "entries": members,
-                "bytes": len(data),
-                "written_a_second": round(wrote),
-                "read_a_second": round(read),
-                "entries_written_a_second": round(wrote * members),
-                "entries_read_a_second": round(read * members),
-            }
+def measure(entry_count: int) -> dict[str, int]:
+    """Return the sizes and rates for messages of so many entries."""
+    entries = [
+        codec.Entry(
+            codec.Member.at("127.0.0.1", 1 + number, b"host-%d" % number), 1 + number, ENTRY_FLAGS
         )
+        for number in range(entry_count)
+    ]
+    groups = [((b"hall-a/relay-1", b"reading"), entries)]
+    handler = IgnoringHandler()
+    data = codec.send_weights(1, groups)
+    written = calls_per_second(lambda: codec.send_weights(1, groups))
+    read = calls_per_second(lambda: codec.dispatch(data, handler))
+    return {
+        "entries": entry_count,
+        "bytes": len(data),
+        "written_a_second": round(written),
+        "read_a_second": round(read),
+        "entries_written_a_second": round(written * entry_count),
+        "entries_read_a_second": round(read * entry_count),
+    }
+
+
+def main() -> None:
+    """Print one JSON line for each size, and keep the results."""
+    results = []
+    for entry_count in ENTRY_COUNTS:
+        results.append(measure(entry_count))
         print(json.dumps(results[-1]))
-    kept = {
+    document = {
         "what": "SASP codec, one core",
         "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
         "results": results,
     }
-    (pathlib.Path(__file__).parent / "results/codec.json").write_text(
-        json.dumps(kept, indent=1) + "\n"
-    )
+    RESULTS.write_text(json.dumps(document, indent=1) + "\n")
 
 
 if __name__ == "__main__":
