--- a/indigodeck/assignment/channel_account.py
+++ b/indigodeck/assignment/channel_account.py
@@ -1,4 +1,4 @@
-"""The account of the channel to the proxies: what waits in it, how late it is, who was written to."""
+"""The channel to the proxies: what waits in it, how late it is, who was written to."""
 
 from collections.abc import Set
 from typing import NamedTuple
--- a/indigodeck/assignment/demand.py
+++ b/indigodeck/assignment/demand.py
@@ -5,6 +5,7 @@
 
 from ..clock import SECOND
 from ..settings import DeploymentSettings
+from .seeded_random import SeededRandom
 from .tables import Table
 
 DEMAND_REPORTS_KEPT = 3  # of each class and proxy; more would follow a change too slowly
@@ -71,12 +72,25 @@
         super().__init__()
         self.settings = settings
         self.remember_for = remember_for
-        self.tables_by_locality: defaultdict[tuple[int, int], list[Table]] = defaultdict(list)
+        self.tables_by_locality: defaultdict[Locality, list[Table]] = defaultdict(list)
 
     def tables_of(self, number: int) -> list[Table]:
         """Return the tables that serve a proxy."""
         return self.tables_by_locality[self[number].locality]
 
+    def join(self, number: int, zone: int, stated_rate: float, group_count: int) -> None:
+        """Enter a proxy; the demand of one that was known before is kept."""
+        demand = self[number].demand if number in self else {}
+        # The same group at every planner; not by remainder, for numbers may go with zones.
+        group = SeededRandom(number).below(group_count)
+        self[number] = Proxy(Locality(zone, group), stated_rate, demand)
+
+    def leave(self, number: int, now: int) -> None:
+        """Enter that a proxy has left."""
+        if number in self:
+            self[number].joined = False
+            self[number].left_at = now
+
     def joined(self) -> set[int]:
         """Return the numbers of the proxies that are joined now."""
         return {number for number, proxy in self.items() if proxy.joined}
--- a/indigodeck/assignment/server_health.py
+++ b/indigodeck/assignment/server_health.py
@@ -8,6 +8,7 @@
 
 REPORTS_KEPT = 4  # of each zone
 EJECTION_TIME = 8 * SECOND  # of a first ejection; each that follows at once takes twice as long
+LONGEST_EJECTION = 40 * SECOND
 
 
 class ReceivedReport(NamedTuple):
@@ -56,7 +57,7 @@
     """
 
     started: int = 0
-    judged_from: int = 0
+    judged_from: float = 0
     ejection_time: int = EJECTION_TIME
     restarts: int = 0
     reports: defaultdict[int, deque[ReceivedReport]] = field(default_factory=_empty_reports)
--- a/tests/edge/test_assigner_host.py
+++ b/tests/edge/test_assigner_host.py
@@ -55,7 +55,7 @@
         self.host.on_outcome_report(OutcomeReport(0, "s-9", 3, 0, 1000, SECOND, None))
         self.host.on_ack(Ack(1, 77, 1000))
         self.assertEqual(self.host.ignored_messages, 2)
-        self.assertFalse(self.host.assigner.health)
+        self.assertFalse(self.host.assigner.state.health)
 
     def test_an_ack_older_than_its_request_is_ignored(self):
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1")), cached=True)
@@ -65,15 +65,15 @@
         self.host.on_ack(Ack(3, number, 50 * SECOND))
         self.assertEqual(self.host.ignored_messages, 1)
         self.host.on_ack(Ack(3, number, SECOND // 2))
-        self.assertFalse(self.host.assigner.channel.pending_acks)
+        self.assertFalse(self.host.assigner.state.channel.pending_acks)
 
     def test_a_process_has_one_start_time_however_often_it_is_listed(self):
         ahead = self.environment.now() // 1000 + 5000
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1", started_ms=ahead)), cached=True)
-        first = self.host.assigner.fleet[0].started
+        first = self.host.assigner.state.servers[0].started
         self.environment.run(2)
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1", started_ms=ahead), version=2))
-        self.assertEqual(self.host.assigner.fleet[0].started, first)
+        self.assertEqual(self.host.assigner.state.servers[0].started, first)
         self.assertLessEqual(first, self.environment.now())
 
     def test_an_unusable_entry_says_nothing_against_its_server(self):
@@ -81,7 +81,7 @@
         self.host.on_endpoint_list(
             endpoint_list(list_entry("s-1"), dict(list_entry("s-2"), share="much"), version=2)
         )
-        self.assertEqual(sorted(self.host.assigner.fleet), [0, 1])
+        self.assertEqual(sorted(self.host.assigner.state.servers), [0, 1])
 
     def test_a_fault_loses_one_message(self):
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1")), cached=True)
@@ -113,7 +113,7 @@
                 self.host.on_ack(Ack(3, request["nonce_out"], SECOND // 5))
             self.environment.run(2)
             assigner = self.host.assigner
-            sizes.append((len(self.host.servers), len(assigner.health), len(assigner.withdrawn)))
+            sizes.append((len(self.host.servers), len(assigner.state.health), len(assigner.state.ejected)))
         self.assertLessEqual(max(max(size) for size in sizes[60:]), 20, sizes[-1])
         self.assertEqual(len(self.host.servers), len(self.host.index_of))
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -149,29 +149,29 @@
         for proxy in range(40):
             rig.assigner.on_proxy_joined(proxy, 0, 2.0 + proxy % 7, False)
             rig.run(0.1)
-        most = max(len(proxy.message_times) for proxy in rig.assigner.proxies.values())
+        most = max(len(proxy.message_times) for proxy in rig.assigner.state.proxies.values())
         rig.printed = [f"messages to one proxy while 40 joined: {most}"]
         for index in (4, 7, 9):
             rig.change(server(index, ServerState.DRAINING))
             rig.run(0.4)
         rig.printed = [line for line in rig.printed if "withdraw" in line or "messages" in line]
         self.compare("drains-after-joins", rig)
-        self.assertEqual(rig.assigner.withdrawn, {4, 7, 9})
+        self.assertEqual(rig.assigner.state.ejected, {4, 7, 9})
 
     def test_a_proxy_at_its_limit_holds_back_its_own_drains_alone(self):
         rig = Rig(deployment_settings(max_messages=20, proxy_count=40))
         rig.start(fleet(30), proxies=40)
         rig.run(3)
-        first = rig.assigner.proxies[0]
+        first = rig.assigner.state.proxies[0]
         first.message_times.extend([rig.clock] * (19 - len(first.message_times)))
         held = set().union(
-            *(table.published_weights for table in rig.assigner.tables if 0 in table.proxies)
+            *(table.published_weights for table in rig.assigner.state.tables if 0 in table.proxies)
         )
         others = sorted(set(range(30)) - held)
         rig.change(server(others[0], ServerState.DRAINING), server(min(held), ServerState.DRAINING))
-        self.assertEqual(rig.assigner.withdrawn, {others[0]})
+        self.assertEqual(rig.assigner.state.ejected, {others[0]})
         rig.run(11)
-        self.assertEqual(rig.assigner.withdrawn, {others[0], min(held)})
+        self.assertEqual(rig.assigner.state.ejected, {others[0], min(held)})
 
     def test_list_is_asked_again_after_failures_ever_later(self):
         rig = Rig(deployment_settings(list_on_request=True))
@@ -211,7 +211,7 @@
 
     def test_common_cause_moves_nobody(self):
         rig = self.play(5, failed=lambda index: 15 if index % 3 else 0)
-        self.assertFalse([line for line in rig.printed if "leaves" in line])
+        self.assertFalse([line for line in rig.printed if "server_ejected" in line])
 
     def test_zone_keeps_its_doubtful_servers_when_too_few_are_left(self):
         rig = zoned()
@@ -219,7 +219,7 @@
         rig.run(
             3, lambda rig: rig.report(failed=lambda index: 20 if index % 2 and index > 1 else 0)
         )
-        self.assertTrue([line for line in rig.printed if "leaves" in line])
+        self.assertTrue([line for line in rig.printed if "server_ejected" in line])
         self.assertEqual(sum(1 for weight in rig.tables[5].values() if weight), 6)
         self.assertLess(sum(1 for weight in rig.tables[0].values() if weight), 12)
 
@@ -240,11 +240,11 @@
         for proxy in range(2):
             rig.assigner.on_proxy_left(proxy)
         rig.run(12, lambda rig: rig.report(lambda index: 900_000, lambda index: 6, 30))
-        self.assertEqual(rig.assigner.valves[None].open, 1.0)
+        self.assertEqual(rig.assigner.admission.fleet.admitted_share, 1.0)
         for proxy in range(2):
             rig.assigner.on_proxy_joined(proxy, 0, 50.0, False)
         rig.run(6, lambda rig: rig.report(lambda index: 900_000, lambda index: 6, 30, (80, 40)))
-        self.assertLess(rig.assigner.valves[None].open, 1.0)
+        self.assertLess(rig.assigner.admission.fleet.admitted_share, 1.0)
 
     def test_total_jam_closes_the_valve_though_nothing_is_answered(self):
         rig = Rig()
@@ -259,7 +259,11 @@
         rig.run(6, lambda rig: rig.report())
         rig.run(8, lambda rig: rig.report(lambda index: 900_000, lambda index: 15, 30, (160, 80)))
         rig.run(16, lambda rig: rig.report(tries=6, demand=(12, 8)))
-        opens = [float(line.split("open ")[1].split()[0]) for line in rig.printed if "open" in line]
+        opens = [
+            float(line.split("admitted_share=")[1].split()[0])
+            for line in rig.printed
+            if "admission_changed" in line
+        ]
         self.assertLess(opens[0], 0.6)
         self.assertTrue(
             all(after <= 1.51 * before + 0.01 for before, after in zip(opens, opens[1:])), opens
@@ -270,7 +274,11 @@
 
         def reports(rig):
             # A few servers each second, as where there are more than are let in; far worse from the first cut on.
-            cuts[:] = [float(line.split()[0]) for line in rig.printed if "zone None open" in line]
+            cuts[:] = [
+                float(line.split()[0])
+                for line in rig.printed
+                if "admission_changed zone=None" in line
+            ]
             took, failed = (900_000, 45 if cuts else 6) if rig.clock > 10 * SECOND else (200_000, 0)
             for index in range(rig.clock // SECOND % 5, 12, 5):
                 rig.assigner.on_load_report(LoadReport(0, index, 60, failed, took, span))
@@ -284,14 +292,14 @@
         rig = Rig()
         rig.start(fleet())
         rig.run(12, lambda rig: rig.report(failed=lambda index: 6 if rig.clock > 6 * SECOND else 0))
-        self.assertFalse([line for line in rig.printed if "open" in line])
+        self.assertFalse([line for line in rig.printed if "admission_changed" in line])
 
     def test_long_work_is_not_taken_for_a_flood(self):
         rig = Rig()
         rig.start(fleet())
         rig.run(3, lambda rig: rig.report(lambda index: 380_000))
         rig.run(8, lambda rig: rig.report(lambda index: 455_000))
-        self.assertFalse([line for line in rig.printed if "open 0" in line])
+        self.assertFalse([line for line in rig.printed if "admitted_share=0" in line])
 
     def test_full_fleet_holds_every_class_on_every_server(self):
         rig = Rig()
@@ -307,7 +315,7 @@
         rig.start(fleet())
         for took in (200_000, 330_000, 460_000):
             rig.run(2, lambda rig, took=took: rig.report(lambda index: took))
-        self.assertTrue([line for line in rig.printed if "open 0" in line])
+        self.assertTrue([line for line in rig.printed if "admitted_share=0" in line])
 
     def test_slow_answers_of_one_zone_do_not_close_the_other(self):
         rig = zoned()
@@ -334,10 +342,10 @@
                     )
                 )
             for index in (5, 7, 9, 11):
-                rig.assigner.health[index].reports.clear()
+                rig.assigner.state.health[index].reports.clear()
 
         rig.run(12, reports)
-        self.assertFalse([line for line in rig.printed if "zone 1 open" in line])
+        self.assertFalse([line for line in rig.printed if "admission_changed zone=1" in line])
 
     def test_others_leave_servers_that_a_zone_bound_class_fills(self):
         rig = zoned()
@@ -374,7 +382,7 @@
 
     def test_joins_of_many_wait_for_the_channel_and_all_are_bound(self):
         rig = self.large()
-        self.assertLess(rig.assigner.channel.lines_waiting, 6800 / 2)
+        self.assertLess(rig.assigner.state.channel.lines_waiting, 6800 / 2)
         rig.run(6)
         binds = [line.split() for line in rig.printed if "bind" in line]
         self.assertEqual(len(binds), 2 * 270)
@@ -383,17 +391,17 @@
     def test_groups_are_served_in_their_zone_and_load_servers_evenly(self):
         rig = self.large()
         loads = [0.0] * 90
-        for table in rig.assigner.tables:
+        for table in rig.assigner.state.tables:
             self.assertTrue(all(index % 3 == table.zone for index in table.members))
             for index in table.members:
-                loads[index] += rig.assigner.proxies.table_rates(rig.clock)[table.number] / len(
-                    table.members
-                )
+                loads[index] += rig.assigner.state.proxies.table_rates(rig.clock)[
+                    table.number
+                ] / len(table.members)
         self.assertLess(max(loads), 1.7 * sum(loads) / 90)
 
     def test_first_to_join_does_not_stand_for_all(self):
         rig = self.large(joined=1)
-        table = rig.assigner.proxies.tables_of(0)[0]
+        table = rig.assigner.state.proxies.tables_of(0)[0]
         self.assertTrue(all(index % 3 == 0 for index in table.members))
 
 
@@ -434,7 +442,7 @@
             rig.change(server(3, started=rig.clock))
         rig.run(25)
         rig.printed = [
-            line for line in rig.printed if "leaves" in line or "table 0: server 3" in line
+            line for line in rig.printed if "server_ejected" in line or "table 0: server 3" in line
         ]
         self.compare("falls-again", rig)
 
@@ -445,7 +453,7 @@
         rig.start(fleet())
         rig.run(8)
         rig.change(server(0, ServerState.DRAINING))
-        rig.assigner.on_ack(0, rig.assigner.channel.last_ack_number, took)
+        rig.assigner.on_ack(0, rig.assigner.state.channel.last_ack_number, took)
         rig.printed.clear()
         rig.change(*[server(index, started=rig.clock) for index in range(12, 24)])
         rig.run(2)
@@ -538,20 +546,20 @@
         rig = Rig()
         rig.start(fleet())
         rig.run(4)
-        before, rig.answers = rig.assigner._echo(), None
+        before, rig.answers = rig.assigner.state.feedback_delay(), None
         rig.change(server(3, ServerState.DRAINING))
         rig.run(4)
-        self.assertGreater(rig.assigner._echo(), before + 2 * SECOND)
+        self.assertGreater(rig.assigner.state.feedback_delay(), before + 2 * SECOND)
 
     def test_a_server_long_gone_is_forgotten(self):
         rig = Rig()
         rig.start(fleet())
         rig.change(server(3, ServerState.GONE))
         rig.run(15)
-        self.assertIn(3, rig.assigner.withdrawn)
+        self.assertIn(3, rig.assigner.state.ejected)
         rig.run(15)
-        self.assertNotIn(3, rig.assigner.withdrawn)
-        self.assertNotIn(3, rig.assigner.health)
+        self.assertNotIn(3, rig.assigner.state.ejected)
+        self.assertNotIn(3, rig.assigner.state.health)
         self.assertTrue(any("forget server 3" in line for line in rig.printed))
 
 
--- a/tests/test_live.py
+++ b/tests/test_live.py
@@ -199,7 +199,7 @@
                     await asyncio.sleep(0.3)
                     self.assertEqual(ports(tables), {0, 2, 3, 4, 5})
                     keeper.refusing = False
-                    await until(lambda: 2 not in planner.service.desk.assigner.fleet, 12)
+                    await until(lambda: 2 not in planner.service.desk.assigner.state.servers, 12)
                     client.stop()
                     await task
                 keeper.server.stop()
--- a/tests/test_outlasting.py
+++ b/tests/test_outlasting.py
@@ -425,7 +425,7 @@
                 tables, client, task = await self.settled(planner)
                 self.assertEqual(ports(tables), {0, 1, 2, 4, 5})
                 self.assertEqual(
-                    sorted(planner.service.desk.assigner.tables[0].members),
+                    sorted(planner.service.desk.assigner.state.tables[0].members),
                     [planner.service.servers.index_of[f"host-{nth}"] for nth in (0, 1, 2, 4, 5)],
                 )
                 told = (await planner.service.asked({"what": "trust"}))["trust"]
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -428,9 +428,9 @@
             self.assertLess(max(late, default=0), planner.service.settings.deployment.drain_grace)
             # What they met and what came to them reached the assigner: it is told of nothing else here.
             self.assertGreater(planner.service.fronts[0].reports_read, 4)
-            self.assertTrue(planner.service.desk.assigner.valves[None].shown)
+            self.assertTrue(planner.service.desk.assigner.admission.fleet.completion_rates)
             # Marks of the last orders were answered by acknowledgements.
-            self.assertLessEqual(len(planner.service.desk.assigner.channel.pending_acks), 2)
+            self.assertLessEqual(len(planner.service.desk.assigner.state.channel.pending_acks), 2)
 
     async def test_stock_clients_in_several_processes_on_a_bad_day(self):
         hosts = [GrpcHost(now, f"host-{nth}", 5_000) for nth in range(15)]
