--- a/tests/run.py
+++ b/tests/run.py
@@ -1,33 +1,74 @@
-"""Runs all tests, or those named. Those in KNOWN-RED.txt run and are printed; one that passes while listed fails the run."""
+"""Runs all tests, or those named on the command line: python tests/run.py [NAME ...].
+
+The tests listed in KNOWN-RED.txt at the root, one line `test id: cause` each, run as well, and
+their lines are printed. A listed test may fail; one that passes, or a list that is too long, fails
+the run.
+Names are those of modules, classes or methods, such as `store.test_writer`.
+"""
 
 import pathlib
 import sys
 import unittest
+from types import TracebackType
+from typing import TypeAlias
 
 TESTS = pathlib.Path(__file__).parent
-RED = {
-    line.split(":")[0]: line
-    for line in (TESTS.parent / "KNOWN-RED.txt").read_text().splitlines()
-    if line
-}
-MOST = 3
+KNOWN_RED_FILE = TESTS.parent / "KNOWN-RED.txt"
+MAX_KNOWN_RED = 3
 
+_ErrorInfo: TypeAlias = (
+    tuple[type[BaseException], BaseException, TracebackType] | tuple[None, None, None]
+)
 
-class Result(unittest.TextTestResult):
-    def addFailure(self, test, err):
-        (super().addExpectedFailure if test.id() in RED else super().addFailure)(test, err)
 
-    def addError(self, test, err):
-        (super().addExpectedFailure if test.id() in RED else super().addError)(test, err)
+def read_known_red(text: str) -> dict[str, str]:
+    """Return the lines of the list under the ids of their tests."""
+    return {line.split(":")[0]: line for line in text.splitlines() if line}
 
-    def addSuccess(self, test):
-        (super().addUnexpectedSuccess if test.id() in RED else super().addSuccess)(test)
 
+KNOWN_RED = read_known_red(KNOWN_RED_FILE.read_text())
 
-if __name__ == "__main__":
-    sys.path.insert(0, str(TESTS))
+
+class KnownRedResult(unittest.TextTestResult):
+    """A result that expects each test listed in `KNOWN_RED` to fail, and no other."""
+
+    def addFailure(self, test: unittest.TestCase, err: _ErrorInfo) -> None:  # noqa: N802 - unittest's
+        """Count a failure, as expected if the test is listed."""
+        if test.id() in KNOWN_RED:
+            self.addExpectedFailure(test, err)
+        else:
+            super().addFailure(test, err)
+
+    def addError(self, test: unittest.TestCase, err: _ErrorInfo) -> None:  # noqa: N802 - unittest's
+        """Count an error, as expected if the test is listed."""
+        if test.id() in KNOWN_RED:
+            self.addExpectedFailure(test, err)
+        else:
+            super().addError(test, err)
+
+    def addSuccess(self, test: unittest.TestCase) -> None:  # noqa: N802 - unittest's name
+        """Count a success, as unexpected if the test is listed."""
+        if test.id() in KNOWN_RED:
+            self.addUnexpectedSuccess(test)
+        else:
+            super().addSuccess(test)
+
+
+def find_tests(names: list[str]) -> unittest.TestSuite:
+    """Return the tests with these names; if none is given, all of this folder and its packages."""
     loader = unittest.TestLoader()
-    found = loader.loadTestsFromNames(sys.argv[1:]) if sys.argv[1:] else loader.discover(str(TESTS))
-    passed = unittest.TextTestRunner(resultclass=Result).run(found).wasSuccessful()
-    print("\n".join(f"known red: {line}" for line in RED.values()))
-    sys.exit(not passed or len(RED) > MOST)
+    return loader.loadTestsFromNames(names) if names else loader.discover(str(TESTS))
+
+
+def main(names: list[str]) -> int:
+    """Run tests, print the known red ones, and return the exit code."""
+    sys.path.insert(0, str(TESTS))  # tests import the modules they share by their names here
+    passed = (
+        unittest.TextTestRunner(resultclass=KnownRedResult).run(find_tests(names)).wasSuccessful()
+    )
+    print("\n".join(f"known red: {line}" for line in KNOWN_RED.values()))
+    return 0 if passed and len(KNOWN_RED) <= MAX_KNOWN_RED else 1
+
+
+if __name__ == "__main__":
+    sys.exit(main(sys.argv[1:]))
--- a/tests/store/crash_scenarios.py
+++ b/tests/store/crash_scenarios.py
@@ -21,7 +21,11 @@
 MAX_RESTARTS = 3  # one that is cut as well, and one that succeeds, with one to spare
 
 # So that every case of segments and compactions is met within some commits.
-SMALL_LIMITS = {"MAX_SEGMENT_BYTES": 700, "MIN_COMPACTED_BYTES": 900, "COMPACTION_RATIO": 1}
+SMALL_LIMITS: dict[str, Any] = {
+    "MAX_SEGMENT_BYTES": 700,
+    "MIN_COMPACTED_BYTES": 900,
+    "COMPACTION_RATIO": 1,
+}
 
 
 class SmallLimitsCase(unittest.TestCase):
--- a/tests/store/test_damage.py
+++ b/tests/store/test_damage.py
@@ -56,6 +56,7 @@
             self.assertIn(name, [damage.file_name for damage in log.damage], case)
 
     def test_each_file_cut_at_every_byte(self):
+        """A cut base costs nothing, a cut last segment only its end."""
         self.assert_undamaged()
         last_segment = max(name for name in self.files if name.endswith(FileType.SEGMENT))
         for name, data in self.files.items():
@@ -69,6 +70,7 @@
                     self.assertEqual(log.read_all(), self.states[-1], (name, size))
 
     def test_each_file_with_a_bit_flipped_anywhere(self):
+        """A flipped bit in a base costs nothing; elsewhere the damage is reported."""
         for name, data in self.files.items():
             for offset in range(len(data)):
                 flipped = bytearray(data)
@@ -79,6 +81,7 @@
                     self.assertEqual(log.read_all(), self.states[-1], (name, offset))
 
     def test_an_unreadable_file_is_reported_and_the_rest_is_served(self):
+        """The store opens without the file, and can be written to."""
         for name in self.files:
             disk = self.filled_disk()
             real_read = disk.read
@@ -100,6 +103,7 @@
     """One record is damaged."""
 
     def test_damage_within_a_segment_is_told_apart_from_a_torn_end(self):
+        """A bad record that a later one vouches for is lost; a bad last one is no loss."""
         disk = FaultyDisk(SeededRandom(4))
         log = WriteAheadLog(disk)
         for number in range(3):
@@ -120,6 +124,7 @@
             self.assertEqual(recovered.get("b"), 2 if data_lost else 1)
 
     def test_a_record_damaged_while_the_store_is_open_is_not_served(self):
+        """Each reading checks the record again."""
         disk = FaultyDisk(SeededRandom(4))
         log = WriteAheadLog(disk)
         log.commit([[("a", "x" * 50)], [("b", 2)]])
--- a/tests/store/test_power_cuts.py
+++ b/tests/store/test_power_cuts.py
@@ -22,6 +22,7 @@
     """What was acknowledged outlasts every power cut, and nothing else is held."""
 
     def test_a_cut_at_every_operation_leaves_what_was_acknowledged(self):
+        """Cut once in each operation of a run, by four seeds."""
         operation_count = CrashScenario(seed=1).run().operation_count
         self.assertGreater(operation_count, 100)
         for cut_at in range(operation_count):
@@ -29,11 +30,13 @@
                 self.assertIsNone(CrashScenario(seed, cut_at).run().problem)
 
     def test_a_cut_during_the_recovery_from_a_cut(self):
+        """Cut, and cut again in each of the first operations of the restart."""
         for cut_at in range(0, 120, 3):
             for restart_cut_at in range(6):
                 self.assertIsNone(CrashScenario(cut_at, cut_at, restart_cut_at).run().problem)
 
     def test_a_process_that_ends_before_the_power_is_cut(self):
+        """End the process, then cut the power with bytes read that were not synced."""
         for cut_at in range(0, 120, 2):
             scenario = CrashScenario(cut_at, cut_at, process_only=True)
             self.assertIsNone(scenario.run().problem)
@@ -41,6 +44,7 @@
             self.assertIsNone(scenario.run().problem)
 
     def test_disk_errors_stop_a_commit_and_lose_nothing_that_was_acknowledged(self):
+        """Fail operations with ENOSPC and EIO, without and with a power cut."""
         for seed in range(60):
             random = SeededRandom(seed)
             errors = {
@@ -67,6 +71,7 @@
             self.assertTrue(self.is_caught(), name)
 
     def test_every_mutant_is_caught(self):
+        """Without a mutant nothing is found wrong; with each one something is."""
         self.assertFalse(self.is_caught())
         self.assert_caught(FaultyDisk, "sync", sync_bases_only)
         self.assert_caught(FaultyDisk, "sync", sync_segments_only)
--- a/tests/store/test_store_folder.py
+++ b/tests/store/test_store_folder.py
@@ -40,6 +40,7 @@
         return folder
 
     def test_commits_outlast_a_process_that_is_killed_during_them(self):
+        """Kill a process while it commits, and read what it printed as committed."""
         with subprocess.Popen(
             [sys.executable, "-c", COMMITTING_PROGRAM, str(self.path)],
             stdout=subprocess.PIPE,
@@ -56,6 +57,7 @@
         self.assertEqual(log.get("twice"), 2 * log.get("number"))
 
     def test_a_full_disk_is_reported_while_the_store_can_be_read(self):
+        """Writing stops with the disk's reason and goes on once there is space."""
         folder = StoreFolder(self.path)
         log = WriteAheadLog(folder)
         log.commit([[("a", 1)]])
--- a/tests/store/test_write_ahead_log.py
+++ b/tests/store/test_write_ahead_log.py
@@ -15,6 +15,7 @@
     """Records of newer programs, records that are too long, and a long history."""
 
     def test_a_store_of_a_newer_program_is_read_and_never_written_to(self):
+        """An unknown body form forbids writing, and not reading."""
         disk = FaultyDisk(SeededRandom(4))
         log = WriteAheadLog(disk)
         log.commit([[("a", 1)]])
@@ -30,6 +31,7 @@
             reopened.commit([[("a", 2)]])
 
     def test_what_is_too_long_is_rejected_and_nothing_is_written(self):
+        """A key or record that is not allowed rejects the whole commit."""
         disk = FaultyDisk(SeededRandom(4))
         log = WriteAheadLog(disk)
         operation_count = disk.operation_count
@@ -43,6 +45,7 @@
         self.assertEqual((disk.operation_count, log.keys()), (operation_count, []))
 
     def test_what_a_start_reads_is_bounded_however_long_the_history(self):
+        """Ten times the commits leave less than twice the bytes."""
         sizes = []
         for commits in (300, 3000):
             disk = FaultyDisk(SeededRandom(6))
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -41,6 +41,7 @@
         return WriteAheadLog(self.disk.after_power_cut()).read_all()
 
     def test_all_changes_that_wait_for_one_sync_share_the_next(self):
+        """200 changes take three syncs at most, and a closed writer rejects more."""
         self.disk.syncs_allowed.clear()
         futures = [self.writer.put([(f"k{number}", number)]) for number in range(200)]
         sync_count = self.disk.sync_count
@@ -54,6 +55,7 @@
             self.writer.put([("a", 1)]).result(1)
 
     def test_a_change_that_can_not_be_written_does_not_affect_the_others(self):
+        """A key that is too long fails its own future alone."""
         self.disk.syncs_allowed.clear()
         futures = [self.writer.put([("a" * length, 1)]) for length in (3, 4, 600, 5)]
         self.disk.syncs_allowed.set()
@@ -64,6 +66,7 @@
         self.writer.close()
 
     def test_a_full_disk_rejects_changes_and_writing_resumes_with_nothing_half_done(self):
+        """Both events are logged, and the failed change is not there."""
         next_operation = self.disk.operation_count
         self.disk.errors = {
             number: errno.ENOSPC for number in range(next_operation, next_operation + 6)
@@ -77,6 +80,7 @@
         self.assertEqual(self.durable_values(), {"a": 2})
 
     def test_a_failed_compaction_is_given_up_and_writing_goes_on(self):
+        """It is logged once, and the values are there after a power cut."""
         with (
             unittest.mock.patch.object(WriteAheadLog, "compact", side_effect=IndexError),
             unittest.mock.patch.object(
@@ -90,6 +94,7 @@
         self.assertEqual(self.durable_values(), {"a": 2})
 
     def test_the_number_of_waiting_changes_is_bounded(self):
+        """Further changes are rejected at once."""
         self.disk.syncs_allowed.clear()
         futures = [self.writer.put([("a", number)]) for number in range(5000)]
         rejected = [future for future in futures if future.done()]
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,4 +1,4 @@
-"""What KNOWN-RED.txt does to a run: a listed test runs, its failure is let pass, and its passing is not."""
+"""What KNOWN-RED.txt does to a run: a listed test runs, may fail, and must not pass."""
 
 import io
 import unittest
@@ -8,41 +8,49 @@
 
 
 class Sample(unittest.TestCase):
-    """Run by those below alone: none is named as a test."""
+    """Run by the tests below alone: no method here is named as a test."""
 
     def fails(self):
+        """Fail."""
         self.fail("as meant")
 
     def errs(self):
+        """Raise an error that is no failure."""
         raise OSError("as meant")
 
     def passes(self):
-        pass
+        """Do nothing."""
 
 
-class Listed(unittest.TestCase):
-    def played(self, name, listed):
-        test = Sample(name)
-        with unittest.mock.patch.dict(run.RED, {test.id(): "why"} if listed else {}, clear=True):
-            return unittest.TextTestRunner(io.StringIO(), resultclass=run.Result).run(
-                unittest.TestSuite([test])
-            )
+class KnownRedResultTest(unittest.TestCase):
+    """The result of a run of one sample, listed or not."""
+
+    def run_sample(self, name: str, *, listed: bool) -> unittest.TestResult:
+        """Run one method of `Sample`."""
+        sample = Sample(name)
+        known_red = {sample.id(): "why"} if listed else {}
+        runner = unittest.TextTestRunner(io.StringIO(), resultclass=run.KnownRedResult)
+        with unittest.mock.patch.dict(run.KNOWN_RED, known_red, clear=True):
+            return runner.run(unittest.TestSuite([sample]))
 
     def test_a_listed_test_that_fails_or_errs_lets_the_run_pass(self):
+        """A failure or an error of a listed test is expected, and counted."""
         for name in ("fails", "errs"):
-            result = self.played(name, listed=True)
+            result = self.run_sample(name, listed=True)
             self.assertEqual(
                 (result.testsRun, len(result.expectedFailures), result.wasSuccessful()),
                 (1, 1, True),
             )
 
     def test_a_listed_test_that_passes_fails_the_run(self):
-        self.assertFalse(self.played("passes", listed=True).wasSuccessful())
+        """A list that names a mended test is out of date."""
+        self.assertFalse(self.run_sample("passes", listed=True).wasSuccessful())
 
-    def test_a_test_that_is_not_listed_counts_as_ever(self):
-        self.assertTrue(self.played("passes", listed=False).wasSuccessful())
+    def test_a_test_that_is_not_listed_counts_as_usual(self):
+        """The list changes nothing for the other tests."""
+        self.assertTrue(self.run_sample("passes", listed=False).wasSuccessful())
         for name in ("fails", "errs"):
-            self.assertFalse(self.played(name, listed=False).wasSuccessful())
+            self.assertFalse(self.run_sample(name, listed=False).wasSuccessful())
 
 
 if __name__ == "__main__":
