--- a/benchmarks/codec.py
+++ b/benchmarks/codec.py
@@ -1,4 +1,7 @@
-"""How fast the SASP codec reads and writes: python benchmarks/codec.py"""
+"""How fast the SASP codec reads and writes.
+
+python benchmarks/codec.py
+"""
 
 import json
 import os
--- a/indigodeck/edge/assigner_host.py
+++ b/indigodeck/edge/assigner_host.py
@@ -81,7 +81,7 @@
         """Write an event to the log."""
 
     def trace(self, event: str, details: Sequence[Any]) -> None:
-        """Take what the assigner is told or orders, to compare with what passes on the sockets."""
+        """Take an event or the orders of the assigner, to compare with what passes on sockets."""
 
 
 class EdgeAssignerHost:
@@ -100,7 +100,7 @@
     ) -> None:
         self._environment = environment
         self._outbox = outbox
-        self._class_names = tuple(found.name for found in settings.classes)
+        self._class_names = tuple(stated.name for stated in settings.classes)
         self._next_index = 0
         self._orders: list[Order] = []
         self.index_of: dict[str, int] = {}
--- a/indigodeck/edge/bootstrap.py
+++ b/indigodeck/edge/bootstrap.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bootstrap:
-    """What a planner is told of its place.
+    """What a planner must know to start: addresses, limits and settings.
 
     `cached_list` is the last known endpoint list; `descriptors` is how many the planner may hold.
     """
--- a/indigodeck/edge/codec.py
+++ b/indigodeck/edge/codec.py
@@ -60,11 +60,11 @@
         self._machine_types = {
             name: index for index, name in enumerate(settings.machine_type_names)
         }
-        self._classes = {found.name: index for index, found in enumerate(settings.classes)}
+        self._classes = {stated.name: index for index, stated in enumerate(settings.classes)}
         self._last_proxy = (settings.proxy_count or MAX_PROXY_COUNT) - 1
         # No client waits longer than its deadline, so no mean of good answers is above it;
         # reports blur their times, hence twice that.
-        self._max_mean_ms = 2 * max(found.deadline for found in settings.classes) / 1000
+        self._max_mean_ms = 2 * max(stated.deadline for stated in settings.classes) / 1000
 
     def read_introduction(self, given: Mapping[str, Any]) -> int:
         """Return the zone that a collector introduces itself with."""
--- a/indigodeck/edge/discovery.py
+++ b/indigodeck/edge/discovery.py
@@ -129,8 +129,8 @@
         """Whether to ask for a list again before it is believed.
 
         An older list may come from a replica that lags, and an empty one from one that has only
-        begun: to believe either would bring back what drains, or take every server away. One that
-        says so again and again has begun anew.
+        started: to believe either would bring back what drains, or take every server away. One
+        that says so again and again has restarted.
         """
         is_older = self._last_version is not None and found.version < self._last_version
         has_lost_all = found.complete and self._has_servers and found.is_empty
--- a/indigodeck/edge/listener.py
+++ b/indigodeck/edge/listener.py
@@ -18,14 +18,13 @@
 from ..errors import MalformedMessageError
 from .assigner_host import EdgeAssignerHost
 from .codec import MessageCodec
+from .collector_protocol import ALIVE, ClientMessage, error_line
 from .connecting import CONNECTION_ERRORS, MAX_LINE_BYTES, read_line, with_deadline
-from .json_fields import pack, read_object
+from .json_fields import read_object
 from .messages import Address
 
-ALIVE = b'{"type":"alive"}\n'  # the answer to the platform's health check
 INTRODUCTION_TIMEOUT = 12 * SECOND // 10  # and after each health check
 MAX_INTRODUCTION_BYTES = 4096
-MAX_ERROR_CHARACTERS = 100
 # A collector that says nothing has vanished, or has nothing to say: it may come back.
 MAX_COLLECTOR_SILENCE = 30 * SECOND
 MAX_COLLECTORS = 8  # of one zone; the longest silent is disconnected for another
@@ -71,8 +70,7 @@
 
     def _write_error(self, reason: str) -> None:
         if self.zone is None and not self.stream.closed():
-            message = {"type": "error", "text": reason[:MAX_ERROR_CHARACTERS]}
-            self.stream.write(pack(message) + b"\n")
+            self.stream.write(error_line(reason))
 
     def _take_line(self, data: bytes) -> None:
         given = read_object(data)  # what can't be read ends the connection, a collector's too
@@ -80,14 +78,14 @@
         if self.zone is not None:
             self.last_heard = self._listener.now()
             self._listener.on_report(message_type, given)
-        elif message_type == "probe":
+        elif message_type == ClientMessage.HEALTH_CHECK:
             self.stream.write(ALIVE)
             self.last_heard = self._listener.now()
-        elif message_type == "agent":
+        elif message_type == ClientMessage.INTRODUCTION:
             self.zone = self._listener.codec.read_introduction(given)
             self._listener.on_introduced(self, self.zone)
         else:
-            raise MalformedMessageError("nothing that a planner is told before an introduction")
+            raise MalformedMessageError("not allowed before an introduction")
 
 
 class CollectorListener(TCPServer):
@@ -148,9 +146,9 @@
     def on_report(self, message_type: Any, given: Mapping[str, Any]) -> None:
         """Take a collector's report; one that can't be used is ignored alone."""
         try:
-            if message_type == "outcomes":
+            if message_type == ClientMessage.OUTCOME_REPORT:
                 self._host.on_outcome_report(self.codec.read_outcomes(given))
-            elif message_type == "demand":
+            elif message_type == ClientMessage.DEMAND_REPORT:
                 self._host.on_demand_report(self.codec.read_demand(given))
             else:
                 raise MalformedMessageError("no report")
--- a/indigodeck/edge/membership.py
+++ b/indigodeck/edge/membership.py
@@ -1,9 +1,10 @@
 """Which proxies are joined, from events that come over more than one connection. Free of I/O.
 
-Each connection tells the same story, from what stands at its beginning, and may break, lag or be
-cut in the middle. Each joining of a proxy has a number; a connection's view says which joining it
-speaks of. So what two connections tell is taken once, and as long as one of them goes on, no proxy
-has to be taken for newly joined when another begins anew. Times are whole microseconds.
+Each connection reports the same events, beginning with the proxies that are joined when it opens,
+and may break, lag or be cut in the middle. Each joining of a proxy has a number; a connection's
+view says which joining it reports. So what two connections report is taken once, and as long as one
+of them lasts, no proxy has to be taken for newly joined when another opens again. Times are whole
+microseconds.
 """
 
 from collections.abc import Callable, Hashable, Set
@@ -12,7 +13,7 @@
 
 from .messages import ProxyJoined
 
-# A connection that was heard within this time goes on: heartbeats come every second.
+# A connection with an event within this time is live: heartbeats come every second.
 MAX_HEARTBEAT_AGE = 1_500_000
 
 
@@ -28,12 +29,12 @@
 
 @dataclass(slots=True)
 class View:
-    """What one connection has told.
+    """What one connection has reported.
 
-    It is complete once all that stood at its beginning has been told.
+    It is complete once all proxies that were joined when it opened have been reported.
     """
 
-    last_heard: int
+    last_event: int
     complete: bool = False
     joined: dict[int, ProxyJoined] = field(default_factory=dict)
     joining_numbers: dict[int, int] = field(default_factory=dict)
@@ -50,13 +51,13 @@
         self.views: dict[Hashable, View] = {}
 
     def on_connected(self, connection: Hashable) -> None:
-        """Take the beginning of a connection."""
+        """Take the opening of a connection."""
         self.views[connection] = View(self._now())
 
     def on_heartbeat(self, connection: Hashable) -> None:
-        """Take a heartbeat. With the first, all that stood at the beginning has been told."""
+        """Take a heartbeat; the first one completes the view."""
         view = self.views[connection]
-        view.last_heard = self._now()
+        view.last_event = self._now()
         if view.complete:
             return
         view.complete = True
@@ -65,21 +66,21 @@
             self._leave(self._joined - view.joined.keys())
 
     def is_complete(self, connection: Hashable) -> bool:
-        """Whether a connection has told all that stood at its beginning."""
+        """Whether a connection has reported all proxies that were joined when it opened."""
         return connection in self.views and self.views[connection].complete
 
     def on_proxy_joined(self, connection: Hashable, joined: ProxyJoined) -> None:
-        """Take a joining that a connection tells of."""
+        """Take a joining that a connection reports."""
         view = self.views[connection]
-        view.last_heard = self._now()
+        view.last_event = self._now()
         proxy = joined.proxy
         known_number = self._joining_numbers.get(proxy, 0)
         if view.complete or proxy in view.joined:
             number = view.joining_numbers.get(proxy, 0) + 1
         elif self._is_joined_elsewhere(connection, proxy):
-            number = known_number  # it stands at the beginning: the joining that others speak of
+            number = known_number  # the joining that another connection has reported
         else:
-            number = known_number + 1  # it stands at the beginning, and was missed
+            number = known_number + 1  # a joining that was missed
         view.joining_numbers[proxy] = number
         view.joined[proxy] = joined
         if number > known_number:
@@ -87,9 +88,9 @@
             self._join(joined)
 
     def on_proxy_left(self, connection: Hashable, proxy: int) -> None:
-        """Take a departure that a connection tells of."""
+        """Take a departure that a connection reports."""
         view = self.views[connection]
-        view.last_heard = self._now()
+        view.last_event = self._now()
         if view.joined.pop(proxy, None) is None:
             return
         if view.joining_numbers.get(proxy) == self._joining_numbers.get(proxy):
@@ -98,8 +99,8 @@
     def on_disconnected(self, connection: Hashable) -> None:
         """Take the end of a connection.
 
-        Where it was ahead of the others, these put it right; without any, what it told stands
-        until the next one begins.
+        The others decide what they know better; without any, what it reported stands until the
+        next one opens.
         """
         self.views.pop(connection, None)
         complete = [view for view in self.views.values() if view.complete]
@@ -121,7 +122,7 @@
         return [
             view
             for other, view in self.views.items()
-            if other is not connection and self._now() - view.last_heard < MAX_HEARTBEAT_AGE
+            if other is not connection and self._now() - view.last_event < MAX_HEARTBEAT_AGE
         ]
 
     def _join(self, joined: ProxyJoined) -> None:
--- a/indigodeck/edge/outbox.py
+++ b/indigodeck/edge/outbox.py
@@ -130,8 +130,8 @@
         self._backoff = MIN_BACKOFF
         self._max_call_bytes = MAX_CALL_BYTES
         if accepted < len(sent_orders):
-            refused = sent_orders[accepted]
-            self._log("order_rejected", order=refused.order or refused.key)
+            rejected = sent_orders[accepted]
+            self._log("order_rejected", order=rejected.order or rejected.key)
             self._return_to_front(sent_orders[accepted + 1 :])
         self._pending_since = self._now() if self._pending else None
 
--- a/indigodeck/edge/relay_client.py
+++ b/indigodeck/edge/relay_client.py
@@ -55,7 +55,7 @@
 
     async def run(self) -> None:
         """Send calls for good."""
-        self._outbox.on_call_lost()  # begun anew after a fault: a call's fate may be unknown
+        self._outbox.on_call_lost()  # after a restart of this loop a call's fate may be unknown
         while True:
             delay = self._outbox.time_until_call()
             if delay is None:
@@ -148,7 +148,7 @@
                 await self._backoff.wait()
 
     def end(self) -> None:
-        """Close the connection: its successors tell all that it told."""
+        """Close the connection: its successors report all that it would."""
         self.retired = True
         self._ended = True
         self._close()
--- a/indigodeck/edge/relay_protocol.py
+++ b/indigodeck/edge/relay_protocol.py
@@ -15,7 +15,7 @@
 
 
 class EventKind(StrEnum):
-    """What a subscription tells of; the values are the protocol's methods."""
+    """The events of a subscription; the values are the protocol's methods."""
 
     HEARTBEAT = "ping"
     PROXY_JOINED = "hello"
--- a/indigodeck/edge/service.py
+++ b/indigodeck/edge/service.py
@@ -1,4 +1,4 @@
-"""Puts a planner on the platform together, and runs it until it is told to end."""
+"""Puts a planner on the platform together, and runs it until it is stopped."""
 
 import asyncio
 import json
@@ -29,10 +29,10 @@
 from .peers import PeerSocket
 from .relay_client import RelayClient
 
-# For orders that wait when the program is told to end, in microseconds; a planner that does not
+# For orders that wait when the program is stopped, in microseconds; a planner that does not
 # end is killed after 0.7 s.
 SHUTDOWN_TIMEOUT = SECOND // 2
-TRACE_VARIABLE = "INDIGODECK_TRACE"  # set: all that the assigner is told and orders is written out
+TRACE_VARIABLE = "INDIGODECK_TRACE"  # set: each event and order of the assigner is written out
 EXIT_UNUSABLE_CONFIGURATION = 2
 
 
@@ -103,10 +103,11 @@
         self._logger.info(format_event(event, facts))
 
     def trace(self, event: str, details: Sequence[Any]) -> None:
-        """Write what the assigner is told or orders as a JSON line, if that is asked for."""
+        """Write an event or the orders of the assigner as a JSON line, if that is asked for."""
         if self._is_traced:
-            stated = [order_fields(order) for order in details] if event == "orders" else details
-            print(json.dumps([self.now(), event, stated], default=repr), file=sys.stderr)
+            is_orders = event == "orders"
+            fields = [order_fields(order) for order in details] if is_orders else details
+            print(json.dumps([self.now(), event, fields], default=repr), file=sys.stderr)
 
     # From the start to the end.
 
@@ -156,11 +157,11 @@
             self.log("orders_left_unsent")
 
     def _open_peer_socket(self, bootstrap: Bootstrap) -> PeerSocket | None:
-        stated = bootstrap.peers
-        if stated is None:
+        peers = bootstrap.peers
+        if peers is None:
             return None
         return PeerSocket(
-            stated.listen, stated.peers, stated.broadcast, self._host.on_peer_message, self.log
+            peers.listen, peers.peers, peers.broadcast, self._host.on_peer_message, self.log
         )
 
 
@@ -170,20 +171,20 @@
     `reload_at_once`: a new configuration was announced before anything could read it.
     """
     loop = asyncio.get_running_loop()
-    told_to_end = asyncio.Event()
+    stop_requested = asyncio.Event()
     service = EdgeService(bootstrap)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told_to_end.set)
+        loop.add_signal_handler(number, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, service.reload)
     service.start()
     if reload_at_once:
         service.reload()
-    await told_to_end.wait()
+    await stop_requested.wait()
     await service.stop()
 
 
 def main() -> int:
-    """Return the exit code: 0 told to end, 2 the configuration can't be used."""
+    """Return the exit code: 0 stopped by a signal, 2 the configuration can't be used."""
     early_signals: list[int] = []
     # The default action would end the program.
     signal.signal(signal.SIGHUP, lambda number, _frame: early_signals.append(number))
--- a/tests/edge/test_listener.py
+++ b/tests/edge/test_listener.py
@@ -8,7 +8,7 @@
 
 from edge.stand_ins import CODEC, DEMAND, OUTCOMES, PROXY_JOINED, RecordingHost
 from indigodeck.clock import now
-from indigodeck.edge import connecting, listener
+from indigodeck.edge import collector_protocol, connecting, listener
 from indigodeck.edge.json_fields import pack
 
 
@@ -81,7 +81,7 @@
         self.assertLessEqual(len(opened.strangers), opened.max_strangers)
         asker = await connecting.connect(address, SECOND)
         await asker.write(b'{"type":"probe"}\n')
-        self.assertEqual(await connecting.read_line(asker, 5 * SECOND), listener.ALIVE)
+        self.assertEqual(await connecting.read_line(asker, 5 * SECOND), collector_protocol.ALIVE)
         collector = await connecting.connect(address, SECOND)
         await collector.write(b'{"type":"agent","zone":"b"}\n' + pack(DEMAND) + b"\n")
         await until(lambda: host.reports)
--- a/tests/edge/test_program.py
+++ b/tests/edge/test_program.py
@@ -27,7 +27,7 @@
     list_answer,
     list_entry,
 )
-from indigodeck.edge import connecting, listener
+from indigodeck.edge import collector_protocol, connecting
 from indigodeck.edge.json_fields import pack
 
 
@@ -113,7 +113,9 @@
                 await until(lambda: relays[0].state.assignments, 20)
                 stream = await connecting.connect(("127.0.0.1", port), SECOND)
                 await stream.write(b'{"type":"probe"}\n')
-                self.assertEqual(await connecting.read_line(stream, 5 * SECOND), listener.ALIVE)
+                self.assertEqual(
+                    await connecting.read_line(stream, 5 * SECOND), collector_protocol.ALIVE
+                )
                 await until(lambda: "5" in lists[0][0].asked, 20)
                 path.write_text("{ cut")
                 program.send_signal(signal.SIGHUP)
