--- a/indigodeck/store/framing.py
+++ b/indigodeck/store/framing.py
@@ -41,6 +41,10 @@
     COMPRESSED = 2
 
 
+_PLAIN_PREFIX = bytes([BodyForm.PLAIN])
+_COMPRESSED_PREFIX = bytes([BodyForm.COMPRESSED])
+
+
 class UnreadableRecordError(IndigodeckError):
     """A complete frame whose body this program does not understand: a newer program wrote it."""
 
@@ -83,8 +87,8 @@
     if len(data) >= MIN_COMPRESSED_BYTES:
         compressed = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(data)
         if len(compressed) < len(data) * MAX_COMPRESSED_SHARE:
-            return bytes([BodyForm.COMPRESSED]) + compressed
-    return bytes([BodyForm.PLAIN]) + data
+            return _COMPRESSED_PREFIX + compressed
+    return _PLAIN_PREFIX + data
 
 
 def unpack_value(body: bytes) -> Any:
--- a/indigodeck/store/write_ahead_log.py
+++ b/indigodeck/store/write_ahead_log.py
@@ -145,14 +145,16 @@
 
     def _acknowledge(self, records: list["_EncodedRecord"]) -> None:
         """Take into account the records that were written and synced."""
+        start = self._segment_size
         for record in records:
-            start = self._segment_size
             end = start + len(record.data)
             self.index.apply(self._segment_name, start, end, record.sequence, record.changes)
-            self._segment_size = end
             self._sequence = record.sequence
-            self.written_bytes += len(record.data)
-            self._bytes_since_base += len(record.data)
+            start = end
+        appended_bytes = start - self._segment_size
+        self._segment_size = start
+        self.written_bytes += appended_bytes
+        self._bytes_since_base += appended_bytes
         self._synced_sequence = self._sequence
 
     def _begin_segment(self) -> None:
