--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -104,10 +104,12 @@
 
 
 class StoredFolder(unittest.TestCase):
+    """A copy of the store's folder that a test may change."""
+
     def setUp(self):
-        self.place = tempfile.TemporaryDirectory()
-        self.addCleanup(self.place.cleanup)
-        self.folder = pathlib.Path(self.place.name) / "store"
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        self.folder = pathlib.Path(temporary.name) / "store"
         shutil.copytree(DATA / "store", self.folder)
 
     def opened(self):
@@ -119,8 +121,10 @@
         return VersionLog(shelf, shelf.keys())
 
 
-class Store(StoredFolder):
-    def test_the_folder_is_compacted_with_logs_after_its_base(self):
+class StoreTest(StoredFolder):
+    """The files of the store: bases, segments and records."""
+
+    def test_the_folder_is_compacted_with_segments_after_its_base(self):
         self.assertEqual(
             sorted(entry.name for entry in self.folder.iterdir()),
             [
@@ -133,7 +137,7 @@
             ],
         )
 
-    def test_every_record_is_read_back_and_nothing_is_found_wrong(self):
+    def test_every_record_is_read_back_and_no_damage_is_found(self):
         shelf = self.opened()
         self.assertEqual(
             (shelf.notes, shelf.store.log.damage, shelf.store.log.data_lost), ([], [], False)
@@ -150,7 +154,7 @@
             shelf.held["relays"], {"relay-0": [33, 2], "relay-1": [33, 2], "relay-2": [33, 2]}
         )
 
-    def test_a_damaged_base_is_made_up_for_by_the_base_and_the_logs_before(self):
+    def test_a_damaged_base_is_replaced_by_the_base_and_the_segments_before(self):
         base = self.folder / "00000003.base"
         data = bytearray(base.read_bytes())
         data[len(data) // 2] ^= 1
@@ -159,7 +163,7 @@
         self.assertEqual([event for event, _ in shelf.notes], ["store_tail_truncated"])
         self.assertEqual(shelf.held, STORED["records"])
 
-    def test_the_last_log_holds_what_came_after_the_base(self):
+    def test_the_last_segment_holds_what_came_after_the_base(self):
         (self.folder / "00000005.log").unlink()
         held = self.opened().held
         self.assertEqual(held["starts"], 3)
@@ -171,7 +175,7 @@
         )
         self.assertNotIn("key to drop", held)
 
-    def test_it_is_written_to_and_compacted_again(self):
+    def test_the_store_is_written_to_and_compacted_again(self):
         shelf = self.opened()
         shelf.keep([("starts", 5), ("relays", None)])
         self.assertTrue(shelf.store.query(lambda log: log.compact(1 << 20)).result())
