--- a/indigodeck/assignment/endpoints.py
+++ b/indigodeck/assignment/endpoints.py
@@ -30,32 +30,28 @@
             for index in sorted(self.state.servers.keys() - listed):
                 self._remove(index)
         for server in servers:
-            if server.state in (ServerState.READY, ServerState.DRAINING):
-                self._add(server, kind)
-            else:
+            if server.state not in (ServerState.READY, ServerState.DRAINING):
                 self._remove(server.index)
-
-    def _add(self, server: Server, kind: UpdateKind) -> None:
-        if not 0 < server.weight < LARGEST_WEIGHT:
-            server = server._replace(weight=1.0)
-        self.state.servers[server.index] = server
-        old = self.state.health.get(server.index)
-        if old is None or old.started != server.started:
-            self._start_health(server, kind, old)
-        self.state.health[server.index].suspect = False
-
-    def _start_health(self, server: Server, kind: UpdateKind, old: ServerHealth | None) -> None:
-        # A new process: what was held against the old one says nothing of it.
-        judged_from: float = 0
-        if kind != UpdateKind.CACHED:
-            judged_from = self.state.host.now() + self.state.feedback_delay()
-        health = ServerHealth(server.started, judged_from)
-        self.state.health[server.index] = health
-        if old is None or old.started <= 0:
-            return
+                continue
+            if not 0 < server.weight < LARGEST_WEIGHT:
+                server = server._replace(weight=1.0)
+            self.state.servers[server.index] = server
+            health = self.state.health.get(server.index)
+            if health is None or health.started != server.started:
+                # A new process: what was held against the old one says nothing of it.
+                earlier = health
+                health = ServerHealth(server.started)
+                self.state.health[server.index] = health
+                if kind != UpdateKind.CACHED:
+                    health.judged_from = self.state.host.now() + self.state.feedback_delay()
+                if earlier is not None:
+                    self._note_restart(server, health, earlier)
+            health.suspect = False
+
+    def _note_restart(self, server: Server, health: ServerHealth, earlier: ServerHealth) -> None:
         window = RESTART_WINDOW * self.state.settings.warm_up_time
-        if old.started > server.started - window:
-            self.outliers.eject_restarted(server.index, health, old.restarts)
+        if earlier.started > 0 and earlier.started > server.started - window:
+            self.outliers.eject_restarted(server.index, health, earlier.restarts)
 
     def _remove(self, index: int) -> None:
         """Remove a server at once, unless the list may be wrong: then it stays while it answers."""
--- a/indigodeck/assignment/server_health.py
+++ b/indigodeck/assignment/server_health.py
@@ -2,6 +2,7 @@
 
 from collections import defaultdict, deque
 from dataclasses import dataclass, field
+from functools import partial
 from typing import NamedTuple
 
 from ..clock import SECOND
@@ -21,8 +22,8 @@
     span: int
 
 
-def _empty_reports() -> defaultdict[int, deque[ReceivedReport]]:
-    return defaultdict(lambda: deque(maxlen=REPORTS_KEPT))
+ReportsByZone = defaultdict[int, deque[ReceivedReport]]
+_empty_reports: partial[ReportsByZone] = partial(defaultdict, partial(deque, maxlen=REPORTS_KEPT))
 
 
 @dataclass(slots=True)
@@ -60,7 +61,7 @@
     judged_from: float = 0
     ejection_time: int = EJECTION_TIME
     restarts: int = 0
-    reports: defaultdict[int, deque[ReceivedReport]] = field(default_factory=_empty_reports)
+    reports: ReportsByZone = field(default_factory=_empty_reports)
     consecutive_failures: int = 0
     next_check_at: int = 0
     unejected_at: int = 0
