--- a/benchmarks/amid.py
+++ b/benchmarks/amid.py
@@ -15,9 +15,10 @@
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.testbed.controllers import Fleet  # noqa: E402
+from indigodeck.testbed.controller_fleet import ControllerFleet  # noqa: E402
 from indigodeck.testbed.fleet_scenario import FleetScenarioRunner  # noqa: E402
-from indigodeck.testbed.scenario import printed  # noqa: E402
+from indigodeck.testbed.recording_proxy import StreamEventType  # noqa: E402
+from indigodeck.testbed.scenario_result import printed  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 TICK = os.sysconf("SC_CLK_TCK")
@@ -44,22 +45,28 @@
         result = await play.play()
         result["laid"] = [
             {
-                "at_s": round(play.audited.moment(at), 2),
+                "at_s": round(play.evidence.seconds_since_start(at), 2),
                 "relays": many,
                 "messages": messages,
                 "lines": lines,
             }
-            for at, _, many, messages, lines in play.laid(play.audited.seen)
+            for at, _, many, messages, lines in play.first_tables(play.evidence.stream_events)
         ]
         result["first_s"] = round(
-            min(seen.at for seen in play.audited.seen if seen.what == "message") / 1e6, 2
+            min(
+                event.at
+                for event in play.evidence.stream_events
+                if event.type == StreamEventType.MESSAGE
+            )
+            / 1e6,
+            2,
         )
     return result
 
 
 async def at_rest(many):
     with tempfile.TemporaryDirectory() as folder:
-        fleet = Fleet(
+        fleet = ControllerFleet(
             folder,
             json.loads((ROOT / "examples/charter.json").read_text()),
             members=many,
@@ -82,9 +89,9 @@
             ]
 
         try:
-            for name in fleet.members:
+            for name in fleet.member_ports:
                 await fleet.start(name)
-            while not fleet.holder():
+            while not fleet.leader():
                 await asyncio.sleep(0.2)
             await asyncio.sleep(5)
             before = spent()
@@ -104,7 +111,7 @@
                 for process in fleet.processes.values()
             ]
         finally:
-            await fleet.end()
+            await fleet.stop()
     return {
         "controllers": many,
         "lease_s": 3,
--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -15,6 +15,7 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
 from indigodeck.frontends.sasp import codec  # noqa: E402
+from indigodeck.testbed.recording_proxy import StreamEventType  # noqa: E402
 from indigodeck.testbed.scenario import ScenarioRunner  # noqa: E402
 
 
@@ -51,9 +52,9 @@
         ]
         results = await asyncio.gather(*(play.play() for play in plays))
     changes = Changes()
-    for seen in plays[0].tap.seen:
-        if seen.what == "message":
-            codec.dispatch(seen.data, changes)
+    for event in plays[0].proxy.events:
+        if event.type == StreamEventType.MESSAGE:
+            codec.dispatch(event.data, changes)
     ours = results[0]["service"]["whole"]
     kept = {
         "what": "the scripted bad day",
@@ -73,7 +74,7 @@
             for result in results
         },
         "bytes": {
-            "all": plays[0].tap.bytes_sent,
+            "all": plays[0].proxy.bytes_sent,
             "entries": changes.all,
             "changed_entries": changes.changed,
             "entries_over_changed": round(changes.all / changes.changed, 2),
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -14,7 +14,8 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.testbed.scenario import ScenarioRunner, printed  # noqa: E402
+from indigodeck.testbed.scenario import ScenarioRunner  # noqa: E402
+from indigodeck.testbed.scenario_result import printed  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -43,7 +43,7 @@
         play, samples = ScenarioRunner(script, folder), []
 
         async def sample():
-            while play.planner is None or len(play.relay_of) < relays:
+            while play.planner is None or len(play.relay_process_of) < relays:
                 await asyncio.sleep(0.5)
             await asyncio.sleep(4)
             while play.planner.returncode is None:
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -21,8 +21,8 @@
 from indigodeck.clock import now  # noqa: E402
 from indigodeck.planner.planner_settings import PlannerSettings  # noqa: E402
 from indigodeck.serve import assemble  # noqa: E402
-from indigodeck.testbed.discovery_server import ListFile  # noqa: E402
-from indigodeck.testbed.scenario import Crew  # noqa: E402
+from indigodeck.testbed.discovery_server import EndpointListFile  # noqa: E402
+from indigodeck.testbed.worker_process import WorkerProcess  # noqa: E402
 
 HOSTS, DRAINS = 105, 40
 
@@ -56,9 +56,9 @@
         for nth in range(HOSTS)
     ]
     with tempfile.TemporaryDirectory() as folder:
-        listed = ListFile(folder)
+        listed = EndpointListFile(folder)
         document["roster"] = {"file": "roster.json", "look_every_ms": 20}
-        listed.keep(hosts)
+        listed.write(hosts)
         service = assemble(PlannerSettings(document, folder))
         ordered, withdraw = {}, service.desk.withdraw
 
@@ -74,11 +74,14 @@
             applied(proxy, number, took)
 
         service.desk.assigner.on_ack = heard
-        crews = [await Crew.start("standin", "relay", "--outcomes", os.devnull) for _ in range(4)]
+        crews = [
+            await WorkerProcess.start("standin", "relay", "--outcomes", os.devnull)
+            for _ in range(4)
+        ]
         classes = [dict(kind, share=0.5, work_ms=200) for kind in document["classes"]]
         for nth in range(many):
             uid = f"{document['halls'][nth % 3]}/relay-{nth}"
-            await crews[nth % 4].do(
+            await crews[nth % 4].execute(
                 do="start",
                 until=0,
                 relay={
@@ -95,18 +98,18 @@
             await asyncio.sleep(0.1)
         await asyncio.sleep(2)
         for crew in crews:
-            await crew.do(do="changes")
+            await crew.execute(do="changes")
         acknowledged.clear()
         cpu = time.process_time()
         for nth in range(DRAINS):
             hosts[nth]["state"] = "draining"
-            listed.keep(hosts)
+            listed.write(hosts)
             await asyncio.sleep(0.25)
         cpu = time.process_time() - cpu
         await asyncio.sleep(1)
         took = []
         for crew in crews:
-            for at, port in (await crew.do(do="changes"))["lost"]:
+            for at, port in (await crew.execute(do="changes"))["lost"]:
                 if port in ordered:
                     took.append(at - ordered[port])
             await crew.end()
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -17,7 +17,7 @@
 
 from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
 from indigodeck.testbed.fleet_scenario import FleetScenarioRunner  # noqa: E402
-from indigodeck.testbed.scenario import printed  # noqa: E402
+from indigodeck.testbed.scenario_result import printed  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -46,10 +46,10 @@
     with tempfile.TemporaryDirectory() as folder:
         play = FleetScenarioRunner(script, folder)
         result = await play.play()
-        charges = play.charges()
+        acquisitions = play.lease_acquisitions()
     print(printed(result))
     print(
-        f"  {len(charges)} times in charge, {sum(trouble['kind'] == 'stall' for trouble in troubles)} stops"
+        f"  {len(acquisitions)} times in charge, {sum(trouble['kind'] == 'stall' for trouble in troubles)} stops"
     )
     kept = {
         "what": "random stops of controllers, audited from sockets",
@@ -59,7 +59,7 @@
         "controllers": 3,
         "lease_s": 0.6,
         "stops": sum(trouble["kind"] == "stall" for trouble in troubles),
-        "charges": len(charges),
+        "charges": len(acquisitions),
         **result,
     }
     (ROOT / f"benchmarks/results/pauses-{wire}.json").write_text(json.dumps(kept, indent=1) + "\n")
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -19,7 +19,7 @@
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
 from indigodeck.clock import now  # noqa: E402
-from indigodeck.testbed.controllers import Fleet  # noqa: E402
+from indigodeck.testbed.controller_fleet import ControllerFleet  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -39,15 +39,15 @@
 async def measure(takeovers, many):
     elected, served = [], {"sasp": [], "xds": []}
     with tempfile.TemporaryDirectory() as folder:
-        fleet = Fleet(folder, json.loads((ROOT / "examples/charter.json").read_text()))
+        fleet = ControllerFleet(folder, json.loads((ROOT / "examples/charter.json").read_text()))
         relays = []
         try:
-            for name in fleet.members:
+            for name in fleet.member_ports:
                 await fleet.start(name)
-            await until(fleet.holder)
+            await until(fleet.leader)
             for nth in range(many):
                 wire = ("sasp", "xds")[nth % 2]
-                relays.append((wire, *fleet.relay(wire, f"hall-a/{wire}-{nth}")))
+                relays.append((wire, *fleet.connect_relay(wire, f"hall-a/{wire}-{nth}")))
             out = 9000
             holds = lambda tables: (
                 ("127.0.0.1", out) not in tables.lines["reading"] and tables.lines["reading"]
@@ -56,10 +56,10 @@
                 lambda: all(tables.updated_at["reading"] is not None for _, tables, *_ in relays)
             )
             for nth in range(takeovers):
-                old, began, out = fleet.holder(), now(), 9000 + nth % 2
-                fleet.keep(**{f"h{nth % 2}": "draining", f"h{1 - nth % 2}": "ready"})
+                old, began, out = fleet.leader(), now(), 9000 + nth % 2
+                fleet.set_host_states(**{f"h{nth % 2}": "draining", f"h{1 - nth % 2}": "ready"})
                 fleet.signal(old, signal.SIGSTOP)
-                await until(lambda: fleet.holder() not in (None, old))
+                await until(lambda: fleet.leader() not in (None, old))
                 elected.append((now() - began) / 1e6)
                 left = list(relays)
                 while left:
@@ -74,7 +74,7 @@
         finally:
             for _, _, client, _ in relays:
                 client.stop()
-            await fleet.end()
+            await fleet.stop()
     return {
         "relays": many,
         "takeovers": takeovers,
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -16,7 +16,7 @@
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.testbed.controllers import Fleet  # noqa: E402
+from indigodeck.testbed.controller_fleet import ControllerFleet  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 
@@ -32,14 +32,14 @@
 async def main(earlier):
     bare, steps = [], []
     with tempfile.TemporaryDirectory() as folder:
-        fleet = Fleet(folder, json.loads((ROOT / "examples/charter.json").read_text()))
+        fleet = ControllerFleet(folder, json.loads((ROOT / "examples/charter.json").read_text()))
         relays = []
         try:
-            for name in fleet.members:
+            for name in fleet.member_ports:
                 await fleet.start(name, earlier)
-            await until(fleet.holder, "somebody is in charge")
+            await until(fleet.leader, "somebody is in charge")
             relays = [
-                fleet.relay(wire, f"hall-a/{wire}-{nth}")
+                fleet.connect_relay(wire, f"hall-a/{wire}-{nth}")
                 for nth in range(3)
                 for wire in ("sasp", "xds")
             ]
@@ -55,27 +55,27 @@
             await until(learned, "relays hold tables")
             for tables, *_ in relays:
                 tables.changed = lambda name, tables=tables: tables.lines[name] or bare.append(name)
-            first = fleet.holder()
-            for nth, name in enumerate(sorted(fleet.members, key=lambda name: name == first)):
-                await fleet.ended(name)
+            first = fleet.leader()
+            for nth, name in enumerate(sorted(fleet.member_ports, key=lambda name: name == first)):
+                await fleet.kill(name)
                 await fleet.start(name)
                 await until(
-                    lambda: fleet.holder() and fleet.processes[fleet.holder()].returncode is None,
+                    lambda: fleet.leader() and fleet.processes[fleet.leader()].returncode is None,
                     "somebody in charge",
                 )
                 began = time.monotonic()
-                fleet.keep(**{f"h{nth}": "draining"})
+                fleet.set_host_states(**{f"h{nth}": "draining"})
                 hosts -= {nth}
                 await until(learned, f"a drain after {name} was replaced")
                 steps.append(round(time.monotonic() - began, 2))
-            old = fleet.holder()
+            old = fleet.leader()
             fleet.signal(old, signal.SIGSTOP)
-            await until(lambda: fleet.holder() not in (None, old), "another is in charge")
+            await until(lambda: fleet.leader() not in (None, old), "another is in charge")
             fleet.signal(old, signal.SIGCONT)
         finally:
             for _, client, _ in relays:
                 client.stop()
-            await fleet.end()
+            await fleet.stop()
     result = {
         "what": "an upgrade one by one from an earlier version",
         "relays": 6,
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -23,9 +23,10 @@
 from indigodeck.leadership.transport import ask  # noqa: E402
 from indigodeck.store.files import StoreFolder  # noqa: E402
 from indigodeck.store.write_ahead_log import WriteAheadLog  # noqa: E402
-from indigodeck.testbed.controllers import free_ports  # noqa: E402
-from indigodeck.testbed.discovery_server import ListFile  # noqa: E402
-from indigodeck.testbed.scenario import ScenarioRunner, printed  # noqa: E402
+from indigodeck.testbed.discovery_server import EndpointListFile  # noqa: E402
+from indigodeck.testbed.ports import ReservedPorts  # noqa: E402
+from indigodeck.testbed.scenario import ScenarioRunner  # noqa: E402
+from indigodeck.testbed.scenario_result import printed  # noqa: E402
 from indigodeck.versions import snapshots as sheets  # noqa: E402
 from indigodeck.versions.version_log import VersionLog  # noqa: E402
 
@@ -48,12 +49,14 @@
 
 async def back(relays, rollbacks):
     with tempfile.TemporaryDirectory() as made:
-        folder, (ports, held) = pathlib.Path(made), free_ports(3)
+        folder = pathlib.Path(made)
+        reserved_ports = ReservedPorts(3)
+        ports = reserved_ports.numbers
         (folder / "key").write_bytes(KEY)
-        listed = ListFile(folder)
+        listed = EndpointListFile(folder)
 
         def keep(draining):
-            listed.keep(
+            listed.write(
                 [
                     {
                         "id": f"host-{nth}",
@@ -174,8 +177,7 @@
                     client.stop()
                 planner.terminate()
                 await planner.wait()
-                for one in held:
-                    one.close()
+                reserved_ports.close()
     return {
         "relays": relays,
         "that_tell_them_apart": len(telling),
--- a/benchmarks/wire_bytes.py
+++ b/benchmarks/wire_bytes.py
@@ -22,7 +22,7 @@
 from indigodeck.frontends.xds import codec  # noqa: E402
 from indigodeck.planner.planner_settings import PlannerSettings  # noqa: E402
 from indigodeck.serve import assemble  # noqa: E402
-from indigodeck.testbed.discovery_server import ListFile  # noqa: E402
+from indigodeck.testbed.discovery_server import EndpointListFile  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
 HOSTS = 105
@@ -111,8 +111,8 @@
         for nth in range(HOSTS)
     ]
     with tempfile.TemporaryDirectory() as folder:
-        listed = ListFile(folder)
-        listed.keep(hosts)
+        listed = EndpointListFile(folder)
+        listed.write(hosts)
         service = assemble(PlannerSettings(document, folder))
         names = [kind["name"] for kind in document["classes"]]
         meters = {
@@ -139,7 +139,7 @@
                 hosts.append(
                     dict(host, id=host["id"] + "-new", port=host["port"] + 1000, state="ready")
                 )
-            listed.keep(hosts)
+            listed.write(hosts)
             await settle(3)
         service.cease()
         await asyncio.sleep(0.1)
--- a/indigodeck/cli/documents.py
+++ b/indigodeck/cli/documents.py
@@ -29,13 +29,13 @@
 def _check_document(path: str) -> tuple[str, list[str]]:
     """Return the type of the document in a file, and what is wrong with it, by place."""
     from ..planner import endpoint_list, planner_settings
-    from ..testbed import scenario
+    from ..testbed import scenario_script
 
     document = read_document(path)
     if "hosts" in document and isinstance(document["hosts"], list):
         return "roster", _mistakes(lambda: endpoint_list.read(json.dumps(document)))
     if "relays" in document and "seconds" in document:
-        return "script", scenario.check(document)
+        return "script", scenario_script.check(document)
     return "charter", _mistakes(lambda: planner_settings.read(path))
 
 
--- a/indigodeck/cli/scenario.py
+++ b/indigodeck/cli/scenario.py
@@ -40,16 +40,17 @@
     bench_faults_path: str | None,
 ) -> None:
     """Play a scripted day on loopback and judge it by its sockets."""
-    from ..testbed import scenario
+    from ..testbed import scenario, scenario_script
+    from ..testbed.scenario_result import printed
 
     script = read_document(path)
     if bench_faults_path:
-        script["troubles"], without_counterpart = scenario.from_bench(
+        script["troubles"], without_counterpart = scenario_script.from_bench(
             read_document(bench_faults_path)
         )
         if without_counterpart:
             click.echo(f"no counterpart on sockets: {', '.join(without_counterpart)}", err=True)
-    mistakes = scenario.check(script)
+    mistakes = scenario_script.check(script)
     if mistakes:
         fail("\n".join(f"{path}: {mistake}" for mistake in mistakes))
     started = time.monotonic()
@@ -61,6 +62,6 @@
     if output_format == "json":
         click.echo(json.dumps(results))
     else:
-        click.echo("\n".join(scenario.printed(result) for result in results))
+        click.echo("\n".join(printed(result) for result in results))
     if not all(rule["kept"] for rule in results[0]["rules"]):
         sys.exit(ExitCode.FOUND)
--- a/indigodeck/cli/testbed.py
+++ b/indigodeck/cli/testbed.py
@@ -96,9 +96,9 @@
 async def _serve_endpoint_list(port: int, delay_ms: float, path: str) -> None:
     from ..testbed.discovery_server import DiscoveryServer
 
-    server = DiscoveryServer(late=round(delay_ms * 1000))
+    server = DiscoveryServer(delay=round(delay_ms * 1000))
     click.echo(json.dumps({"port": server.listen(port)}))
-    server.say(read_document(path)["hosts"])
+    server.publish(read_document(path)["hosts"])
 
     async def execute(command: Command) -> dict[str, int]:
         for entry in command.get("hosts", []):
--- a/indigodeck/testbed/__init__.py
+++ b/indigodeck/testbed/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what a planner meets: hosts, relays with their clients, the list's keeper, and a tap on streams.
+"""Everything that plays the outside world: hosts, relays, the endpoint list, networks and disks.
 
-They know nothing of the planner's code beyond the client library, and are no part of a deployment.
+It knows nothing of the planner's code beyond the client library, and is no part of a deployment.
 """
--- a/indigodeck/testbed/audit.py
+++ b/indigodeck/testbed/audit.py
@@ -1,371 +1,258 @@
-"""Judges a day from what passed its sockets: the five rules and service. Knows nothing of the planner.
+"""Judges a played scenario by what passed its sockets: the rules, and service.
 
-It is given hosts' receipts, clients' outcomes, the messages that relays were sent, what the list's keeper told and
-when planners started, all with times of one clock in microseconds. A verdict is kept or broken by figures, with
-the moment and who was concerned.
+The audit knows nothing of the planner: it goes by `Evidence` alone. A rule is kept or broken by
+figures, with the moment and who was concerned. Rules' names stand in the results as they are here.
 """
 
-import json
-from collections import defaultdict
-from typing import NamedTuple
-
-from ..client.sasp import table_entry
-from ..client.tables import TableEntry, Tables
-from ..frontends.sasp import codec
-
-SECOND = 1_000_000
-
-
-class Verdict(NamedTuple):
-    """`worst` against `limit`, in `unit`; `cases`: (moment in microseconds, who, what), the first few."""
-
-    rule: str
-    kept: bool
-    worst: float
-    limit: float
-    unit: str
-    cases: list
-
-
-class Ear:
-    """Reads what a planner wrote, as a relay would."""
-
-    def __init__(self, classes, now):
-        self.tables = Tables(classes, now)
-
-    def answered(self, number, kind, code):
-        pass
-
-    def weights(self, number, code, interval, groups):
-        self.sent_weights(number, groups)
-
-    def sent_weights(self, number, groups):
-        for (_, name), entries in groups:
-            self.tables.update(name.decode(), [table_entry(entry) for entry in entries])
-
-
-class Count(Ear):
-    """Whether a SASP message names anybody: who is refused is answered, too, but told nothing."""
-
-    def __init__(self):
-        self.entries = 0
-
-    def sent_weights(self, number, groups):
-        self.entries += sum(len(entries) for _, entries in groups)
-
-
-def entries(data):
-    """How many lines of tables a message gives a relay, over either wire."""
-    if not isinstance(data, bytes):
-        return sum(len(lines) for _, lines in data)
-    count = Count()
-    codec.dispatch(data, count)
-    return count.entries
-
-
-class Day:
-    """`figures`: the deployment's settings; `max_messages` is what may be written to a relay in all."""
-
-    def __init__(self, figures, classes, begun):
-        self.figures, self.classes, self.begun = figures, classes, begun
-        self.receipts, self.outcomes, self.seen, self.told, self.starts = [], [], [], [], []
-        self.charges = []  # (when it said so, epoch, controller), where there are several
-
-    def moment(self, at):
-        return (at - self.begun) / SECOND
-
-    def verdicts(self):
-        for kept in (self.receipts, self.outcomes):
-            kept.sort(key=lambda line: line["at"])
-        self.seen.sort(key=lambda seen: seen.at)
-        self.told.sort(key=lambda line: line[0])
-        kept = [self.bare(), self.twice(), self.drains(), self.pushed_over(), self.messages()]
-        return kept + ([self.followed(), self.ordered()] if self.charges else [])
-
-    def verdict(self, rule, found, limit, unit):
-        """`found`: (figure, moment, who, what); broken where a figure is over the limit."""
-        broken = sorted((line for line in found if line[0] > limit), key=lambda line: line[1])
-        return Verdict(
-            rule,
-            not broken,
-            max((line[0] for line in found), default=0),
-            limit,
-            unit,
-            [(at, who, what) for _, at, who, what in broken[:5]],
-        )
+from collections import Counter, defaultdict
+from dataclasses import dataclass
+from typing import Any
+
+from ..clock import SECOND
+from .evidence import Evidence, LeaseAcquisition, Outcome, Publication, Receipt
+from .recording_proxy import StreamEventType
+from .relay_view import count_entries
+from .unserved_time import no_proxy_without_server
+from .verdict import NO_FINDING, Finding, Verdict, judge
+
+OVERLOAD_SLACK = 1.1  # for chance, as the limit is a budget over the whole window
+# So long may the proxy take to read what has left, on a machine that is busy.
+READ_DELAY = SECOND // 10
+SERVICE_WINDOW_S = 5
+STATES_WITH_EFFECT = ("begun", "silent")
+
+
+def verdicts(evidence: Evidence) -> list[Verdict]:
+    """Return the verdict of each rule; those on leaders where there are several controllers."""
+    evidence.sort()
+    found = [
+        no_proxy_without_server(evidence),
+        no_effect_twice(evidence),
+        drains_kept(evidence),
+        no_cold_server_overloaded(evidence),
+        messages_to_relay(evidence),
+    ]
+    if evidence.lease_acquisitions:
+        found += [relays_follow_one_controller(evidence), one_leader(evidence)]
+    return found
 
-    # No proxy is left without a server.
 
-    def bare(self):
-        """Time that a joined relay's table for a class names nobody, while a warm host is listed as ready."""
-        clock, ears, joined, since, found = [0], {}, set(), {}, []
-        ready, limit = {}, self.figures.max_unserved_time
-        events = sorted(
-            [(seen.at, 0, seen) for seen in self.seen] + [(line[0], 1, line) for line in self.told],
-            key=lambda event: event[:2],
+def no_effect_twice(evidence: Evidence) -> Verdict:
+    """Judge how often one request took effect."""
+    by_key: dict[str, list[Receipt]] = defaultdict(list)
+    for receipt in evidence.receipts:
+        if receipt.state in STATES_WITH_EFFECT and receipt.key:
+            by_key[receipt.key].append(receipt)
+    findings = [
+        Finding(
+            len(receipts),
+            receipts[1].at,
+            receipts[0].relay,
+            f"{key} at {', '.join(receipt.host for receipt in receipts)}",
         )
-        events.append((events[-1][0] + 1 if events else 0, 2, None))
-        last_warm = False
-        for at, kind, event in events:
-            if last_warm:
-                for (relay, name), held in since.items():
-                    since[relay, name] = held + at - clock[0]
-            clock[0] = at
-            if kind == 1:
-                _, host, state, started = event
-                ready.pop(host, None)
-                if state == "ready":
-                    ready[host] = started
-            elif kind == 0:
-                ear = ears.setdefault(event.relay, Ear(self.classes, lambda: clock[0]))
-                if event.what == "joined":
-                    joined.add(event.relay)
-                    ear.tables.connection_opened()
-                elif event.what == "left":
-                    joined.discard(event.relay)
-                elif isinstance(event.data, bytes):
-                    codec.dispatch(event.data, ear)
-                else:
-                    for name, entries in event.data:  # of a stream that the relay itself told of
-                        ear.tables.replace(
-                            name, [TableEntry(tuple(where), *rest) for where, *rest in entries]
-                        )
-                for name in self.classes:
-                    empty = (
-                        event.relay in joined
-                        and ear.tables.updated_at[name] is not None
-                        and not ear.tables.lines[name]
-                    )
-                    if empty:
-                        since.setdefault((event.relay, name), 0)
-                    elif (event.relay, name) in since:
-                        found.append(
-                            (since.pop((event.relay, name)), at, event.relay, f"nobody for {name}")
-                        )
-            last_warm = any(at - started > self.figures.warm_up_time for started in ready.values())
-        found += [
-            (held, clock[0], relay, f"nobody for {name}") for (relay, name), held in since.items()
-        ]
-        # Clients know as well: a relay with nobody to pick says so to each of them.
-        runs = defaultdict(list)
-        for line in self.outcomes:
-            runs[line["relay"], line["class"]].append(line)
-        for (relay, name), lines in runs.items():
-            first = None
-            for line in lines:
-                first = (
-                    None if line["outcome"] != "nowhere" else line["at"] if first is None else first
-                )
-                if first is not None and any(
-                    self.moment(at) >= 0 and at <= first for at, *_ in self.told
-                ):
-                    found.append((line["at"] - first, line["at"], relay, f"nowhere for {name}"))
-        return self.verdict("no proxy without a server", found, limit, "us")
-
-    # No effect twice.
-
-    def twice(self):
-        begun = defaultdict(list)
-        for line in self.receipts:
-            if line["state"] in ("begun", "silent") and line["key"]:
-                begun[line["key"]].append(line)
-        found = [
-            (
-                len(lines),
-                lines[1]["at"],
-                lines[0]["relay"],
-                f"{key} at {', '.join(line['host'] for line in lines)}",
-            )
-            for key, lines in begun.items()
-            if len(lines) > 1
-        ]
-        return self.verdict("no effect twice", found or [(1, 0, "", "")], 1, "times")
-
-    # Drains are kept.
-
-    def drains(self):
-        spans = defaultdict(list)  # relay: [joined, left]
-        for seen in self.seen:
-            if seen.what == "joined":
-                spans[seen.relay].append([seen.at, None])
-            elif seen.what == "left" and spans[seen.relay] and spans[seen.relay][-1][1] is None:
-                # A connection that ends before it said anything never joined; it must not stretch the one before.
-                spans[seen.relay][-1][1] = seen.at
-        told, found = defaultdict(list), []
-        for at, host, state, _ in self.told:
-            told[host].append((at, state))
-        for line in self.receipts:
-            if line["relay"] not in spans or line["host"] not in told:
-                continue
-            at = line["at"]
-            joined = max(
-                (
-                    span[0]
-                    for span in spans[line["relay"]]
-                    if span[0] <= at and (span[1] is None or at < span[1])
-                ),
-                default=None,
-            )
-            if joined is None:
-                continue  # cut off: it goes on with what it holds
-            start = max((started for started in self.starts if started <= joined), default=0)
-            out = None
-            for when, state in told[line["host"]]:
-                # Where gone alone does not bind, only what was said to drain counts as told.
-                if start <= when <= at and (
-                    state != "gone" or self.figures.removal_is_final or out is not None
-                ):
-                    out = None if state == "ready" else when if out is None else out
-            if out is not None:
-                found.append(
-                    (
-                        at - max(out, joined),
-                        at,
-                        line["relay"],
-                        f"sent to {line['host']}, which is out",
-                    )
-                )
-        return self.verdict("drains kept", found, self.figures.drain_grace, "us")
-
-    # No cold server is pushed over.
-
-    def pushed_over(self):
-        by_host, found = defaultdict(list), []
-        span, multiple = self.figures.overload_time, self.figures.overload_multiple
-        known = {}
-        for at, host, state, _ in self.told:
-            known.setdefault(host, at)
-        for line in self.receipts:
-            if line["cold"]:
-                by_host[line["host"]].append(line)
-        for host, lines in by_host.items():
-            first, work = 0, 0
-            for line in lines:
-                work += line["work"]
-                while lines[first]["at"] < line["at"] - span:
-                    work -= lines[first]["work"]
-                    first += 1
-                # Before a planner could know of the start, no order of its own can have brought this.
-                if (
-                    line["at"] - known.get(host, line["at"]) > self.figures.drain_grace
-                    or line["state"] == "fallen"
-                ):
-                    able = (lines[first]["able"] + line["able"]) / 2
-                    found.append(
-                        (
-                            round(work / (able * span), 3),
-                            line["at"],
-                            host,
-                            f"{work / (able * span):.2f} times what it can do, by {line['relay']} last",
-                        )
-                    )
-        # A little slack for chance, as the count is a budget over the whole window.
-        return self.verdict("no cold server pushed over", found, round(multiple * 1.1, 3), "times")
-
-    # The queue stays short.
-
-    def messages(self):
-        written, found = defaultdict(list), []
-        for seen in self.seen:
-            if seen.what == "message":
-                # The limit is on what one planner writes: one that started anew knows nothing of another's messages.
-                written[
-                    seen.relay, seen.by, sum(started <= seen.at for started in self.starts)
-                ].append(seen.at)
-        most, span = self.figures.channel.max_messages, self.figures.channel.message_window
-        for (relay, *_), times in written.items():
-            first = 0
-            for nth, at in enumerate(times):
-                while times[first] <= at - span:
-                    first += 1
-                found.append((nth - first + 1, at, relay, f"{nth - first + 1} messages"))
-        return self.verdict("messages to a relay", found, most or float("inf"), "messages")
-
-    # One controller at a time.
-
-    def followed(self):
-        """Orders that a relay was given by any but whom it joined last, or under an epoch below one that it has seen."""
-        joined, epochs, found = {}, {}, [(0, 0, "", "")]
-        for seen in self.seen:
-            if seen.what == "joined":
-                joined[seen.relay] = seen.by
-            elif seen.what == "message":
-                if joined.get(seen.relay, seen.by) != seen.by:
-                    found.append(
-                        (1, seen.at, seen.relay, f"told by {seen.by}, follows {joined[seen.relay]}")
-                    )
-                if seen.epoch < epochs.get(seen.relay, 0):
-                    found.append(
-                        (1, seen.at, seen.relay, f"under {seen.epoch}, after {epochs[seen.relay]}")
-                    )
-                epochs[seen.relay] = max(seen.epoch, epochs.get(seen.relay, 0))
-        return self.verdict("each relay follows one controller", found, 0, "orders")
-
-    def ordered(self):
-        """How long after another controller was in charge an order of the one before still left."""
-        charges, found, nth = sorted(self.charges), [(0, 0, "", "")], 0
-        held = None  # the charge of the highest epoch so far
-        for seen in self.seen:
-            while nth < len(charges) and charges[nth][0] <= seen.at:
-                held, nth = (
-                    max(held or charges[nth], charges[nth], key=lambda charge: charge[1]),
-                    nth + 1,
-                )
-            if (
-                seen.what == "message"
-                and held is not None
-                and seen.by != held[2]
-                and entries(seen.data)
-            ):
-                found.append(
-                    (
-                        seen.at - held[0],
-                        seen.at,
-                        seen.by,
-                        f"told {seen.relay} while {held[2]} is in charge",
-                    )
-                )
-        # So long may a tap take to read what has left, on a machine that is busy.
-        return self.verdict("one controller in charge", found, SECOND // 10, "us")
-
-    # Service.
-
-    def service(self, worst_span=10):
-        """Credit earned over credit asked for: whole, the worst 10 s, the worst class, and each 5 s."""
-
-        def part(lines):
-            asked = sum(line["asked"] for line in lines)
-            return sum(line["earned"] for line in lines) / asked if asked else 1.0
-
-        by_class, by_window = defaultdict(list), defaultdict(list)
-        for line in self.outcomes:
-            by_class[line["class"]].append(line)
-            by_window[int(self.moment(line["at"]) // 5)].append(line)
-        windows = [
-            part(by_window[nth] + by_window[nth + 1])
-            for nth in sorted(by_window)
-            if nth + 1 in by_window
-        ]
-        counts = defaultdict(int)
-        for line in self.outcomes:
-            counts[line["outcome"]] += 1
-        return {
-            "asked": len(self.outcomes),
-            "whole": round(part(self.outcomes), 4),
-            "worst_10_s": round(min(windows, default=1.0), 4),
-            "worst_class": round(min((part(lines) for lines in by_class.values()), default=1.0), 4),
-            "by_5_s": [round(part(by_window[nth]), 3) for nth in sorted(by_window)],
-            "outcomes": dict(sorted(counts.items())),
-        }
-
-
-def lines_of(path):
-    """The JSON lines of a file; a last one that was cut is left out."""
-    found = []
-    with open(path) as file:
-        for line in file:
-            try:
-                found.append(json.loads(line))
-            except ValueError:
-                break
-    return found
+        for key, receipts in by_key.items()
+        if len(receipts) > 1
+    ]
+    return judge("no effect twice", findings or [Finding(1, 0, "", "")], 1, "times")
+
+
+def drains_kept(evidence: Evidence) -> Verdict:
+    """Judge how long a relay still sent requests to a host after the list said that it drains."""
+    connections = _connections_by_relay(evidence)
+    publications: dict[str, list[Publication]] = defaultdict(list)
+    for publication in evidence.publications:
+        publications[publication.host].append(publication)
+    findings = []
+    for receipt in evidence.receipts:
+        joined = _joined_at(connections.get(receipt.relay, []), receipt.at)
+        if joined is None:
+            continue  # cut off: it goes on with what it holds
+        started_before = (start for start in evidence.planner_starts if start <= joined)
+        planner_start = max(started_before, default=0)
+        out_since = _out_since(evidence, publications[receipt.host], planner_start, receipt.at)
+        if out_since is None:
+            continue
+        what = f"sent to {receipt.host}, which is out"
+        late_by = receipt.at - max(out_since, joined)
+        findings.append(Finding(late_by, receipt.at, receipt.relay, what))
+    return judge("drains kept", findings, evidence.settings.drain_grace, "us")
+
+
+def no_cold_server_overloaded(evidence: Evidence) -> Verdict:
+    """Judge how much work a cold host was sent, as a multiple of what it can do."""
+    known_since: dict[str, int] = {}
+    for publication in evidence.publications:
+        known_since.setdefault(publication.host, publication.at)
+    cold_receipts: dict[str, list[Receipt]] = defaultdict(list)
+    for receipt in evidence.receipts:
+        if receipt.is_cold:
+            cold_receipts[receipt.host].append(receipt)
+    findings = []
+    for host, receipts in cold_receipts.items():
+        findings += _overloads(evidence, receipts, known_since.get(host))
+    limit = round(evidence.settings.overload_multiple * OVERLOAD_SLACK, 3)
+    return judge("no cold server pushed over", findings, limit, "times")
+
+
+def messages_to_relay(evidence: Evidence) -> Verdict:
+    """Judge how many messages one planner wrote to one relay within the window.
+
+    A planner that started anew knows nothing of another's messages: it is counted by itself.
+    """
+    times: dict[tuple[str, str, int], list[int]] = defaultdict(list)
+    for event in evidence.stream_events:
+        if event.type == StreamEventType.MESSAGE:
+            planner = evidence.planner_starts_until(event.at)
+            times[event.relay, event.controller, planner].append(event.at)
+    channel = evidence.settings.channel
+    findings = []
+    for (relay, _, _), written in times.items():
+        first = 0
+        for index, at in enumerate(written):
+            while written[first] <= at - channel.message_window:
+                first += 1
+            count = index - first + 1
+            findings.append(Finding(count, at, relay, f"{count} messages"))
+    return judge("messages to a relay", findings, channel.max_messages or float("inf"), "messages")
+
+
+def relays_follow_one_controller(evidence: Evidence) -> Verdict:
+    """Judge messages of any but the controller that the relay joined last, or of an older epoch."""
+    followed: dict[str, str] = {}
+    epochs: dict[str, int] = {}
+    findings = [NO_FINDING]
+    for event in evidence.stream_events:
+        relay = event.relay
+        if event.type == StreamEventType.JOINED:
+            followed[relay] = event.controller
+        elif event.type == StreamEventType.MESSAGE:
+            if followed.get(relay, event.controller) != event.controller:
+                what = f"told by {event.controller}, follows {followed[relay]}"
+                findings.append(Finding(1, event.at, relay, what))
+            newest = epochs.get(relay, 0)
+            if event.epoch < newest:
+                what = f"under {event.epoch}, after {newest}"
+                findings.append(Finding(1, event.at, relay, what))
+            epochs[relay] = max(event.epoch, newest)
+    return judge("each relay follows one controller", findings, 0, "orders")
+
+
+def one_leader(evidence: Evidence) -> Verdict:
+    """Judge how long after a controller became leader the one before still sent table entries."""
+    acquisitions = sorted(evidence.lease_acquisitions)
+    findings = [NO_FINDING]
+    leader: LeaseAcquisition | None = None  # the one of the highest epoch so far
+    next_index = 0
+    for event in evidence.stream_events:
+        while next_index < len(acquisitions) and acquisitions[next_index].at <= event.at:
+            acquired = acquisitions[next_index]
+            if leader is None or acquired.epoch > leader.epoch:
+                leader = acquired
+            next_index += 1
+        if leader is None or event.type != StreamEventType.MESSAGE:
+            continue
+        if event.controller != leader.controller and count_entries(event.data):
+            what = f"told {event.relay} while {leader.controller} is in charge"
+            findings.append(Finding(event.at - leader.at, event.at, event.controller, what))
+    return judge("one controller in charge", findings, READ_DELAY, "us")
+
+
+def service(evidence: Evidence) -> dict[str, Any]:
+    """Return the share of priority weight that was earned: in all, by class, and by time."""
+    by_class: dict[str, list[Outcome]] = defaultdict(list)
+    by_window: dict[int, list[Outcome]] = defaultdict(list)
+    for outcome in evidence.outcomes:
+        by_class[outcome.class_name].append(outcome)
+        window = int(evidence.seconds_since_start(outcome.at) // SERVICE_WINDOW_S)
+        by_window[window].append(outcome)
+    of_two_windows = [
+        _earned_share(by_window[window] + by_window[window + 1])
+        for window in sorted(by_window)
+        if window + 1 in by_window
+    ]
+    of_classes = [_earned_share(outcomes) for outcomes in by_class.values()]
+    counts = Counter(outcome.outcome for outcome in evidence.outcomes)
+    return {
+        "asked": len(evidence.outcomes),
+        "whole": round(_earned_share(evidence.outcomes), 4),
+        "worst_10_s": round(min(of_two_windows, default=1.0), 4),
+        "worst_class": round(min(of_classes, default=1.0), 4),
+        "by_5_s": [round(_earned_share(by_window[window]), 3) for window in sorted(by_window)],
+        "outcomes": dict(sorted(counts.items())),
+    }
+
+
+@dataclass(slots=True)
+class _Connection:
+    joined: int
+    left: int | None = None
+
+
+def _connections_by_relay(evidence: Evidence) -> dict[str, list[_Connection]]:
+    connections: dict[str, list[_Connection]] = defaultdict(list)
+    for event in evidence.stream_events:
+        of_relay = connections[event.relay]
+        if event.type == StreamEventType.JOINED:
+            of_relay.append(_Connection(event.at))
+        elif event.type == StreamEventType.LEFT and of_relay and of_relay[-1].left is None:
+            # A connection that ends before it said anything never joined; it must not stretch
+            # the one before.
+            of_relay[-1].left = event.at
+    return connections
+
+
+def _joined_at(connections: list[_Connection], at: int) -> int | None:
+    """Return when a relay joined whose connection stood at this time; None if none did."""
+    standing = (
+        connection.joined
+        for connection in connections
+        if connection.joined <= at and (connection.left is None or at < connection.left)
+    )
+    return max(standing, default=None)
+
+
+def _out_since(
+    evidence: Evidence, publications: list[Publication], planner_start: int, until: int
+) -> int | None:
+    """Return since when a host is draining or gone, as a planner of this start could know."""
+    out_since: int | None = None
+    for publication in publications:
+        if not planner_start <= publication.at <= until:
+            continue
+        # Where removal is not final, only what was said to drain before counts as out.
+        removal_counts = evidence.settings.removal_is_final or out_since is not None
+        if publication.state == "gone" and not removal_counts:
+            continue
+        if publication.state == "ready":
+            out_since = None
+        elif out_since is None:
+            out_since = publication.at
+    return out_since
+
+
+def _overloads(
+    evidence: Evidence, receipts: list[Receipt], known_since: int | None
+) -> list[Finding]:
+    """Return what one cold host was sent within each window that ends with a request."""
+    settings = evidence.settings
+    findings = []
+    first = 0
+    work = 0
+    for receipt in receipts:
+        work += receipt.work
+        while receipts[first].at < receipt.at - settings.overload_time:
+            work -= receipts[first].work
+            first += 1
+        known_for = 0 if known_since is None else receipt.at - known_since
+        # Before a planner could know of the start, no table of its own can have caused this.
+        if known_for > settings.drain_grace or receipt.state == "fallen":
+            capacity = (receipts[first].capacity + receipt.capacity) / 2
+            multiple = work / (capacity * settings.overload_time)
+            what = f"{multiple:.2f} times what it can do, by {receipt.relay} last"
+            findings.append(Finding(round(multiple, 3), receipt.at, receipt.host, what))
+    return findings
+
+
+def _earned_share(outcomes: list[Outcome]) -> float:
+    asked = sum(outcome.weight_asked for outcome in outcomes)
+    return sum(outcome.weight_earned for outcome in outcomes) / asked if asked else 1.0
--- a/indigodeck/testbed/conversation.py
+++ b/indigodeck/testbed/conversation.py
@@ -18,7 +18,7 @@
 from ..clock import now
 from ..planner.planner_settings import PlannerSettings
 from ..serve import assemble
-from .discovery_server import ListFile
+from .discovery_server import EndpointListFile
 from .recording_proxy import RecordingProxy
 
 CLIENTS = {"sasp": SaspClient, "xds": XdsClient}
@@ -28,7 +28,7 @@
     """One client, over one protocol, behind a way of its own."""
 
     def __init__(self, wire, names, planner):
-        self.tap = RecordingProxy(now, planner, False)
+        self.tap = RecordingProxy(now, planner, is_sasp=False)
         self.tables, self.errors = Tables(names, now), []
         self.client = CLIENTS[wire](
             f"party-{wire}",
@@ -56,13 +56,13 @@
 class Talkers:
     def __init__(self, script, folder):
         self.script, self.folder, self.service = script, pathlib.Path(folder), None
-        self.hosts, self.listed, self.printed = dict(script["hosts"]), ListFile(folder), {}
+        self.hosts, self.listed, self.printed = dict(script["hosts"]), EndpointListFile(folder), {}
         self.ports = {9000 + nth: name for nth, name in enumerate(script["hosts"])}
         self.places = {name: port for port, name in self.ports.items()}
         self.classes = script["charter"]["classes"]
 
     def keep(self):
-        self.listed.keep(
+        self.listed.write(
             [
                 {
                     "id": name,
--- /dev/null
+++ b/indigodeck/testbed/faults.py
@@ -0,0 +1,141 @@
+"""What goes wrong in a scenario: each type of fault, by the name that scripts give it."""
+
+import asyncio
+import signal
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING
+
+from tornado.gen import sleep
+
+from ..clock import SECOND, now
+from .host_fleet import choose
+from .scenario_script import Fault
+
+if TYPE_CHECKING:
+    from .scenario import ScenarioRunner
+
+USUAL_DURATION_S = 10.0
+DRAIN_S = 6.0  # that a host has to end what it holds
+
+
+class FaultInjector:
+    """Brings faults about in one running scenario."""
+
+    def __init__(self, scenario: "ScenarioRunner") -> None:
+        self._scenario = scenario
+        self._hosts = scenario.hosts
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._by_type: dict[str, Callable[[Fault, float], Awaitable[None]]] = {
+            "slow": self._fail_hosts,
+            "hang": self._fail_hosts,
+            "errors": self._fail_hosts,
+            "silent": self._fail_hosts,
+            "crash": self._crash_hosts,
+            "deploy": self._drain_hosts,
+            "shrink": self._drain_hosts,
+            "roster_late": self._delay_list,
+            "roster_wrong": self._falsify_list,
+            "roster_down": self._take_list_down,
+            "planner_killed": self._kill_planner,
+            "planner_stalled": self._stall_planner,
+            "relay_cut": self._cut_relays,
+            "relay_deaf": self._pause_relays,
+            "relays_join": self._reconnect_relays,
+        }
+
+    async def inject(self, fault: Fault) -> None:
+        """Bring one fault about and, where it ends, end it."""
+        duration_s = USUAL_DURATION_S if fault.duration_s is None else fault.duration_s
+        self._scenario.report(
+            f"{fault.type} {fault.zone or ''} part {fault.share} size {fault.size} "
+            f"for {duration_s:.0f} s"
+        )
+        act = self._by_type.get(fault.type)
+        if act is not None:
+            await act(fault, duration_s)
+
+    def _choose_hosts(self, fault: Fault) -> list[str]:
+        return choose(self._scenario.random, self._hosts.running(fault.zone), fault.share)
+
+    def _choose_relays(self, fault: Fault) -> list[str]:
+        return choose(self._scenario.random, self._scenario.relay_process_of, fault.share)
+
+    async def _fail_hosts(self, fault: Fault, duration_s: float) -> None:
+        names = self._choose_hosts(fault)
+        for name in names:
+            await self._hosts.set_fault(name, fault.type, part=fault.size)
+        await sleep(duration_s)
+        for name in set(names) & set(self._hosts.running()):
+            await self._hosts.set_fault(name, None)
+
+    async def _crash_hosts(self, fault: Fault, duration_s: float) -> None:
+        for name in self._choose_hosts(fault):
+            zone = self._hosts.zone(name)
+            await self._hosts.remove(name)
+            loop = asyncio.get_running_loop()
+            loop.call_later(duration_s, self._spawn, self._hosts.add_and_list, zone)
+
+    async def _drain_hosts(self, fault: Fault, duration_s: float) -> None:
+        """Drain hosts in waves, each of `size` of those concerned; a deploy replaces them."""
+        names = self._choose_hosts(fault)
+        wave_size = max(1, round(len(names) * min(1.0, fault.size)))
+        wave_count = -(-len(names) // wave_size)
+        for wave in range(wave_count):
+            for name in names[wave * wave_size : (wave + 1) * wave_size]:
+                self._spawn(self._hosts.replace, name, DRAIN_S, fault.type == "deploy")
+            await sleep(duration_s / wave_count)
+
+    async def _delay_list(self, fault: Fault, duration_s: float) -> None:
+        delay = round(fault.size * SECOND)
+        self._scenario.discovery.delay += delay
+        await sleep(duration_s)
+        self._scenario.discovery.delay -= delay
+
+    async def _falsify_list(self, fault: Fault, duration_s: float) -> None:
+        """Have the list say that hosts are gone which run."""
+        discovery = self._scenario.discovery
+        chosen = choose(self._scenario.random, self._hosts.running(), fault.share)
+        names = [name for name in chosen if name in discovery.hosts]
+        discovery.publish([self._hosts.entry(name, "gone") for name in names])
+        await sleep(duration_s)
+        running = self._hosts.running()
+        discovery.publish([self._hosts.entry(name, "ready") for name in names if name in running])
+
+    async def _take_list_down(self, fault: Fault, duration_s: float) -> None:
+        self._scenario.discovery.take_down()
+        await sleep(duration_s)
+        self._scenario.discovery.bring_up()
+
+    async def _kill_planner(self, fault: Fault, duration_s: float) -> None:
+        planner = self._scenario.running_planner()
+        planner.send_signal(signal.SIGKILL)
+        self._scenario.planner_port = None
+        await planner.wait()
+        await sleep(fault.size)
+        await self._scenario.start_planner()
+
+    async def _stall_planner(self, fault: Fault, duration_s: float) -> None:
+        self._scenario.running_planner().send_signal(signal.SIGSTOP)
+        await sleep(duration_s)
+        self._scenario.running_planner().send_signal(signal.SIGCONT)
+
+    async def _cut_relays(self, fault: Fault, duration_s: float) -> None:
+        for uid in self._choose_relays(fault):
+            await self._scenario.drop_stream(uid)
+
+    async def _pause_relays(self, fault: Fault, duration_s: float) -> None:
+        """Have relays read nothing for a while."""
+        for uid in self._choose_relays(fault):
+            self._scenario.proxy.pause(uid, now() + round(duration_s * SECOND))
+
+    async def _reconnect_relays(self, fault: Fault, duration_s: float) -> None:
+        """Have all relays lose their streams one after the other, `size` times over."""
+        uids = list(self._scenario.relay_process_of) * max(1, round(fault.size))
+        for uid in uids:
+            await self._scenario.drop_stream(uid)
+            await sleep(duration_s / len(uids))
+
+    def _spawn(self, call: Callable[..., Awaitable[None]], *arguments: object) -> None:
+        task = asyncio.ensure_future(call(*arguments))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
--- a/indigodeck/testbed/fleet_scenario.py
+++ b/indigodeck/testbed/fleet_scenario.py
@@ -1,59 +1,101 @@
-"""A scripted day with several controllers, which are stopped, wake, and hand over while relays and hosts are at work."""
+"""A scenario with several controllers, which stop, go on and hand over while relays are at work."""
 
 import asyncio
 import datetime
 import json
+import pathlib
 import signal
 import sys
+from functools import partial
+from typing import Any, NamedTuple
 
 from tornado.gen import sleep
 
-from ..clock import now
-from . import audit
-from .controllers import charges_in, free_ports, section
-from .recording_proxy import RecordingProxy
-from .scenario import SECOND, ScenarioRunner
+from ..clock import SECOND, now
+from .controller_fleet import read_lease_changes, takeover_section
+from .evidence import LeaseAcquisition
+from .host_fleet import choose
+from .ports import ReservedPorts
+from .recording_proxy import RecordingProxy, StreamEvent, StreamEventType
+from .relay_view import count_entries
+from .scenario import (
+    START_POLL_INTERVAL_S,
+    Address,
+    Report,
+    ScenarioRunner,
+)
+from .scenario_result import Result
+from .scenario_script import Fault, Script
+
+START_POLLS = 400
+USUAL_STOP_S = 2.0
+FIRST_TABLES_TIME = 3 * SECOND  # within which a new leader has written its first tables
+CONTROLLER_FAULTS = ("stall", "takeover", "handover")
+
+
+class FirstTables(NamedTuple):
+    """What a new leader wrote to relays right after it acquired its lease."""
+
+    at: int
+    controller: str
+    relays: int
+    messages: int
+    entries: int
 
 
 class FleetScenarioRunner(ScenarioRunner):
-    """A day of `many` controllers. Further troubles: `stall` (any controller, by chance), `takeover` (who is in charge is
-    stopped), `handover`; each for `seconds`.
+    """A scenario of several controllers.
+
+    Further faults: `stall` (any controller, drawn at random, is stopped), `takeover` (the leader
+    is stopped), both for their duration; `handover` (the leader hands over).
     """
 
-    def __init__(self, script, folder, many=3, lease_ms=600, say=lambda text: None):
-        super().__init__(script, folder, say=say)
-        self.names = [f"c{nth}" for nth in range(many)]
-        (ports, self.held), wire = free_ports(2 * many), script["relays"].get("wire", "sasp")
-        self.ports = dict(zip(self.names, ports))
+    def __init__(
+        self,
+        script: Script,
+        folder: str | pathlib.Path,
+        controllers: int = 3,
+        lease_ms: int = 600,
+        report: Report = lambda text: None,
+    ) -> None:
+        super().__init__(script, folder, report=report)
+        self._names = [f"c{index}" for index in range(controllers)]
+        self._reserved_ports = ReservedPorts(2 * controllers)
+        ports = self._reserved_ports.numbers
+        member_ports = dict(zip(self._names, ports[:controllers], strict=True))
+        frontend_ports = dict(zip(self._names, ports[controllers:], strict=True))
         (self.folder / "key").write_text("a key for a day, shared by all of them")
-        for nth, name in enumerate(self.names):
+        for name in self._names:
             document = json.loads(json.dumps(self.settings.document))
             document["name"] = name
-            document["fronts"][wire]["port"] = ports[many + nth]
-            document["takeover"] = section(name, self.ports, lease_ms)
+            document["fronts"][self._protocol]["port"] = frontend_ports[name]
+            document["takeover"] = takeover_section(name, member_ports, lease_ms)
             (self.folder / f"{name}.json").write_text(json.dumps(document))
-        self.all_taps = [
-            RecordingProxy(
-                now, lambda port=ports[many + nth]: ("127.0.0.1", port), wire == "sasp", name
-            )
-            for nth, name in enumerate(self.names)
+        is_sasp = self._protocol == "sasp"
+        self._proxies = [
+            RecordingProxy(now, partial(_local_address, port), is_sasp, name)
+            for name, port in frontend_ports.items()
         ]
-        self.processes = {}
+        self._processes: dict[str, asyncio.subprocess.Process] = {}
 
-    def open_taps(self):
-        return [["127.0.0.1", tap.open()] for tap in self.all_taps]
+    def open_proxies(self) -> list[Address]:
+        """Open one proxy for each controller; return where relays find them."""
+        return [["127.0.0.1", proxy.open()] for proxy in self._proxies]
 
-    def taps(self):
-        return self.all_taps
+    def proxies(self) -> list[RecordingProxy]:
+        """Return the proxies of all controllers."""
+        return self._proxies
 
-    def planners(self):
-        return list(self.processes.values())
+    def planners(self) -> list[asyncio.subprocess.Process]:
+        """Return the processes of all controllers."""
+        return list(self._processes.values())
 
-    async def start_planner(self):
-        self.starts.append(now())
-        for name in self.names:
-            with open(self.folder / f"{name}.log", "wb") as log:
-                self.processes[name] = await asyncio.create_subprocess_exec(
+    async def start_planner(self) -> None:
+        """Start all controllers and wait until one is the leader."""
+        self.planner_starts.append(now())
+        for name in self._names:
+            with (self.folder / f"{name}.log").open("wb") as log:
+                self._processes[name] = await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-m",
                     "indigodeck",
@@ -61,70 +103,79 @@
                     "--charter",
                     str(self.folder / f"{name}.json"),
                     stdout=log,
-                    stderr=self.log,
+                    stderr=self._log,
                 )
-        for _ in range(400):
-            await sleep(0.05)
-            if self.charges():
+        for _ in range(START_POLLS):
+            await sleep(START_POLL_INTERVAL_S)
+            if self.lease_acquisitions():
                 return
         raise RuntimeError("nobody is in charge")
 
-    async def play(self):
+    async def play(self) -> Result:
+        """Play the whole script; return how it went."""
         try:
             return await super().play()
         finally:
-            for one in self.held:
-                one.close()
-
-    def charges(self):
-        """[(moment, epoch, controller)] as their own logs say."""
-        gap, found = datetime.datetime.now().timestamp() * SECOND - now(), []
-        for name in self.names:
-            for what, epoch, written in charges_in(self.folder / f"{name}.log"):
-                if what == "in charge":
-                    at = datetime.datetime.fromisoformat(written.replace("Z", "+00:00")).timestamp()
-                    found.append((round(at * SECOND - gap), epoch, name))
+            self._reserved_ports.close()
+
+    def lease_acquisitions(self) -> list[LeaseAcquisition]:
+        """Return which controllers became leader, and when, by their own logs."""
+        wall_clock_lead = datetime.datetime.now().timestamp() * SECOND - now()
+        found = []
+        for name in self._names:
+            for change in read_lease_changes(self.folder / f"{name}.log"):
+                if change.acquired:
+                    written = change.timestamp.replace("Z", "+00:00")
+                    at = datetime.datetime.fromisoformat(written).timestamp() * SECOND
+                    at_clock = round(at - wall_clock_lead)
+                    found.append(LeaseAcquisition(at_clock, change.epoch, name))
         return sorted(found)
 
-    async def trouble(self, stated):
-        kind, seconds = stated["kind"], stated.get("seconds", 2.0)
-        if kind not in ("stall", "takeover", "handover"):
-            return await super().trouble(stated)
-        held = max(self.charges(), key=lambda charge: charge[1])[2]
-        if kind == "handover":
-            ran = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "indigodeck",
-                "handover",
-                "--charter",
-                str(self.folder / "c0.json"),
-                stdout=asyncio.subprocess.DEVNULL,
-            )
-            return await ran.wait()
-        name = held if kind == "takeover" else self.struck(self.names, 0.01)[0]
-        self.say(f"{kind}: {name} stops for {seconds:.1f} s")
-        self.processes[name].send_signal(signal.SIGSTOP)
-        await sleep(seconds)
-        return self.processes[name].send_signal(signal.SIGCONT)
-
-    def laid(self, seen, span=3 * SECOND):
-        """For each charge, what its controller told relays in its first 3 s: (moment, controller, relays, messages, lines)."""
+    async def inject_fault(self, fault: Fault) -> None:
+        """Let one thing go wrong."""
+        if fault.type not in CONTROLLER_FAULTS:
+            await super().inject_fault(fault)
+            return
+        leader = max(self.lease_acquisitions(), key=lambda acquired: acquired.epoch).controller
+        if fault.type == "handover":
+            await self._hand_over()
+            return
+        name = leader if fault.type == "takeover" else choose(self.random, self._names, 0.01)[0]
+        duration_s = USUAL_STOP_S if fault.duration_s is None else fault.duration_s
+        self.report(f"{fault.type}: {name} stops for {duration_s:.1f} s")
+        self._processes[name].send_signal(signal.SIGSTOP)
+        await sleep(duration_s)
+        self._processes[name].send_signal(signal.SIGCONT)
+
+    def first_tables(self, events: list[StreamEvent]) -> list[FirstTables]:
+        """Return, for each lease acquired, what its controller wrote within the first 3 s."""
         found = []
-        for at, _, name in self.charges():
-            told = [
-                one
-                for one in seen
-                if one.by == name and one.what == "message" and at <= one.at < at + span
+        for at, _, name in self.lease_acquisitions():
+            written = [
+                event
+                for event in events
+                if event.controller == name
+                and event.type == StreamEventType.MESSAGE
+                and at <= event.at < at + FIRST_TABLES_TIME
             ]
-            lines = sum(audit.entries(one.data) for one in told)
-            found.append(
-                (
-                    at,
-                    name,
-                    len({one.relay for one in told}),
-                    sum(1 for one in told if audit.entries(one.data)),
-                    lines,
-                )
-            )
+            entries = [count_entries(event.data) for event in written]
+            relays = {event.relay for event in written}
+            with_entries = sum(1 for count in entries if count)
+            found.append(FirstTables(at, name, len(relays), with_entries, sum(entries)))
         return found
+
+    async def _hand_over(self) -> Any:
+        process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "indigodeck",
+            "handover",
+            "--charter",
+            str(self.folder / "c0.json"),
+            stdout=asyncio.subprocess.DEVNULL,
+        )
+        return await process.wait()
+
+
+def _local_address(port: int) -> tuple[str, int]:
+    return "127.0.0.1", port
--- /dev/null
+++ b/indigodeck/testbed/relay_view.py
@@ -0,0 +1,82 @@
+"""Reads what a planner wrote to a relay, as the relay itself would."""
+
+from collections.abc import Callable, Iterable
+from typing import Any
+
+from ..client.sasp import table_entry
+from ..client.tables import TableEntry, Tables
+from ..frontends.sasp import codec
+from .recording_proxy import StreamEvent, StreamEventType
+
+Groups = list[tuple[tuple[bytes, bytes], list[codec.Entry]]]  # ((relay, class), entries)
+
+
+class RelayView:
+    """The tables of one relay, by the messages that it was sent."""
+
+    def __init__(self, class_names: Iterable[str], now: Callable[[], int]) -> None:
+        self.is_joined = False
+        self.tables = Tables(class_names, now)
+
+    def apply(self, event: StreamEvent) -> None:
+        """Take in what was seen on the relay's stream."""
+        if event.type == StreamEventType.JOINED:
+            self.is_joined = True
+            self.tables.connection_opened()
+        elif event.type == StreamEventType.LEFT:
+            self.is_joined = False
+        elif isinstance(event.data, bytes):
+            codec.dispatch(event.data, self)
+        else:
+            self._apply_reported(event.data)
+
+    def has_empty_table(self, class_name: str) -> bool:
+        """Return whether the relay is joined and was given a table that names no server."""
+        return (
+            self.is_joined
+            and self.tables.updated_at[class_name] is not None
+            and not self.tables.lines[class_name]
+        )
+
+    def answered(self, number: int, message_type: int, code: int) -> None:
+        """Ignore an answer without weights (called by the codec)."""
+
+    def weights(self, number: int, code: int, interval: int, groups: Groups) -> None:
+        """Apply an answer with weights (called by the codec)."""
+        self.sent_weights(number, groups)
+
+    def sent_weights(self, number: int, groups: Groups) -> None:
+        """Apply weights that were pushed (called by the codec)."""
+        for (_, name), entries in groups:
+            self.tables.update(name.decode(), [table_entry(entry) for entry in entries])
+
+    def _apply_reported(self, tables: Any) -> None:
+        """Apply whole tables, as a relay reports them of a stream that only it can read."""
+        for name, entries in tables:
+            reported = [TableEntry(tuple(address), *rest) for address, *rest in entries]
+            self.tables.replace(name, reported)
+
+
+class _EntryCounter:
+    """Counts the entries of a SASP message. A rejected relay is answered, too, with none."""
+
+    def __init__(self) -> None:
+        self.count = 0
+
+    def answered(self, number: int, message_type: int, code: int) -> None:
+        pass
+
+    def weights(self, number: int, code: int, interval: int, groups: Groups) -> None:
+        self.sent_weights(number, groups)
+
+    def sent_weights(self, number: int, groups: Groups) -> None:
+        self.count += sum(len(entries) for _, entries in groups)
+
+
+def count_entries(data: Any) -> int:
+    """Return how many table entries a message gives a relay, over either protocol."""
+    if not isinstance(data, bytes):
+        return sum(len(entries) for _, entries in data)
+    counter = _EntryCounter()
+    codec.dispatch(data, counter)
+    return counter.count
--- /dev/null
+++ b/indigodeck/testbed/worker_process.py
@@ -0,0 +1,69 @@
+"""Processes that run hosts or relays and obey commands (`indigodeck standin ..`)."""
+
+import asyncio
+import json
+import sys
+from typing import Any
+
+ANSWER_TIMEOUT_S = 20
+END_TIMEOUT_S = 5
+LONGEST_LINE_BYTES = 1 << 24
+
+
+class WorkerProcess:
+    """A process that reads commands, one JSON line each, and answers each with one."""
+
+    def __init__(self, process: asyncio.subprocess.Process) -> None:
+        self._process = process
+        self._lock = asyncio.Lock()
+
+    @classmethod
+    async def start(cls, *arguments: str) -> "WorkerProcess":
+        """Start the program with these arguments."""
+        return cls(
+            await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "indigodeck",
+                *arguments,
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                limit=LONGEST_LINE_BYTES,
+            )
+        )
+
+    async def execute(self, **command: Any) -> dict[str, Any]:
+        """Send a command and return its answer.
+
+        Raises
+        ------
+        RuntimeError
+            If the command failed or the process has ended.
+        """
+        stdin = self._process.stdin
+        stdout = self._process.stdout
+        assert stdin is not None
+        assert stdout is not None
+        async with self._lock:
+            stdin.write(json.dumps(command).encode() + b"\n")
+            await stdin.drain()
+            line = await asyncio.wait_for(stdout.readline(), ANSWER_TIMEOUT_S)
+        answer = json.loads(line) if line else {"error": "the process has ended"}
+        if "error" in answer:
+            raise RuntimeError(f"{command.get('do')}: {answer['error']}")
+        return answer
+
+    async def end(self) -> None:
+        """End the process by the end of its input."""
+        assert self._process.stdin is not None
+        self._process.stdin.close()
+        await wait_or_kill(self._process)
+
+
+async def wait_or_kill(process: asyncio.subprocess.Process) -> None:
+    """Wait for a process that was told to end; kill it if it does not in time."""
+    try:
+        await asyncio.wait_for(process.wait(), END_TIMEOUT_S)
+    except TimeoutError:
+        process.kill()
+        await process.wait()
--- /dev/null
+++ b/tests/cli/test_commands.py
@@ -0,0 +1,92 @@
+"""The command line: exit codes, and what commands print."""
+
+import json
+import pathlib
+import signal
+import subprocess
+import sys
+import tempfile
+import unittest
+
+from support import EXAMPLE, ROOT
+
+
+class Commands(unittest.TestCase):
+    """Commands that run as processes of their own."""
+
+    def run_command(self, *words, **more):
+        return subprocess.run(
+            [sys.executable, "-m", "indigodeck", *words],
+            capture_output=True,
+            text=True,
+            timeout=60,
+            cwd=ROOT,
+            **more,
+        )
+
+    def test_check_names_places_and_exit_codes(self):
+        self.assertEqual(
+            self.run_command(
+                "check", "examples/charter.json", "examples/roster.json", "examples/bad-day.json"
+            ).returncode,
+            0,
+        )
+        with tempfile.TemporaryDirectory() as folder:
+            path = pathlib.Path(folder) / "day.json"
+            path.write_text(
+                json.dumps(dict(EXAMPLE, troubles=[{"at": 1, "kind": "flood"}], colour=1))
+            )
+            done = self.run_command("check", str(path))
+            self.assertEqual(done.returncode, 1)
+            self.assertIn("troubles/0/kind: 'flood' is not one of", done.stdout)
+            self.assertIn("'colour' was unexpected", done.stdout)
+            path.write_text("{")
+            self.assertEqual(self.run_command("serve", "--charter", str(path)).returncode, 2)
+
+    def test_serve_says_where_it_listens_weights_asks_it_and_sigterm_ends_it(self):
+        with tempfile.TemporaryDirectory() as folder:
+            charter = json.loads((ROOT / "examples/charter.json").read_text())
+            charter["fronts"]["sasp"]["port"] = 0
+            (pathlib.Path(folder) / "charter.json").write_text(json.dumps(charter))
+            (pathlib.Path(folder) / "roster.json").write_text(
+                (ROOT / "examples/roster.json").read_text()
+            )
+            serve = subprocess.Popen(
+                [
+                    sys.executable,
+                    "-m",
+                    "indigodeck",
+                    "serve",
+                    "--charter",
+                    folder + "/charter.json",
+                ],
+                stdout=subprocess.PIPE,
+                text=True,
+                cwd=ROOT,
+            )
+            try:
+                lines = iter(serve.stdout.readline, "")
+                told = next(line for line in map(json.loads, lines) if line["event"] == "listening")
+                self.assertEqual(told["front"], "sasp")
+                asked = self.run_command(
+                    "weights", f"127.0.0.1:{told['port']}", "--class", "reading", "--format", "json"
+                )
+                shares = json.loads(asked.stdout)["reading"]
+                self.assertGreaterEqual(len(shares), 4)
+                self.assertAlmostEqual(sum(shares.values()), 1, places=3)
+                serve.send_signal(signal.SIGTERM)
+                self.assertEqual(serve.wait(10), 0)
+            finally:
+                serve.kill()
+                serve.stdout.close()
+                serve.wait()
+            self.assertEqual(
+                self.run_command(
+                    "weights", f"127.0.0.1:{told['port']}", "--class", "reading"
+                ).returncode,
+                3,
+            )
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_outlasting.py
+++ b/tests/test_outlasting.py
@@ -480,9 +480,9 @@
 
     async def test_a_rollback_just_before_a_takeover_takes_effect_once(self):
         await self.set_up(store=True)
-        self.fleet.keep(h0="draining")
+        self.fleet.set_host_states(h0="draining")
         await until(lambda: self.all_hold(range(1, 8)), 20)
-        self.fleet.keep(h0="ready")
+        self.fleet.set_host_states(h0="ready")
         await until(lambda: self.all_hold(range(8)), 20)
         code, out = await self.fleet.command("versions", "--format", "json", "list")
         found = [one["number"] for one in json.loads(out)["versions"]]
@@ -490,16 +490,16 @@
             number: (await self.fleet.command("versions", "show", number))[1] for number in found
         }
         without = next(number for number in found if "host-0 " not in shown[number])
-        old = self.fleet.holder()
+        old = self.fleet.leader()
         code, out = await self.fleet.command(
             "versions", "rollback", without, "--author", "duty", "--reason", "host-0 fails"
         )
         self.assertEqual((code, out), (0, f"reading, setpoint held at {without}"))
         self.fleet.signal(old, signal.SIGSTOP)
         await until(lambda: self.all_hold(range(1, 8)), 20)
-        await until(lambda: self.fleet.holder() not in (None, old), 15)
+        await until(lambda: self.fleet.leader() not in (None, old), 15)
         self.fleet.signal(old, signal.SIGCONT)
-        self.fleet.keep(h7="draining")
+        self.fleet.set_host_states(h7="draining")
         await until(lambda: self.all_hold(range(1, 7)), 20)
         code, out = await self.fleet.command(
             "versions", "--format", "json", "list", "--most", "100"
@@ -517,7 +517,7 @@
         numbers = [Number(*map(int, one["number"].split("."))) for one in told["versions"]]
         self.assertEqual(sorted(set(numbers), reverse=True), numbers)
         said = "".join(
-            (self.fleet.folder / f"{name}.log").read_text() for name in self.fleet.members
+            (self.fleet.folder / f"{name}.log").read_text() for name in self.fleet.member_ports
         )
         self.assertNotIn("Exception", said)
         self.assertNotIn("refused a controller", said)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -38,7 +38,8 @@
 from indigodeck.leadership.member_thread import MemberThread  # noqa: E402
 from indigodeck.leadership.rejections import RejectionRegistry  # noqa: E402
 from indigodeck.leadership.transport import Peers, ask  # noqa: E402
-from indigodeck.testbed.controllers import Fleet, Gate  # noqa: E402
+from indigodeck.testbed.controller_fleet import ControllerFleet  # noqa: E402
+from indigodeck.testbed.faulty_link import FaultyLink  # noqa: E402
 from indigodeck.testbed.fleet_scenario import FleetScenarioRunner  # noqa: E402
 from indigodeck.testbed.stock_client import GrpcHost  # noqa: E402
 
@@ -589,23 +590,23 @@
 
     async def set_up(self, gated=False, known=None, **given):
         folder = tempfile.TemporaryDirectory()
-        self.fleet = Fleet(
+        self.fleet = ControllerFleet(
             folder.name, json.loads((ROOT / "examples/charter.json").read_text()), **given
         )
         self.addCleanup(folder.cleanup)
-        self.addAsyncCleanup(self.fleet.end)
+        self.addAsyncCleanup(self.fleet.stop)
         if gated:
-            await self.fleet.gate()
-        for name in self.fleet.members:
+            await self.fleet.add_links()
+        for name in self.fleet.member_ports:
             await self.fleet.start(name)
-        await until(self.fleet.holder, 20)
+        await until(self.fleet.leader, 20)
         wires = [
             {wire: ("127.0.0.1", ports[wire]) for wire in ports}
-            for name, ports in self.fleet.wires.items()
-            if name in (known or self.fleet.members)
+            for name, ports in self.fleet.frontend_ports.items()
+            if name in (known or self.fleet.member_ports)
         ]
         self.relays = [
-            self.fleet.relay(wire, f"hall-a/{wire}-{nth}", [place[wire] for place in wires])
+            self.fleet.connect_relay(wire, f"hall-a/{wire}-{nth}", [place[wire] for place in wires])
             for nth in range(3)
             for wire in ("sasp", "xds")
         ]
@@ -624,7 +625,7 @@
     async def followed(self):
         """{relay: [controllers that say they speak to it]}"""
         found, key = {}, b"a key for tests, shared by all of them"
-        for name, port in self.fleet.members.items():
+        for name, port in self.fleet.member_ports.items():
             if self.fleet.processes[name].returncode is None:
                 for relay, *_ in (await ask(("127.0.0.1", port), key, "followers", after=""))[
                     "relays"
@@ -655,11 +656,11 @@
         self,
     ):
         await self.set_up()
-        old = self.fleet.holder()
+        old = self.fleet.leader()
         self.fleet.signal(old, signal.SIGSTOP)
-        await until(lambda: self.fleet.holder() not in (None, old), 15)
-        new = self.fleet.holder()
-        self.fleet.keep(h2="draining")
+        await until(lambda: self.fleet.leader() not in (None, old), 15)
+        new = self.fleet.leader()
+        self.fleet.set_host_states(h2="draining")
         await until(lambda: self.all_hold({0, 1, 3, 4, 5, 6, 7}), 20)
         epochs = [
             tables.epoch for tables, client, _ in self.relays if isinstance(client, XdsClient)
@@ -669,31 +670,42 @@
         for tables, *_ in self.relays:
             tables.changed = lambda name, tables=tables: changes.append(dict(tables.lines[name]))
         self.fleet.signal(old, signal.SIGCONT)
-        await until(lambda: self.fleet.told(old)[-1][0] == "out of charge", 10)
+        await until(lambda: not self.fleet.lease_changes(old)[-1].acquired, 10)
         await asyncio.sleep(1)
         self.assertEqual(changes, [])
         self.assertTrue(self.all_hold({0, 1, 3, 4, 5, 6, 7}))
-        self.assertGreater(self.fleet.told(new)[-1][1], self.fleet.told(old)[-1][1])
-        self.assertEqual(set(epochs), {self.fleet.told(new)[-1][1]})
+        self.assertGreater(
+            self.fleet.lease_changes(new)[-1].epoch, self.fleet.lease_changes(old)[-1].epoch
+        )
+        self.assertEqual(set(epochs), {self.fleet.lease_changes(new)[-1].epoch})
 
     async def test_handover_by_plan_a_rolling_restart_and_all_at_once(self):
         await self.set_up()
-        old = self.fleet.holder()
+        old = self.fleet.leader()
         self.assertEqual(await self.fleet.command("handover"), (0, f"{old} handed over fleet"))
-        await until(lambda: self.fleet.holder() not in (None, old), 15)
-        self.fleet.keep(h3="draining")
+        await until(lambda: self.fleet.leader() not in (None, old), 15)
+        self.fleet.set_host_states(h3="draining")
         await until(lambda: self.all_hold({0, 1, 2, 4, 5, 6, 7}), 20)
         # All end at once, one of them without its disk; epochs go on and relays are never bare.
-        before = max(epoch for name in self.fleet.members for _, epoch in self.fleet.told(name))
-        for name in self.fleet.members:
-            await self.fleet.ended(name)
+        before = max(
+            change.epoch
+            for name in self.fleet.member_ports
+            for change in self.fleet.lease_changes(name)
+        )
+        for name in self.fleet.member_ports:
+            await self.fleet.kill(name)
         (self.fleet.folder / "c1.record").unlink(missing_ok=True)
-        for name in self.fleet.members:
+        for name in self.fleet.member_ports:
             await self.fleet.start(name)
-        self.fleet.keep(h4="draining")
+        self.fleet.set_host_states(h4="draining")
         await until(lambda: self.all_hold({0, 1, 2, 5, 6, 7}), 30)
         self.assertGreater(
-            max(epoch for name in self.fleet.members for _, epoch in self.fleet.told(name)), before
+            max(
+                change.epoch
+                for name in self.fleet.member_ports
+                for change in self.fleet.lease_changes(name)
+            ),
+            before,
         )
         self.assertEqual(self.bare, [])
 
@@ -715,44 +727,46 @@
         with tempfile.TemporaryDirectory() as folder:
             play = FleetScenarioRunner(script, pathlib.Path(folder))
             result = await play.play()
-            charges = play.charges()
+            acquisitions = play.lease_acquisitions()
         self.assertEqual(
             [rule["rule"] for rule in result["rules"] if not rule["kept"]], [], result["rules"]
         )
-        self.assertGreaterEqual(len(charges), 3)
+        self.assertGreaterEqual(len(acquisitions), 3)
         self.assertGreater(result["service"]["whole"], 0.9)
 
     async def test_only_messages_between_controllers_are_lost(self):
         await self.set_up(gated=True)
-        old = self.fleet.holder()
-        self.fleet.cut(old)  # all relays still reach all three
-        await until(lambda: self.fleet.holder() not in (None, old), 15)
-        self.fleet.keep(h2="draining")
+        old = self.fleet.leader()
+        self.fleet.partition(old)  # all relays still reach all three
+        await until(lambda: self.fleet.leader() not in (None, old), 15)
+        self.fleet.set_host_states(h2="draining")
         await until(lambda: self.all_hold({0, 1, 3, 4, 5, 6, 7}), 20)
-        await self.spoken_to_by_one(self.fleet.holder())
-        self.assertEqual(self.fleet.told(old)[-1][0], "out of charge")
-        self.fleet.cut()
+        await self.spoken_to_by_one(self.fleet.leader())
+        self.assertFalse(self.fleet.lease_changes(old)[-1].acquired)
+        self.fleet.partition()
         await asyncio.sleep(1.5)
-        await self.spoken_to_by_one(self.fleet.holder())
+        await self.spoken_to_by_one(self.fleet.leader())
         self.assertEqual(self.bare, [])
 
     async def test_two_of_five_with_all_the_relays_and_a_majority_with_none(self):
         await self.set_up(gated=True, members=5, known=("c0", "c1"))
-        self.fleet.cut("c0", "c1")
-        await until(lambda: self.fleet.holder() in ("c2", "c3", "c4"), 15)
+        self.fleet.partition("c0", "c1")
+        await until(lambda: self.fleet.leader() in ("c2", "c3", "c4"), 15)
         await asyncio.sleep(1.5)
         # The few have no lease, so that their relays are refused; nothing new reaches these.
-        self.fleet.keep(h2="draining")
+        self.fleet.set_host_states(h2="draining")
         before = [dict(tables.lines) for tables, *_ in self.relays]
         await asyncio.sleep(1.5)
         self.assertEqual([dict(tables.lines) for tables, *_ in self.relays], before)
         self.assertEqual(await self.followed(), {})
         for name in ("c0", "c1"):
-            self.assertNotIn("in charge", [what for what, _ in self.fleet.told(name)[-1:]])
+            self.assertNotIn(
+                True, [change.acquired for change in self.fleet.lease_changes(name)[-1:]]
+            )
         # Healed, the three are taken out one after the other; who is left has the relays.
-        self.fleet.cut()
+        self.fleet.partition()
         for name in ("c4", "c3", "c2"):
-            await until(self.fleet.holder, 10)
+            await until(self.fleet.leader, 10)
             for _ in range(10):
                 code, said = await self.fleet.command("fleet", "remove", name)
                 if not code:
@@ -760,25 +774,25 @@
                 await asyncio.sleep(0.5)
             self.assertEqual(code, 0, said)
         await until(lambda: self.all_hold({0, 1, 3, 4, 5, 6, 7}), 20)
-        await self.spoken_to_by_one(self.fleet.holder())
-        self.assertIn(self.fleet.holder(), ("c0", "c1"))
+        await self.spoken_to_by_one(self.fleet.leader())
+        self.assertIn(self.fleet.leader(), ("c0", "c1"))
 
     async def test_a_controller_is_let_in_and_stands_in_for_two_that_are_gone(self):
         await self.set_up(spare=1)
-        self.assertEqual(self.fleet.told("c3"), [])
+        self.assertEqual(self.fleet.lease_changes("c3"), [])
         code, said = await self.fleet.command(
-            "fleet", "add", "c3", f"127.0.0.1:{self.fleet.members['c3']}"
+            "fleet", "add", "c3", f"127.0.0.1:{self.fleet.member_ports['c3']}"
         )
         self.assertEqual((code, said), (0, "members by number 1: c0, c1, c2, c3"))
-        old = self.fleet.holder()
+        old = self.fleet.leader()
         gone = "c1" if old != "c1" else "c2"
         code, said = await self.fleet.command("fleet", "remove", gone, of=old)
         self.assertEqual(code, 0, said)
-        await self.fleet.ended(gone)
+        await self.fleet.kill(gone)
         # It remembers over a restart who they are, whatever its charter says.
-        await self.fleet.ended("c3")
+        await self.fleet.kill("c3")
         await self.fleet.start("c3")
-        self.fleet.keep(h3="draining")
+        self.fleet.set_host_states(h3="draining")
         await until(lambda: self.all_hold({0, 1, 2, 4, 5, 6, 7}), 20)
         for _ in range(50):
             said = json.loads((await self.fleet.command("fleet", "--format", "json", of=old))[1])
@@ -789,14 +803,14 @@
             (said["c3"]["number"], sorted(said["c3"]["members"])),
             (2, sorted({"c0", "c1", "c2", "c3"} - {gone})),
         )
-        await self.fleet.ended(old)  # one of three is left out of the first three, and the new one
-        await until(lambda: self.fleet.holder() not in (None, old, gone), 15)
-        self.fleet.keep(h2="draining")
+        await self.fleet.kill(old)  # one of three is left out of the first three, and the new one
+        await until(lambda: self.fleet.leader() not in (None, old, gone), 15)
+        self.fleet.set_host_states(h2="draining")
         await until(lambda: self.all_hold({0, 1, 4, 5, 6, 7}), 20)
         # The last but one ends for good: nobody may be in charge, until an operator says so.
-        left = next(name for name in self.fleet.members if name not in (old, gone, "c3"))
-        await self.fleet.ended("c3")
-        self.fleet.keep(h4="draining")
+        left = next(name for name in self.fleet.member_ports if name not in (old, gone, "c3"))
+        await self.fleet.kill("c3")
+        self.fleet.set_host_states(h4="draining")
         await asyncio.sleep(2.5)
         self.assertEqual((await self.fleet.command("fleet", "force", left, of=left))[0], 2)
         self.assertEqual(
@@ -807,26 +821,26 @@
         self.assertEqual(self.bare, [])
 
     async def test_two_versions_side_by_side_while_a_fleet_is_upgraded(self):
-        await self.set_up(spare=1, stated={"speaks": 1})
+        await self.set_up(spare=1, takeover={"speaks": 1})
         for nth, name in enumerate(("c2", "c1", "c0", "c3")):
             if nth == 1:
                 code, said = await self.fleet.command("fleet", "remove", "c2")
                 self.assertEqual(code, 1, said)  # the others know no changes of members yet
-            await self.fleet.ended(name)
-            self.fleet.state(name, speaks=2)
+            await self.fleet.kill(name)
+            self.fleet.change_settings(name, speaks=2)
             await self.fleet.start(name)
             await until(
                 lambda: (
-                    self.fleet.holder()
-                    and self.fleet.processes[self.fleet.holder()].returncode is None
+                    self.fleet.leader()
+                    and self.fleet.processes[self.fleet.leader()].returncode is None
                 ),
                 15,
             )
-            self.fleet.keep(**{f"h{nth}": "draining"})
+            self.fleet.set_host_states(**{f"h{nth}": "draining"})
             await until(lambda: self.all_hold(set(range(nth + 1, 8))), 20)
         for _ in range(10):
             code, said = await self.fleet.command(
-                "fleet", "add", "c3", f"127.0.0.1:{self.fleet.members['c3']}"
+                "fleet", "add", "c3", f"127.0.0.1:{self.fleet.member_ports['c3']}"
             )
             if not code:
                 break
@@ -836,52 +850,55 @@
 
     async def test_an_old_copy_of_a_disk_is_known(self):
         await self.set_up()
-        holder = self.fleet.holder()
-        other = next(name for name in self.fleet.members if name != holder)
+        holder = self.fleet.leader()
+        other = next(name for name in self.fleet.member_ports if name != holder)
         record = self.fleet.folder / f"{other}.record"
         await until(record.exists, 5)
-        copy, before = record.read_bytes(), self.fleet.told(holder)[-1][1]
+        copy, before = record.read_bytes(), self.fleet.lease_changes(holder)[-1].epoch
         self.assertEqual((await self.fleet.command("handover"))[0], 0)
         await until(
             lambda: (
-                self.fleet.holder() not in (None, holder) or self.fleet.told(holder)[-1][1] > before
+                self.fleet.leader() not in (None, holder)
+                or self.fleet.lease_changes(holder)[-1].epoch > before
             ),
             15,
         )
         await until(lambda: record.read_bytes() != copy, 10)
         await asyncio.sleep(1)  # the others see of it what they can know it by
-        await self.fleet.ended(other)
+        await self.fleet.kill(other)
         record.write_bytes(copy)
         await self.fleet.start(other)
         await until(lambda: "is older than" in (self.fleet.folder / f"{other}.log").read_text(), 10)
-        await until(self.fleet.holder, 15)
-        self.fleet.keep(h2="draining")
+        await until(self.fleet.leader, 15)
+        self.fleet.set_host_states(h2="draining")
         await until(lambda: self.all_hold({0, 1, 3, 4, 5, 6, 7}), 20)
 
     async def test_a_message_half_written_to_a_relay_has_no_effect(self):
         await self.set_up()
-        old, wires = self.fleet.holder(), self.fleet.wires
-        gates = {wire: Gate(wires[old][wire]) for wire in ("sasp", "xds")}
+        old, wires = self.fleet.leader(), self.fleet.frontend_ports
+        gates = {wire: FaultyLink(wires[old][wire]) for wire in ("sasp", "xds")}
         for wire, gate in gates.items():
-            port = await gate.open()
+            port = await gate.listen()
             self.addCleanup(gate.close)
             others = [("127.0.0.1", ports[wire]) for name, ports in wires.items() if name != old]
             self.relays.append(
-                self.fleet.relay(wire, f"hall-a/half-{wire}", [("127.0.0.1", port), *others])
+                self.fleet.connect_relay(
+                    wire, f"hall-a/half-{wire}", [("127.0.0.1", port), *others]
+                )
             )
         half = self.relays[-2:]
         await until(lambda: self.all_hold(range(8)), 20)
         before = [dict(tables.lines) for tables, *_ in half]
         for gate in gates.values():
-            gate.answered_most = 25  # within the next message, over either wire
-        self.fleet.keep(h2="draining", h3="draining")
-        await until(lambda: not any(gate.answered_most for gate in gates.values()), 10)
+            gate.response_bytes_left = 25  # within the next message, over either wire
+        self.fleet.set_host_states(h2="draining", h3="draining")
+        await until(lambda: not any(gate.response_bytes_left for gate in gates.values()), 10)
         self.fleet.signal(old, signal.SIGSTOP)
         self.assertEqual([dict(tables.lines) for tables, *_ in half], before)
-        await until(lambda: self.fleet.holder() not in (None, old), 15)
+        await until(lambda: self.fleet.leader() not in (None, old), 15)
         await until(lambda: self.all_hold({0, 1, 4, 5, 6, 7}), 20)
         self.fleet.signal(old, signal.SIGCONT)
-        await until(lambda: self.fleet.told(old)[-1][0] == "out of charge", 10)
+        await until(lambda: not self.fleet.lease_changes(old)[-1].acquired, 10)
         self.assertTrue(self.all_hold({0, 1, 4, 5, 6, 7}))
 
     async def test_no_relay_is_pushed_a_table_that_it_refused_after_all_start_anew(self):
@@ -900,15 +917,15 @@
             return answer
 
         with unittest.mock.patch.object(XdsSession, "read", refusing):
-            self.fleet.keep(h2="draining")
+            self.fleet.set_host_states(h2="draining")
             await until(lambda: len(pushed) >= 2, 20)
             await asyncio.sleep(1.5)
-            for name in self.fleet.members:
-                await self.fleet.ended(name)
-            for name in self.fleet.members:
+            for name in self.fleet.member_ports:
+                await self.fleet.kill(name)
+            for name in self.fleet.member_ports:
                 await self.fleet.start(name)
             others = [relay for relay in self.relays if relay[0] is not tables]
-            self.fleet.keep(h3="draining")
+            self.fleet.set_host_states(h3="draining")
             await until(
                 lambda: all(
                     {port - 9000 for _, port in lines} == {0, 1, 4, 5, 6, 7}
@@ -924,7 +941,7 @@
         )  # goes on with what it held
 
     async def test_halls_are_wards_of_their_own_and_spread(self):
-        await self.set_up(stated={"wards": "halls"}, known=())
+        await self.set_up(takeover={"wards": "halls"}, known=())
         await until(lambda: self.all_hold(range(8)), 20)
         said = json.loads((await self.fleet.command("fleet", "--format", "json"))[1])
         held = {
@@ -939,8 +956,8 @@
         self.assertGreater(len(set(held.values())), 1)
         await self.spoken_to_by_one(held["hall-a"])
         self.assertEqual(said[held["hall-a"]]["wards"]["hall-a"]["followers"], len(self.relays))
-        await self.fleet.ended(held["hall-a"])
-        self.fleet.keep(h2="draining")
+        await self.fleet.kill(held["hall-a"])
+        self.fleet.set_host_states(h2="draining")
         await until(lambda: self.all_hold({0, 1, 3, 4, 5, 6, 7}), 20)
 
     async def test_the_stock_client_goes_on_to_whoever_is_in_charge(self):
@@ -949,11 +966,11 @@
         for host in hosts:
             await host.open()
             self.addAsyncCleanup(host.server.stop, 0)
-        self.fleet.states = {}
-        self.fleet.place = lambda nth: hosts[nth].port
-        self.fleet.keep(h0="ready")
+        self.fleet.host_states = {}
+        self.fleet.host_port = lambda nth: hosts[nth].port
+        self.fleet.set_host_states(h0="ready")
         where = "ipv4:" + ",".join(
-            f"127.0.0.1:{ports['xds']}" for ports in self.fleet.wires.values()
+            f"127.0.0.1:{ports['xds']}" for ports in self.fleet.frontend_ports.values()
         )
         stock = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -975,10 +992,10 @@
             cwd=ROOT,
         )
         await until(lambda: hosts[0].receipts, 15)
-        old = self.fleet.holder()
-        await self.fleet.ended(old)
-        await until(lambda: self.fleet.holder() not in (None, old), 15)
-        self.fleet.keep(h0="draining", h1="ready")
+        old = self.fleet.leader()
+        await self.fleet.kill(old)
+        await until(lambda: self.fleet.leader() not in (None, old), 15)
+        self.fleet.set_host_states(h0="draining", h1="ready")
         await until(lambda: hosts[1].receipts, 15)
         lines = (await stock.communicate())[0].decode().splitlines()
         outcomes = [json.loads(line)["outcome"] for line in lines]
