--- a/tests/test_sasp_codec.py
+++ b/tests/frontends/test_sasp_codec.py
@@ -3,7 +3,7 @@
 import unittest
 
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from indigodeck.frontends.sasp import codec
 from indigodeck.frontends.sasp.codec import Bounds, Entry, MalformedSaspMessageError, Member
@@ -16,115 +16,131 @@
 READING = "30110010036c62310772656164696e67"
 
 
-class Kept:
+class RecordingHandler:
     """Keeps the one call that a message leads to."""
 
     def __getattr__(self, name):
+        """Return a method that keeps its own name and arguments."""
         return lambda *given: self.__dict__.__setitem__("call", (name, *given))
 
 
-def read(data, bounds=Bounds()):
-    kept = Kept()
-    codec.dispatch(bytes.fromhex(data) if isinstance(data, str) else data, kept, bounds)
-    return kept.call
+def read(data, bounds=None):
+    """Return the method and arguments that a message, as bytes or in hexadecimal digits, calls."""
+    handler = RecordingHandler()
+    codec.dispatch(bytes.fromhex(data) if isinstance(data, str) else data, handler, bounds)
+    return handler.call
 
 
-def whole(number, body):
-    """The 13 bytes before a body: type 2010, length 13, version 1, whole length, id."""
+def with_header(number, body):
+    """Return a body after its 13 bytes of header: type 2010, length 13, version 1, length, id."""
     return f"2010000d01{13 + len(body) // 2:08x}{number:08x}{body}"
 
 
-NAMED, HOST, HOST6 = (
-    (b"lb1", b"reading"),
-    Member.at("10.1.2.3", 80, b"web"),
-    Member.at("2001:db8::5", 8443),
-)
-BY_HAND = {
+GROUP_NAME = (b"lb1", b"reading")
+MEMBER = Member.at("10.1.2.3", 80, b"web")
+IPV6_MEMBER = Member.at("2001:db8::5", 8443)
+MESSAGES = {
     # set load balancer state: id, health 127, flags push + trust + no change
-    whole(7, "1050000a036c62317fe0"): (
+    with_header(7, "1050000a036c62317fe0"): (
         ("set_balancer", 7, b"lb1", 127, True, True, True),
         codec.set_balancer(7, b"lb1", 127, True, True, True),
     ),
     # registration by the load balancer: one group of two members, 4010, length 4+2+16+27+24 = 73
-    whole(8, "10100050800001401000490002" + READING + WEB + SIX): (
-        ("register", 8, True, [(NAMED, [HOST, HOST6])]),
-        codec.register(8, True, [(NAMED, [HOST, HOST6])]),
+    with_header(8, "10100050800001401000490002" + READING + WEB + SIX): (
+        ("register", 8, True, [(GROUP_NAME, [MEMBER, IPV6_MEMBER])]),
+        codec.register(8, True, [(GROUP_NAME, [MEMBER, IPV6_MEMBER])]),
     ),
     # deregistration by a member, reason 1
-    whole(9, "1020003900010001401000310001" + READING + WEB): (
-        ("deregister", 9, False, 1, [(NAMED, [HOST])]),
-        codec.deregister(9, False, 1, [(NAMED, [HOST])]),
+    with_header(9, "1020003900010001401000310001" + READING + WEB): (
+        ("deregister", 9, False, 1, [(GROUP_NAME, [MEMBER])]),
+        codec.deregister(9, False, 1, [(GROUP_NAME, [MEMBER])]),
     ),
-    whole(10, "103000160001" + READING): (
-        ("get_weights", 10, [NAMED]),
-        codec.get_weights(10, [NAMED]),
+    with_header(10, "103000160001" + READING): (
+        ("get_weights", 10, [GROUP_NAME]),
+        codec.get_weights(10, [GROUP_NAME]),
     ),
     # get weights reply: done, 5 s, one group: 4011; an entry is 3012, length 4+27+1+1+2 = 35
-    whole(10, "103500420000050001401100390001" + READING + "30120023" + WEB + "0090ffff"): (
-        ("weights", 10, 0, 5, [(NAMED, [Entry(HOST, 65535, codec.CONTACT | codec.CONFIDENT)])]),
-        codec.weights(10, 0, 5, [(NAMED, [Entry(HOST, 65535, codec.CONTACT | codec.CONFIDENT)])]),
+    with_header(10, "103500420000050001401100390001" + READING + "30120023" + WEB + "0090ffff"): (
+        (
+            "weights",
+            10,
+            0,
+            5,
+            [(GROUP_NAME, [Entry(MEMBER, 65535, codec.CONTACT | codec.CONFIDENT)])],
+        ),
+        codec.weights(
+            10, 0, 5, [(GROUP_NAME, [Entry(MEMBER, 65535, codec.CONTACT | codec.CONFIDENT)])]
+        ),
     ),
     # unsolicited: quiesced, weight 0, opaque state 9
-    whole(0xFFFFFFFE, "1040003f0001401100390001" + READING + "30120023" + WEB + "09400000"): (
-        ("sent_weights", 0xFFFFFFFE, [(NAMED, [Entry(HOST, 0, codec.QUIESCED, 9)])]),
-        codec.send_weights(0xFFFFFFFE, [(NAMED, [Entry(HOST, 0, codec.QUIESCED, 9)])]),
+    with_header(0xFFFFFFFE, "1040003f0001401100390001" + READING + "30120023" + WEB + "09400000"): (
+        ("sent_weights", 0xFFFFFFFE, [(GROUP_NAME, [Entry(MEMBER, 0, codec.QUIESCED, 9)])]),
+        codec.send_weights(0xFFFFFFFE, [(GROUP_NAME, [Entry(MEMBER, 0, codec.QUIESCED, 9)])]),
     ),
     # set member state by the load balancer: 4012; a state is 3013, length 4+27+1+1 = 33
-    whole(11, "1060003e800001401200370001" + READING + "30130021" + WEB + "0280"): (
-        ("set_members", 11, True, [(NAMED, [(HOST, 2, True)])]),
-        codec.set_members(11, True, [(NAMED, [(HOST, 2, True)])]),
+    with_header(11, "1060003e800001401200370001" + READING + "30130021" + WEB + "0280"): (
+        ("set_members", 11, True, [(GROUP_NAME, [(MEMBER, 2, True)])]),
+        codec.set_members(11, True, [(GROUP_NAME, [(MEMBER, 2, True)])]),
     ),
-    whole(8, "1015000500"): (
+    with_header(8, "1015000500"): (
         ("answered", 8, codec.REGISTERED, 0),
         codec.answer(8, codec.REGISTERED, 0),
     ),
-    whole(9, "1025000542"): (
+    with_header(9, "1025000542"): (
         ("answered", 9, codec.DEREGISTERED, 0x42),
         codec.answer(9, codec.DEREGISTERED, 0x42),
     ),
-    whole(7, "1055000511"): (
+    with_header(7, "1055000511"): (
         ("answered", 7, codec.BALANCER_SET, 0x11),
         codec.answer(7, codec.BALANCER_SET, 0x11),
     ),
-    whole(3, "1065000561"): (
+    with_header(3, "1065000561"): (
         ("answered", 3, codec.MEMBERS_SET, 0x61),
         codec.answer(3, codec.MEMBERS_SET, 0x61),
     ),
 }
 
 
-class Layout(unittest.TestCase):
+class MessageLayoutTest(unittest.TestCase):
+    """Messages as bytes, read and written, and what is rejected."""
+
     def test_bytes_by_hand_are_read_and_written(self):
-        for data, (call, written) in BY_HAND.items():
+        """Byte strings worked out from the diagrams match both ways."""
+        for data, (call, written) in MESSAGES.items():
             self.assertEqual(read(data), call)
             self.assertEqual(written.hex(), data)
 
     def test_a_component_that_does_not_count_its_groups_is_read_as_well(self):
-        self.assertEqual(read(whole(10, "103000060001" + READING)), ("get_weights", 10, [NAMED]))
+        """A message component may state its length without its groups."""
+        self.assertEqual(
+            read(with_header(10, "103000060001" + READING)), ("get_weights", 10, [GROUP_NAME])
+        )
 
-    def test_both_forms_of_an_ipv4_address_name_one_place(self):
+    def test_both_forms_of_an_ipv4_address_name_one_endpoint(self):
+        """Mapped and compatible forms are one address."""
         older = Member(6, 80, bytes(12) + bytes([10, 1, 2, 3]))
-        self.assertEqual(older.endpoint(), HOST.endpoint())
+        self.assertEqual(older.endpoint(), MEMBER.endpoint())
         self.assertEqual(Member.at("::1", 80).endpoint(), ("::1", 80))
 
-    def test_what_is_no_message_is_said_with_its_code_and_place(self):
-        said = []
+    def test_a_malformed_message_is_rejected_with_return_code_and_offset(self):
+        """The error says what was wrong, and where."""
+        rejections = []
         for data in (
-            whole(1, "99990004"),
-            whole(1, "103000160002" + READING),
-            whole(1, "1010000580"),
-            whole(1, "103000170001" + READING),
+            with_header(1, "99990004"),
+            with_header(1, "103000160002" + READING),
+            with_header(1, "1010000580"),
+            with_header(1, "103000170001" + READING),
             "2010000d02000000110000000110300004",
             "3010000d01000000110000000110300004",
-            whole(1, "103000160001" + READING + "00"),
-            whole(1, "101000508000014010ffff0002" + READING + WEB + SIX),
-            whole(1, "10100050800001401000490009" + READING + WEB + SIX),
+            with_header(1, "103000160001" + READING + "00"),
+            with_header(1, "101000508000014010ffff0002" + READING + WEB + SIX),
+            with_header(1, "10100050800001401000490009" + READING + WEB + SIX),
         ):
             with self.assertRaises(MalformedSaspMessageError) as caught:
                 read(data, Bounds(members=8))
-            said.append(f"{caught.exception.return_code:#04x} {caught.exception}")
+            rejections.append(f"{caught.exception.return_code:#04x} {caught.exception}")
         self.assertEqual(
-            said,
+            rejections,
             [
                 "0x10 unknown message type 0x9999 (byte 17)",
                 "0x10 type of a group needs 2 bytes, 0 are left (byte 35)",
@@ -139,8 +155,9 @@
         )
 
     @settings(max_examples=300, deadline=None)
-    @given(some.sampled_from(sorted(BY_HAND)), some.integers(0, 400), some.binary(max_size=6))
+    @given(st.sampled_from(sorted(MESSAGES)), st.integers(0, 400), st.binary(max_size=6))
     def test_damage_anywhere_is_malformed_or_another_message_never_a_crash(self, data, at, put):
+        """No damaged message raises any other error."""
         data = bytearray.fromhex(data)
         data[at % len(data) : at % len(data) + len(put)] = put
         try:
@@ -150,22 +167,22 @@
 
     @settings(max_examples=100, deadline=None)
     @given(
-        some.lists(
-            some.tuples(
-                some.binary(min_size=1, max_size=20),
-                some.lists(
-                    some.builds(
+        st.lists(
+            st.tuples(
+                st.binary(min_size=1, max_size=20),
+                st.lists(
+                    st.builds(
                         Entry,
-                        some.builds(
+                        st.builds(
                             Member,
-                            some.integers(0, 255),
-                            some.integers(0, 65535),
-                            some.binary(min_size=16, max_size=16),
-                            some.binary(max_size=255),
+                            st.integers(0, 255),
+                            st.integers(0, 65535),
+                            st.binary(min_size=16, max_size=16),
+                            st.binary(max_size=255),
                         ),
-                        some.integers(0, 65535),
-                        some.integers(0, 255),
-                        some.integers(0, 255),
+                        st.integers(0, 65535),
+                        st.integers(0, 255),
+                        st.integers(0, 255),
                     ),
                     max_size=8,
                 ),
@@ -174,6 +191,7 @@
         )
     )
     def test_weights_come_back_as_they_were_written(self, groups):
+        """What is written is read back the same."""
         groups = [((b"lb", name), entries) for name, entries in groups]
         self.assertEqual(read(codec.weights(5, 0, 9, groups)), ("weights", 5, 0, 9, groups))
 
