--- a/tests/edge/stand_ins.py
+++ b/tests/edge/stand_ins.py
@@ -1,6 +1,7 @@
 """What the tests of the platform's planner share: settings, messages, and scripted other sides."""
 
 import json
+from enum import Enum
 
 from rig import Loop
 from simulator.test_adapter import SETTINGS as SIMULATOR_SETTINGS
@@ -91,6 +92,7 @@
         self.lines = []
 
     def __call__(self, event, /, **facts):
+        """Keep one event as the line that would be logged."""
         self.lines.append(format_event(event, facts))
 
 
@@ -101,18 +103,23 @@
     log = Loop.note
 
     def notify_orders_pending(self):
+        """Do nothing: the tests take the orders themselves."""
         pass
 
     def check_health(self, checked, address):
+        """Print the health check."""
         self.note(f"check server {checked.server} at {address}")
 
     def send_to_peer(self, peer, data):
+        """Print the datagram."""
         self.note(f"send to peer {peer}")
 
     def fetch_endpoints(self):
+        """Print the request."""
         self.note("fetch")
 
     def trace(self, event, details):
+        """Do nothing."""
         pass
 
 
@@ -125,21 +132,36 @@
         self.acks = []
 
     def on_proxy_joined(self, joined):
+        """Keep a joining."""
         self.membership_events.append(("joined", joined.proxy))
 
     def on_proxy_left(self, proxy):
+        """Keep a departure."""
         self.membership_events.append(("left", proxy))
 
     def on_ack(self, ack):
+        """Keep an acknowledgement."""
         self.acks.append(ack)
 
     def on_outcome_report(self, report):
+        """Keep a report of a server."""
         self.reports.append(report)
 
     def on_demand_report(self, report):
+        """Keep a report of a proxy."""
         self.reports.append(report)
 
 
+class CallFate(Enum):
+    """What a scripted relay does with a call."""
+
+    ACCEPTED = "accepted"
+    APPLIED_THEN_CLOSED = "applied, and the connection closed instead of a response"
+    CLOSED = "the connection closed, nothing applied"
+    NO_RESPONSE = "applied, without a response"
+    MALFORMED_RESPONSE = "applied, with a response that can't be read"
+
+
 class RelayState:
     """What a relay holds by its protocol: it carries calls out, and answers them."""
 
@@ -152,6 +174,7 @@
         self.joined = set(range(4))
 
     def apply(self, line):
+        """Carry out a call up to the first order that names nothing known, and answer it."""
         call = json.loads(line)
         orders = call["params"]["ops"]
         for number, order in enumerate(orders):
@@ -183,32 +206,36 @@
 
     @staticmethod
     def answer(call, accepted):
+        """Return the answer to a call of which so many orders were accepted."""
         return pack({"jsonrpc": "2.0", "id": call["id"], "result": {"accepted": accepted}})
 
     def snapshot(self):
+        """Return all that is held, to compare."""
         return self.tables, self.admission, self.assignments, self.ejected
 
 
 class ScriptedRelay(TCPServer):
-    """A relay as a script: it keeps what it is sent, and answers each call as the script says next.
+    """A relay as a script: it keeps what it is sent, and each call has the next of the `fates`.
 
-    Answers are "taken", "done, broken", "not done, broken", "silent" and "spoilt".
+    Calls beyond the script are accepted.
     """
 
-    def __init__(self, answers=()):
+    def __init__(self, fates=()):
         super().__init__()
-        self.answers = list(answers)
+        self.fates = list(fates)
         self.state = RelayState()
         self.subscriptions = []
         self.calls = []
         self.connections = []
 
     def listen_somewhere(self):
+        """Listen on a free port, and return the address."""
         sockets = bind_sockets(0, "127.0.0.1")
         self.add_sockets(sockets)
         return sockets[0].getsockname()[:2]
 
     async def handle_stream(self, stream, address):
+        """Serve one connection."""
         self.connections.append(stream)
         try:
             while not stream.closed():
@@ -231,18 +258,21 @@
         await self.send_event(stream, "ping", {})
 
     async def _answer_call(self, stream, line):
-        fate = self.answers.pop(0) if self.answers else "taken"
-        if fate == "not done, broken":
+        fate = self.fates.pop(0) if self.fates else CallFate.ACCEPTED
+        if fate == CallFate.CLOSED:
             stream.close()
             return
         answer = self.state.apply(line)
-        if fate == "done, broken":
+        if fate == CallFate.APPLIED_THEN_CLOSED:
             stream.close()
-        elif fate != "silent":
-            await stream.write((answer[:-2] if fate == "spoilt" else answer) + b"\n")
+        elif fate != CallFate.NO_RESPONSE:
+            await stream.write(
+                (answer[:-2] if fate == CallFate.MALFORMED_RESPONSE else answer) + b"\n"
+            )
 
     @staticmethod
     async def send_event(stream, method, fields):
+        """Send an event of a subscription."""
         event = {"jsonrpc": "2.0", "method": method, "params": fields}
         await stream.write(pack(event) + b"\n")
 
@@ -255,6 +285,7 @@
         self.release = None
 
     async def handle_stream(self, stream, address):
+        """Serve one connection."""
         write = stream.write
 
         async def write_late(data):
@@ -283,6 +314,7 @@
         self.address = sockets[0].getsockname()[:2]
 
     async def handle_stream(self, stream, address):
+        """Serve one connection."""
         try:
             request = await stream.read_until(b"\r\n\r\n")
             after = request.split(b" ")[1].partition(b"after=")[2].partition(b"&")[0]
--- a/tests/edge/test_assigner_host.py
+++ b/tests/edge/test_assigner_host.py
@@ -26,11 +26,13 @@
     """Events in, and what they come to in orders, indices and the log."""
 
     def setUp(self):
+        """Make a host with an assigner, no sockets."""
         self.environment = FakeEnvironment()
         self.outbox = Outbox(self.environment.now, self.environment.note)
         self.host = EdgeAssignerHost(self.environment, self.outbox, SETTINGS, 7)
 
     def orders(self):
+        """Take the next call as a relay, and return its orders."""
         if self.outbox.time_until_call() is None:
             return []
         call = json.loads(self.outbox.next_call())
@@ -38,11 +40,13 @@
         return call["params"]["ops"]
 
     def join(self, *proxies):
+        """Join proxies, and let the assigner act."""
         for proxy in proxies:
             self.host.on_proxy_joined(ProxyJoined(proxy, 0, 5.0, True))
         self.environment.run(0.01)
 
     def test_orders_of_one_event_are_one_call(self):
+        """A joining gives one call: its lines, its table and one acknowledgement request."""
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1"), list_entry("s-2")), cached=True)
         self.join(3)
         kinds = [order["do"] for order in self.orders()]
@@ -52,12 +56,14 @@
         self.assertEqual(self.orders(), [])
 
     def test_reports_and_acks_of_unknown_things_are_ignored(self):
+        """A report of an unlisted server and an ack of no request are counted, no more."""
         self.host.on_outcome_report(OutcomeReport(0, "s-9", 3, 0, 1000, SECOND, None))
         self.host.on_ack(Ack(1, 77, 1000))
         self.assertEqual(self.host.ignored_messages, 2)
         self.assertFalse(self.host.assigner.state.health)
 
     def test_an_ack_older_than_its_request_is_ignored(self):
+        """An ack that claims a longer delay than its request is old does not count."""
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1")), cached=True)
         self.join(3)
         number = next(iter(self.host.ack_requested_at))
@@ -68,6 +74,7 @@
         self.assertFalse(self.host.assigner.state.channel.pending_acks)
 
     def test_a_process_has_one_start_time_however_often_it_is_listed(self):
+        """A start in the future counts as now, and stays what it was at first."""
         ahead = self.environment.now() // 1000 + 5000
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1", started_ms=ahead)), cached=True)
         first = self.host.assigner.state.servers[0].started
@@ -77,6 +84,7 @@
         self.assertLessEqual(first, self.environment.now())
 
     def test_an_unusable_entry_says_nothing_against_its_server(self):
+        """A server whose entry can no longer be read stays listed."""
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1"), list_entry("s-2")), cached=True)
         self.host.on_endpoint_list(
             endpoint_list(list_entry("s-1"), dict(list_entry("s-2"), share="much"), version=2)
@@ -84,6 +92,7 @@
         self.assertEqual(sorted(self.host.assigner.state.servers), [0, 1])
 
     def test_a_fault_loses_one_message(self):
+        """An exception in the assigner is logged, and the next event is handled."""
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1")), cached=True)
 
         def fail(*fields):
@@ -96,6 +105,7 @@
         self.assertTrue(self.orders())
 
     def test_replaced_servers_are_forgotten(self):
+        """With a server replaced each turn, what is kept stays bounded."""
         self.host.on_endpoint_list(endpoint_list(list_entry("s-0"), list_entry("s-1")), cached=True)
         self.join(3, 4)
         sizes = []
@@ -113,11 +123,14 @@
                 self.host.on_ack(Ack(3, request["nonce_out"], SECOND // 5))
             self.environment.run(2)
             assigner = self.host.assigner
-            sizes.append((len(self.host.servers), len(assigner.state.health), len(assigner.state.ejected)))
+            sizes.append(
+                (len(self.host.servers), len(assigner.state.health), len(assigner.state.ejected))
+            )
         self.assertLessEqual(max(max(size) for size in sizes[60:]), 20, sizes[-1])
         self.assertEqual(len(self.host.servers), len(self.host.index_of))
 
     def test_timers_wait_while_the_relay_takes_no_orders(self):
+        """While a call is unanswered, timers wait instead of adding orders."""
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1")), cached=True)
         self.join(3)
         self.outbox.next_call()  # and no answer
@@ -131,6 +144,7 @@
         self.assertTrue(self.orders())
 
     def test_a_health_check_of_a_former_process_is_ignored(self):
+        """The result of a check that began before a restart does not reach the assigner."""
         checked = []
         results = []
         self.environment.check_health = lambda process, address: checked.append(process)
@@ -145,6 +159,7 @@
         self.assertEqual(results, [(0, "ok", 100, None)])
 
     def test_a_server_gone_before_it_was_known_is_not_kept(self):
+        """Entries of servers that are already gone take no index."""
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1")), cached=True)
         self.host.on_endpoint_list(
             endpoint_list(
@@ -171,6 +186,7 @@
         self.orders = []
 
     def play(self, turn):
+        """Play one turn: a list, a joining, reports, and what is ordered."""
         entries = [
             dict(
                 list_entry(f"s-{number}", zone=self.zones[number % len(self.zones)]),
@@ -216,6 +232,7 @@
         return [player.orders for player in players]
 
     def test_deployments_side_by_side_order_what_each_does_alone(self):
+        """No state is shared between two deployments of one process."""
         alone = [self.play(stated)[0] for stated in (PLATFORM_SETTINGS, self.OTHER)]
         self.assertNotEqual(*alone)
         self.assertEqual(self.play(self.OTHER, PLATFORM_SETTINGS), alone[::-1])
--- a/tests/edge/test_codec.py
+++ b/tests/edge/test_codec.py
@@ -30,6 +30,7 @@
     """Messages of collectors, the relay and discovery."""
 
     def test_valid_messages_are_read(self):
+        """Each message becomes its named tuple, times in microseconds."""
         self.assertEqual(
             CODEC.read_outcomes(OUTCOMES),
             (0, "s-1", 212, 3, 41_700, SECOND, {"in_flight": 7.0, "cores_busy": 0.61}),
@@ -54,6 +55,7 @@
         st.data(),
     )
     def test_a_wrong_field_is_rejected_or_harmless(self, kind, data):
+        """Whatever stands in one field, what is read is in range."""
         read, valid = kind
         name = data.draw(st.sampled_from(sorted(valid)))
         wrong = dict(valid)
@@ -73,6 +75,7 @@
             )
 
     def test_outcomes_out_of_range_are_rejected(self):
+        """Truth values are no numbers, and failures are at most attempts."""
         for field, value in (
             ("tries", True),
             ("failed", 213),
@@ -88,6 +91,7 @@
                 CODEC.read_outcomes(dict(OUTCOMES, **{field: value}))
 
     def test_what_is_no_json_object_is_rejected(self):
+        """Neither deep nesting nor NaN nor another protocol gets through."""
         for data in (
             b"",
             b"GET / HTTP/1.1\r\n",
@@ -106,6 +110,7 @@
 
     @given(st.binary(max_size=60))
     def test_any_bytes_are_read_or_rejected(self, data):
+        """Arbitrary bytes raise nothing but the typed error."""
         for read in (
             read_object,
             read_event,
@@ -115,6 +120,7 @@
                 read(data)
 
     def test_an_unusable_list_entry_is_left_out_alone(self):
+        """The other entries count, and its name is known where it has one."""
         found = endpoint_list(
             list_entry("s-1"),
             dict(list_entry("s-2"), share=-1),
@@ -133,6 +139,8 @@
                 CODEC.read_endpoint_list(wrong)
 
     def test_call_results_are_read_or_rejected(self):
+        """Results and errors of the call in flight are read, anything else is rejected."""
+
         def answer(**fields):
             return read_call_result(pack(dict(jsonrpc="2.0", **fields)), 8, 3)
 
--- a/tests/edge/test_discovery.py
+++ b/tests/edge/test_discovery.py
@@ -20,11 +20,13 @@
     """Answers that are late, old, empty, cut or silent."""
 
     def setUp(self):
+        """Keep lists and log lines."""
         super().setUp()
         self.lists = []
         self.log = EventRecorder()
 
     def start_client(self, discovery, has_servers=False):
+        """Return a client that polls."""
         client = DiscoveryClient(
             discovery.address, CODEC, self.on_list, self.log, SeededRandom(1), has_servers
         )
@@ -32,11 +34,13 @@
         return client
 
     def on_list(self, found):
+        """Keep a list that was believed."""
         names = [endpoint.name for endpoint in found.endpoints]
         self.lists.append((found.version, found.complete, names))
 
     @gen_test(timeout=30)
     async def test_an_answer_on_its_way_during_a_move_is_taken(self):
+        """A change that the former address had written counts."""
         written = Event()
         silent = Event()
         old = ScriptedDiscovery(
@@ -60,6 +64,7 @@
 
     @gen_test(timeout=30)
     async def test_an_older_answer_of_the_former_address_is_ignored(self):
+        """It does not undo what the new address has said."""
         written = Event()
         old = ScriptedDiscovery(
             list_answer(list_entry("s-1")),
@@ -77,6 +82,7 @@
 
     @gen_test(timeout=30)
     async def test_an_older_list_is_fetched_again_and_believed_in_the_end(self):
+        """One old list is doubted; one that is repeated is a restart of discovery."""
         older = list_answer(list_entry("s-1"), version=3)
         discovery = ScriptedDiscovery(
             list_answer(list_entry("s-1"), list_entry("s-2"), version=9),
@@ -100,6 +106,7 @@
 
     @gen_test(timeout=30)
     async def test_an_empty_list_is_believed_only_if_it_lasts(self):
+        """An empty list takes no server away unless it is repeated."""
         empty = list_answer(version=2)
         discovery = ScriptedDiscovery(empty, list_answer(list_entry("s-1"), version=3))
         self.start_client(discovery, has_servers=True)
@@ -113,6 +120,7 @@
 
     @gen_test(timeout=60)
     async def test_failed_polls_are_repeated_from_the_same_version(self):
+        """Cut, empty, malformed and failed answers lose no change."""
         valid = http_response(list_answer(list_entry("s-2"), version=2, complete=False))
         head = valid.index(b"\r\n\r\n") + 4
         discovery = ScriptedDiscovery(
@@ -132,6 +140,7 @@
 
     @gen_test(timeout=60)
     async def test_a_silent_poll_times_out_wherever_it_stops(self):
+        """Silence before, after and within the header ends a poll."""
         valid = http_response(list_answer(list_entry("s-2"), version=2, complete=False))
         discovery = ScriptedDiscovery(
             list_answer(list_entry("s-1")),
@@ -147,6 +156,7 @@
 
     @gen_test(timeout=30)
     async def test_a_fetch_during_a_poll_loses_neither_answer(self):
+        """The change counts, and the whole list follows."""
         written = Event()
         discovery = ScriptedDiscovery(
             list_answer(list_entry("s-1")),
--- a/tests/edge/test_listener.py
+++ b/tests/edge/test_listener.py
@@ -16,10 +16,11 @@
     """Collectors, health checks and strangers at once."""
 
     def open_listener(self, host):
-        opened = listener.CollectorListener(host, CODEC, now, 128)
+        """Return a listener and its address."""
+        collector_listener = listener.CollectorListener(host, CODEC, now, 128)
         sockets = bind_sockets(0, "127.0.0.1")
-        opened.add_sockets(sockets)
-        return opened, sockets[0].getsockname()[:2]
+        collector_listener.add_sockets(sockets)
+        return collector_listener, sockets[0].getsockname()[:2]
 
     async def read_to_end(self, stream):
         """Return what a stranger is sent until the connection closes."""
@@ -27,12 +28,13 @@
 
     @gen_test(timeout=60)
     async def test_bad_clients_are_disconnected_and_others_do_not_notice(self):
+        """A collector's reports count beside any client that breaks the protocol."""
         host = RecordingHost()
-        opened, address = self.open_listener(host)
+        collector_listener, address = self.open_listener(host)
         collector = await connecting.connect(address, SECOND)
         await collector.write(b'{"type":"agent","zone":"a"}\n')
-        await until(lambda: opened.collectors[0])
-        for said in (
+        await until(lambda: collector_listener.collectors[0])
+        for data in (
             b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
             b"\xff\xfe\n",
             b'{"type":"agent","zone":"nowhere"}\n',
@@ -46,11 +48,11 @@
         ):
             stranger = await connecting.connect(address, SECOND)
             try:
-                await stranger.write(said)
+                await stranger.write(data)
                 answer = await self.read_to_end(stranger)
             except StreamClosedError:
                 answer = b""
-            self.assertIn(answer[:15], (b"", b'{"type":"error"'), said[:30])
+            self.assertIn(answer[:15], (b"", b'{"type":"error"'), data[:30])
         await collector.write(
             pack(dict(OUTCOMES, tries=True))
             + b"\n"
@@ -61,38 +63,40 @@
             + b"\n"
         )
         await until(lambda: len(host.reports) == 2)
-        self.assertEqual(opened.ignored_reports, 2)
-        self.assertFalse(opened.strangers)
+        self.assertEqual(collector_listener.ignored_reports, 2)
+        self.assertFalse(collector_listener.strangers)
         # What goes on with what can't be read is of no further use, and nothing is written to it.
         await collector.write(b"\x00\x01 and so on\n")
         self.assertEqual(await self.read_to_end(collector), b"")
-        self.assertFalse(opened.collectors[0])
+        self.assertFalse(collector_listener.collectors[0])
 
     @gen_test(timeout=60)
     async def test_hundreds_of_strangers_leave_room_for_health_checks_and_collectors(self):
+        """Strangers are bounded, and the oldest gives way."""
         host = RecordingHost()
-        opened, address = self.open_listener(host)
+        collector_listener, address = self.open_listener(host)
         crowd = []
         for number in range(300):
             stream = await connecting.connect(address, SECOND)
             crowd.append(stream)
             if number % 3:
                 await stream.write(b'{"type":"probe"}\n' if number % 3 == 1 else b'{"type":')
-        self.assertLessEqual(len(opened.strangers), opened.max_strangers)
+        self.assertLessEqual(len(collector_listener.strangers), collector_listener.max_strangers)
         asker = await connecting.connect(address, SECOND)
         await asker.write(b'{"type":"probe"}\n')
         self.assertEqual(await connecting.read_line(asker, 5 * SECOND), collector_protocol.ALIVE)
         collector = await connecting.connect(address, SECOND)
         await collector.write(b'{"type":"agent","zone":"b"}\n' + pack(DEMAND) + b"\n")
         await until(lambda: host.reports)
-        await until(lambda: not opened.strangers)
+        await until(lambda: not collector_listener.strangers)
         for stream in crowd:
             stream.close()
 
     @gen_test(timeout=30)
     async def test_a_collector_disconnected_in_a_report_takes_nothing_with_it(self):
+        """Its complete reports count, and the others go on."""
         host = RecordingHost()
-        opened, address = self.open_listener(host)
+        collector_listener, address = self.open_listener(host)
         line = pack(OUTCOMES) + b"\n"
         callers = []
         for number in range(listener.MAX_COLLECTORS + 1):
@@ -104,4 +108,4 @@
         for stream in callers[1:]:
             await stream.write(line[40:])
         await until(lambda: len(host.reports) == 2 * len(callers) - 1)
-        self.assertEqual(opened.ignored_reports, 0)
+        self.assertEqual(collector_listener.ignored_reports, 0)
--- a/tests/edge/test_membership.py
+++ b/tests/edge/test_membership.py
@@ -14,28 +14,34 @@
     """Connections that lag, break, fall silent and begin anew; this test is the listener."""
 
     def setUp(self):
+        """Make a membership whose listener is this test."""
         self.clock = 0
         self.events = []
         self.membership = ProxyMembership(self, lambda: self.clock)
 
     def on_proxy_joined(self, joined):
+        """Keep a joining."""
         self.events.append(("joined", joined.proxy))
 
     def on_proxy_left(self, proxy):
+        """Keep a departure."""
         self.events.append(("left", proxy))
 
     def connect(self, connection, *proxies):
+        """Open a connection that reports these proxies."""
         self.membership.on_connected(connection)
         for proxy in proxies:
             self.membership.on_proxy_joined(connection, ProxyJoined(proxy, 0, 1.0, False))
         self.membership.on_heartbeat(connection)
 
     def take_events(self):
+        """Return the events since the last call."""
         events = self.events
         self.events = []
         return events
 
     def test_each_joining_is_taken_once_from_two_connections(self):
+        """Two connections report the same joinings, one of them late."""
         self.membership.on_connected("A")
         self.membership.on_connected("B")
         for connection in "AB":
@@ -58,6 +64,7 @@
         self.assertEqual(self.take_events(), [("left", 1), ("joined", 1)])
 
     def test_a_connection_that_begins_anew_beside_another_changes_nothing(self):
+        """The live one vouches for who is joined."""
         self.connect("A", 1, 2)
         self.connect("B", 1, 2)
         self.take_events()
@@ -68,6 +75,7 @@
         self.assertEqual(self.take_events(), [("left", 2)])
 
     def test_after_a_gap_all_proxies_join_anew_or_have_left(self):
+        """Without any connection in between, nobody knows what a proxy holds."""
         self.connect("A", 1, 2)
         self.take_events()
         self.membership.on_disconnected("A")
@@ -78,6 +86,7 @@
         )
 
     def test_a_silent_connection_counts_as_a_gap(self):
+        """A connection without heartbeats vouches for nobody."""
         self.connect("A", 1)
         self.take_events()
         self.clock += 2 * SECOND
@@ -85,6 +94,7 @@
         self.assertEqual(self.take_events(), [("left", 1), ("joined", 1)])
 
     def test_what_a_broken_connection_was_behind_in_is_corrected(self):
+        """What only the surviving connection reported counts once the other breaks."""
         self.connect("A", 1)
         self.connect("B", 1)
         self.take_events()
@@ -97,6 +107,7 @@
         self.assertEqual(self.take_events(), [("left", 4), ("joined", 4)])
 
     def test_a_proxy_that_joins_twice_has_left_in_between(self):
+        """A second joining means a new connection of the proxy, without tables."""
         self.connect("A", 1)
         self.take_events()
         self.membership.on_proxy_joined("A", ProxyJoined(1, 0, 1.0, True))
--- a/tests/edge/test_outbox.py
+++ b/tests/edge/test_outbox.py
@@ -2,6 +2,7 @@
 
 import json
 import unittest
+from enum import Enum
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -45,10 +46,22 @@
 )
 
 
+class Fate(Enum):
+    """What becomes of a call."""
+
+    ACCEPTED = "accepted"
+    RESPONSE_LOST = "applied, and its response lost"
+    LOST = "lost before it was applied"
+    MALFORMED_RESPONSE = "applied, with a response that can't be read"
+    THROTTLED = "rejected for now"
+    NOT_SENT = "not sent yet"
+
+
 class OutboxTest(unittest.TestCase):
     """Calls that are lost, rejected, accepted in part or too long."""
 
     def setUp(self):
+        """Make an outbox on a clock of the test."""
         self.clock = 0
         self.log = EventRecorder()
         self.outbox = Outbox(lambda: self.clock, self.log)
@@ -58,14 +71,13 @@
         st.lists(
             st.tuples(
                 st.lists(ORDERS, max_size=6),
-                st.sampled_from(
-                    ["taken", "done, lost", "not done, lost", "spoilt", "throttled", "waits"]
-                ),
+                st.sampled_from(Fate),
             ),
             max_size=25,
         )
     )
     def test_lost_calls_change_nothing_in_the_end(self, steps):
+        """After any losses the relay holds what one without losses holds."""
         self.clock = 0
         outbox = Outbox(lambda: self.clock, self.log)
         lossy = RelayState()
@@ -75,37 +87,39 @@
             if orders:
                 lossless.apply(commit_call(number, orders))
             self.clock += SECOND
-            if fate != "waits" and outbox.time_until_call() == 0:
+            if fate != Fate.NOT_SENT and outbox.time_until_call() == 0:
                 self.send(outbox, lossy, fate)
         for _ in range(50):
             self.clock += SECOND
             if outbox.time_until_call() == 0:
-                self.send(outbox, lossy, "taken")
+                self.send(outbox, lossy, Fate.ACCEPTED)
         self.assertIsNone(outbox.time_until_call())
         self.assertFalse(outbox.is_behind())
         self.assertEqual(lossy.snapshot(), lossless.snapshot())
 
     def send(self, outbox, relay_state, fate):
+        """Send the next call, with this fate."""
         line = outbox.next_call()
         # Nothing may overtake a call whose fate isn't known.
         self.assertIsNone(outbox.time_until_call())
-        if fate == "throttled":
+        if fate == Fate.THROTTLED:
             outbox.on_response(
                 pack(
                     {"jsonrpc": "2.0", "id": outbox.call_number, "error": {"message": "throttled"}}
                 )
             )
             return
-        answer = relay_state.apply(line) if fate != "not done, lost" else b""
-        if fate == "taken":
+        answer = relay_state.apply(line) if fate != Fate.LOST else b""
+        if fate == Fate.ACCEPTED:
             outbox.on_response(answer)
-        elif fate == "spoilt":
+        elif fate == Fate.MALFORMED_RESPONSE:
             with self.assertRaises(MalformedMessageError):
                 outbox.on_response(answer[:-3])
         else:
             outbox.on_call_lost()
 
     def test_orders_after_a_rejected_one_are_sent_again(self):
+        """The relay stops at an order that it rejects; the rest follows."""
         relay_state = RelayState()
         self.outbox.add(
             [
@@ -124,6 +138,7 @@
         self.assertEqual(len(self.log.lines), 2)
 
     def test_a_call_has_at_most_60000_bytes_and_the_rest_follows_in_order(self):
+        """The whole line counts towards the limit."""
         orders = [
             SetWeight(table, f"s-{number}", 1.5) for table in range(20) for number in range(100)
         ]
@@ -138,6 +153,7 @@
         self.assertEqual(sent, [order_fields(order) for order in orders])
 
     def test_an_order_that_the_relay_cannot_read_is_found_and_left_out(self):
+        """Calls are halved until the order stands alone."""
         orders = [SetWeight(0, name, 1.0) for name in ("s-1", "bad", "s-2", "s-3")]
         self.outbox.add(orders)
         taken = []
@@ -177,6 +193,7 @@
         self.assertEqual(self.outbox.unknown_calls, 0)
 
     def test_orders_for_a_proxy_that_left_are_not_sent_again(self):
+        """Neither what waits nor what was in flight names it."""
         self.outbox.add([AssignTable(1, 0, ("read",)), AssignTable(2, 0, ("read",))])
         self.outbox.next_call()
         self.outbox.add([AssignTable(1, 3, ("read",))])
@@ -187,6 +204,7 @@
         )
 
     def test_throttled_calls_back_off_up_to_a_limit(self):
+        """The wait doubles from 50 ms to 400 ms."""
         self.outbox.add([SetWeight(0, "s-1", 1.0)])
         waits = []
         for _ in range(6):
@@ -199,6 +217,7 @@
         self.assertEqual(waits, [50_000, 100_000, 200_000, 400_000, 400_000, 400_000])
 
     def test_order_keys_name_what_an_order_sets(self):
+        """Opposite orders for one server share a key, two proxies do not."""
         self.assertEqual(order_key(SetEjected("s-1", True)), order_key(SetEjected("s-1", False)))
         self.assertNotEqual(
             order_key(AssignTable(1, 0, ("read",))), order_key(AssignTable(2, 0, ("read",)))
--- a/tests/edge/test_program.py
+++ b/tests/edge/test_program.py
@@ -35,6 +35,7 @@
     """Discovery with one version of a list."""
 
     def get(self):
+        """Answer a poll."""
         asked = self.get_argument("after", None)
         self.application.asked.append(asked)
         self.write(
@@ -50,6 +51,7 @@
     """Start, reload and end; configurations that can't be used."""
 
     def serve_list(self):
+        """Return a discovery and its port."""
         application = Application([("/catalog/members", MembersHandler)])
         application.asked = []
         server = HTTPServer(application)
@@ -57,8 +59,31 @@
         server.add_sockets(sockets)
         return application, sockets[0].getsockname()[1]
 
+    def test_the_service_loads_no_package_of_other_commands(self):
+        """On the platform memory is short."""
+        loaded = "import sys, indigodeck.edge.service; print(sorted(sys.modules))"
+        names = subprocess.run(
+            [sys.executable, "-c", loaded],
+            capture_output=True,
+            text=True,
+            timeout=30,
+            check=True,
+        ).stdout
+        for unused in (
+            "grpc",
+            "msgpack",
+            "structlog",
+            "jsonschema",
+            "click",
+            "indigodeck.store",
+            "indigodeck.leadership",
+            "indigodeck.frontends",
+        ):
+            self.assertNotIn(f"'{unused}", names)
+
     @gen_test(timeout=60)
     async def test_it_serves_reloads_on_sighup_and_ends_on_sigterm(self):
+        """Assigns tables, survives a cut configuration, moves to a new one, ends with 0."""
         lists = [self.serve_list() for _ in range(2)]
         relays = [ScriptedRelay(), ScriptedRelay()]
         addresses = [relay.listen_somewhere() for relay in relays]
@@ -85,25 +110,6 @@
                 )
 
             configure(0)
-            loaded = "import sys, indigodeck.edge.service; print(sorted(sys.modules))"
-            names = subprocess.run(
-                [sys.executable, "-c", loaded],
-                capture_output=True,
-                text=True,
-                timeout=30,
-                check=True,
-            ).stdout
-            for unused in (
-                "grpc",
-                "msgpack",
-                "structlog",
-                "jsonschema",
-                "click",
-                "indigodeck.store",
-                "indigodeck.leadership",
-                "indigodeck.frontends",
-            ):
-                self.assertNotIn(f"'{unused}", names)
             program = subprocess.Popen(
                 [sys.executable, "-m", "indigodeck", "edge"],
                 env=dict(os.environ, EDGE_CONFIG=str(path)),
@@ -134,6 +140,7 @@
                 program.stderr.close()
 
     def test_an_unusable_configuration_ends_it_with_exit_code_2(self):
+        """The message names what is wrong."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "config.json"
             for text, word in (
@@ -157,6 +164,7 @@
     """Signals into the middle of things, with the crossing forced (docs/edge.md)."""
 
     def setUp(self):
+        """Choose a folder and a free port."""
         super().setUp()
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
@@ -165,6 +173,7 @@
         accepting.close()
 
     def configuration(self, discovery, relay, **changes):
+        """Return a configuration as text."""
         return json.dumps(
             dict(
                 {
@@ -182,6 +191,7 @@
         )
 
     def start_program(self):
+        """Start the program with its log in a file."""
         self.log_path = pathlib.Path(self.folder.name) / "log"
         with self.log_path.open("wb") as log:
             program = subprocess.Popen(
@@ -194,10 +204,12 @@
         return program
 
     def logged(self):
+        """Return the log so far."""
         return self.log_path.read_text()
 
     @gen_test(timeout=60)
     async def test_a_drain_that_waits_behind_a_call_is_sent_before_the_end(self):
+        """SIGTERM waits for the call in flight and what is behind it."""
         changed = Event()
         relay = HoldingRelay()
         discovery = ScriptedDiscovery(
@@ -228,6 +240,7 @@
 
     @gen_test(timeout=60)
     async def test_it_ends_in_time_beside_a_relay_that_rejects_calls(self):
+        """It ends with 0, and logs that orders are left."""
         relay = ScriptedRelay()
         relay.state.apply = lambda line: pack(
             {"id": json.loads(line)["id"], "error": {"message": "throttled"}}
@@ -243,6 +256,7 @@
 
     @gen_test(timeout=60)
     async def test_sighup_before_the_first_configuration_is_read_is_not_lost(self):
+        """The new configuration is read once the program runs."""
         relays = [ScriptedRelay(), ScriptedRelay()]
         addresses = [relay.listen_somewhere() for relay in relays]
         os.mkfifo(self.path)  # reading it waits until it is written
@@ -269,6 +283,7 @@
 
     @gen_test(timeout=60)
     async def test_a_configuration_of_another_planner_or_with_other_settings_changes_no_table(self):
+        """The first is rejected; of the second only the addresses count."""
         relays = [ScriptedRelay(), ScriptedRelay(), ScriptedRelay()]
         discovery = ScriptedDiscovery(list_answer(list_entry("s-1"), list_entry("s-2")))
         addresses = [relay.listen_somewhere() for relay in relays]
--- a/tests/edge/test_relay_client.py
+++ b/tests/edge/test_relay_client.py
@@ -15,6 +15,7 @@
 from edge.stand_ins import (
     ACK,
     CODEC,
+    CallFate,
     EventRecorder,
     HoldingRelay,
     RecordingHost,
@@ -37,7 +38,7 @@
 
 
 def completeness(client):
-    """Return of each subscription whether it has told all that stood at its beginning."""
+    """Return of each subscription whether it has reported all that stood at its beginning."""
     return [client.membership.is_complete(found) for found in client.subscriptions]
 
 
@@ -45,27 +46,30 @@
     """Responses, events and handlers that fail."""
 
     def setUp(self):
+        """Make a log."""
         super().setUp()
-        self.script = ScriptedRelay()
+        self.relay = ScriptedRelay()
         self.log = EventRecorder()
         self.outbox = Outbox(now, self.log)
 
     def start_client(self, host):
+        """Return a client that follows a scripted relay."""
         client = make_client(self.outbox, host, self.log)
-        client.start(self.script.listen_somewhere())
+        client.start(self.relay.listen_somewhere())
         return client
 
     @gen_test(timeout=30)
     async def test_lost_and_wrong_responses_lose_no_order(self):
-        self.script.answers = [
-            "done, broken",
-            "taken",
-            "not done, broken",
-            "taken",
-            "silent",
-            "taken",
-            "spoilt",
-            "taken",
+        """The relay holds the newest orders whatever becomes of responses."""
+        self.relay.fates = [
+            CallFate.APPLIED_THEN_CLOSED,
+            CallFate.ACCEPTED,
+            CallFate.CLOSED,
+            CallFate.ACCEPTED,
+            CallFate.NO_RESPONSE,
+            CallFate.ACCEPTED,
+            CallFate.MALFORMED_RESPONSE,
+            CallFate.ACCEPTED,
         ]
         client = self.start_client(RecordingHost())
         for number in range(4):
@@ -73,25 +77,24 @@
             client.notify_orders_pending()
             await until(lambda: self.outbox.is_settled)
         self.assertEqual(
-            self.script.state.tables,
+            self.relay.state.tables,
             {0: {"s-1": 1.0, "s-2": 3.0}, 1: {"s-1": 1.0}, 2: {"s-1": 1.0}, 3: {"s-1": 1.0}},
         )
         self.assertEqual(self.outbox.unknown_calls, 4)
 
     @gen_test(timeout=30)
     async def test_events_go_on_while_a_subscription_breaks_and_the_relay_moves(self):
+        """No proxy joins anew by a break or a move."""
         host = RecordingHost()
         client = self.start_client(host)
-        await until(
-            lambda: len(self.script.subscriptions) == 2 and len(host.membership_events) == 4
-        )
-        self.script.subscriptions[0].close()
-        await until(lambda: len(self.script.subscriptions) == 3)
+        await until(lambda: len(self.relay.subscriptions) == 2 and len(host.membership_events) == 4)
+        self.relay.subscriptions[0].close()
+        await until(lambda: len(self.relay.subscriptions) == 3)
         elsewhere = ScriptedRelay()
         client.move(elsewhere.listen_somewhere())
         await until(lambda: len(elsewhere.subscriptions) == 2)
         await asyncio.sleep(0.1)
-        for stream in self.script.connections:
+        for stream in self.relay.connections:
             stream.close()
         elsewhere.state.joined.discard(2)
         for stream in elsewhere.subscriptions:
@@ -104,16 +107,18 @@
 
     @gen_test(timeout=30)
     async def test_wrong_acks_are_ignored_alone(self):
+        """The ack behind them counts."""
         host = RecordingHost()
         self.start_client(host)
-        await until(lambda: len(self.script.subscriptions) == 2)
+        await until(lambda: len(self.relay.subscriptions) == 2)
         for params in ({}, dict(ACK, mark="x"), dict(ACK, took_ms=-1), dict(ACK, proxy=999), ACK):
-            await ScriptedRelay.send_event(self.script.subscriptions[0], "ack", params)
+            await ScriptedRelay.send_event(self.relay.subscriptions[0], "ack", params)
         await until(lambda: host.acks)
         self.assertEqual(host.acks, [(17, 905, 310_400)])
 
     @gen_test(timeout=30)
     async def test_a_fault_restarts_the_loop(self):
+        """An exception in a handler is logged, and the subscription begins again."""
         host = RecordingHost()
 
         def fail_at_second(joined):
@@ -132,10 +137,12 @@
     """Connections that end, break and move, with the crossing forced (docs/edge.md)."""
 
     def setUp(self):
+        """Make a log."""
         super().setUp()
         self.log = EventRecorder()
 
     def start_client(self, script):
+        """Return a client that follows a scripted relay."""
         self.outbox = Outbox(now, self.log)
         host = RecordingHost()
         client = make_client(self.outbox, host, self.log)
@@ -159,10 +166,12 @@
         self.addCleanup(heartbeats.stop)
 
     async def settled(self):
+        """Wait until no order waits and no call is in flight."""
         await until(lambda: self.outbox.is_settled)
 
     @gen_test(timeout=30)
     async def test_a_line_that_arrives_with_the_deadline_counts(self):
+        """After a stall both are found at once, and the line wins."""
         accepting, port = bind_unused_port()
         stream = await connecting.connect(("127.0.0.1", port), SECOND)
         other, _ = accepting.accept()
@@ -178,7 +187,8 @@
 
     @gen_test(timeout=30)
     async def test_a_call_that_is_lost_again_and_again_backs_off(self):
-        script = ScriptedRelay(["not done, broken"] * 4)
+        """Each loss doubles the wait, a success resets it."""
+        script = ScriptedRelay([CallFate.CLOSED] * 4)
         client, _ = self.start_client(script)
         self.outbox.add([SetWeight(0, "s-1", 1.0)])
         client.notify_orders_pending()
@@ -189,6 +199,7 @@
 
     @gen_test(timeout=60)
     async def test_a_call_cut_at_any_byte_is_sent_again_and_stands_once(self):
+        """Six places from the first byte to the last."""
         script = ScriptedRelay()
         client, _ = self.start_client(script)
         cut = []
@@ -216,6 +227,7 @@
 
     @gen_test(timeout=30)
     async def test_a_move_during_a_call_neither_loses_nor_repeats_it(self):
+        """The response is awaited at the old address, the next call goes to the new."""
         first = HoldingRelay()
         second = ScriptedRelay()
         released = Event()
@@ -236,6 +248,7 @@
 
     @gen_test(timeout=30)
     async def test_a_connection_closed_as_a_call_is_written_loses_nothing(self):
+        """An idle connection may close under the next call."""
         script = ScriptedRelay()
         client, _ = self.start_client(script)
         await until(lambda: len(script.subscriptions) == 2)
@@ -251,6 +264,7 @@
 
     @gen_test(timeout=60)
     async def test_moves_to_and_fro_leave_no_connection_behind(self):
+        """Former subscriptions end once a new one is complete."""
         first = ScriptedRelay()
         second = ScriptedRelay()
         client, host = self.start_client(first)
@@ -272,6 +286,7 @@
 
     @gen_test(timeout=60)
     async def test_a_subscription_that_connects_after_its_successors_is_ended(self):
+        """It was still connecting when it was ended."""
         first = ScriptedRelay()
         second = ScriptedRelay()
         released = Event()
