--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -27,7 +27,8 @@
 from indigodeck.testbed.ports import ReservedPorts  # noqa: E402
 from indigodeck.testbed.scenario import ScenarioRunner  # noqa: E402
 from indigodeck.testbed.scenario_result import printed  # noqa: E402
-from indigodeck.versions import snapshots as sheets  # noqa: E402
+from indigodeck.versions.codec import decode_delta, encode_snapshot  # noqa: E402
+from indigodeck.versions.snapshots import line_count  # noqa: E402
 from indigodeck.versions.version_log import VersionLog  # noqa: E402
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -192,15 +193,15 @@
 
 
 class Held:
-    """A store, opened to be read, as a ledger sees it."""
+    """A store, opened to be read, as a version log sees it."""
 
     def __init__(self, folder):
         self.held = WriteAheadLog(StoreFolder(folder)).read_all()
 
-    def kept(self, key):
+    def load(self, key):
         return self.held[key]
 
-    def wall(self):
+    def wall_clock(self):
         return 0
 
 
@@ -211,19 +212,22 @@
         play = ScenarioRunner(script, pathlib.Path(folder))
         result = await play.play()
         host = Held(pathlib.Path(folder) / "store")
-        ledger = VersionLog(host, [key for key in host.held if key.startswith("version/")])
+        log = VersionLog(host, [key for key in host.held if key.startswith("version/")])
     kept = whole = lines = all_lines = 0
-    for number, version in ledger.versions.items():
-        held = ledger.sheets_of(number)
-        changes = json.loads(ledger.records[number])
+    for number, version in log.versions.items():
+        held = log.snapshot_of(number)
+        changes = decode_delta(json.loads(log.records[number]))
         kept, whole = (
-            kept + len(ledger.records[number]),
-            whole + len(json.dumps(held, separators=(",", ":"))),
+            kept + len(log.records[number]),
+            whole + len(json.dumps(encode_snapshot(held), separators=(",", ":"))),
+        )
+        lines, all_lines = (
+            lines + line_count(changes.values()),
+            all_lines + line_count(held.values()),
         )
-        lines, all_lines = lines + sheets.lines_in(changes), all_lines + sheets.lines_in(held)
     print(printed(result))
     return {
-        "versions": len(ledger.versions),
+        "versions": len(log.versions),
         "bytes_kept": kept,
         "bytes_of_whole_sets": whole,
         "lines_kept": lines,
--- a/indigodeck/leadership/messages.py
+++ b/indigodeck/leadership/messages.py
@@ -47,7 +47,7 @@
     "force": {"members"},
     "followers": {"after"},
 }
-# Versions and wishes (versions/copies.py).
+# Versions and operator requests (versions/replication_messages.py).
 COPIED = {
     "book": {"newest", "content", "wishes"},
     "version": {"entry", "changes"},
--- a/indigodeck/planner/pending_updates.py
+++ b/indigodeck/planner/pending_updates.py
@@ -80,8 +80,8 @@
         self.place_of, self.changed = (
             {},
             True,
-        )  # {table: class's place}; whether books have something to look at
-        self.books = None  # versions of what is published, where they are kept (versions/books.py)
+        )  # {table: class's place}; whether the publisher has something to look at
+        self.publisher = None  # versions of what is published, where they are kept (versions/publisher.py)
         self.assigner = None
         self.assigner = make(self, settings, seed)
         self._settle("start")
@@ -112,8 +112,8 @@
     def proxy_left(self, proxy):
         if self.holdings.pop(proxy, None) is not None:
             self.assigner.on_proxy_left(proxy)
-            if self.books is not None:
-                self.books.left(proxy)
+            if self.publisher is not None:
+                self.publisher.relay_versions.on_left(proxy)
             self._settle("a relay left")
 
     def heard(self, zone, server, tries, failed, took, span, load):
@@ -128,16 +128,16 @@
 
     def spoke(self, proxy):
         """A proxy asked something: its program has gone on since what it took last."""
-        if self.books is not None:
-            self.books.spoke(proxy)
+        if self.publisher is not None:
+            self.publisher.relay_versions.on_request(proxy)
 
     def acknowledged(self, parcel, by_program=True):
         """The transport says that the proxy has taken a parcel; `by_program`: that its program has, not its machine alone."""
         if parcel.proxy in self.holdings:
             for number, ordered in parcel.marks:
                 self.assigner.on_ack(parcel.proxy, number, self.outside.now() - ordered)
-            if self.books is not None:
-                self.books.took(parcel.proxy, parcel.version, by_program)
+            if self.publisher is not None:
+                self.publisher.relay_versions.on_taken(parcel.proxy, parcel.version, by_program)
             self._settle("an answer")
 
     def _woken(self, token):
@@ -146,11 +146,9 @@
 
     def _settle(self, event):
         """Orders of one call travel together: the outside hears of each proxy once."""
-        if self.books is not None and (
-            self.changed or self.books.holds.old or self.books.holds.lines
-        ):
+        if self.publisher is not None and (self.changed or self.publisher.rollback_pins.is_active()):
             self.changed = False
-            self.books.settle(event)
+            self.publisher.publish(event)
         reached, self.reached = sorted(self.reached & self.holdings.keys()), set()
         for proxy in reached:
             self.holdings[proxy].marks.extend(
@@ -192,7 +190,7 @@
             frozenset(holding.waiting),
             holding.since,
             tuple(holding.marks),
-            self.books.newest() if self.books is not None else None,
+            self.publisher.newest() if self.publisher is not None else None,
         )
         holding.waiting, holding.since, holding.marks = {}, None, []
         return parcel
@@ -214,7 +212,7 @@
     def _lines(self, table):
         """A table's lines as they are published: the assigner's, or what an operator holds it at."""
         lines = self.tables.get(table, {})
-        return lines if self.books is None else self.books.holds.lines_of(table, lines)
+        return lines if self.publisher is None else self.publisher.rollback_pins.weights_of(table, lines)
 
     def edition(self, proxy, place):
         """What stands for the content of `view` and `level`: equal where these are, for proxies that share a table
@@ -229,7 +227,7 @@
         table = self.holdings[proxy].bound.get(place) if proxy in self.holdings else None
         return self.levels.get((table, place), (1.0, 0))
 
-    # What books read, and ask.
+    # What the publisher reads, and asks.
 
     def resume(self, held):
         """{table: [server]} as published before: only while nobody holds anything, for then nothing moves by it."""
@@ -290,7 +288,7 @@
             lines[server] = weight
         else:
             lines.pop(server, None)
-        if self.books is not None and table in self.books.holds.lines:
+        if self.publisher is not None and table in self.publisher.rollback_pins.published_weights:
             # It is published as an operator holds it; what follows from this for that is found as orders settle.
             self.editions[table], self.changed = self.editions.get(table, 0) + 1, True
         else:
@@ -359,6 +357,6 @@
         self.outside.ask_list(False)
 
     def log(self, text):
-        if self.books is not None:
-            self.books.because(text)
+        if self.publisher is not None:
+            self.publisher.add_cause(text)
         self.outside.note(text)
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -22,6 +22,7 @@
 from ..json_documents import InvalidDocumentError
 from ..settings import Idempotency
 from ..versions.admin_api import AdminApi
+from ..versions.model import RequestSerial
 from ..versions.replication import VersionReplicator
 from . import endpoint_list as lists
 from .cached_endpoint_list import CachedEndpointList
@@ -38,20 +39,10 @@
 LARGEST_LIST = 16 << 20
 STARTS_AHEAD = 1 << 16
 RETRY = 5 * SECOND  # until a start is tried to be written down again
-# What another controller's word on versions is to `Copies`.
-COPIES = {
-    "book": VersionReplicator.booked.__name__,
-    "version": VersionReplicator.told.__name__,
-    "wishes": VersionReplicator.wished.__name__,
-    "ask wishes": VersionReplicator.asked_wishes.__name__,
-    "noted": VersionReplicator.note.__name__,
-    "want": VersionReplicator.wanted.__name__,
-    "sheets": VersionReplicator.came.__name__,
-}
 
 
 class Others:
-    """The other controllers, as `versions.copies.Copies` sees them."""
+    """The other controllers, as `versions.replication.VersionReplicator` sees them."""
 
     def __init__(self, service):
         self.service = service
@@ -63,8 +54,8 @@
     def others(self):
         return self.service.peers.others()
 
-    def in_charge(self):
-        return self.service.books.epoch is not None
+    def is_leader(self):
+        return self.service.publisher.is_leader
 
 
 class Service:
@@ -110,7 +101,7 @@
         self.tasks, self.last_text = [], None
         self.seen = None
         self.peers = None  # the other controllers, where there are any (serve.py)
-        self.store = self.books = self.counter = self.copies = (
+        self.store = self.publisher = self.admin_api = self.replicator = (
             None  # what outlasts a restart, where it is kept (`keep_books`)
         )
         self.belief = self.kept = None  # a list that was kept, as long as nothing newer has come
@@ -185,10 +176,10 @@
 
     def in_charge(self, ward, epoch):
         self.note("in charge", ward=ward, epoch=epoch)
-        if self.books is not None:
-            self.books.in_charge(epoch, after_another=True)
+        if self.publisher is not None:
+            self.publisher.become_leader(epoch, after_another=True)
             self.desk.changed = True
-            self.copies.took_over()
+            self.replicator.request_peer_states()
         for front in self.fronts:
             front.doors(True)
 
@@ -200,8 +191,8 @@
                 front.replaced(proxy)
                 self.left(front, proxy)
         if not self.holds_any():
-            if self.books is not None:
-                self.books.out_of_charge()
+            if self.publisher is not None:
+                self.publisher.lose_leadership()
             for front in self.fronts:
                 front.doors(False)
 
@@ -216,7 +207,7 @@
         """`store`: store.writer.StoreWriter; `held`: {key: value} of all that it holds."""
         stated = self.settings.store.get("versions", {})
         self.store = store
-        self.books = self.desk.books = VersionSource(
+        source = VersionSource(
             self,
             self.desk,
             store,
@@ -225,11 +216,13 @@
             self.settings.classes,
             stated.get("most", 1000),
             round(stated.get("days", 30) * 86_400 * SECOND),
-            self._wishes_changed,
-        ).books
-        self.counter = AdminApi(self.books)
+            self._requests_changed,
+        )
+        self.publisher = source.publisher
+        self.desk.publisher = source.publisher
+        self.admin_api = AdminApi(self.publisher, source)
         if self.peers is not None:
-            self.copies = VersionReplicator(Others(self), self.books)
+            self.replicator = VersionReplicator(Others(self), self.publisher)
         else:
             # One that lost something may have lost its last starts: numbers go on far ahead of any that were given.
             self._count_start(held.get("starts", 0) + (STARTS_AHEAD if store.log.data_lost else 1))
@@ -286,7 +279,7 @@
 
         def written(told):
             if told.exception() is None:
-                self.books.in_charge(nth)
+                self.publisher.become_leader(nth)
                 # A relay may have been served before this was written down: what it holds is published now.
                 self.desk.changed = True
             elif not self.ending:
@@ -294,14 +287,14 @@
 
         IOLoop.current().add_future(self.store.put([("starts", nth)]), written)
 
-    def _wishes_changed(self, document):
-        if self.copies is not None:
-            self.copies.wishes_changed(document)
+    def _requests_changed(self, state):
+        if self.replicator is not None:
+            self.replicator.send_requests(state)
 
     def copy_came(self, member, kind, fields):
         """Another controller's word on versions and wishes."""
-        if self.copies is not None:
-            getattr(self.copies, COPIES[kind])(member, **fields)
+        if self.replicator is not None:
+            self.replicator.on_message(member, kind, fields)
 
     async def asked(self, wish):
         """An operator's word on versions."""
@@ -312,20 +305,21 @@
                 else None,
                 "list": self.roster.version,
             }
-        if self.counter is None:
+        if self.admin_api is None:
             return {"why_not": "no store is stated in the charter: versions are not kept"}
-        answer = self.counter.answer(wish)
-        if "serial" not in answer or self.copies is None:
+        answer = self.admin_api.answer(wish)
+        if "serial" not in answer or self.replicator is None:
             return answer
-        many = len(self.copies.host.others()) + 1
+        many = self.replicator.controller_count()
+        serial = RequestSerial(*answer["serial"])
         for _ in range(40):
             # Called kept once a majority has it: whoever takes over then knows of it.
-            if self.copies.kept_by(answer["serial"]) > many // 2:
+            if self.replicator.replica_count(serial) > many // 2:
                 return answer
             await sleep(0.05)
         return {
             **answer,
-            "why_not": f"carried out, but only {self.copies.kept_by(answer['serial'])} of {many} controllers have it: "
+            "why_not": f"carried out, but only {self.replicator.replica_count(serial)} of {many} controllers have it: "
             "a takeover now may forget it",
         }
 
@@ -484,8 +478,8 @@
             self._told_of(UpdateKind.CHANGES, servers)
 
     def _told_of(self, kind, servers):
-        if kind == UpdateKind.CACHED and self.books is not None:
-            self.books.resume()  # who is named in what was published last is known from here on
+        if kind == UpdateKind.CACHED and self.publisher is not None:
+            self.publisher.resume_tables()  # who is named in what was published last is known from here on
         self.desk.listed(kind, servers)
         changed = [self.places[server.index] for server in servers if server.index in self.places]
         for front in self.fronts:
--- a/indigodeck/versions/__init__.py
+++ b/indigodeck/versions/__init__.py
@@ -1,1 +1,4 @@
-"""Versions of published tables: numbers, causes, deltas, and the way back to any of them (docs/versions.md)."""
+"""Versions of published tables: their numbers, causes and deltas, and the rollback to any of them.
+
+See docs/versions.md for the design.
+"""
--- a/indigodeck/versions/admin_api.py
+++ b/indigodeck/versions/admin_api.py
@@ -1,146 +1,181 @@
-"""What operators may ask of versions, and what they are answered, free of I/O. Each answer fits one message; more comes by pages."""
+"""The admin API of versions, free of I/O: operators' requests as JSON, and the answers to them.
+
+The JSON words of requests and answers stand here and in `operator_request.schema.json` only. Each
+answer fits one message; longer ones come in pages.
+"""
 
 import json
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any
 
+from ..errors import RejectedError
 from ..json_documents import load_schema, schema_errors
-from .operator_requests import RejectedError
-from .version_log import number
+from . import codec
+from .model import Snapshot, TableDelta, TableSnapshot, Version, VersionNumber
+from .operator_commands import OperatorClock, OperatorCommands
+from .publisher import TablePublisher
+
+REQUEST_SCHEMA = load_schema(__file__, "operator_request.schema.json")
+PAGE_LENGTH = 100  # versions or relays in one answer
+MAX_PAGE_BYTES = 24 << 10  # of JSON: tables in one answer
+MAX_CAUSE_LENGTH = 200  # characters of a version's cause in an answer
+MAX_ERROR_LENGTH = 500  # characters of what the schema has against a request
 
-SCHEMA = load_schema(__file__, "operator_request.schema.json")
-PAGE, PAGE_BYTES = 100, 24 << 10
+Answer = dict[str, Any]
 
 
 class AdminApi:
-    """`books`: versions.books.Books."""
+    """Answers operators' requests from a publisher, and carries them out on it."""
 
-    def __init__(self, books):
-        self.books = books
-        self.answers = {
+    def __init__(self, publisher: TablePublisher, clock: OperatorClock):
+        self._publisher = publisher
+        self._commands = OperatorCommands(publisher, clock)
+        self._handlers: dict[str, Callable[..., Answer]] = {
             "list": self._list,
             "show": self._show,
             "diff": self._diff,
             "relays": self._relays,
-            "rollback": self._rollback,
+            "rollback": self._roll_back,
             "release": self._release,
             "pin": self._pin,
         }
 
-    def answer(self, wish):
-        """{..} for a wish as `operator_request.schema.json` says; {"why_not": text} where it can't be."""
-        against = schema_errors(wish, SCHEMA)
-        if against:
-            return {"why_not": against[0][:500]}
+    def answer(self, request: dict[str, Any]) -> Answer:
+        """Return the answer to a request; where it is rejected, {"why_not": text}."""
+        errors = schema_errors(request, REQUEST_SCHEMA)
+        if errors:
+            return {"why_not": errors[0][:MAX_ERROR_LENGTH]}
+        arguments = {name: value for name, value in request.items() if name != "what"}
         try:
-            return self.answers[wish["what"]](
-                **{name: value for name, value in wish.items() if name != "what"}
-            )
+            return self._handlers[request["what"]](**arguments)
         except RejectedError as error:
             return {"why_not": str(error)}
 
-    def _told(self, version):
-        return {
-            "number": str(version.number),
-            "parent": str(version.parent) if version.parent else None,
-            "at": version.at,
-            "cause": version.cause[:200],
-            "author": version.author,
-            "content": version.content,
-            "pinned": version.number in self.books.wishes.pins,
-        }
-
-    def _list(self, before=None):
-        """Newest first."""
-        ledger, last = self.books.ledger, number(before) if before else None
-        found = [one for one in sorted(ledger.versions, reverse=True) if last is None or one < last]
-        holds = {
-            name: {
-                "number": f"{hold.number[0]}.{hold.number[1]}",
-                "author": hold.author,
-                "reason": hold.reason,
-                "at": hold.at,
-            }
-            for name, hold in self.books.wishes.holds.items()
-        }
+    def _list(self, before: str | None = None) -> Answer:
+        """Answer with versions, the newest first, and what is rolled back."""
+        log = self._publisher.version_log
+        last = VersionNumber.parse(before) if before else None
+        found = [
+            number for number in sorted(log.versions, reverse=True) if last is None or number < last
+        ]
+        rollbacks = self._publisher.requests.rollbacks
         return {
-            "versions": [self._told(ledger.versions[one]) for one in found[:PAGE]],
-            "more": len(found) > PAGE,
-            "newest": str(ledger.newest) if ledger.newest else None,
-            "holds": holds,
-            "in_charge": self.books.epoch is not None,
-            "overruled": self.books.overruled(list(holds)),
+            "versions": [self._version_fields(log.versions[one]) for one in found[:PAGE_LENGTH]],
+            "more": len(found) > PAGE_LENGTH,
+            "newest": str(log.newest) if log.newest else None,
+            "holds": {
+                class_name: {
+                    "number": str(pin.version),
+                    "author": pin.author,
+                    "reason": pin.reason,
+                    "at": pin.requested_at,
+                }
+                for class_name, pin in rollbacks.items()
+            },
+            "in_charge": self._publisher.is_leader,
+            "overruled": self._commands.overruled_tables(rollbacks),
         }
 
-    def _page(self, held, after):
-        """Tables of a set or of a change, as many as fit."""
-        page, size = {}, 0
-        for table in sorted(held):
-            if after is not None and table <= after:
-                continue
-            size += len(json.dumps(held[table])) + len(table)
-            if page and size > PAGE_BYTES:
-                return {"tables": page, "more": True}
-            page[table] = held[table]
-        return {"tables": page, "more": False}
-
-    def _show(self, number, after=None):
-        wanted = self._number(number)
-        held = self.books.ledger.sheets_of(wanted)
-        if held is None:
+    def _show(self, number: str, after: str | None = None) -> Answer:
+        wanted = VersionNumber.parse(number)
+        snapshot = self._publisher.version_log.snapshot_of(wanted)
+        if snapshot is None:
             raise RejectedError(f"version {wanted} is not kept")
         return {
-            "version": self._told(self.books.ledger.versions[wanted]),
-            **self._page(held, after),
+            "version": self._version_fields(self._publisher.version_log.versions[wanted]),
+            **_page(codec.encode_snapshot(snapshot), after),
         }
 
-    def _diff(self, old, new, after=None):
-        changes = self.books.ledger.between(self._number(old), self._number(new))
-        if changes is None:
+    def _diff(self, old: str, new: str, after: str | None = None) -> Answer:
+        """Answer with what each changed line was, and is."""
+        log = self._publisher.version_log
+        before = log.snapshot_of(VersionNumber.parse(old))
+        delta = log.delta_between(VersionNumber.parse(old), VersionNumber.parse(new))
+        if before is None or delta is None:
             raise RejectedError(f"{old} or {new} is not kept")
-        before = self.books.ledger.sheets_of(self._number(old))
-        # As people read it: what each changed line was, and is.
-        told = {}
-        for table, change in changes.items():
-            was = before.get(
-                table, {"class": change and change.get("class"), "lines": {}, "level": None}
-            )
-            lines = (
-                change["lines"]
-                if change and "of" in change
-                else {
-                    **{host: None for host in was["lines"]},
-                    **(change["lines"] if change else {}),
-                }
-            )
-            told[table] = {
-                "class": was["class"],
-                "level": [was["level"], change["level"] if change else None],
-                "lines": {
-                    host: [was["lines"].get(host), weight]
-                    for host, weight in lines.items()
-                    if was["lines"].get(host) != weight
-                },
-            }
-        return self._page(told, after)
-
-    def _relays(self, after=""):
-        found = sorted(one for one in self.books.relays() if one[0] > after)
-        return {"relays": found[:PAGE], "more": len(found) > PAGE}
-
-    def _rollback(self, number, author, reason, classes=()):
+        return _page(
+            {table: _difference(before, table, change) for table, change in delta.items()}, after
+        )
+
+    def _relays(self, after: str = "") -> Answer:
+        found = sorted(
+            status for status in self._publisher.relay_versions.statuses() if status.relay > after
+        )
         return {
-            "done": self.books.rollback(self._number(number), list(classes), author, reason),
-            **self._serial(),
+            "relays": [
+                (status.relay, str(status.version), status.up_to_date, status.confirmed)
+                for status in found[:PAGE_LENGTH]
+            ],
+            "more": len(found) > PAGE_LENGTH,
         }
 
-    def _release(self, author, reason, classes=()):
-        return {"done": self.books.release(list(classes), author, reason), **self._serial()}
+    def _roll_back(
+        self, number: str, author: str, reason: str, classes: Sequence[str] = ()
+    ) -> Answer:
+        return self._done(
+            self._commands.roll_back(VersionNumber.parse(number), classes, author, reason)
+        )
+
+    def _release(self, author: str, reason: str, classes: Sequence[str] = ()) -> Answer:
+        return self._done(self._commands.release(classes, author, reason))
+
+    def _pin(self, number: str, on: bool) -> Answer:
+        return self._done(self._commands.set_version_pinned(VersionNumber.parse(number), on))
 
-    def _pin(self, number, on):
-        return {"done": self.books.pin(self._number(number), on), **self._serial()}
+    def _done(self, text: str) -> Answer:
+        return {"done": text, "serial": list(self._publisher.requests.serial)}
+
+    def _version_fields(self, version: Version) -> Answer:
+        return {
+            "number": str(version.number),
+            "parent": str(version.parent) if version.parent else None,
+            "at": version.published_at,
+            "cause": version.cause[:MAX_CAUSE_LENGTH],
+            "author": version.author,
+            "content": version.content_hash,
+            "pinned": version.number in self._publisher.requests.pinned_versions,
+        }
 
-    def _serial(self):
-        return {"serial": list(self.books.wishes.serial)}
 
-    @staticmethod
-    def _number(text):
-        return number(text)
+def _page(tables: Mapping[str, Any], after: str | None) -> Answer:
+    """Return the tables that come after one, as many as fit an answer."""
+    page: dict[str, Any] = {}
+    size = 0
+    for table in sorted(tables):
+        if after is not None and table <= after:
+            continue
+        size += len(json.dumps(tables[table])) + len(table)
+        if page and size > MAX_PAGE_BYTES:
+            return {"tables": page, "more": True}
+        page[table] = tables[table]
+    return {"tables": page, "more": False}
+
+
+def _difference(before: Snapshot, table: str, change: TableSnapshot | TableDelta | None) -> Answer:
+    """Return what a change of one table does, as people read it: [before, after] by line."""
+    old = before.get(table)
+    old_weights: Mapping[str, float] = {} if old is None else old.weights
+    weights: dict[str, float | None] = {}
+    if not isinstance(change, TableDelta):
+        weights.update((server, None) for server in old_weights)
+    if change is not None:
+        weights.update(change.weights)
+    return {
+        "class": _class_name(old, change),
+        "level": [_level(old), _level(change)],
+        "lines": {
+            server: [old_weights.get(server), weight]
+            for server, weight in weights.items()
+            if old_weights.get(server) != weight
+        },
+    }
+
+
+def _class_name(old: TableSnapshot | None, change: TableSnapshot | TableDelta | None) -> str | None:
+    if old is not None:
+        return old.class_name
+    return change.class_name if isinstance(change, TableSnapshot) else None
+
+
+def _level(table: TableSnapshot | TableDelta | None) -> list[float] | None:
+    return None if table is None else [table.admitted_share, table.retry_policy]
--- /dev/null
+++ b/indigodeck/versions/operator_commands.py
@@ -0,0 +1,122 @@
+"""What operators may do with versions, free of I/O: roll classes back, release them, pin versions.
+
+Each command returns in words what was done. It is accepted only by the controller that leads.
+"""
+
+from collections.abc import Iterable, Sequence
+from typing import Protocol
+
+from ..errors import RejectedError
+from .model import VersionNumber
+from .publisher import TablePublisher
+
+
+class OperatorClock(Protocol):
+    """The clock that requests are dated by."""
+
+    def wall_clock(self) -> int:
+        """Return the microseconds since 1970."""
+
+
+class OperatorCommands:
+    """Carries out operators' commands on one publisher."""
+
+    def __init__(self, publisher: TablePublisher, clock: OperatorClock):
+        self._publisher = publisher
+        self._clock = clock
+
+    def roll_back(
+        self, number: VersionNumber, class_names: Sequence[str], author: str, reason: str
+    ) -> str:
+        """Publish these classes, or all, as they were in a version until they are released.
+
+        Raises
+        ------
+        RejectedError
+            If this controller does not lead, the version is not kept, a class is unknown, or the
+            author is missing.
+        """
+        epoch = self._require_leadership()
+        names = self._checked_names(class_names)
+        if self._publisher.version_log.snapshot_of(number) is None:
+            raise RejectedError(f"version {number} is not kept")
+        replaced = self._publisher.requests.roll_back(
+            number, names, author, reason, self._clock.wall_clock(), epoch
+        )
+        if not replaced:
+            return f"held at {number} already: nothing changes"
+        self._publisher.publish_for_operator(
+            author, f"rollback of {', '.join(replaced)} to {number}: {reason}"
+        )
+        earlier_pins = sorted(
+            {
+                f"{name} was held at {pin.version} by {pin.author}"
+                for name, pin in replaced.items()
+                if pin
+            }
+        )
+        return "; ".join(
+            [
+                f"{', '.join(replaced)} held at {number}",
+                *earlier_pins,
+                *self.overruled_tables(replaced),
+            ]
+        )
+
+    def release(self, class_names: Sequence[str], author: str, reason: str) -> str:
+        """Let these classes, or all, follow the assigner again.
+
+        Raises
+        ------
+        RejectedError
+            If this controller does not lead, or a class is unknown.
+        """
+        epoch = self._require_leadership()
+        released = self._publisher.requests.release(self._checked_names(class_names), epoch)
+        if not released:
+            return "nothing was held: nothing changes"
+        names = ", ".join(released)
+        self._publisher.publish_for_operator(author, f"release of {names}: {reason}")
+        return f"{names} released"
+
+    def set_version_pinned(self, number: VersionNumber, pinned: bool) -> str:
+        """Keep a version however old it gets, or no longer.
+
+        Raises
+        ------
+        RejectedError
+            If this controller does not lead, the version is not kept, or too many are pinned.
+        """
+        epoch = self._require_leadership()
+        if pinned and number not in self._publisher.version_log.versions:
+            raise RejectedError(f"version {number} is not kept")
+        if self._publisher.requests.set_version_pinned(number, pinned, epoch):
+            self._publisher.save_requests()
+        return f"{number} is {'' if pinned else 'not '}pinned"
+
+    def overruled_tables(self, class_names: Iterable[str]) -> list[str]:
+        """Return the tables of pinned classes that a rule keeps as assigned, in words."""
+        publisher = self._publisher
+        wanted = set(class_names)
+        tables_by_reason: dict[str, list[str]] = {}
+        for table, assigned in publisher.assigned_tables.items():
+            reason = publisher.rollback_pins.overruled_because.get(table)
+            if reason and publisher.class_names[assigned.class_index] in wanted:
+                tables_by_reason.setdefault(reason, []).append(str(table))
+        return [
+            f"tables {', '.join(tables)} stay today's: {reason}"
+            for reason, tables in sorted(tables_by_reason.items())
+        ]
+
+    def _require_leadership(self) -> int:
+        epoch = self._publisher.epoch
+        if epoch is None:
+            raise RejectedError("another controller is in charge, or the store can't be written")
+        return epoch
+
+    def _checked_names(self, class_names: Sequence[str]) -> list[str]:
+        known = self._publisher.class_names
+        unknown = [name for name in class_names if name not in known]
+        if unknown:
+            raise RejectedError(f"{unknown[0]!r} is none of the classes {known}")
+        return list(class_names) or list(known)
--- a/indigodeck/versions/operator_requests.py
+++ b/indigodeck/versions/operator_requests.py
@@ -1,93 +1,126 @@
-"""What operators want of versions, free of I/O: which class is held at which version, by whom and why, and which are kept.
+"""What operators want of versions, free of I/O: which class is pinned to which version, and why.
 
-One document, with a serial that only grows: (epoch, how manieth word under it). Of two the one with the higher serial counts,
-so controllers that copy it from each other end with the same, and a word that was heard before a takeover is not
-carried out again after it: it is there already. Who wants what is held already changes nothing, so asking twice is asking once.
+It has a serial that only grows: the epoch, and the count of requests accepted under it. Of two
+states the one with the higher serial counts, so controllers that copy them from each other end
+with the same one, and a request that was accepted before a takeover is not carried out again after
+it: it is there already. A request for what holds already changes nothing, so asking twice is
+asking once.
 """
 
-from .rollback_pins import Hold
+from collections.abc import Iterable
 
-CLASSES_MOST, PINS_MOST, WORDS_LONGEST = 4096, 256, 300
+from ..errors import RejectedError
+from .model import RequestSerial, RequestState, RollbackPin, VersionNumber
 
-
-class RejectedError(Exception):
-    """A wish that can't be carried out; says why."""
+MAX_PINNED_VERSIONS = 256
+MAX_TEXT_LENGTH = 300  # characters of an author or a reason
 
 
 class OperatorRequests:
-    """`holds`: {class: Hold}; `pins`: {number}. `document`: as `document()` gave it, or None."""
-
-    def __init__(self, document=None):
-        self.serial, self.holds, self.pins = (0, 0), {}, set()
-        if document:
-            self._read(document)
-
-    def _read(self, document):
-        self.serial = tuple(document["serial"])
-        self.holds = {
-            name: Hold(tuple(number), author, reason, at, tuple(serial))
-            for name, (number, author, reason, at, serial) in document["holds"].items()
-        }
-        self.pins = {tuple(one) for one in document["pins"]}
-
-    def document(self):
-        return {
-            "serial": list(self.serial),
-            "pins": [list(one) for one in sorted(self.pins)],
-            "holds": {
-                name: [list(hold.number), hold.author, hold.reason, hold.at, list(hold.serial)]
-                for name, hold in sorted(self.holds.items())
-            },
-        }
-
-    def copied(self, document):
-        """Another controller's; whether it is newer than what is held here."""
-        if tuple(document["serial"]) <= self.serial:
+    """The requests that hold now.
+
+    Attributes
+    ----------
+    serial
+        Of the last request accepted.
+    rollbacks
+        The rollback pins, by class name.
+    pinned_versions
+        Versions that are kept until they are unpinned.
+    """
+
+    def __init__(self, state: RequestState | None = None):
+        self.serial = RequestSerial(0, 0)
+        self.rollbacks: dict[str, RollbackPin] = {}
+        self.pinned_versions: set[VersionNumber] = set()
+        if state is not None:
+            self._replace(state)
+
+    def state(self) -> RequestState:
+        """Return a copy of what holds now."""
+        return RequestState(self.serial, dict(self.rollbacks), frozenset(self.pinned_versions))
+
+    def merge(self, state: RequestState) -> bool:
+        """Take another controller's state; return whether it is newer than the one here."""
+        if state.serial <= self.serial:
             return False
-        self._read(document)
+        self._replace(state)
         return True
 
-    def _next(self, epoch):
-        last, nth = self.serial
-        # Under an epoch below one that a word was heard under there is nobody to hear words: see `books`.
-        self.serial = (epoch, 1) if epoch > last else (last, nth + 1)
-        return self.serial
-
-    def rollback(self, number, classes, author, reason, at, epoch):
-        """Holds classes at a version; those for which that is new, and what they were held at before {class: Hold or None}."""
+    def roll_back(
+        self,
+        version: VersionNumber,
+        class_names: Iterable[str],
+        author: str,
+        reason: str,
+        requested_at: int,
+        epoch: int,
+    ) -> dict[str, RollbackPin | None]:
+        """Pin classes to a version.
+
+        Return the classes for which that is new, each with the pin that it had before.
+
+        Raises
+        ------
+        RejectedError
+            If there is no author, or author or reason is too long.
+        """
         if not author:
             raise RejectedError("a rollback needs an author")
-        if len(author) > WORDS_LONGEST or len(reason) > WORDS_LONGEST:
-            raise RejectedError(f"author and reason are {WORDS_LONGEST} characters at most")
-        new = {
-            name: self.holds.get(name)
-            for name in classes
-            if name not in self.holds or self.holds[name].number != tuple(number)
+        if len(author) > MAX_TEXT_LENGTH or len(reason) > MAX_TEXT_LENGTH:
+            raise RejectedError(f"author and reason are {MAX_TEXT_LENGTH} characters at most")
+        replaced = {
+            name: self.rollbacks.get(name)
+            for name in class_names
+            if name not in self.rollbacks or self.rollbacks[name].version != version
         }
-        if new:
-            serial = self._next(epoch)
-            self.holds.update(
-                (name, Hold(tuple(number), author, reason, at, serial)) for name in new
-            )
-        return new
-
-    def release(self, classes, epoch):
-        """Those of the classes that were held: {class: Hold}"""
-        gone = {name: self.holds.pop(name) for name in classes if name in self.holds}
-        if gone:
-            self._next(epoch)
-        return gone
-
-    def pin(self, number, on, epoch):
-        """Keeps a version for as long as it is pinned; whether that is new."""
-        if (tuple(number) in self.pins) == on:
+        if replaced:
+            serial = self._advance_serial(epoch)
+            for name in replaced:
+                self.rollbacks[name] = RollbackPin(version, author, reason, requested_at, serial)
+        return replaced
+
+    def release(self, class_names: Iterable[str], epoch: int) -> dict[str, RollbackPin]:
+        """Unpin classes, and return the pins of those that had one."""
+        released = {
+            name: self.rollbacks.pop(name) for name in class_names if name in self.rollbacks
+        }
+        if released:
+            self._advance_serial(epoch)
+        return released
+
+    def set_version_pinned(self, version: VersionNumber, pinned: bool, epoch: int) -> bool:
+        """Keep a version for as long as it is pinned; return whether this changes anything.
+
+        Raises
+        ------
+        RejectedError
+            If too many versions are pinned already.
+        """
+        if (version in self.pinned_versions) == pinned:
             return False
-        if on and len(self.pins) >= PINS_MOST:
-            raise RejectedError(f"{PINS_MOST} versions are pinned already")
-        (self.pins.add if on else self.pins.discard)(tuple(number))
-        self._next(epoch)
+        if pinned and len(self.pinned_versions) >= MAX_PINNED_VERSIONS:
+            raise RejectedError(f"{MAX_PINNED_VERSIONS} versions are pinned already")
+        if pinned:
+            self.pinned_versions.add(version)
+        else:
+            self.pinned_versions.discard(version)
+        self._advance_serial(epoch)
         return True
 
-    def needed(self):
-        """Versions that must be kept for what is wanted."""
-        return self.pins | {hold.number for hold in self.holds.values()}
+    def needed_versions(self) -> set[VersionNumber]:
+        """Return the versions that must be kept for these requests."""
+        return self.pinned_versions | {pin.version for pin in self.rollbacks.values()}
+
+    def _replace(self, state: RequestState) -> None:
+        self.serial = state.serial
+        self.rollbacks = dict(state.rollbacks)
+        self.pinned_versions = set(state.pinned_versions)
+
+    def _advance_serial(self, epoch: int) -> RequestSerial:
+        # A controller under an epoch below the last one does not lead, and accepts no requests.
+        if epoch > self.serial.epoch:
+            self.serial = RequestSerial(epoch, 1)
+        else:
+            self.serial = RequestSerial(self.serial.epoch, self.serial.position + 1)
+        return self.serial
--- a/indigodeck/versions/publisher.py
+++ b/indigodeck/versions/publisher.py
@@ -1,390 +1,314 @@
-"""The books of one planner, free of I/O: what is published and by which version, what operators hold, who holds which.
+"""The table publisher of one planner, free of I/O: what is published, and as which version.
 
-The desk tells after each call of the assigner that its orders are laid out (`settle`); what is published then, holds
-applied, is a version if it differs from the last. A relay holds the version that was the newest when its message was made, once the
-transport says that it took that message; what changed since concerns it only as far as its own tables did.
+The host calls `publish` once the assigner's orders of one call are laid out. The tables that are
+published then, rollback pins applied, are a version if they differ from the last.
 """
 
-from typing import Protocol
+from collections.abc import Iterable, Mapping, Sequence
+from typing import NamedTuple, Protocol
 
-from . import snapshots as sets
-from .operator_requests import OperatorRequests, RejectedError
-from .rollback_pins import RollbackPins
-from .version_log import Number, VersionLog
+from ..clock import SECOND
+from . import codec
+from .model import (
+    AssignedTable,
+    RequestState,
+    Snapshot,
+    SnapshotDelta,
+    TableSnapshot,
+    Version,
+    VersionNumber,
+)
+from .operator_requests import OperatorRequests
+from .relay_versions import RelayVersions, RelayVersionsHost
+from .rollback_pins import RollbackPins, RollbackPinsHost, Weights
+from .snapshots import table_snapshot
+from .version_log import LogStore, VersionLog
 
-SECOND = 1_000_000
-RELAYS_EVERY, TIDY_EVERY = 10 * SECOND, 60 * SECOND
-CARRIED = 60 * SECOND
-RELAYS_MOST = 65_536
+SAVE_RELAYS_PERIOD = 10 * SECOND
+PRUNE_PERIOD = 60 * SECOND
+# After a start or takeover, tables that no relay is on yet stay published for so long: the relays
+# may be on their way here.
+RETAIN_TABLES_FOR = 60 * SECOND
+MAX_CAUSES = 20  # texts that one version's cause is put together from
+MAX_LOGGED_CAUSE_LENGTH = 200  # characters
 
 
-class Environment(Protocol):
-    """What the books may ask of the program around them. Servers and proxies are indices, classes places."""
+class PublisherHost(LogStore, RelayVersionsHost, RollbackPinsHost, Protocol):
+    """What the publisher and its parts ask of the program around them.
 
-    def now(self) -> int: ...
+    Servers and proxies are indices.
+    """
 
-    def wall(self) -> int: ...
+    def now(self) -> int:
+        """Return the time on a clock that never goes back, in microseconds."""
 
-    def keep(self, changes: list) -> None: ...
+    def keys(self, prefix: str) -> list[str]:
+        """Return the keys in the store that begin with a prefix."""
 
-    def kept(self, key: str): ...
+    def assigned_tables(self) -> dict[int, AssignedTable]:
+        """Return all tables as the assigner has them now."""
 
-    def keys(self, prefix: str) -> list: ...
+    def server_id(self, server: int) -> str:
+        """Return the deployment's own id of a server."""
 
-    def tables(self) -> dict:
-        """{table: (place, {server: weight}, (level, way), edition)} as the assigner has them; the edition changes with them."""
+    def server_index(self, server_id: str) -> int | None:
+        """Return the index of a server, or None if it was never listed here."""
 
-    def name(self, server: int) -> str: ...
+    def ejected_servers(self) -> frozenset[int]:
+        """Return the servers that all relays keep off, whatever their tables say."""
 
-    def number(self, name: str):
-        """The server's index, or None if it was never listed here."""
+    def resume_tables(self, tables: dict[int, list[int]]) -> None:
+        """Go on from the servers of each table as they were published last."""
 
-    def standing(self, server: int) -> str:
-        """holds.OUT, COLD or WARM."""
+    def on_version_published(self, version: Version, delta: SnapshotDelta) -> None:
+        """Take note of the version that is the newest now, and what it changes of its parent."""
 
-    def withdrawn(self): ...
+    def on_requests_changed(self, state: RequestState) -> None:
+        """Take note that what operators want was changed by a request made here."""
 
-    def users(self, table: int) -> int: ...
+    def log(self, event: str, **facts: object) -> None:
+        """Write a log event."""
 
-    def relay(self, proxy: int) -> str: ...
 
-    def bound(self, proxy: int) -> dict:
-        """{place: table}"""
+class _CachedTable(NamedTuple):
+    """A table snapshot, and what it was made from: it is made anew where one of these changes."""
 
-    def room(self) -> float: ...
-
-    def most(self) -> int: ...
-
-    def head(self) -> int: ...
-
-    def touch(self, table: int, servers) -> None: ...
-
-    def resume(self, held: dict) -> None:
-        """{table: [server]} as they were published last: to be gone on with."""
-
-    def published(self, version, changes: dict) -> None:
-        """This is the newest version now, and what it changes of its parent."""
-
-    def wishes_changed(self, document: dict) -> None:
-        """What operators want is another now."""
-
-    def note(self, event: str, **facts) -> None: ...
+    revision: int
+    ejected: frozenset[int]
+    pinned_weights: Weights | None
+    snapshot: TableSnapshot
 
 
 class TablePublisher:
-    """`classes`: names by place; `most`, `age`: as `Ledger`."""
-
-    def __init__(self, host, classes, most, age):
-        self.host, self.classes = host, classes
-        self.ledger = VersionLog(host, host.keys("version/"), most, age)
-        self.wishes, self.holds = OperatorRequests(host.kept("wishes")), RollbackPins(self)
-        self.made, self.now_there, self.epoch = (
-            {},
-            {},
-            None,
-        )  # made: {table: (what it was made of, sheet)}
-        self.carried_until = host.now()
-        self.since, self.held, self.sure, self.carried = (
-            {},
-            {},
-            {},
-            {},
-        )  # {table: number}; {proxy: number}; {relay: number} before
-        self.said, self.author, self.way, self.always = [], "", "", False
-        self.relays_at = self.tidy_at = host.now()
-        self.carried = {relay: Number(*one) for relay, one in (host.kept("relays") or {}).items()}
-        self._hold_all()
-
-    # What happens.
-
-    def in_charge(self, epoch, after_another=False):
-        """`after_another`: whose last versions may not have come here. What is published now is one of its own then, though it may
-        look like the last that is known: whoever holds a version that is not, must see a newer one.
+    """Publishes the assigner's tables, or the pinned ones, as versions while this planner leads.
+
+    Parameters
+    ----------
+    host
+        The program around it.
+    class_names
+        Names of the traffic classes, by class index.
+    max_versions, max_age
+        What `VersionLog` keeps.
+    """
+
+    def __init__(
+        self, host: PublisherHost, class_names: Sequence[str], max_versions: int, max_age: int
+    ):
+        stored_requests = host.load(codec.REQUESTS_KEY)
+        self.class_names = class_names
+        self.version_log = VersionLog(host, host.keys(codec.VERSION_PREFIX), max_versions, max_age)
+        self.requests = OperatorRequests(
+            codec.decode_requests(stored_requests) if stored_requests else None
+        )
+        self.rollback_pins = RollbackPins(host)
+        self.relay_versions = RelayVersions(host)
+        self.epoch: int | None = None  # while this planner leads
+        self.assigned_tables: dict[int, AssignedTable] = {}
+        self.retain_tables_until = host.now()
+        self._host = host
+        self._table_cache: dict[int, _CachedTable] = {}
+        self._causes: list[str] = []
+        # Of the operator's request that is being carried out: its author, and what it is.
+        self._author = ""
+        self._request_text = ""
+        self._always_publish = False
+        self._relays_saved_at = host.now()
+        self._pruned_at = host.now()
+        self.apply_rollback_pins()
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether this planner may publish versions and accept operator requests."""
+        return self.epoch is not None
+
+    def become_leader(self, epoch: int, after_another: bool = False) -> None:
+        """Publish versions under this epoch from now on.
+
+        `after_another` says that another controller led before, whose last versions may not have
+        come here. What is published now is then a version of its own, though it may look like the
+        last one known: a relay that holds an unknown version must see a newer one.
         """
-        self.always = self.always or after_another
+        self._always_publish = self._always_publish or after_another
         self.epoch = epoch if self.epoch is None else max(epoch, self.epoch)
-        self.ledger.in_charge(self.epoch)
-        self.said.append(f"in charge under epoch {epoch}")
-        # What is not bound to anybody yet stays as it was published, for as long as relays may be on their way here.
-        self.carried_until = self.host.now() + CARRIED
-        self.resume()
-
-    def resume(self):
-        """Tables go on from what was published last, here or by the controller before."""
-        if self.ledger.sheets:
-            self.host.resume(
-                {
-                    int(table): [
-                        server
-                        for name in sheet["lines"]
-                        if (server := self.host.number(name)) is not None
-                    ]
-                    for table, sheet in self.ledger.sheets.items()
-                }
+        self.version_log.start_epoch(self.epoch)
+        self._causes.append(f"in charge under epoch {epoch}")
+        self.retain_tables_until = self._host.now() + RETAIN_TABLES_FOR
+        self.resume_tables()
+
+    def resume_tables(self) -> None:
+        """Go on from the tables that were published last, here or by the controller before."""
+        snapshot = self.version_log.snapshot
+        if snapshot:
+            self._host.resume_tables(
+                {int(table): self._known_servers(held.weights) for table, held in snapshot.items()}
             )
 
-    def out_of_charge(self):
+    def lose_leadership(self) -> None:
+        """Publish no more versions."""
         self.epoch = None
-        self.ledger.out_of_charge()
-        self.held.clear()
-        self.sure.clear()
-
-    def because(self, text):
-        """Something that the assigner said of what it does; stands in the cause of what is published next."""
-        if len(self.said) < 20:
-            self.said.append(text)
-
-    def settle(self, event):
-        """The assigner's orders of one call are laid out. `event`: what the call told of."""
-        self.now_there = self.host.tables()
-        self.holds.settle()
+        self.version_log.stop_epoch()
+        self.relay_versions.clear()
+
+    def add_cause(self, text: str) -> None:
+        """Give a cause, in the assigner's words, of what is published next."""
+        if len(self._causes) < MAX_CAUSES:
+            self._causes.append(text)
+
+    def publish(self, event: str) -> None:
+        """Publish the tables as they are now, after the assigner handled an event."""
+        self.assigned_tables = self._host.assigned_tables()
+        self.rollback_pins.update(self.assigned_tables)
         if self.epoch is None:
-            self.said = []
+            self._causes = []
             return
-        held, before = (
-            {str(table): self._sheet(table, *rest) for table, rest in self.now_there.items()},
-            self.ledger.hashes,
-        )
-        if self.host.now() < self.carried_until:
-            held = {
-                **{
-                    table: one
-                    for table, one in self.ledger.sheets.items()
-                    if one["class"] in self.classes
-                },
-                **held,
-            }
-        if not held:
-            return  # nobody has a table yet, and none was ever published
-        version = self.ledger.published(
-            held, "; ".join(self.said) or event, self.author, self.always
-        )
-        if version is not None:
-            after = self.ledger.hashes
-            self.since.update(
-                (table, version.number)
-                for table in before.keys() | after.keys()
-                if before.get(table) != after.get(table)
-            )
-            self.host.published(version, self.ledger.last)
-            self.host.note("published", version=str(version.number), why=version.cause[:200])
-        # Part of the way to what an operator wants is his word as well, until all of it is gone.
-        self.author = self.author if self.author and self.holds.waiting() else ""
-        self.said, self.always = ([f"on the way: {self.way}"] if self.author else []), False
-        self._now_and_then()
-
-    def _sheet(self, table, place, lines, level, edition):
-        lines = self.holds.lines_of(table, lines)
-        made_of = edition, self.host.withdrawn(), self.holds.lines.get(table)
-        known = self.made.get(table)
-        if known is None or known[0] != made_of:
-            out = made_of[1]
-            known = self.made[table] = (
-                made_of,
-                sets.sheet(
-                    self.classes[place],
-                    {
-                        self.host.name(server): weight
-                        for server, weight in lines.items()
-                        if server not in out
-                    },
-                    level,
-                ),
-            )
-        return known[1]
-
-    def _now_and_then(self):
-        now = self.host.now()
-        if now - self.relays_at >= RELAYS_EVERY:
-            self.relays_at = now
-            held = dict(
-                list(
-                    {
-                        **self.carried,
-                        **{self.host.relay(proxy): one for proxy, one in self.held.items()},
-                    }.items()
-                )[-RELAYS_MOST:]
-            )
-            if held != self.carried:
-                self.carried = held
-                self.host.keep([("relays", {relay: list(one) for relay, one in held.items()})])
-        if now - self.tidy_at >= TIDY_EVERY:
-            self.tidy_at = now
-            self.ledger.tidy(
-                {Number(*one) for one in self.wishes.needed()}
-                | set(self.held.values())
-                | set(self.carried.values())
-            )
-
-    def copied(self, version, held):
-        """Another controller's version, whole."""
-        self.ledger.copied(version, held)
-        if any(hold.number == version.number for hold in self.wishes.holds.values()):
-            self._hold_all()
-            self.settle("a version that is held")
-
-    # What relays hold.
-
-    def newest(self):
-        """The version that a message made now brings a relay to, or None."""
-        return self.ledger.newest if self.epoch is not None else None
-
-    def took(self, proxy, version, by_program=True):
-        """A relay took a message that brings it to a version: its program, or so far as is known only its machine."""
-        if version is not None and version >= self.held.get(proxy, version):
-            self.held[proxy] = version
-            if by_program:
-                self.spoke(proxy)
-
-    def spoke(self, proxy):
-        """Its program ran after it took what it took last."""
-        if proxy in self.held:
-            self.sure[proxy] = self.held[proxy]
-
-    def left(self, proxy):
-        one, _ = self.held.pop(proxy, None), self.sure.pop(proxy, None)
-        if one is not None:
-            self.carried[self.host.relay(proxy)] = one
-
-    def relays(self):
-        """[(relay, version that it holds, whether that is the newest as far as its tables go, whether its program has said so)]"""
-        found = []
-        for proxy, one in sorted(self.held.items()):
-            tables = self.host.bound(proxy).values()
-            found.append(
-                (
-                    self.host.relay(proxy),
-                    str(one),
-                    all(self.since.get(str(table), one) <= one for table in tables),
-                    self.sure.get(proxy) == one,
-                )
-            )
-        return found
-
-    # What operators want.
-
-    def _old(self, number, name):
-        """{table: {server: weight}} of one class in a version; hosts that were never listed here are out of it."""
-        held, place = self.ledger.sheets_of(Number(*number)) or {}, self.classes.index(name)
-        found = {}
-        for table, sheet in held.items():
-            if sheet["class"] == self.classes[place]:
-                # Who is not known counts as weight that is not there any more.
-                known = [
-                    (self.host.number(host), weight) for host, weight in sheet["lines"].items()
-                ]
-                found[int(table)] = {
-                    -1 - nth if server is None else server: weight
-                    for nth, (server, weight) in enumerate(known)
-                }
-        return found
-
-    def _hold_all(self):
-        for place, name in enumerate(self.classes):
-            hold = self.wishes.holds.get(name)
-            if hold is None:
-                self.holds.released(place)
+        snapshot = self._current_snapshot()
+        if not snapshot:
+            return  # no relay has a table yet, and none was ever published
+        self._publish_snapshot(snapshot, event)
+        # Steps on the way to what an operator wants have that author as well, until it is reached.
+        if self._author and self.rollback_pins.has_pending_tables(self.assigned_tables):
+            self._causes = [f"on the way: {self._request_text}"]
+        else:
+            self._author = ""
+            self._causes = []
+        self._always_publish = False
+        self._do_housekeeping()
+
+    def publish_for_operator(self, author: str, text: str) -> None:
+        """Publish what an operator's request makes of the tables, as a version in any case."""
+        self._author = author
+        self._request_text = text
+        self._always_publish = True
+        self._causes = [text]
+        self.apply_rollback_pins()
+        self.save_requests()
+        self.publish("an operator's word")
+
+    def newest(self) -> VersionNumber | None:
+        """Return the version that a message made now brings a relay to, if any."""
+        return self.version_log.newest if self.is_leader else None
+
+    def apply_rollback_pins(self) -> None:
+        """Pin the classes that operators have rolled back, and unpin all others."""
+        for class_index, name in enumerate(self.class_names):
+            pin = self.requests.rollbacks.get(name)
+            if pin is None:
+                self.rollback_pins.unpin(class_index)
             else:
-                self.holds.held(place, hold, self._old(hold.number, name))
-
-    def _named(self, classes):
-        unknown = [name for name in classes if name not in self.classes]
-        if unknown:
-            raise RejectedError(f"{unknown[0]!r} is none of the classes {self.classes}")
-        return list(classes) or list(self.classes)
-
-    def _wished(self, author, text):
-        self.author, self.way, self.always = author, text, True
-        self.said = [text]
-        self._hold_all()
-        self._tell_wishes()
-        self.settle("an operator's word")
-
-    def _hears(self):
-        if self.epoch is None:
-            raise RejectedError("another controller is in charge, or the store can't be written")
-
-    def _tell_wishes(self):
-        document = self.wishes.document()
-        self.host.keep([("wishes", document)])
-        self.host.wishes_changed(document)
-
-    def rollback(self, number, classes, author, reason):
-        """Goes back to a version and holds it until released, for these classes or all. What was done, in words."""
-        self._hears()
-        names = self._named(classes)
-        if self.ledger.sheets_of(Number(*number)) is None:
-            raise RejectedError(f"version {Number(*number)} is not kept")
-        new = self.wishes.rollback(number, names, author, reason, self.host.wall(), self.epoch)
-        if not new:
-            return f"held at {Number(*number)} already: nothing changes"
-        self._wished(author, f"rollback of {', '.join(new)} to {Number(*number)}: {reason}")
-        replaced = sorted(
-            {
-                f"{name} was held at {Number(*hold.number)} by {hold.author}"
-                for name, hold in new.items()
-                if hold
-            }
-        )
-        return "; ".join(
-            [f"{', '.join(new)} held at {Number(*number)}", *replaced, *self.overruled(new)]
-        )
+                self.rollback_pins.pin(class_index, self._old_tables(pin.version, name))
 
-    def overruled(self, classes):
-        """Tables of held classes that a rule keeps as they are today, in words."""
-        found = {}
-        for table, (place, *_) in self.now_there.items():
-            why = self.holds.overruled.get(table)
-            if why and self.classes[place] in classes:
-                found.setdefault(why, []).append(str(table))
-        return [
-            f"tables {', '.join(tables)} stay today's: {why}"
-            for why, tables in sorted(found.items())
-        ]
-
-    def release(self, classes, author, reason):
-        self._hears()
-        gone = self.wishes.release(self._named(classes), self.epoch)
-        if not gone:
-            return "nothing was held: nothing changes"
-        self._wished(author, f"release of {', '.join(gone)}: {reason}")
-        return f"{', '.join(gone)} released"
-
-    def pin(self, number, on):
-        self._hears()
-        if on and Number(*number) not in self.ledger.versions:
-            raise RejectedError(f"version {Number(*number)} is not kept")
-        if self.wishes.pin(number, on, self.epoch):
-            self._tell_wishes()
-        return f"{Number(*number)} is {'' if on else 'not '}pinned"
-
-    def wishes_copied(self, document):
-        """Another controller's wishes; whether they are newer."""
-        if not self.wishes.copied(document):
+    def save_requests(self) -> None:
+        """Store what operators want, and tell peers."""
+        state = self.requests.state()
+        self._host.save([(codec.REQUESTS_KEY, codec.encode_requests(state))])
+        self._host.on_requests_changed(state)
+
+    def on_peer_requests(self, state: RequestState) -> bool:
+        """Take what operators asked of another controller; return whether that is newer."""
+        if not self.requests.merge(state):
             return False
-        self.host.keep([("wishes", document)])
-        self._hold_all()
+        self._host.save([(codec.REQUESTS_KEY, codec.encode_requests(state))])
+        self.apply_rollback_pins()
         return True
 
-    # What the holds ask.
-
-    def today(self):
-        return {table: (place, lines) for table, (place, lines, _, _) in self.now_there.items()}
-
-    def standing(self, server):
-        return self.host.standing(server)
-
-    def users(self, table):
-        return self.host.users(table)
-
-    def room(self):
-        return self.host.room()
+    def on_peer_version(self, version: Version, snapshot: Snapshot) -> None:
+        """Keep another controller's version, which came as a whole snapshot."""
+        self.version_log.insert_from_peer(version, snapshot)
+        if any(pin.version == version.number for pin in self.requests.rollbacks.values()):
+            self.apply_rollback_pins()
+            self.publish("a version that is held")
+
+    def _current_snapshot(self) -> Snapshot:
+        ejected = self._host.ejected_servers()
+        snapshot = {
+            str(table): self._table_snapshot(table, assigned, ejected)
+            for table, assigned in self.assigned_tables.items()
+        }
+        if self._host.now() >= self.retain_tables_until:
+            return snapshot
+        retained = {
+            table: held
+            for table, held in self.version_log.snapshot.items()
+            if held.class_name in self.class_names
+        }
+        return {**retained, **snapshot}
+
+    def _table_snapshot(
+        self, table: int, assigned: AssignedTable, ejected: frozenset[int]
+    ) -> TableSnapshot:
+        pinned_weights = self.rollback_pins.published_weights.get(table)
+        cached = self._table_cache.get(table)
+        if cached is not None and cached[:3] == (assigned.revision, ejected, pinned_weights):
+            return cached.snapshot
+        weights = assigned.weights if pinned_weights is None else pinned_weights
+        snapshot = table_snapshot(
+            self.class_names[assigned.class_index],
+            {
+                self._host.server_id(server): weight
+                for server, weight in weights.items()
+                if server not in ejected
+            },
+            assigned.admitted_share,
+            assigned.retry_policy,
+        )
+        self._table_cache[table] = _CachedTable(
+            assigned.revision, ejected, pinned_weights, snapshot
+        )
+        return snapshot
 
-    def most(self):
-        return self.host.most()
+    def _publish_snapshot(self, snapshot: Snapshot, event: str) -> None:
+        before = self.version_log.table_hashes
+        version = self.version_log.publish(
+            snapshot, "; ".join(self._causes) or event, self._author, self._always_publish
+        )
+        if version is None:
+            return
+        after = self.version_log.table_hashes
+        self.relay_versions.on_published(
+            version.number,
+            [
+                table
+                for table in before.keys() | after.keys()
+                if before.get(table) != after.get(table)
+            ],
+        )
+        self._host.on_version_published(version, self.version_log.last_delta)
+        self._host.log(
+            "version_published",
+            version=str(version.number),
+            cause=version.cause[:MAX_LOGGED_CAUSE_LENGTH],
+        )
 
-    def head(self):
-        return self.host.head()
+    def _do_housekeeping(self) -> None:
+        now = self._host.now()
+        if now - self._relays_saved_at >= SAVE_RELAYS_PERIOD:
+            self._relays_saved_at = now
+            self.relay_versions.save()
+        if now - self._pruned_at >= PRUNE_PERIOD:
+            self._pruned_at = now
+            self.version_log.prune(
+                self.requests.needed_versions() | self.relay_versions.held_versions()
+            )
 
-    def touch(self, table, servers):
-        self.host.touch(table, servers)
+    def _old_tables(self, number: VersionNumber, class_name: str) -> dict[int, Weights]:
+        """Return the weights of one class's tables in a version."""
+        snapshot = self.version_log.snapshot_of(number) or {}
+        return {
+            int(table): self._weights_by_index(held.weights)
+            for table, held in snapshot.items()
+            if held.class_name == class_name
+        }
+
+    def _weights_by_index(self, weights: Mapping[str, float]) -> Weights:
+        by_index: dict[int, float] = {}
+        for position, (server_id, weight) in enumerate(weights.items()):
+            server = self._host.server_index(server_id)
+            # A server that was never listed here counts as weight that is not there any more: it
+            # gets an index of its own that no server has.
+            by_index[-1 - position if server is None else server] = weight
+        return by_index
+
+    def _known_servers(self, server_ids: Iterable[str]) -> list[int]:
+        indices = (self._host.server_index(server_id) for server_id in server_ids)
+        return [server for server in indices if server is not None]
--- a/indigodeck/versions/replication.py
+++ b/indigodeck/versions/replication.py
@@ -1,190 +1,227 @@
-"""Versions and wishes among controllers of one fleet, free of I/O: who stands by has what it needs to go on.
+"""Replication of versions and operator requests among the controllers of one fleet, free of I/O.
 
-Messages may be lost, late, twice or out of order; nothing here depends on one that came. Each version is told of as what it changes
-of its parent, and taken where that is the newest here. Who is in charge says now and then which version is the newest, and what
-operators want; who lacks one of them asks for it, and is told in parts that each fit a message. A set is taken only whole, with
-the hash that was said; versions between that were missed are missing from this history and no other. An operator's word is kept by a majority before it is
-called kept, and who takes over asks all before it trusts its own copy, so a word that was called kept is never forgotten.
+A follower gets all that it needs to go on as leader. Messages may be lost, late, twice or out of
+order; nothing here depends on one that came. Each version is sent as its delta to its parent, and
+taken where that is the newest here. The leader announces now and then which version is the newest,
+and what operators want; a follower that lacks one of them asks for it, and gets it in parts that
+each fit a message. A snapshot is taken only complete, with the hash that was announced; versions
+in between that were missed are missing from this history and no other.
+
+An operator request is called kept once a majority has it, and a new leader asks all peers before it
+trusts its own copy, so a request that was called kept is never forgotten.
 """
 
 import json
-from typing import Protocol
+from collections.abc import Callable, Iterator
+from typing import Any, Protocol
+
+from ..clock import SECOND
+from . import codec
+from .model import RequestSerial, RequestState, Snapshot, SnapshotDelta, Version, VersionNumber
+from .publisher import TablePublisher
+from .replication_messages import (
+    Announcement,
+    Message,
+    RequestsState,
+    RequestsStored,
+    RequestsWanted,
+    SnapshotPart,
+    SnapshotWanted,
+    VersionPublished,
+    decode,
+    encode,
+)
+from .snapshots import snapshot_hash
 
-from . import snapshots as sets
-from .version_log import Number, Version
+MAX_PART_BYTES = 24 << 10  # of JSON: what a delta or one part of a snapshot may fill of a message
+TABLE_OVERHEAD_BYTES = 8  # quotes and separators around a table's name in that JSON
+ANNOUNCE_PERIOD = SECOND
+ASK_AGAIN_AFTER = ANNOUNCE_PERIOD // 2
+FORGET_ASKED_AFTER = 10 * ANNOUNCE_PERIOD
+MAX_PARTS = 4096  # of one snapshot: what claims more is no answer of ours
+MAX_INCOMPLETE_SNAPSHOTS = 4  # whose parts are kept at once
 
-PART_BYTES = 24 << 10  # of a message: what one part of a set may fill
-TURN = 1_000_000  # between two times that the newest is told of
+NO_REQUESTS = RequestSerial(0, 0)
 
 
-class Environment(Protocol):
-    """What copies may ask of the program around them."""
+class ReplicatorHost(Protocol):
+    """What the replicator asks of the program around it."""
 
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """Return the time on a clock that never goes back, in microseconds."""
 
-    def later(self, after: int, call) -> None: ...
+    def later(self, after: int, call: Callable[[], None]) -> Any:
+        """Call back after so many microseconds."""
 
-    def send(self, member: str, kind: str, **fields) -> None: ...
+    def send(self, member: str, kind: str, **fields: Any) -> None:
+        """Send a message to another controller; it may be lost."""
 
-    def others(self) -> list:
-        """The other controllers' ids."""
+    def others(self) -> list[str]:
+        """Return the other controllers' ids."""
 
-    def in_charge(self) -> bool: ...
+    def is_leader(self) -> bool:
+        """Return whether this controller leads."""
 
 
 class VersionReplicator:
-    """`books`: versions.books.Books."""
-
-    def __init__(self, host, books):
-        self.host, self.books = host, books
-        self.parts = {}  # {number: {part: sheets}} of what comes in parts; of one set at a time
-        self.noted = {}  # {member: serial of the wishes that it has}
-        self.asked = {}  # {number: when it was asked for}
-        host.later(TURN, self.turn)
-
-    # Who is in charge.
-
-    def turn(self):
-        self.host.later(TURN, self.turn)
-        if self.host.in_charge():
-            newest = self.books.newest()
-            for member in self.host.others():
-                self.host.send(
-                    member,
-                    "book",
-                    newest=list(newest) if newest else None,
-                    content=self.books.ledger.content() if newest else "",
-                    wishes=self.books.wishes.document(),
-                )
-
-    def published(self, version, changes):
-        """What does not fit a message is asked for, when the newest is told of."""
-        if len(json.dumps(changes)) <= PART_BYTES:
-            told = {
-                **version._asdict(),
-                "number": list(version.number),
-                "parent": version.parent and list(version.parent),
-            }
-            del told["first"]
-            for member in self.host.others():
-                self.host.send(member, "version", entry=told, changes=changes)
-
-    def wishes_changed(self, document):
-        for member in self.host.others():
-            self.host.send(member, "wishes", wishes=document)
-
-    def took_over(self):
-        """Before its own copy of the wishes counts for sure, all others are asked for theirs."""
-        for member in self.host.others():
-            self.host.send(member, "ask wishes")
-
-    def kept_by(self, serial):
-        """How many controllers, this one among them, have the wishes of this serial, or newer ones."""
+    """Copies what one controller's publisher holds to its peers, and theirs to it."""
+
+    def __init__(self, host: ReplicatorHost, publisher: TablePublisher):
+        self._host = host
+        self._publisher = publisher
+        # Parts of snapshots that have not come complete, by part.
+        self._parts: dict[VersionNumber, dict[int, Snapshot]] = {}
+        # The serial of the operator requests that each peer is known to have stored.
+        self._stored_serials: dict[str, RequestSerial] = {}
+        self._asked_at: dict[VersionNumber, int] = {}
+        self._handlers: dict[type, Callable[[str, Any], None]] = {
+            Announcement: self._on_announcement,
+            VersionPublished: self._on_version_published,
+            RequestsState: self._on_requests_state,
+            RequestsWanted: self._on_requests_wanted,
+            RequestsStored: self._on_requests_stored,
+            SnapshotWanted: self._on_snapshot_wanted,
+            SnapshotPart: self._on_snapshot_part,
+        }
+        host.later(ANNOUNCE_PERIOD, self._announce)
+
+    def send_version(self, version: Version, delta: SnapshotDelta) -> None:
+        """Send peers a version that was published here.
+
+        A delta that does not fit a message is not sent: peers ask when the version is announced.
+        """
+        if len(json.dumps(codec.encode_delta(delta))) <= MAX_PART_BYTES:
+            self._send_to_all(VersionPublished(version, delta))
+
+    def send_requests(self, state: RequestState) -> None:
+        """Send peers what operators want."""
+        self._send_to_all(RequestsState(state))
+
+    def request_peer_states(self) -> None:
+        """Ask all peers what operators want, before the copy here counts for sure."""
+        self._send_to_all(RequestsWanted())
+
+    def replica_count(self, serial: RequestSerial) -> int:
+        """Return how many controllers, this one included, have the requests up to a serial."""
         return 1 + sum(
-            tuple(self.noted.get(member, (0, 0))) >= tuple(serial) for member in self.host.others()
+            self._stored_serials.get(member, NO_REQUESTS) >= serial
+            for member in self._host.others()
         )
 
-    def wanted(self, member, number):
-        """A member lacks a version."""
-        held = self.books.ledger.sheets_of(Number(*number))
-        version = self.books.ledger.versions.get(Number(*number))
-        if held is None:
-            return
-        parts, size = [{}], 0
-        for table, sheet in sorted(held.items()):
-            cost = len(json.dumps(sheet)) + len(table) + 8
-            if size + cost > PART_BYTES and parts[-1]:
-                parts.append({})
-                size = 0
-            parts[-1][table] = sheet
-            size += cost
-        for nth, part in enumerate(parts):
-            self.host.send(
-                member,
-                "sheets",
-                number=list(number),
-                part=nth,
-                of=len(parts),
-                sheets=part,
-                about=[version.at, version.cause, version.author, version.content],
-                parent=version.parent and list(version.parent),
-            )
-
-    def note(self, member, serial):
-        self.noted[member] = max(tuple(serial), self.noted.get(member, (0, 0)))
-
-    # Who stands by.
-
-    def asked_wishes(self, member):
-        self.host.send(member, "wishes", wishes=self.books.wishes.document())
-
-    def wished(self, member, wishes):
-        """Another's wishes. Said back with the serial that is held here now, which may be a newer one."""
-        self._copy(member, wishes)
-        self.host.send(member, "noted", serial=list(self.books.wishes.serial))
-
-    def _copy(self, member, wishes):
-        if not self.books.wishes_copied(wishes):
+    def controller_count(self) -> int:
+        """Return how many controllers there are, this one included."""
+        return 1 + len(self._host.others())
+
+    def on_message(self, member: str, kind: str, fields: dict[str, Any]) -> None:
+        """Handle a peer's message of one of `replication_messages.MESSAGE_KINDS`."""
+        message = decode(kind, fields)
+        self._handlers[type(message)](member, message)
+
+    def _announce(self) -> None:
+        self._host.later(ANNOUNCE_PERIOD, self._announce)
+        if self._host.is_leader():
+            newest = self._publisher.newest()
+            content_hash = self._publisher.version_log.content_hash() if newest else ""
+            self._send_to_all(Announcement(newest, content_hash, self._publisher.requests.state()))
+
+    def _on_announcement(self, member: str, message: Announcement) -> None:
+        self._merge(member, message.requests)
+        self._send(member, RequestsStored(self._publisher.requests.serial))
+        self._want_pinned(member)
+        if message.newest is not None and not self._host.is_leader():
+            own = self._publisher.version_log.newest
+            if own is None or own < message.newest:
+                self._want(member, message.newest)
+
+    def _on_version_published(self, member: str, message: VersionPublished) -> None:
+        if self._host.is_leader():
             return
-        for hold in self.books.wishes.holds.values():
-            self._need(member, hold.number)
-
-    def told(self, member, entry, changes):
-        """The next version, by what it changes."""
-        if not self.host.in_charge() and not self.books.ledger.followed(
-            Version(
-                Number(*entry["number"]),
-                entry["parent"] and Number(*entry["parent"]),
-                entry["at"],
-                entry["cause"],
-                entry["author"],
-                entry["content"],
-                None,
-            ),
-            changes,
-        ):
-            # One before it was missed: this one may still be had whole.
-            self._need(member, entry["number"])
-
-    def booked(self, member, newest, content, wishes):
-        """What the one in charge says of its books."""
-        self._copy(member, wishes)
-        self.host.send(member, "noted", serial=list(self.books.wishes.serial))
-        for hold in self.books.wishes.holds.values():
-            self._need(member, hold.number)
-        if newest is not None and not self.host.in_charge():
-            own = self.books.ledger.newest
-            if own is None or own < Number(*newest):
-                self._need(member, newest)
-
-    def _need(self, member, number):
-        number, now = Number(*number), self.host.now()
-        if number in self.books.ledger.versions or now - self.asked.get(number, -TURN) < TURN // 2:
+        if not self._publisher.version_log.append_from_peer(message.version, message.delta):
+            # One before it was missed: this one may still be had complete.
+            self._want(member, message.version.number)
+
+    def _on_requests_state(self, member: str, message: RequestsState) -> None:
+        """Answer with the serial that is stored here now, which may be a newer one."""
+        self._merge(member, message.requests)
+        self._send(member, RequestsStored(self._publisher.requests.serial))
+
+    def _on_requests_wanted(self, member: str, _message: RequestsWanted) -> None:
+        self._send(member, RequestsState(self._publisher.requests.state()))
+
+    def _on_requests_stored(self, member: str, message: RequestsStored) -> None:
+        known = self._stored_serials.get(member, NO_REQUESTS)
+        self._stored_serials[member] = max(message.serial, known)
+
+    def _on_snapshot_wanted(self, member: str, message: SnapshotWanted) -> None:
+        snapshot = self._publisher.version_log.snapshot_of(message.number)
+        if snapshot is None:
             return
-        self.asked = {one: at for one, at in self.asked.items() if now - at < 10 * TURN}
-        self.asked[number] = now
-        self.host.send(member, "want", number=list(number))
+        version = self._publisher.version_log.versions[message.number]
+        parts = list(_split(snapshot))
+        for position, tables in enumerate(parts):
+            self._send(member, SnapshotPart(version, position, len(parts), tables))
 
-    def came(self, member, number, part, of, sheets, about, parent):
-        """A part of a version that was asked for."""
-        number = Number(*number)
+    def _on_snapshot_part(self, _member: str, message: SnapshotPart) -> None:
+        number = message.version.number
         if (
-            number not in self.asked
-            or number in self.books.ledger.versions
-            or not 0 <= part < of <= 4096
+            number not in self._asked_at
+            or number in self._publisher.version_log.versions
+            or not 0 <= message.part < message.part_count <= MAX_PARTS
         ):
             return
-        held = self.parts.setdefault(number, {})
-        held[part] = sheets
-        while len(self.parts) > 4:
-            del self.parts[next(iter(self.parts))]
-        if len(held) < of:
+        parts = self._parts.setdefault(number, {})
+        parts[message.part] = message.tables
+        while len(self._parts) > MAX_INCOMPLETE_SNAPSHOTS:
+            del self._parts[next(iter(self._parts))]
+        if len(parts) < message.part_count:
             return
-        del self.parts[number]
-        whole = {table: sheet for one in held.values() for table, sheet in one.items()}
-        at, cause, author, content = about
-        if sets.content_of(whole) != content:
-            return  # parts of two answers to two askings, perhaps: asked for again with the next word of it
-        self.books.copied(
-            Version(number, parent and Number(*parent), at, cause, author, content, number), whole
-        )
+        del self._parts[number]
+        snapshot = {table: held for part in parts.values() for table, held in part.items()}
+        # Else these are parts of two answers, perhaps: it is asked for again when it is announced.
+        if snapshot_hash(snapshot) == message.version.content_hash:
+            self._publisher.on_peer_version(message.version, snapshot)
+
+    def _merge(self, member: str, state: RequestState) -> None:
+        if self._publisher.on_peer_requests(state):
+            self._want_pinned(member)
+
+    def _want_pinned(self, member: str) -> None:
+        for pin in self._publisher.requests.rollbacks.values():
+            self._want(member, pin.version)
+
+    def _want(self, member: str, number: VersionNumber) -> None:
+        """Ask a peer for a version that is not here, unless it was asked for a moment ago."""
+        if number in self._publisher.version_log.versions:
+            return
+        now = self._host.now()
+        asked_at = self._asked_at.get(number)
+        if asked_at is not None and now - asked_at < ASK_AGAIN_AFTER:
+            return
+        self._asked_at = {
+            other: at for other, at in self._asked_at.items() if now - at < FORGET_ASKED_AFTER
+        }
+        self._asked_at[number] = now
+        self._send(member, SnapshotWanted(number))
+
+    def _send(self, member: str, message: Message) -> None:
+        kind, fields = encode(message)
+        self._host.send(member, kind, **fields)
+
+    def _send_to_all(self, message: Message) -> None:
+        for member in self._host.others():
+            self._send(member, message)
+
+
+def _split(snapshot: Snapshot) -> Iterator[Snapshot]:
+    """Yield the tables in parts that each fit a message; one part where there are none."""
+    part: Snapshot = {}
+    size = 0
+    for table, held in sorted(snapshot.items()):
+        cost = len(json.dumps(codec.encode_table(held))) + len(table) + TABLE_OVERHEAD_BYTES
+        if part and size + cost > MAX_PART_BYTES:
+            yield part
+            part = {}
+            size = 0
+        part[table] = held
+        size += cost
+    yield part
--- /dev/null
+++ b/indigodeck/versions/replication_messages.py
@@ -0,0 +1,183 @@
+"""The messages by which controllers replicate versions, and their fields on the wire.
+
+The kinds and field names of the wire stand here only; `leadership.messages` carries them, and
+checks that a message of a kind has that kind's fields.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from . import codec
+from .model import (
+    RequestSerial,
+    RequestState,
+    Snapshot,
+    SnapshotDelta,
+    Version,
+    VersionNumber,
+)
+
+Fields = dict[str, Any]
+
+
+@dataclass(frozen=True, slots=True)
+class Announcement:
+    """What the leader says of its state; `content_hash` is empty where there is no version."""
+
+    newest: VersionNumber | None
+    content_hash: str
+    requests: RequestState
+
+
+@dataclass(frozen=True, slots=True)
+class VersionPublished:
+    """The leader's next version, as its delta to the one before."""
+
+    version: Version
+    delta: SnapshotDelta
+
+
+@dataclass(frozen=True, slots=True)
+class RequestsState:
+    """What operators want, as far as the sender knows."""
+
+    requests: RequestState
+
+
+@dataclass(frozen=True, slots=True)
+class RequestsWanted:
+    """The sender asks for what operators want."""
+
+
+@dataclass(frozen=True, slots=True)
+class RequestsStored:
+    """The sender has stored the operator requests up to a serial."""
+
+    serial: RequestSerial
+
+
+@dataclass(frozen=True, slots=True)
+class SnapshotWanted:
+    """The sender lacks a version."""
+
+    number: VersionNumber
+
+
+@dataclass(frozen=True, slots=True)
+class SnapshotPart:
+    """One of the parts, counted from 0, in which the snapshot of a version is sent."""
+
+    version: Version
+    part: int
+    part_count: int
+    tables: Snapshot
+
+
+Message = (
+    Announcement
+    | VersionPublished
+    | RequestsState
+    | RequestsWanted
+    | RequestsStored
+    | SnapshotWanted
+    | SnapshotPart
+)
+
+
+def encode(message: Message) -> tuple[str, Fields]:
+    """Return the kind of a message and its fields on the wire."""
+    match message:
+        case Announcement(newest, content_hash, requests):
+            return "book", {
+                "newest": list(newest) if newest else None,
+                "content": content_hash,
+                "wishes": codec.encode_requests(requests),
+            }
+        case VersionPublished(version, delta):
+            return "version", {
+                "entry": codec.encode_version(version),
+                "changes": codec.encode_delta(delta),
+            }
+        case RequestsState(requests):
+            return "wishes", {"wishes": codec.encode_requests(requests)}
+        case RequestsWanted():
+            return "ask wishes", {}
+        case RequestsStored(serial):
+            return "noted", {"serial": list(serial)}
+        case SnapshotWanted(number):
+            return "want", {"number": list(number)}
+        case SnapshotPart():
+            return "sheets", _encode_part(message)
+
+
+def decode(kind: str, fields: Fields) -> Message:
+    """Return the message of a kind from its fields on the wire."""
+    return _DECODERS[kind](fields)
+
+
+def _encode_part(message: SnapshotPart) -> Fields:
+    version = message.version
+    return {
+        "number": list(version.number),
+        "part": message.part,
+        "of": message.part_count,
+        "sheets": codec.encode_snapshot(message.tables),
+        "about": [version.published_at, version.cause, version.author, version.content_hash],
+        "parent": version.parent and list(version.parent),
+    }
+
+
+def _decode_announcement(fields: Fields) -> Announcement:
+    newest = fields["newest"]
+    return Announcement(
+        None if newest is None else VersionNumber(*newest),
+        fields["content"],
+        codec.decode_requests(fields["wishes"]),
+    )
+
+
+def _decode_version(fields: Fields) -> VersionPublished:
+    return VersionPublished(
+        codec.decode_version(fields["entry"]), codec.decode_delta(fields["changes"])
+    )
+
+
+def _decode_requests(fields: Fields) -> RequestsState:
+    return RequestsState(codec.decode_requests(fields["wishes"]))
+
+
+def _decode_requests_wanted(_fields: Fields) -> RequestsWanted:
+    return RequestsWanted()
+
+
+def _decode_requests_stored(fields: Fields) -> RequestsStored:
+    return RequestsStored(RequestSerial(*fields["serial"]))
+
+
+def _decode_snapshot_wanted(fields: Fields) -> SnapshotWanted:
+    return SnapshotWanted(VersionNumber(*fields["number"]))
+
+
+def _decode_part(fields: Fields) -> SnapshotPart:
+    number = VersionNumber(*fields["number"])
+    parent = fields["parent"] and VersionNumber(*fields["parent"])
+    published_at, cause, author, content_hash = fields["about"]
+    return SnapshotPart(
+        Version(number, parent, published_at, cause, author, content_hash, number),
+        fields["part"],
+        fields["of"],
+        codec.decode_snapshot(fields["sheets"]),
+    )
+
+
+_DECODERS: dict[str, Callable[[Fields], Message]] = {
+    "book": _decode_announcement,
+    "version": _decode_version,
+    "wishes": _decode_requests,
+    "ask wishes": _decode_requests_wanted,
+    "noted": _decode_requests_stored,
+    "want": _decode_snapshot_wanted,
+    "sheets": _decode_part,
+}
+MESSAGE_KINDS = frozenset(_DECODERS)
--- a/indigodeck/versions/snapshots.py
+++ b/indigodeck/versions/snapshots.py
@@ -1,90 +1,116 @@
-"""What a version holds, free of I/O: sheets by table, their hash, and what differs between two sets of them.
+"""Snapshots of all published tables: how they are made, hashed, compared, and changed by deltas.
 
-A sheet is {"class": name, "lines": {host's id: weight}, "level": [part let in, way of further tries]}; a set is {table: sheet}. Ids
-are the deployment's own, so that a set means the same after a restart and to another controller. A change of a set is
-{table: None, where it is gone; a whole sheet, where it is new; or what differs of it: {"lines": {id: weight, or None}, ..}}, the last
-marked by "of": the hash of the sheet that it was worked out from.
+Pure functions, free of I/O. A delta of a table names the hash of the table that it was made from,
+and is applied to no other.
 """
 
 import json
+from collections.abc import Iterable, Mapping
+from typing import Any
 
 import xxhash
 
-DIGITS = 6  # of a weight: more say nothing that a relay could be told
+from ..errors import IndigodeckError
+from .codec import encode_table
+from .model import Snapshot, SnapshotDelta, TableDelta, TableSnapshot
 
+WEIGHT_DIGITS = 6  # decimal places of a weight: more would say nothing that a relay can be told
 
-def sheet(name, lines, level):
-    """`lines`: {host's id: weight}; `level`: (part, way)."""
-    return {
-        "class": name,
-        "lines": {host: round(weight, DIGITS) for host, weight in sorted(lines.items())},
-        "level": [round(level[0], DIGITS), level[1]],
-    }
 
+class SnapshotMismatchError(IndigodeckError):
+    """A delta that was made from another table than the one at hand; the message names it."""
 
-def hash_of(held):
-    """16 hexadecimal digits that stand for a sheet, or for a set of them."""
-    return xxhash.xxh3_64_hexdigest(
-        json.dumps(held, sort_keys=True, separators=(",", ":")).encode()
+
+def table_snapshot(
+    class_name: str, weights: Mapping[str, float], admitted_share: float, retry_policy: int
+) -> TableSnapshot:
+    """Return a table, servers sorted and figures rounded, so that equal ones hash alike."""
+    return TableSnapshot(
+        class_name,
+        {server: round(weight, WEIGHT_DIGITS) for server, weight in sorted(weights.items())},
+        round(admitted_share, WEIGHT_DIGITS),
+        retry_policy,
     )
 
 
-def content(hashes):
-    """What stands for a whole set: of {table: hash of its sheet}, so that only changed sheets are gone through again."""
-    return hash_of(hashes)
+def table_hash(table: TableSnapshot) -> str:
+    """Return 16 hexadecimal digits that stand for a table."""
+    return _hash(encode_table(table))
 
 
-def content_of(sheets):
-    return content({table: hash_of(held) for table, held in sheets.items()})
+def combined_hash(table_hashes: Mapping[str, str]) -> str:
+    """Return a snapshot's hash from its tables' hashes, so that only changed tables are read."""
+    return _hash(table_hashes)
 
 
-def change_of(old, new):
-    """What makes the sheet `new` of the sheet `old` (None: there was none)."""
-    if new is None or old is None or old["class"] != new["class"]:
-        return new
-    lines = {
-        host: weight for host, weight in new["lines"].items() if old["lines"].get(host) != weight
-    }
-    lines.update((host, None) for host in old["lines"] if host not in new["lines"])
-    if len(lines) >= len(new["lines"]):
-        return new
-    return {"of": hash_of(old), "lines": lines, "level": new["level"]}
+def snapshot_hash(snapshot: Snapshot) -> str:
+    """Return the hash of a whole snapshot."""
+    return combined_hash({table: table_hash(held) for table, held in snapshot.items()})
 
 
-def changes_of(old, new):
-    """What makes the set `new` of the set `old`."""
+def snapshot_delta(old: Snapshot, new: Snapshot) -> SnapshotDelta:
+    """Return what turns the snapshot `old` into `new`, by table."""
     return {
-        table: change_of(old.get(table), new.get(table))
+        table: _table_change(old.get(table), new.get(table))
         for table in sorted(old.keys() | new.keys())
         if old.get(table) != new.get(table)
     }
 
 
-class SnapshotMismatchError(Exception):
-    """A change that was worked out from another sheet than the one at hand."""
+def apply_delta(old: Snapshot, delta: SnapshotDelta) -> Snapshot:
+    """Return the snapshot that a delta makes of `old`, which stays as it is.
 
-
-def changed(old, changes):
-    """The set that these changes make of the set `old`, which stays as it is."""
+    Raises
+    ------
+    SnapshotMismatchError
+        If a table's delta was made from another table than the one in `old`.
+    """
     new = dict(old)
-    for table, change in changes.items():
+    for table, change in delta.items():
         if change is None:
             new.pop(table, None)
-        elif "of" not in change:
+        elif isinstance(change, TableSnapshot):
             new[table] = change
         else:
-            before = old.get(table)
-            if before is None or hash_of(before) != change["of"]:
-                raise SnapshotMismatchError(f"table {table} is not the one that was changed")
-            lines = {**before["lines"], **change["lines"]}
-            new[table] = {
-                "class": before["class"],
-                "level": change["level"],
-                "lines": {host: lines[host] for host in sorted(lines) if lines[host] is not None},
-            }
+            new[table] = _changed_table(table, old.get(table), change)
     return new
 
 
-def lines_in(changes):
-    """How many lines would be told of a change, a head for each table."""
-    return sum(1 + len(change["lines"]) if change else 1 for change in changes.values())
+def line_count(changes: Iterable[TableSnapshot | TableDelta | None]) -> int:
+    """Return how many lines a delta or snapshot takes to tell, with a head for each table."""
+    return sum(1 + len(change.weights) if change else 1 for change in changes)
+
+
+def _table_change(
+    old: TableSnapshot | None, new: TableSnapshot | None
+) -> TableSnapshot | TableDelta | None:
+    """Return what turns the table `old` into `new`: a delta where that is shorter."""
+    if new is None or old is None or old.class_name != new.class_name:
+        return new
+    weights: dict[str, float | None] = {
+        server: weight
+        for server, weight in new.weights.items()
+        if old.weights.get(server) != weight
+    }
+    weights.update((server, None) for server in old.weights if server not in new.weights)
+    if len(weights) >= len(new.weights):
+        return new
+    return TableDelta(table_hash(old), weights, new.admitted_share, new.retry_policy)
+
+
+def _changed_table(name: str, old: TableSnapshot | None, delta: TableDelta) -> TableSnapshot:
+    if old is None or table_hash(old) != delta.base_hash:
+        raise SnapshotMismatchError(f"table {name} is not the one that was changed")
+    weights = {**old.weights, **delta.weights}
+    return TableSnapshot(
+        old.class_name,
+        {server: weight for server in sorted(weights) if (weight := weights[server]) is not None},
+        delta.admitted_share,
+        delta.retry_policy,
+    )
+
+
+def _hash(document: Any) -> str:
+    return xxhash.xxh3_64_hexdigest(
+        json.dumps(document, sort_keys=True, separators=(",", ":")).encode()
+    )
--- a/indigodeck/versions/version_log.py
+++ b/indigodeck/versions/version_log.py
@@ -1,268 +1,277 @@
-"""The versions of what was published, free of I/O: their numbers, what they are kept as, and which are kept.
-
-A number is EPOCH.SERIAL. The epoch is the one that the controller is in charge under; a planner alone counts its starts, each
-written down before anything is published. Neither is ever given twice, so no number is, though a version was pushed and its
-record lost: what follows has a higher epoch. As long as its start could not be written down a planner alone has no epoch to count
-on, and what it publishes is not numbered.
-
-A version is kept as what it changes of its parent, or whole: now and then, and where the change is no shorter. Whole ones begin a
-chain; chains are dropped as they are, oldest first, but for what is asked to be kept: what relays hold, what is rolled back to, what
-is pinned.
+"""The log of published versions, free of I/O: their numbers, their records, and which are kept.
+
+A number is EPOCH.SERIAL. The epoch is the one that the controller leads under; a planner without
+peers counts its starts, each stored before anything is published. No epoch is given twice, so no
+number is, even where a version was sent and its record lost: what follows has a higher epoch.
+While its start could not be stored, a planner without peers has no epoch, and what it publishes
+is not numbered.
+
+A version is stored as the delta to its parent, or as a whole snapshot: every `CHAIN_LENGTH`
+versions, and where the delta is no shorter. A snapshot begins a chain. Chains are dropped whole,
+oldest first, except those that are needed: what relays hold, what is rolled back to, what is
+pinned.
 """
 
 import json
-from typing import NamedTuple, Protocol
-
-from . import snapshots as sets
-
-CHAIN = 32  # versions in one chain: so many changes are applied at most to have any version
-CAUSE_LONGEST = 1000
-SECOND = 1_000_000
+from collections.abc import Iterable, Set
+from typing import Any, Protocol
+
+from ..clock import SECOND
+from . import codec
+from .model import Snapshot, SnapshotDelta, Version, VersionNumber
+from .snapshots import (
+    SnapshotMismatchError,
+    apply_delta,
+    combined_hash,
+    line_count,
+    snapshot_delta,
+    snapshot_hash,
+    table_hash,
+)
+
+CHAIN_LENGTH = 32  # versions in one chain: at most so many deltas are applied to have any version
+MAX_CAUSE_LENGTH = 1000  # characters of a cause that are kept
 DAY = 86_400 * SECOND
+DEFAULT_MAX_VERSIONS = 2000
+DEFAULT_MAX_AGE = 7 * DAY
 
 
-class Number(NamedTuple):
-    epoch: int
-    serial: int
-
-    def __str__(self):
-        return f"{self.epoch}.{self.serial}"
-
-
-def number(text):
-    """The number in a text; ValueError if there is none."""
-    epoch, dot, serial = text.partition(".")
-    if not (dot and epoch.isascii() and epoch.isdigit() and serial.isascii() and serial.isdigit()):
-        raise ValueError(f"{text!r} is no version: EPOCH.SERIAL")
-    return Number(int(epoch), int(serial))
-
-
-class Version(NamedTuple):
-    """`at`: wall clock in microseconds; `cause`: why, in words; `author`: who, where it was an operator; `content`: hash of the set;
-    `first`: the version that its chain begins with.
-    """
+class LogStore(Protocol):
+    """The store of a version log, and its clock."""
 
-    number: Number
-    parent: Number | None
-    at: int
-    cause: str
-    author: str
-    content: str
-    first: Number
+    def wall_clock(self) -> int:
+        """Return the microseconds since 1970."""
 
+    def save(self, changes: list[tuple[str, Any]]) -> None:
+        """Store values by key, all or none and soon; None removes a key."""
 
-class Environment(Protocol):
-    """What the ledger may ask of the program around it."""
-
-    def wall(self) -> int:
-        """Microseconds since 1970."""
-
-    def keep(self, changes: list) -> None:
-        """[(key, value, or None to drop it)], all or none, soon."""
-
-    def kept(self, key: str):
-        """The value under a key, or None."""
-
-
-def key_of(number):
-    return f"version/{number.epoch:012d}.{number.serial:012d}"
+    def load(self, key: str) -> Any:
+        """Return the value stored under a key, or None."""
 
 
 class VersionLog:
-    """`keys`: of the versions that are kept, as the store has them; `most`, `age`: so many are kept, however
-    old they are; and twice as many if they are not older than that, in microseconds.
+    """The versions that are kept, and the snapshot that was published last.
+
+    Invariants: `newest` is the number of the last version, `snapshot` its tables, and
+    `table_hashes` their hashes. Each version stands in exactly one chain, that of its
+    `chain_start`, in the order of numbers.
+
+    Parameters
+    ----------
+    store
+        Where versions are stored.
+    keys
+        Keys of the versions that are stored already.
+    max_versions
+        At least so many are kept, however old they are.
+    max_age
+        Twice `max_versions` are kept while they are no older than this, in microseconds.
     """
 
-    def __init__(self, host, keys=(), most=2000, age=7 * DAY):
-        self.host, self.most, self.age = host, most, age
-        self.versions, self.chains, self.sheets, self.hashes = (
-            {},
-            {},
-            {},
-            {},
-        )  # chains: {first: [numbers]}
-        self.epoch, self.serial, self.newest = None, 0, None
-        self.last = {}  # what the newest version changes of its parent
-        self.records = {}  # {number: its changes or whole set, as JSON}: a disk that stands still must hold up no rollback
-        for key in sorted(keys):
-            held = host.kept(key)
-            if held is not None:
-                version = Version(
-                    Number(*held["number"]),
-                    held["parent"] and Number(*held["parent"]),
-                    held["at"],
-                    held["cause"],
-                    held["author"],
-                    held["content"],
-                    Number(*held["first"]),
-                )
-                self._add(version, held["sheets"])
-        # What is published next is compared with what was last: a restart alone makes no version.
-        while self.newest is not None and (found := self.sheets_of(self.newest)) is None:
-            self._forget([self.newest])  # its chain is not whole
-            self.newest = max(self.versions, default=None)
-        if self.newest is not None:
-            self._hold(found)
-
-    def _hold(self, held):
-        self.sheets, self.hashes = held, {table: sets.hash_of(one) for table, one in held.items()}
-
-    def content(self):
-        return sets.content(self.hashes)
-
-    # What happens.
-
-    def in_charge(self, epoch):
-        """From now on numbers are under this epoch."""
-        if self.epoch is None or epoch > self.epoch:
-            last = self.newest
-            self.epoch, self.serial = (
-                epoch,
-                last.serial if last is not None and last.epoch >= epoch else 0,
-            )
-            if last is not None and last.epoch > epoch:
-                self.epoch = (
-                    last.epoch
-                )  # of a ward that is another's now: numbers go on all the same
-
-    def out_of_charge(self):
-        self.epoch = None
-
-    def published(self, held, cause, author="", always=False):
-        """The set that is published now, {table: sheet}: its version if that differs from what was published last, or if there is to
-        be one `always`; else None.
+    def __init__(
+        self,
+        store: LogStore,
+        keys: Iterable[str] = (),
+        max_versions: int = DEFAULT_MAX_VERSIONS,
+        max_age: int = DEFAULT_MAX_AGE,
+    ):
+        self.versions: dict[VersionNumber, Version] = {}
+        self.newest: VersionNumber | None = None
+        self.snapshot: Snapshot = {}
+        self.table_hashes: dict[str, str] = {}
+        # What the newest version changed of its parent.
+        self.last_delta: SnapshotDelta = {}
+        # The stored form of each version's delta or snapshot, in memory too: a disk that stands
+        # still must hold up no rollback.
+        self.records: dict[VersionNumber, bytes] = {}
+        self._store = store
+        self._max_versions = max_versions
+        self._max_age = max_age
+        self._chains: dict[VersionNumber, list[VersionNumber]] = {}
+        self._epoch: int | None = None
+        self._serial = 0
+        self._load(keys)
+
+    def start_epoch(self, epoch: int) -> None:
+        """Give versions numbers under this epoch from now on."""
+        if self._epoch is not None and epoch <= self._epoch:
+            return
+        last = self.newest
+        self._epoch = epoch
+        self._serial = last.serial if last is not None and last.epoch >= epoch else 0
+        if last is not None and last.epoch > epoch:
+            # Of a relay group that another controller leads now: numbers go on all the same.
+            self._epoch = last.epoch
+
+    def stop_epoch(self) -> None:
+        """Give no version a number until another epoch starts."""
+        self._epoch = None
+
+    def content_hash(self) -> str:
+        """Return the hash of the snapshot that was published last."""
+        return combined_hash(self.table_hashes)
+
+    def publish(
+        self, snapshot: Snapshot, cause: str, author: str = "", always: bool = False
+    ) -> Version | None:
+        """Log the snapshot that is published now.
+
+        Return its version if it differs from what was published last, or if there is to be one
+        `always`; else, or while no epoch is started, None.
         """
         hashes = {
-            table: self.hashes[table] if self.sheets.get(table) is one else sets.hash_of(one)
-            for table, one in held.items()
+            table: self.table_hashes[table]
+            if self.snapshot.get(table) is held
+            else table_hash(held)
+            for table, held in snapshot.items()
         }
-        if self.epoch is None or hashes == self.hashes and not always:
+        if self._epoch is None or (hashes == self.table_hashes and not always):
             return None
-        return self._next(held, hashes, cause, author)
-
-    def _next(self, held, hashes, cause, author):
-        before, self.sheets, self.hashes = self.sheets, held, hashes
-        self.serial += 1
-        return self._keep(
-            Version(
-                Number(self.epoch, self.serial),
-                self.newest,
-                self.host.wall(),
-                cause[:CAUSE_LONGEST],
-                author,
-                sets.content(hashes),
-                None,
-            ),
-            before,
-            held,
+        before = self.snapshot
+        self.snapshot = snapshot
+        self.table_hashes = hashes
+        self._serial += 1
+        number = VersionNumber(self._epoch, self._serial)
+        version = Version(
+            number,
+            self.newest,
+            self._store.wall_clock(),
+            cause[:MAX_CAUSE_LENGTH],
+            author,
+            combined_hash(hashes),
+            number,
         )
+        return self._append(version, before)
 
-    def _keep(self, version, before, held):
-        """Adds the newest version, by what it changes of the one before where that is shorter."""
-        parent, changes, whole = (
-            self.versions.get(version.parent),
-            sets.changes_of(before, held),
-            True,
-        )
-        if parent is not None and len(self.chains[parent.first]) < CHAIN:
-            whole = sets.lines_in(changes) >= sets.lines_in(held)
-        version = version._replace(first=version.number if whole else parent.first)
-        self._add(version, held if whole else changes)
-        self.host.keep([(key_of(version.number), self.record(version, held if whole else changes))])
-        self.last = changes
-        return version
-
-    def followed(self, version, changes):
-        """Another controller's next version, as what it changes of its parent; whether it follows on what is held here."""
+    def append_from_peer(self, version: Version, delta: SnapshotDelta) -> bool:
+        """Log another controller's next version; return whether it follows on what is held here."""
         if version.parent != self.newest:
             return False
         try:
-            held = sets.changed(self.sheets, changes)
-        except sets.SnapshotMismatchError:
+            snapshot = apply_delta(self.snapshot, delta)
+        except SnapshotMismatchError:
             return False
-        if sets.content_of(held) != version.content:
+        if snapshot_hash(snapshot) != version.content_hash:
             return False
-        before = self.sheets
-        self._hold(held)
-        self._keep(version, before, held)
+        before = self.snapshot
+        self._set_snapshot(snapshot)
+        self._append(version, before)
         return True
 
-    def _add(self, version, changes):
-        self.versions[version.number] = version
-        self.records[version.number] = json.dumps(changes, separators=(",", ":")).encode()
-        self.chains.setdefault(version.first, []).append(version.number)
-        self.newest = version.number
+    def insert_from_peer(self, version: Version, snapshot: Snapshot) -> None:
+        """Keep another controller's version as a whole snapshot.
 
-    @staticmethod
-    def record(version, changes):
-        return {
-            **version._asdict(),
-            "number": list(version.number),
-            "parent": version.parent and list(version.parent),
-            "first": list(version.first),
-            "sheets": changes,
-        }
-
-    def copied(self, version, held):
-        """Another controller tells of one of its versions: kept here whole, so that it can be gone back to, and gone on from
-        where it is the newest.
+        It can be rolled back to, and followed where it is the newest.
         """
         if version.number in self.versions:
             return
-        version, newest = version._replace(first=version.number), self.newest
-        self._add(version, held)
+        version = version._replace(chain_start=version.number)
+        newest = self.newest
+        content = codec.encode_snapshot(snapshot)
+        self._add(version, content)
         if newest is None or version.number > newest:
-            self._hold(held)
+            self._set_snapshot(snapshot)
         else:
             self.newest = newest
-        self.host.keep([(key_of(version.number), self.record(version, held))])
+        self._save(version, content)
 
-    # What is asked.
-
-    def sheets_of(self, wanted):
-        """The set of a version, {table: sheet}, proved by its hash; None if it is not kept, or not whole."""
-        version = self.versions.get(wanted)
+    def snapshot_of(self, number: VersionNumber) -> Snapshot | None:
+        """Return the tables of a version, proved by its hash; None if it is not kept complete."""
+        version = self.versions.get(number)
         if version is None:
             return None
-        if wanted == self.newest and self.sheets and self.content() == version.content:
-            return dict(self.sheets)
-        held = {}
+        if number == self.newest and self.snapshot and self.content_hash() == version.content_hash:
+            return dict(self.snapshot)
+        snapshot: Snapshot = {}
         try:
-            for one in [one for one in self.chains[version.first] if one <= wanted]:
-                record = json.loads(self.records[one])
-                held = record if one == version.first else sets.changed(held, record)
-        except sets.SnapshotMismatchError:
+            for link in [link for link in self._chains[version.chain_start] if link <= number]:
+                record = json.loads(self.records[link])
+                if link == version.chain_start:
+                    snapshot = codec.decode_snapshot(record)
+                else:
+                    snapshot = apply_delta(snapshot, codec.decode_delta(record))
+        except SnapshotMismatchError:
             return None
-        return held if sets.content_of(held) == version.content else None
+        return snapshot if snapshot_hash(snapshot) == version.content_hash else None
 
-    def between(self, old, new):
-        """What changed from one version to another, or None if one of them is not kept."""
-        before, after = self.sheets_of(old), self.sheets_of(new)
-        return None if before is None or after is None else sets.changes_of(before, after)
+    def delta_between(self, old: VersionNumber, new: VersionNumber) -> SnapshotDelta | None:
+        """Return what changed from one version to another; None if one of them is not kept."""
+        before = self.snapshot_of(old)
+        after = self.snapshot_of(new)
+        return None if before is None or after is None else snapshot_delta(before, after)
 
-    # What is kept.
+    def prune(self, needed: Set[VersionNumber] = frozenset()) -> list[VersionNumber]:
+        """Drop the oldest chains beyond what is to be kept, and return the numbers dropped.
 
-    def tidy(self, needed=frozenset()):
-        """Drops the oldest chains beyond what is to be kept, unless a version of theirs is `needed` (a set of numbers); the
-        numbers dropped.
+        A chain with a version in `needed` stays.
         """
-        now, dropped = self.host.wall(), []
-        for first in sorted(self.chains)[:-1]:
-            chain, left = self.chains[first], len(self.versions) - len(dropped)
-            old = now - max(self.versions[one].at for one in chain) > self.age
-            if left - len(chain) < self.most * (1 if old else 2):
+        now = self._store.wall_clock()
+        dropped: list[VersionNumber] = []
+        for chain_start in sorted(self._chains)[:-1]:
+            chain = self._chains[chain_start]
+            left = len(self.versions) - len(dropped)
+            youngest = max(self.versions[number].published_at for number in chain)
+            is_old = now - youngest > self._max_age
+            if left - len(chain) < self._max_versions * (1 if is_old else 2):
                 break
             if not needed & set(chain):
                 dropped += chain
         if dropped:
             self._forget(dropped)
-            self.host.keep([(key_of(one), None) for one in dropped])
+            self._store.save([(codec.version_key(number), None) for number in dropped])
         return dropped
 
-    def _forget(self, numbers):
-        for one in numbers:
-            first = self.versions.pop(one).first
-            del self.records[one]
-            self.chains[first].remove(one)
-            if not self.chains[first]:
-                del self.chains[first]
+    def _load(self, keys: Iterable[str]) -> None:
+        for key in sorted(keys):
+            record = self._store.load(key)
+            if record is not None:
+                self._add(*codec.decode_record(record))
+        # What is published next is compared with what was last: a restart alone makes no version.
+        while self.newest is not None:
+            snapshot = self.snapshot_of(self.newest)
+            if snapshot is not None:
+                self._set_snapshot(snapshot)
+                return
+            self._forget([self.newest])  # its chain is not complete
+            self.newest = max(self.versions, default=None)
+
+    def _set_snapshot(self, snapshot: Snapshot) -> None:
+        self.snapshot = snapshot
+        self.table_hashes = {table: table_hash(held) for table, held in snapshot.items()}
+
+    def _append(self, version: Version, before: Snapshot) -> Version:
+        """Add the newest version, whose snapshot is `self.snapshot`, in its shorter form."""
+        parent = None if version.parent is None else self.versions.get(version.parent)
+        delta = snapshot_delta(before, self.snapshot)
+        if (
+            parent is not None
+            and len(self._chains[parent.chain_start]) < CHAIN_LENGTH
+            and line_count(delta.values()) < line_count(self.snapshot.values())
+        ):
+            version = version._replace(chain_start=parent.chain_start)
+            content = codec.encode_delta(delta)
+        else:
+            version = version._replace(chain_start=version.number)
+            content = codec.encode_snapshot(self.snapshot)
+        self._add(version, content)
+        self._save(version, content)
+        self.last_delta = delta
+        return version
+
+    def _add(self, version: Version, content: codec.Document) -> None:
+        self.versions[version.number] = version
+        self.records[version.number] = json.dumps(content, separators=(",", ":")).encode()
+        self._chains.setdefault(version.chain_start, []).append(version.number)
+        self.newest = version.number
+
+    def _save(self, version: Version, content: codec.Document) -> None:
+        record = codec.encode_record(version, content)
+        self._store.save([(codec.version_key(version.number), record)])
+
+    def _forget(self, numbers: Iterable[VersionNumber]) -> None:
+        for number in numbers:
+            chain_start = self.versions.pop(number).chain_start
+            del self.records[number]
+            self._chains[chain_start].remove(number)
+            if not self._chains[chain_start]:
+                del self._chains[chain_start]
--- a/tests/test_outlasting.py
+++ b/tests/test_outlasting.py
@@ -14,15 +14,15 @@
 from rig import SECOND, Loop, TraceCase  # noqa: E402
 from support import ROOT, Planner, ports, until  # noqa: E402
 from test_takeover import Controllers  # noqa: E402
-from test_versions import Planner as Paper  # noqa: E402
-from test_versions import Shelf
+from versions.support import StubPlanner, StubStore  # noqa: E402
 
 from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
 from indigodeck.leadership import messages  # noqa: E402
 from indigodeck.planner.cached_endpoint_list import CachedEndpointList  # noqa: E402
-from indigodeck.versions import snapshots as sheets  # noqa: E402
+from indigodeck.versions.model import VersionNumber  # noqa: E402
 from indigodeck.versions.replication import VersionReplicator  # noqa: E402
-from indigodeck.versions.version_log import DAY, Number  # noqa: E402
+from indigodeck.versions.snapshots import snapshot_hash  # noqa: E402
+from indigodeck.versions.version_log import DAY  # noqa: E402
 
 
 class Kept(Loop):
@@ -144,18 +144,16 @@
         )
         self.names = [f"c{nth}" for nth in range(members)]
         for name in self.names:
-            self.start(name, Shelf())
+            self.start(name, StubStore())
 
-    def start(self, name, shelf):
-        paper, self.proved[name] = Paper(shelf, 0), set()
+    def start(self, name, store):
+        paper, self.proved[name] = StubPlanner(store, 0), set()
         self.papers[name] = paper
-        paper.books.epoch = None
+        paper.publisher.epoch = None
         seat = Seat(self, name)
-        self.copies[name] = VersionReplicator(seat, paper.books)
-        paper.wishes_changed, paper.published = (
-            self.copies[name].wishes_changed,
-            self.copies[name].published,
-        )
+        self.copies[name] = VersionReplicator(seat, paper.publisher)
+        paper.on_requests_changed = self.copies[name].send_requests
+        paper.on_version_published = self.copies[name].send_version
 
     def carry(self, source, target, kind, fields):
         if self.chance.below(100) < self.loss:
@@ -168,36 +166,29 @@
         )
         for _ in range(2 if self.chance.below(10) == 0 else 1):
             copies = self.copies[target]
-            call = {
-                "book": copies.booked,
-                "wishes": copies.wished,
-                "ask wishes": copies.asked_wishes,
-                "noted": copies.note,
-                "want": copies.wanted,
-                "sheets": copies.came,
-                "version": copies.told,
-            }[kind]
             # To the life that it was meant for: another start has other copies.
             self.loop.later(
                 1000 + self.chance.below(SECOND if self.chance.below(10) == 0 else 20_000),
-                lambda: self.copies[target] is copies and call(source, **fields),
+                lambda copies=copies, fields=fields: (
+                    self.copies[target] is copies and copies.on_message(source, kind, fields)
+                ),
             )
 
     def take_over(self, name, epoch):
         if self.held:
-            self.papers[self.held].books.out_of_charge()
+            self.papers[self.held].publisher.lose_leadership()
         self.held = name
-        self.papers[name].books.in_charge(epoch, after_another=True)
-        self.copies[name].took_over()
-        self.papers[name].books.settle("taken over")
+        self.papers[name].publisher.become_leader(epoch, after_another=True)
+        self.copies[name].request_peer_states()
+        self.papers[name].publisher.publish("taken over")
 
     def check(self):
         """All that any ever showed under a number was one content."""
         for name in self.names:
-            ledger = self.papers[name].books.ledger
-            for number in ledger.versions.keys() - self.proved[name]:
-                found, content = ledger.sheets_of(number), ledger.versions[number].content
-                if found is None or sheets.content_of(found) != content:
+            log = self.papers[name].publisher.version_log
+            for number in log.versions.keys() - self.proved[name]:
+                found, content = log.snapshot_of(number), log.versions[number].content_hash
+                if found is None or snapshot_hash(found) != content:
                     raise AssertionError(f"{name} holds {number}, which is not whole")
                 if self.shown.setdefault(number, content) != content:
                     raise AssertionError(f"{number} is two")
@@ -214,7 +205,7 @@
     def others(self):
         return [name for name in self.net.names if name != self.name]
 
-    def in_charge(self):
+    def is_leader(self):
         return self.net.held == self.name
 
 
@@ -230,43 +221,47 @@
                 chance.below(6), **{f"h{chance.below(12)}": 1.0 + chance.below(3) for _ in range(4)}
             )
         elif kind == 4:
-            numbers = sorted(paper.books.ledger.versions)
-            paper.books.rollback(
+            numbers = sorted(paper.publisher.version_log.versions)
+            paper.commands.roll_back(
                 numbers[chance.below(len(numbers))],
                 [("read", "write")[chance.below(2)]],
                 "duty",
                 "",
             )
         elif kind == 5:
-            paper.books.release([], "duty", "")
+            paper.commands.release([], "duty", "")
         elif kind == 6:
             # The next one has what is called kept: a majority had it, and answers.
-            serial = paper.books.wishes.serial
-            if net.copies[net.held].kept_by(serial) > len(net.names) // 2:
+            serial = paper.publisher.requests.serial
+            if net.copies[net.held].replica_count(serial) > len(net.names) // 2:
                 kept = max(kept or serial, serial)
             epoch += 1
             net.loss, before = 0, net.loss
             net.take_over(net.names[chance.below(len(net.names))], epoch)
             net.loop.run(2)
             net.loss = before
-            if kept is not None and net.papers[net.held].books.wishes.serial < kept:
+            if kept is not None and net.papers[net.held].publisher.requests.serial < kept:
                 raise AssertionError(f"seed {seed}: a word that was kept is forgotten")
         else:
             name = net.names[chance.below(len(net.names))]
             if name != net.held:
-                net.start(name, net.papers[name].shelf)
+                net.start(name, net.papers[name].store)
         net.loop.run(chance.below(1500) / 1000)
         net.check()
     net.loss = 0
     net.loop.run(8)
     net.check()
-    papers = [net.papers[name].books for name in net.names]
-    wanted = net.papers[net.held].books
-    for books in papers:
-        if (books.ledger.newest, books.wishes.document(), books.ledger.content()) != (
-            wanted.ledger.newest,
-            wanted.wishes.document(),
-            wanted.ledger.content(),
+    wanted = net.papers[net.held].publisher
+    for name in net.names:
+        publisher = net.papers[name].publisher
+        if (
+            publisher.version_log.newest,
+            publisher.requests.state(),
+            publisher.version_log.content_hash(),
+        ) != (
+            wanted.version_log.newest,
+            wanted.requests.state(),
+            wanted.version_log.content_hash(),
         ):
             raise AssertionError(f"seed {seed}: they do not agree")
     return len(net.shown)
@@ -279,8 +274,8 @@
     def test_a_set_that_does_not_fit_a_message_comes_in_parts_or_not_at_all(self):
         net = Net(3)
         paper = net.papers["c0"]
-        paper.lines = {table: {server: 1.0 for server in range(12)} for table in range(400)}
-        paper.editions = dict.fromkeys(range(400), 0)
+        paper.weights = {table: {server: 1.0 for server in range(12)} for table in range(400)}
+        paper.revisions = dict.fromkeys(range(400), 0)
         net.take_over("c0", 1)
         sent = []
         real, net.carry = (
@@ -294,7 +289,9 @@
         parts = [fields for kind, fields in sent if kind == "sheets"]
         self.assertGreater(parts[0]["of"], 3)
         self.assertLess(max(len(json.dumps(fields)) for fields in parts), 48 << 10)
-        self.assertEqual(net.papers["c2"].books.ledger.sheets, paper.books.ledger.sheets)
+        self.assertEqual(
+            net.papers["c2"].publisher.version_log.snapshot, paper.publisher.version_log.snapshot
+        )
 
 
 class Running(unittest.IsolatedAsyncioTestCase):
@@ -316,8 +313,8 @@
         planner = self.planner()
         async with planner:
             tables, client, task = await self.settled(planner)
-            await until(lambda: planner.service.books.newest())
-            first = planner.service.books.newest()
+            await until(lambda: planner.service.publisher.newest())
+            first = planner.service.publisher.newest()
             planner.keep(host_0="draining", host_1="draining")
             await until(lambda: not ports(tables) & {0, 1})
             planner.keep(host_0="ready", host_1="ready")
@@ -325,14 +322,17 @@
             answer = await planner.service.asked(
                 {
                     "what": "rollback",
-                    "number": str(max(planner.service.books.ledger.versions)),
+                    "number": str(max(planner.service.publisher.version_log.versions)),
                     "classes": ["reading"],
                     "author": "duty",
                     "reason": "to see",
                 }
             )
             self.assertIn("reading held at", answer["done"])
-            last, content = planner.service.books.newest(), planner.service.books.ledger.content()
+            last, content = (
+                planner.service.publisher.newest(),
+                planner.service.publisher.version_log.content_hash(),
+            )
             await self.end(client, task)
             planner.service.cease()
             # The same folder, the next start.
@@ -340,19 +340,21 @@
             async with RestartOf(planner):
                 tables, client, task = await self.settled(planner)
                 await asyncio.sleep(0.5)
-                books = planner.service.books
-                self.assertEqual((books.newest(), books.ledger.content()), (last, content))
-                self.assertEqual(books.wishes.holds["reading"].author, "duty")
+                publisher = planner.service.publisher
+                self.assertEqual(
+                    (publisher.newest(), publisher.version_log.content_hash()), (last, content)
+                )
+                self.assertEqual(publisher.requests.rollbacks["reading"].author, "duty")
                 planner.keep(host_2="draining")
                 await until(lambda: 2 not in ports(tables))
                 self.assertEqual(
-                    (first.epoch, books.newest().epoch, books.newest().serial), (1, 2, 1)
+                    (first.epoch, publisher.newest().epoch, publisher.newest().serial), (1, 2, 1)
                 )
                 await until(
                     lambda: [
                         one
-                        for one in books.relays()
-                        if one[1:] == (str(books.newest()), True, True)
+                        for one in publisher.relay_versions.statuses()
+                        if one[1:] == (publisher.newest(), True, True)
                     ]
                 )
                 await self.end(client, task)
@@ -363,7 +365,7 @@
         (pathlib.Path(planner.folder.name) / "key").write_text("operators and planner share this")
         async with planner:
             tables, client, task = await self.settled(planner)
-            await until(lambda: planner.service.books.newest())
+            await until(lambda: planner.service.publisher.newest())
             document = json.loads(json.dumps(planner.document))
             document["operators"]["port"] = planner.service.operators.port
             path = pathlib.Path(planner.folder.name) / "operators.json"
@@ -389,7 +391,7 @@
             await until(lambda: 0 not in ports(tables))
             planner.keep(host_0="ready")
             await until(lambda: 0 in ports(tables))
-            numbers = [str(one) for one in sorted(planner.service.books.ledger.versions)]
+            numbers = [str(one) for one in sorted(planner.service.publisher.version_log.versions)]
             code, out = await said("diff", numbers[0], numbers[1])
             self.assertIn("host-0                   4.0 -> -", out)
             self.assertEqual((await said("diff", "9.9", numbers[0]))[0], 1)
@@ -514,7 +516,7 @@
         # Its version may have missed the successor's history, when the other of the majority has it; nobody carries it out again.
         self.assertLessEqual(len(words), 1)
         self.assertEqual({hold["author"] for hold in told["holds"].values()}, {"duty"})
-        numbers = [Number(*map(int, one["number"].split("."))) for one in told["versions"]]
+        numbers = [VersionNumber(*map(int, one["number"].split("."))) for one in told["versions"]]
         self.assertEqual(sorted(set(numbers), reverse=True), numbers)
         said = "".join(
             (self.fleet.folder / f"{name}.log").read_text() for name in self.fleet.member_ports
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -10,7 +10,7 @@
 from envoy.config.core.v3 import base_pb2  # noqa: E402
 from envoy.service.discovery.v3 import discovery_pb2  # noqa: E402
 from rig import Loop, deployment_settings, server  # noqa: E402
-from test_versions import Shelf as Paper  # noqa: E402
+from versions.support import StubStore  # noqa: E402
 
 from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
 from indigodeck.client import Tables  # noqa: E402
@@ -20,6 +20,7 @@
 from indigodeck.planner.pending_updates import Desk, IdRegistry  # noqa: E402
 from indigodeck.planner.version_source import VersionSource  # noqa: E402
 from indigodeck.planner.weights import scaled  # noqa: E402
+from indigodeck.versions.operator_commands import OperatorCommands  # noqa: E402
 from indigodeck.versions.version_log import DAY  # noqa: E402
 
 CLASSES = ["read", "write"]
@@ -50,7 +51,12 @@
 
     def __init__(self, seed):
         super().__init__()
-        self.chance, self.paper, self.epoch, self.loss = SeededRandom(seed), Paper(), 0, 30
+        self.chance, self.kept_store, self.epoch, self.loss = (
+            SeededRandom(seed),
+            StubStore(),
+            0,
+            30,
+        )
         self.published, self.served, self.versions = set(), 0, {}
         self.clock_gap, self.store = DAY, self
         self.fars = [Far(self, nth) for nth in range(4)]
@@ -66,8 +72,8 @@
             self.servers.index(f"h{nth}")
         self.desk = Desk(self, deployment_settings(), 1, Drawn)
         self.desk.listed("whole", [server(nth) for nth in range(8)])
-        held = {key: value for key, value in self.paper.held.items()}
-        self.desk.books = self.books = VersionSource(
+        held = {key: value for key, value in self.kept_store.held.items()}
+        source = VersionSource(
             self,
             self.desk,
             self,
@@ -77,15 +83,18 @@
             500,
             DAY,
             lambda document: None,
-        ).books
-        self.books.in_charge(self.epoch)
+        )
+        self.publisher = source.publisher
+        self.desk.publisher = source.publisher
+        self.commands = OperatorCommands(source.publisher, source)
+        self.publisher.become_leader(self.epoch)
         self.shelf = ResourceCache(self.desk, self, dict(zip(CLASSES, (0, 1))), scaled)
         self.known = {}
         for relay in self.fars:
             relay.broken()
         self.change(all_of_them=True)
 
-    copies = None
+    replicator = None
 
     def change(self, all_of_them=False):
         for table in range(4) if all_of_them else (self.chance.below(4),):
@@ -106,23 +115,23 @@
                 1.0,
             )
             self.published.add(xxhash.xxh3_64_hexdigest(codec.any_pb2.Any.FromString(data).value))
-        for number, version in self.books.ledger.versions.items():
-            if self.versions.setdefault(number, version.content) != version.content:
+        for number, version in self.publisher.version_log.versions.items():
+            if self.versions.setdefault(number, version.content_hash) != version.content_hash:
                 raise AssertionError(f"{number} is two")
 
     def word(self):
         """An operator's, while messages are under way: a rollback of one class or all, again and again, or a release."""
-        numbers = sorted(self.books.ledger.versions)
+        numbers = sorted(self.publisher.version_log.versions)
         classes = [[], ["read"], ["write"]][self.chance.below(3)]
         if self.chance.below(3) == 0:
-            self.books.release(classes, "duty", "")
+            self.commands.release(classes, "duty", "")
         else:
             number = numbers[self.chance.below(len(numbers))]
             for _ in range(1 + self.chance.below(2)):
-                before = len(self.books.ledger.versions)
+                before = len(self.publisher.version_log.versions)
                 if (
-                    "nothing changes" in self.books.rollback(number, classes, "duty", "")
-                    and len(self.books.ledger.versions) > before
+                    "nothing changes" in self.commands.roll_back(number, classes, "duty", "")
+                    and len(self.publisher.version_log.versions) > before
                 ):
                     raise AssertionError(f"{number} took effect twice")
         self.desk._settle("a turn")
@@ -132,7 +141,7 @@
         return "hall", f"h{server}", "127.0.0.1", 9000 + server
 
     def put(self, changes):
-        self.paper.keep(changes)
+        self.kept_store.save(changes)
 
     def due(self, proxy):
         if proxy in self.known:
@@ -280,9 +289,9 @@
     # Faults end; what was lost last shows with the next change.
     day.loss = 0
     day.run(15)
-    known = {relay for relay, _, newest, _ in day.books.relays() if newest}
+    known = {relay for relay, _, newest, _ in day.publisher.relay_versions.statuses() if newest}
     for one in day.fars:
-        # Whom the books say to be up to date is so to the letter.
+        # Whom the publisher says to be up to date is so to the letter.
         if one.uid in known and one.tables.versions != one.wanted():
             raise AssertionError(f"seed {seed}: {one.uid} is said to hold what it does not")
     day.change(all_of_them=True)
@@ -292,11 +301,11 @@
         wanted = one.wanted()
         if (
             one.tables.versions != wanted
-            or not all(newest for _, _, newest, _ in day.books.relays())
-            or len(day.books.relays()) < 4
+            or not all(newest for _, _, newest, _ in day.publisher.relay_versions.statuses())
+            or len(day.publisher.relay_versions.statuses()) < 4
         ):
             raise AssertionError(
-                f"seed {seed}: {one.uid} ends on {one.tables.versions}, not {wanted}; {day.books.relays()}"
+                f"seed {seed}: {one.uid} ends on {one.tables.versions}, not {wanted}; {day.publisher.relay_versions.statuses()}"
             )
     return day.served
 
@@ -307,10 +316,10 @@
         for far in day.fars:
             far.life += 1  # none dials by itself
         day.desk.place_of.clear()
-        day.books.carried_until = 0
+        day.publisher.retain_tables_until = 0
         for proxy, tables in ((0, ["0", "1"]), (1, ["0", "1", "2", "3"])):
             day.desk.proxy_joined(day.relays.index(f"r{proxy}".encode()), 0, 1.0, False)
-            self.assertEqual(sorted(day.books.ledger.sheets), tables)
+            self.assertEqual(sorted(day.publisher.version_log.snapshot), tables)
 
 
 class Lossy(unittest.TestCase):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -6,7 +6,7 @@
 import tempfile
 import unittest
 
-from test_versions import Planner, Shelf
+from versions.support import StubStore
 
 from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.leadership import messages
@@ -22,8 +22,6 @@
 from indigodeck.store.files import StoreFolder
 from indigodeck.store.write_ahead_log import WriteAheadLog
 from indigodeck.store.writer import StoreWriter
-from indigodeck.versions.operator_requests import OperatorRequests
-from indigodeck.versions.version_log import Number, VersionLog
 
 DATA = pathlib.Path(__file__).parent / "data"
 STORED = json.loads((DATA / "store.json").read_text(encoding="utf-8"))
@@ -81,7 +79,7 @@
     return json.loads(json.dumps(value))
 
 
-class StoreShelf(Shelf):
+class StoreShelf(StubStore):
     """A shelf on a real store, which is opened as a controller opens it."""
 
     def __init__(self, folder):
@@ -94,7 +92,7 @@
         )
         self.held = self.store.query(WriteAheadLog.read_all).result()
 
-    def keep(self, changes):
+    def save(self, changes):
         if not self.store.put_and_wait(changes):
             raise AssertionError("the store can't be written")
 
@@ -117,9 +115,6 @@
         self.addCleanup(lambda: shelf.store.close())
         return shelf
 
-    def ledger(self, shelf):
-        return VersionLog(shelf, shelf.keys())
-
 
 class StoreTest(StoredFolder):
     """The files of the store: bases, segments and records."""
@@ -177,7 +172,7 @@
 
     def test_the_store_is_written_to_and_compacted_again(self):
         shelf = self.opened()
-        shelf.keep([("starts", 5), ("relays", None)])
+        shelf.save([("starts", 5), ("relays", None)])
         self.assertTrue(shelf.store.query(lambda log: log.compact(1 << 20)).result())
         shelf.reopen()
         want = {**STORED["records"], "starts": 5}
@@ -185,137 +180,6 @@
         self.assertEqual((shelf.notes, shelf.held), ([], want))
 
 
-class Versions(StoredFolder):
-    def test_numbers_causes_authors_and_times_are_those_that_were_published(self):
-        ledger = self.ledger(self.opened())
-        self.assertEqual([tuple(one) for one in sorted(ledger.versions)], NUMBERS)
-        self.assertEqual(ledger.newest, Number(33, 3))
-        told = [
-            {
-                "number": list(one.number),
-                "parent": one.parent and list(one.parent),
-                "at": one.at,
-                "cause": one.cause,
-                "author": one.author,
-                "content": one.content,
-                "first": list(one.first),
-            }
-            for _, one in sorted(ledger.versions.items())
-        ]
-        self.assertEqual(
-            told,
-            [
-                {name: value for name, value in one.items() if name != "sheets"}
-                for one in STORED["versions"]
-            ],
-        )
-        some = {
-            str(number): (one.at - STARTED_AT, one.author, one.cause)
-            for number, one in ledger.versions.items()
-        }
-        self.assertEqual(some["3.1"], (0, "", "in charge under epoch 3"))
-        self.assertEqual(some["3.36"], (9_000_000, "", "server 11 changes its weight"))
-        self.assertEqual(some["17.2"], (3_600_500_000, "", "server 4 leaves classes [1]: failing"))
-        self.assertEqual(
-            some["33.1"],
-            (3_601_500_000, "night shift", "rollback of read to 3.20: exchanges fail since 17.1"),
-        )
-        self.assertEqual({str(one.first) for one in ledger.versions.values()}, {"3.1", "3.33"})
-        self.assertEqual(
-            (ledger.versions[Number(3, 1)].parent, ledger.versions[Number(17, 1)].parent),
-            (None, Number(3, 36)),
-        )
-
-    def test_the_sheets_of_each_version_are_those_that_were_published(self):
-        ledger = self.ledger(self.opened())
-        for one in STORED["versions"]:
-            with self.subTest(number=one["number"]):
-                self.assertEqual(ledger.sheets_of(Number(*one["number"])), one["sheets"])
-        self.assertEqual(
-            ledger.sheets_of(Number(17, 1))["0"],
-            {
-                "class": "read",
-                "level": [1.0, 1],
-                "lines": {"host-0": 1.5, "host-1": 0.25, "host-2": 0.123457},
-            },
-        )
-        self.assertEqual(
-            ledger.sheets_of(Number(3, 20))["4"]["lines"],
-            {"host-4": 1.25, "host-5": 1.25, "host-6": 1.25},
-        )
-        self.assertEqual(
-            ledger.sheets_of(Number(33, 3))["4"]["lines"], {"host-5": 1.25, "host-6": 1.25}
-        )
-
-    def test_the_hold_and_the_pins_are_kept(self):
-        wishes = OperatorRequests(self.opened().held["wishes"])
-        self.assertEqual((wishes.serial, wishes.pins), ((33, 2), {(3, 12), (17, 1)}))
-        self.assertEqual(
-            {name: tuple(hold) for name, hold in wishes.holds.items()},
-            {
-                "read": (
-                    (3, 20),
-                    "night shift",
-                    "exchanges fail since 17.1",
-                    1_750_003_601_500_000,
-                    (33, 2),
-                )
-            },
-        )
-        self.assertEqual(wishes.document(), STORED["records"]["wishes"])
-
-    def test_a_new_version_follows_under_a_higher_epoch_while_the_hold_goes_on(self):
-        shelf = self.opened()
-        planner = Planner(shelf, epoch=0)
-        self.assertEqual(
-            planner.books.carried, dict.fromkeys(["relay-0", "relay-1", "relay-2"], Number(33, 2))
-        )
-        planner.books.in_charge(49)
-        planner.change(3, "server 9 is back", h9=3.0)
-        self.assertEqual(str(planner.books.newest()), "49.1")
-        self.assertEqual(planner.shown()["3"], {"host-9": 3.0})
-        self.assertEqual(
-            planner.shown()["4"], {"host-4": 1.25, "host-5": 1.25, "host-6": 1.25}
-        )  # of 3.20, held
-        shelf.reopen()
-        ledger = self.ledger(shelf)
-        self.assertEqual([tuple(one) for one in sorted(ledger.versions)], [*NUMBERS, (49, 1)])
-        self.assertEqual(
-            (ledger.newest, ledger.versions[Number(49, 1)].parent), (Number(49, 1), Number(33, 3))
-        )
-        self.assertEqual(ledger.sheets_of(Number(49, 1)), planner.books.ledger.sheets)
-        # It is stored in the form of the ones before, which older programs read.
-        written = shelf.held["version/000000000049.000000000001"]
-        self.assertEqual(
-            written.keys(), STORED["records"]["version/000000000033.000000000003"].keys()
-        )
-        self.assertEqual(
-            (written["number"], written["parent"], written["author"]), ([49, 1], [33, 3], "")
-        )
-        self.assertEqual(ledger.sheets_of(Number(3, 36)), STORED["versions"][35]["sheets"])
-
-    def test_what_relays_hold_is_kept_in_the_same_form(self):
-        shelf = self.opened()
-        planner = Planner(shelf, epoch=49)
-        planner.books.took(7, planner.books.newest())
-        planner.clock += 20_000_000
-        planner.books.settle("turn")
-        shelf.reopen()
-        self.assertEqual(
-            shelf.held["relays"],
-            {**STORED["records"]["relays"], "relay-7": list(planner.books.newest())},
-        )
-
-    def test_the_hold_can_be_released(self):
-        shelf = self.opened()
-        planner = Planner(shelf, epoch=49)
-        self.assertEqual(planner.books.release(["read"], "day shift", "mended"), "read released")
-        shelf.reopen()
-        self.assertEqual(
-            shelf.held["wishes"], {"serial": [49, 1], "pins": [[3, 12], [17, 1]], "holds": {}}
-        )
-
-
 class Leases(StoredFolder):
     def test_leases_and_refusals_are_read_from_the_store(self):
         shelf = self.opened()
--- /dev/null
+++ b/tests/versions/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `indigodeck.versions`."""
--- /dev/null
+++ b/tests/versions/support.py
@@ -0,0 +1,154 @@
+"""A store and a planner that the tests of versions share with those of other packages."""
+
+import json
+
+from indigodeck.versions.model import AssignedTable, ServerReadiness
+from indigodeck.versions.operator_commands import OperatorCommands
+from indigodeck.versions.publisher import TablePublisher
+from indigodeck.versions.snapshots import table_snapshot
+from indigodeck.versions.version_log import DAY
+
+SERVER_IDS = [f"host-{nth}" for nth in range(12)]
+
+
+class StubStore:
+    """Clock and store for a version log; what is stored while it is `broken` is lost."""
+
+    def __init__(self):
+        self.clock = 10 * DAY
+        self.held = {}
+        self.broken = False
+
+    def wall_clock(self):
+        return self.clock
+
+    def save(self, changes):
+        for key, value in changes:
+            # As it would come back from a disk.
+            self.held[key] = None if value is None or self.broken else json.loads(json.dumps(value))
+        self.held = {key: value for key, value in self.held.items() if value is not None}
+
+    def load(self, key):
+        return self.held.get(key)
+
+    def keys(self):
+        return [key for key in self.held if key.startswith("version/")]
+
+
+class StubPlanner:
+    """What a publisher runs on: 6 tables of two classes over 12 servers.
+
+    Proxies 0 to 5 are on one table of each class. Without an epoch it does not lead.
+    """
+
+    def __init__(self, store=None, epoch=1, room=10_000):
+        self.store = store or StubStore()
+        self.clock = 0
+        self.room = room
+        self.weights = {table: {(table + nth) % 12: 1.0 for nth in range(4)} for table in range(6)}
+        self.revisions = dict.fromkeys(range(6), 0)
+        self.states = {}
+        self.changed_tables = []
+        self.logged = []
+        self.request_states = []
+        self.publisher = TablePublisher(self, ["read", "write"], 2000, DAY)
+        self.commands = OperatorCommands(self.publisher, self)
+        if epoch:
+            self.publisher.become_leader(epoch)
+        self.publisher.publish("start")
+
+    def now(self):
+        return self.clock
+
+    def wall_clock(self):
+        return self.store.wall_clock() + self.clock
+
+    def save(self, changes):
+        self.store.save(changes)
+
+    def load(self, key):
+        return self.store.load(key)
+
+    def keys(self, prefix):
+        return [key for key in self.store.held if key.startswith(prefix)]
+
+    def assigned_tables(self):
+        return {
+            table: AssignedTable(table % 2, weights, 1.0, 1, self.revisions[table])
+            for table, weights in self.weights.items()
+        }
+
+    def server_id(self, server):
+        return SERVER_IDS[server]
+
+    def server_index(self, server_id):
+        return SERVER_IDS.index(server_id) if server_id in SERVER_IDS else None
+
+    def readiness(self, server):
+        if not 0 <= server < 12:
+            return ServerReadiness.UNAVAILABLE
+        return self.states.get(server, ServerReadiness.WARM)
+
+    def ejected_servers(self):
+        return frozenset(
+            server for server, state in self.states.items() if state is ServerReadiness.UNAVAILABLE
+        )
+
+    def assigned_proxy_count(self, table):
+        return 2
+
+    def relay_id(self, proxy):
+        return f"relay-{proxy}"
+
+    def tables_of(self, proxy):
+        return {0: proxy % 3 * 2, 1: proxy % 3 * 2 + 1}
+
+    def free_lines(self):
+        return self.room
+
+    def max_waiting_lines(self):
+        return 10_000
+
+    def message_overhead_lines(self):
+        return 6
+
+    def mark_changed(self, table, servers):
+        self.changed_tables.append(table)
+
+    def resume_tables(self, tables):
+        self.resumed = tables
+
+    def on_version_published(self, version, delta):
+        self.last = version, delta
+
+    def on_requests_changed(self, state):
+        self.request_states.append(state)
+
+    def log(self, event, **facts):
+        self.logged.append((event, facts))
+
+    def change(self, table, why="", **weights):
+        """Let the assigner give a table other weights: h3=1.0 is of server 3."""
+        self.weights[table] = {int(server[1:]): weight for server, weight in weights.items()}
+        self.revisions[table] += 1
+        if why:
+            self.publisher.add_cause(why)
+        self.publisher.publish("turn")
+
+    def published(self):
+        """Return {table: {server id: weight}} as relays should hold it now."""
+        snapshot = self.publisher.version_log.snapshot_of(self.publisher.newest())
+        return {table: held.weights for table, held in snapshot.items()}
+
+
+def random_snapshot(random):
+    """Return three tables with weights drawn from a `SeededRandom`."""
+    return {
+        str(table): table_snapshot(
+            "read",
+            {SERVER_IDS[random.below(12)]: 1 + random.below(4) for _ in range(1 + random.below(6))},
+            1.0,
+            1,
+        )
+        for table in range(3)
+    }
--- /dev/null
+++ b/tests/versions/test_operator_requests.py
@@ -0,0 +1,33 @@
+"""The state of operators' requests."""
+
+import json
+import unittest
+
+from indigodeck.errors import RejectedError
+from indigodeck.versions.codec import decode_requests, encode_requests
+from indigodeck.versions.model import VersionNumber
+from indigodeck.versions.operator_requests import OperatorRequests
+
+
+class OperatorRequestsTest(unittest.TestCase):
+    """What is kept for requests, and its stored form."""
+
+    def test_pinned_versions_and_rollbacks_are_what_must_be_kept(self):
+        requests = OperatorRequests()
+        self.assertTrue(requests.set_version_pinned(VersionNumber(1, 4), True, 1))
+        self.assertFalse(requests.set_version_pinned(VersionNumber(1, 4), True, 1))
+        requests.roll_back(VersionNumber(1, 9), ["read"], "duty", "", 0, 1)
+        self.assertEqual(requests.needed_versions(), {(1, 4), (1, 9)})
+        document = json.loads(json.dumps(encode_requests(requests.state())))
+        self.assertEqual(
+            encode_requests(OperatorRequests(decode_requests(document)).state()),
+            encode_requests(requests.state()),
+        )
+        for nth in range(255):
+            requests.set_version_pinned(VersionNumber(2, nth), True, 2)
+        with self.assertRaises(RejectedError):
+            requests.set_version_pinned(VersionNumber(3, 1), True, 2)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/versions/test_publisher.py
@@ -0,0 +1,75 @@
+"""The table publisher: which versions it publishes, and what outlasts a restart and a takeover."""
+
+import unittest
+
+from indigodeck.errors import RejectedError
+from indigodeck.versions.model import ServerReadiness
+
+from .support import StubPlanner
+
+PINNED_SERVERS = {"host-0", "host-1", "host-2", "host-3"}  # of table 0 in the first version
+
+
+class TablePublisherTest(unittest.TestCase):
+    """A publisher on a stub of the planner."""
+
+    def test_each_change_is_a_version_with_its_cause_and_an_unchanged_snapshot_is_none(self):
+        planner = StubPlanner()
+        planner.change(0, "server 3 leaves classes [0]: slow", h0=1.0, h1=1.0)
+        planner.publisher.publish("turn")
+        planner.states[5] = ServerReadiness.UNAVAILABLE
+        planner.publisher.publish("list")
+        versions = list(planner.publisher.version_log.versions.values())
+        self.assertEqual(
+            [(str(version.number), version.cause) for version in versions],
+            [
+                ("1.1", "in charge under epoch 1"),
+                ("1.2", "server 3 leaves classes [0]: slow"),
+                ("1.3", "list"),
+            ],
+        )
+        self.assertEqual(
+            {table for table, weights in planner.published().items() if "host-5" in weights}, set()
+        )
+        again = StubPlanner(planner.store, 2)
+        again.weights = planner.weights
+        again.states = planner.states
+        again.publisher.publish("start")
+        self.assertEqual(
+            again.publisher.version_log.snapshot, planner.publisher.version_log.snapshot
+        )
+
+    def test_requests_outlast_a_restart_and_a_takeover_and_are_not_carried_out_twice(self):
+        planner = StubPlanner()
+        first = planner.publisher.newest()
+        planner.change(0, h8=1.0, h9=1.0)
+        planner.commands.roll_back(first, ["read"], "duty", "a")
+        again = StubPlanner(planner.store, 2)
+        again.change(0, h8=1.0, h9=1.0)
+        self.assertEqual(set(again.published()["0"]), PINNED_SERVERS)
+        # Another controller, with copies of versions and requests; the same copy again changes
+        # nothing.
+        other = StubPlanner(None, 0)
+        log = planner.publisher.version_log
+        for version in log.versions.values():
+            other.publisher.version_log.insert_from_peer(version, log.snapshot_of(version.number))
+        self.assertEqual(
+            [other.publisher.on_peer_requests(planner.request_states[-1]) for _ in range(2)],
+            [True, False],
+        )
+        other.publisher.become_leader(7)
+        other.change(0, h8=1.0, h9=1.0)
+        self.assertEqual(set(other.published()["0"]), PINNED_SERVERS)
+        # Who takes over publishes what was published: no version of its own, until something
+        # changes.
+        self.assertEqual(other.publisher.newest(), planner.publisher.newest())
+        other.commands.release([], "night", "")
+        self.assertEqual(str(other.publisher.newest()), "7.1")
+        # What was asked before it is older.
+        self.assertFalse(other.publisher.on_peer_requests(planner.request_states[-1]))
+        with self.assertRaises(RejectedError):
+            StubPlanner(None, 0).commands.roll_back(first, [], "duty", "")
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/versions/test_relay_versions.py
@@ -0,0 +1,45 @@
+"""Which version each relay holds."""
+
+import unittest
+
+from indigodeck.clock import SECOND
+from indigodeck.versions.model import VersionNumber
+
+from .support import StubPlanner
+
+FIRST = VersionNumber(1, 1)
+SECOND_VERSION = VersionNumber(1, 2)
+
+
+class RelayVersionsTest(unittest.TestCase):
+    """What transports report of relays, in order, late, or twice."""
+
+    def test_what_relays_hold_is_known_by_version_and_stored(self):
+        planner = StubPlanner()
+        first = planner.publisher.newest()
+        relay_versions = planner.publisher.relay_versions
+        for proxy in range(3):
+            relay_versions.on_taken(proxy, first)
+        planner.change(0, h8=1.0, h9=1.0)
+        self.assertEqual(
+            relay_versions.statuses(),
+            [
+                ("relay-0", FIRST, False, True),
+                ("relay-1", FIRST, True, True),
+                ("relay-2", FIRST, True, True),
+            ],
+        )
+        relay_versions.on_taken(0, planner.publisher.newest(), by_program=False)
+        self.assertEqual(relay_versions.statuses()[0], ("relay-0", SECOND_VERSION, True, False))
+        relay_versions.on_request(0)
+        relay_versions.on_taken(0, first)  # told twice, or late: it holds what is newer
+        self.assertEqual(relay_versions.statuses()[0], ("relay-0", SECOND_VERSION, True, True))
+        planner.clock += 20 * SECOND
+        planner.publisher.publish("turn")
+        self.assertEqual(
+            planner.store.held["relays"], {"relay-0": [1, 2], "relay-1": [1, 1], "relay-2": [1, 1]}
+        )
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/versions/test_rollback_pins.py
@@ -0,0 +1,87 @@
+"""Old tables on today's servers: the rules that come before a rollback, and its pace."""
+
+import unittest
+
+from hypothesis import given, settings
+from hypothesis import strategies as some
+
+from indigodeck.versions.model import ServerReadiness
+from indigodeck.versions.rollback_pins import pinned_table
+
+from .support import StubPlanner
+
+COLD = ServerReadiness.COLD
+UNAVAILABLE = ServerReadiness.UNAVAILABLE
+WARM = ServerReadiness.WARM
+
+
+class PinnedTableTest(unittest.TestCase):
+    """What is left of an old table after the rules."""
+
+    @settings(max_examples=500, deadline=None)
+    @given(
+        some.dictionaries(some.integers(0, 9), some.floats(0.1, 4), min_size=1),
+        some.dictionaries(some.integers(0, 9), some.floats(0.1, 4)),
+        some.lists(some.sampled_from([UNAVAILABLE, COLD, WARM]), min_size=10, max_size=10),
+    )
+    def test_rules_come_before_an_old_table(self, old, drawn, states):
+        assigned = {
+            server: weight for server, weight in drawn.items() if states[server] != UNAVAILABLE
+        }
+        weights, reason = pinned_table(old, assigned, states.__getitem__)
+        if reason:
+            return self.assertEqual(weights, assigned)
+        self.assertTrue(weights)
+        self.assertFalse(
+            [server for server in weights if states[server] == UNAVAILABLE or server not in old]
+        )
+        self.assertTrue(any(states[server] == WARM for server in weights))
+        for server in weights:
+            if states[server] == COLD:
+                share = weights[server] / sum(weights.values())
+                assigned_share = assigned.get(server, 0) / sum(assigned.values())
+                self.assertLessEqual(share, assigned_share + 1e-9)
+            else:
+                self.assertEqual(weights[server], old[server])
+
+    def test_what_is_left_of_an_old_table_must_be_enough(self):
+        old = {0: 1.0, 1: 1.0, 2: 1.0, 3: 1.0}
+        assigned = {4: 1.0, 5: 1.0}
+        self.assertEqual(
+            pinned_table(old, assigned, lambda server: UNAVAILABLE if server < 2 else WARM)[0],
+            {2: 1.0, 3: 1.0},
+        )
+        self.assertEqual(
+            pinned_table(old, assigned, lambda server: UNAVAILABLE if server < 3 else WARM),
+            (assigned, "too little of it is left"),
+        )
+        self.assertEqual(
+            pinned_table(old, assigned, lambda server: COLD if server < 3 else WARM),
+            (assigned, "too little of it is left"),
+        )
+        self.assertEqual(
+            pinned_table(old, assigned, lambda server: COLD if server < 4 else WARM),
+            (assigned, "nobody of it is warm"),
+        )
+
+
+class RollbackPaceTest(unittest.TestCase):
+    """A rollback fills a part of the channel's queue only."""
+
+    def test_the_way_there_and_back_is_paced_by_the_channel(self):
+        planner = StubPlanner()
+        first = planner.publisher.newest()
+        for table in range(6):
+            planner.change(table, h8=1.0, h9=1.0)
+        planner.room = 6100  # of 10,000: a little is left of the part that a rollback may fill
+        planner.changed_tables.clear()
+        planner.commands.roll_back(first, [], "duty", "a")
+        self.assertEqual(len(planner.changed_tables), 4)
+        planner.publisher.publish("turn")
+        self.assertEqual(sorted(planner.changed_tables), [0, 1, 2, 3, 4, 5])
+        versions = list(planner.publisher.version_log.versions.values())
+        self.assertEqual({version.author for version in versions[-2:]}, {"duty"})
+
+
+if __name__ == "__main__":
+    unittest.main()
