--- /dev/null
+++ b/tests/assignment/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the package `indigodeck.assignment`."""
--- /dev/null
+++ b/tests/assignment/scenarios.py
@@ -0,0 +1,45 @@
+"""Fleets and deployments that several tests of the assigner start from."""
+
+import dataclasses
+
+from rig import Rig, deployment_settings, server
+
+from indigodeck.assignment.interface import UpdateKind
+from indigodeck.clock import SECOND
+
+
+def fleet(count=12, **stated):
+    """Return ready servers, from index 0 on."""
+    return [server(index, **stated) for index in range(count)]
+
+
+def zone_bound_rig():
+    """Return two zones, the second class zone-bound; odd servers and proxy 1 are in zone 1."""
+    read, write = deployment_settings().classes
+    rig = Rig(
+        deployment_settings(
+            zone_count=2, classes=(read, dataclasses.replace(write, zone_bound=True))
+        )
+    )
+    rig.start([server(index, zone=index % 2) for index in range(12)], zones=2)
+    return rig
+
+
+def large_deployment(joined=270, **stated):
+    """Return many proxies and servers in three zones, where groups of proxies have tables."""
+    rig = Rig(
+        deployment_settings(
+            zone_count=3,
+            proxy_count=270,
+            lines_per_second=4500,
+            max_waiting_lines=6800,
+            **stated,
+        )
+    )
+    rig.assigner.on_endpoint_update(
+        UpdateKind.CHANGES, [server(index, zone=index % 3) for index in range(90)]
+    )
+    for proxy in range(joined):
+        rig.assigner.on_proxy_joined(proxy, proxy % 3, 4.0, True)
+    rig.run(1 / SECOND)
+    return rig
--- /dev/null
+++ b/tests/assignment/test_assigner.py
@@ -0,0 +1,28 @@
+"""Events with values that mean nothing."""
+
+import unittest
+
+from rig import Rig, server
+
+from indigodeck.assignment.interface import DemandReport, LoadReport, UpdateKind
+from indigodeck.clock import SECOND
+
+
+class OddInputTest(unittest.TestCase):
+    """No event of odd content stops the assigner."""
+
+    def test_zero_and_unknown_values_are_harmless(self):
+        """Zeros, unknown indices and odd numbers are passed over."""
+        rig = Rig()
+        rig.assigner.on_endpoint_update(
+            UpdateKind.CHANGES, [server(0, weight=0.0), server(1, weight=float("nan"))]
+        )
+        rig.start([])
+        rig.assigner.on_load_report(LoadReport(0, 7, 0, 0, 0, 0))
+        rig.assigner.on_load_report(LoadReport(3, 7, 5, 9, 0, SECOND, {}))
+        rig.assigner.on_demand_report(DemandReport(99, 0, 5, 0, 0))
+        rig.assigner.on_ack(99, 12, 0)
+        rig.assigner.on_health_check(7, "silent", 0, None)
+        rig.assigner.on_proxy_left(42)
+        rig.assigner.on_peer_message(3, b"?")
+        rig.run(5)
--- /dev/null
+++ b/tests/assignment/test_channel_account.py
@@ -0,0 +1,82 @@
+"""The account of the channel: lines that wait, lateness, pace."""
+
+import unittest
+
+from rig import Rig, deployment_settings, server
+
+from assignment.scenarios import fleet
+from indigodeck.assignment.channel_account import ChannelAccount
+from indigodeck.assignment.demand import Locality, Proxy, ProxyRegistry
+from indigodeck.assignment.interface import ServerState
+from indigodeck.clock import SECOND
+
+
+class StalledChannelTest(unittest.TestCase):
+    """A channel that stands still for ten seconds, and what is believed of it."""
+
+    def new_account(self):
+        """Return the account of a channel with one proxy."""
+        settings = deployment_settings(
+            lines_per_second=1000, message_overhead_lines=0, max_delivery_delay=SECOND // 2
+        )
+        self.proxies = ProxyRegistry(settings, 20 * SECOND)
+        self.proxies[1] = Proxy(Locality(0, 0), 1.0, {})
+        return ChannelAccount(settings, 0, 20 * SECOND)
+
+    def order(self, channel, lines, now):
+        """Enter lines for the proxy, and return the number of the acknowledgement asked for."""
+        channel.reached = set()
+        channel.record_orders(self.proxies, {1}, lines, now)
+        return channel.new_ack_request(now)
+
+    def test_lines_without_acknowledgement_wait(self):
+        """While acknowledgements are overdue, all lines that none accounts for wait."""
+        channel = self.new_account()
+        requests = [self.order(channel, 300, now * SECOND) for now in range(4)]
+        # At its stated pace all would have left; nobody has answered.
+        self.assertEqual(channel.queued_lines(4 * SECOND), 1200)
+        self.assertEqual(channel.lateness(4 * SECOND), 4 * SECOND - 800_000)
+        channel.on_ack(requests[1], 4 * SECOND, 5 * SECOND)
+        self.assertEqual(channel.queued_lines(5 * SECOND), 600)
+        self.assertLess(channel.pace, 0.25)
+        channel.on_ack(requests[3], SECOND // 2, 5 * SECOND)
+        self.assertEqual(channel.queued_lines(6 * SECOND), 0)
+        self.assertEqual((channel.pace, channel.lateness(6 * SECOND)), (1.0, 0))
+
+    def test_unanswered_requests_are_given_up(self):
+        """Proxies that left hold nothing up for ever."""
+        channel = self.new_account()
+        self.order(channel, 300, 0)
+        self.assertEqual(channel.queued_lines(10 * SECOND), 300)
+        self.assertEqual(channel.queued_lines(21 * SECOND), 0)
+
+    def test_feedback_delay_grows_with_lateness(self):
+        """Reports are waited for as long as orders take."""
+        rig = Rig()
+        rig.start(fleet())
+        rig.run(4)
+        before = rig.assigner.state.feedback_delay()
+        rig.answers = None
+        rig.change(server(3, ServerState.DRAINING))
+        rig.run(4)
+        self.assertGreater(rig.assigner.state.feedback_delay(), before + 2 * SECOND)
+
+
+class SlowChannelTest(unittest.TestCase):
+    """A channel slower than stated."""
+
+    def lines_written(self, took):
+        """Return how many lines are written after an acknowledgement that took so long."""
+        rig = Rig(deployment_settings(lines_per_second=60, max_waiting_lines=400))
+        rig.start(fleet())
+        rig.run(8)
+        rig.change(server(0, ServerState.DRAINING))
+        rig.assigner.on_ack(0, rig.assigner.state.channel.last_ack_number, took)
+        rig.printed.clear()
+        rig.change(*[server(index, started=rig.clock) for index in range(12, 24)])
+        rig.run(2)
+        return len([line for line in rig.printed if "table" in line])
+
+    def test_slower_channel_gets_fewer_lines(self):
+        """Ordinary lines follow the pace shown."""
+        self.assertLess(self.lines_written(60 * SECOND), self.lines_written(SECOND // 2))
