--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -10,7 +10,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
 
-from indigodeck.leadership import model  # noqa: E402
+from indigodeck.leadership import model, mutants  # noqa: E402
 
 EACH = 250
 
@@ -25,7 +25,7 @@
         results = pool.map(some, range(0, many, EACH), chunksize=1)
     took = time.perf_counter() - began
     caught = {
-        mutant.__name__: model.explore(range(20_000), make=mutant)[0] for mutant in model.MUTANTS
+        mutant.__name__: model.explore(range(20_000), make=mutant)[0] for mutant in mutants.MUTANTS
     }
     kept = {
         "what": "schedules of takeovers, 60 s of simulated time each",
--- a/indigodeck/cli/controller_group.py
+++ b/indigodeck/cli/controller_group.py
@@ -52,13 +52,13 @@
     from tornado.iostream import StreamClosedError
     from tornado.util import TimeoutError as DeadlineExceededError
 
-    from ..leadership.messages import RejectedError
+    from ..leadership.messages import MessageRejectedError
     from ..leadership.transport import ask
 
     async def ask_one(address: Address) -> Answer:
         try:
             return await ask(address, key, request, **fields)
-        except (OSError, StreamClosedError, DeadlineExceededError, RejectedError) as error:
+        except (OSError, StreamClosedError, DeadlineExceededError, MessageRejectedError) as error:
             return {"unreached": str(error) or type(error).__name__}
 
     answers = await asyncio.gather(*(ask_one(address) for address in addresses.values()))
@@ -67,7 +67,7 @@
 
 def read_controller_group(settings_path: str) -> ControllerGroup:
     """Ask the controllers of a settings file, and those that were added since, for their state."""
-    from ..leadership.transport import place_of
+    from ..leadership.transport import parse_address
     from ..planner.planner_settings import read
     from ..serve import key_of
 
@@ -76,13 +76,13 @@
         if not settings.takeover:
             fail(f"{settings_path}: controllers share nothing here: no section takeover")
         members = settings.takeover["members"]
-        addresses = {name: place_of(text) for name, text in members.items()}
+        addresses = {name: parse_address(text) for name, text in members.items()}
         key = key_of(settings, settings.takeover["key_file"])
     except (InvalidDocumentError, OSError) as error:
         fail(str(error))
     states = asyncio.run(ask_all(addresses, key, "fleet"))
     added_since = {
-        name: place_of(member["place"])
+        name: parse_address(member["place"])
         for state in states.values()
         for name, member in state.get("members", {}).items()
         if isinstance(member, dict) and name not in addresses
--- a/indigodeck/leadership/__init__.py
+++ b/indigodeck/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Several controllers for one fleet: who is in charge of which ward of relays, and how another takes over."""
+"""Several controllers for one fleet: which leads a relay group, and how another takes over."""
--- a/indigodeck/leadership/member_thread.py
+++ b/indigodeck/leadership/member_thread.py
@@ -1,106 +1,167 @@
-"""A fleet's member on a thread of its own, so that a planner that is busy for a moment keeps its lease.
+"""A member of the election on a thread of its own, so that a busy planner keeps its lease.
 
-At 303 relays a list of changes kept a planner's loop for 0.3 s and what it ordered for as long again; leases of 0.6 s
-ran out amid a release, on a quiet machine, and for seconds nobody was elected, as all were as busy: drains came too
-late (docs/takeover.md). Renewing is a matter of milliseconds, so it has a loop of its own. A planner that hangs for good
-must not stay in charge for that: its loop is heard of here, and `Charge` renews nothing for one that is silent.
+At 303 relays a list of changes kept a planner's loop for 0.3 s and what it ordered for as long
+again; leases of 0.6 s ran out amid a release, on a quiet machine, and for seconds nobody was
+elected, as all were as busy: drains came too late (docs/leadership.md). Renewing is a matter of
+milliseconds, so it has a loop of its own. A planner that hangs for good must not go on leading for
+that: its loop is watched here, and the election renews nothing beside a planner that is idle.
 
-What the planner asks as bytes leave (`Charge.holds`) is read across: the member changes a bid so that it is never held
-with another's epoch or time, and every loss is at once `held = False`.
+What the planner asks as bytes leave (`LeaderElection.leading_epoch`) is read across threads: the
+member changes a candidacy so that it never leads with another's epoch or time, and every loss is
+at once `is_leading = False`.
 """
 
 import asyncio
 import concurrent.futures
 import threading
+from collections.abc import Awaitable, Callable, Coroutine
+from typing import Any, Protocol
 
 from tornado.ioloop import IOLoop, PeriodicCallback
 
-ENDING = 0.1  # seconds for what is handed over to leave
+from .messages import ReplicationMessage
+from .transport import ControllerTransport, Follower, MemberService
+
+CLOSE_TIME = 0.1  # seconds for what is given up to be sent
+JOIN_TIMEOUT = 1.0  # seconds for the thread to end
+HEARTBEAT_DIVISOR = 16_000  # of a lease in microseconds: its 16th part, in milliseconds
+
+
+class PlannerService(Protocol):
+    """What a member needs of the planner, on the planner's loop; as `transport.MemberService`."""
+
+    def now(self) -> int:
+        """Return the monotonic time in microseconds; called from both threads."""
+
+    def note(self, event: str, **facts: Any) -> None:
+        """Write an event to the log; called from both threads."""
+
+    def on_leadership_acquired(self, relay_group: str, epoch: int) -> None:
+        """Lead a relay group from now on."""
+
+    def on_leadership_lost(self, relay_group: str, epoch: int, reason: str) -> None:
+        """Lead a relay group no longer."""
+
+    def on_replication_message(self, member: str, kind: str, fields: dict[str, Any]) -> None:
+        """Take a message of the replication of versions."""
+
+    def followers(self) -> list[Follower]:
+        """Return the relays that are spoken to from here."""
+
+    def on_operator_request(self, request: Any) -> Coroutine[Any, Any, Any]:
+        """Answer a request to the versions of tables."""
 
 
 class MemberThread:
-    """`service` as `peers.Peers` wants it, but for `silent`, on the loop that makes this; `make(surroundings)` gives the
-    Peers on the thread's own loop, and may raise what it likes. `lease`: microseconds.
+    """Runs a member beside the planner whose loop makes this.
+
+    `make(service)` gives the transport on the thread's own loop; what it raises is raised here.
+    `lease` is in microseconds.
     """
 
-    def __init__(self, service, make, lease):
-        self.service, self.make, self.main, self.loop = service, make, IOLoop.current(), None
-        self.turned_at = service.now()
-        self.turning = PeriodicCallback(self._turn, lease / 16_000)
-        self.turning.start()
-        made = concurrent.futures.Future()
-        self.thread = threading.Thread(target=self._run, args=(made,), name="takeover", daemon=True)
-        self.thread.start()
-        self.peers = made.result()
-        self.charge = self.peers.charge
-
-    def _run(self, made):
+    def __init__(
+        self,
+        service: PlannerService,
+        make: Callable[[MemberService], ControllerTransport],
+        lease: int,
+    ) -> None:
+        self._service = service
+        self._make = make
+        self._planner_loop = IOLoop.current()
+        self._planner_seen_at = service.now()
+        self._planner_heartbeat = PeriodicCallback(self._on_planner_turn, lease / HEARTBEAT_DIVISOR)
+        self._planner_heartbeat.start()
+        self._loop: IOLoop
+        made: concurrent.futures.Future[ControllerTransport] = concurrent.futures.Future()
+        self._thread = threading.Thread(
+            target=self._run, args=(made,), name="leadership", daemon=True
+        )
+        self._thread.start()
+        self._transport = made.result()
+        self.election = self._transport.election
+
+    def _run(self, made: "concurrent.futures.Future[ControllerTransport]") -> None:
         asyncio.set_event_loop(asyncio.new_event_loop())
-        self.loop = IOLoop.current()
+        self._loop = IOLoop.current()
         try:
-            made.set_result(self.make(self))
-        except (
-            Exception
-        ) as error:  # told to who waits for it: an address in use, a key that is none
+            made.set_result(self._make(self))
+        except Exception as error:
+            # Raised where it is waited for: an address in use, a key that is none.
             made.set_exception(error)
             return
-        self.loop.start()
-        self.loop.close()
+        self._loop.start()
+        self._loop.close()
+
+    def _on_planner_turn(self) -> None:
+        self._planner_seen_at = self._service.now()
 
-    def _turn(self):
-        self.turned_at = self.service.now()
+    # What the planner asks, on its thread.
 
-    # What the planner asks.
+    def rejections_of(self, relay: str) -> dict[str, str]:
+        """Return the content that a relay rejected last, by class."""
+        return self._transport.rejections.of_relay(relay)
 
-    def refusals_of(self, relay):
-        return self.peers.refusals.of(relay)
+    def record_rejection(self, relay: str, class_name: str, content: str) -> None:
+        """Remember what a relay rejected, and tell the other controllers."""
+        self._loop.add_callback(self._transport.rejections.record, relay, class_name, content)
 
-    def refused(self, relay, name, content):
-        self.loop.add_callback(self.peers.refusals.refused, relay, name, content)
+    def send(self, member: str, kind: str, **fields: Any) -> None:
+        """Send a message of the replication of versions to another member."""
+        message = ReplicationMessage(kind, fields)
+        self._loop.add_callback(self._transport.send, member, message)
 
-    def send(self, member, kind, **fields):
-        self.loop.add_callback(lambda: self.peers.send(member, kind, **fields))
+    def peer_ids(self) -> list[str]:
+        """Return the other members' ids."""
+        return self.election.state.peers
 
-    def others(self):
-        return [member for member in self.charge.members if member != self.charge.me]
+    def close(self) -> None:
+        """Give up what is led, and end the thread."""
+        self._planner_heartbeat.stop()
+        self._loop.add_callback(self._transport.close)
+        self._loop.add_callback(self._loop.call_later, CLOSE_TIME, self._loop.stop)
+        self._thread.join(JOIN_TIMEOUT)
 
-    def cease(self):
-        self.turning.stop()
-        self.loop.add_callback(self.peers.cease)
-        self.loop.add_callback(self.loop.call_later, ENDING, self.loop.stop)
-        self.thread.join(10 * ENDING)
+    # What the member asks, on its own thread.
 
-    # What the member asks, on its thread.
+    def now(self) -> int:
+        """Return the monotonic time in microseconds."""
+        return self._service.now()
 
-    def now(self):
-        return self.service.now()
+    def planner_idle_time(self) -> int:
+        """Return for how long the planner's loop has not turned, in microseconds."""
+        return self._service.now() - self._planner_seen_at
 
-    def silent(self):
-        return self.service.now() - self.turned_at
+    def note(self, event: str, **facts: Any) -> None:
+        """Write an event to the log."""
+        self._service.note(event, **facts)
 
-    def note(self, event, **facts):
-        self.service.note(event, **facts)
+    def on_leadership_acquired(self, relay_group: str, epoch: int) -> None:
+        """Tell the planner that it leads."""
+        self._planner_loop.add_callback(self._service.on_leadership_acquired, relay_group, epoch)
 
-    def in_charge(self, ward, epoch):
-        self.main.add_callback(self.service.in_charge, ward, epoch)
+    def on_leadership_lost(self, relay_group: str, epoch: int, reason: str) -> None:
+        """Tell the planner that it leads no longer."""
+        self._planner_loop.add_callback(
+            self._service.on_leadership_lost, relay_group, epoch, reason
+        )
 
-    def out_of_charge(self, ward, epoch, why):
-        self.main.add_callback(self.service.out_of_charge, ward, epoch, why)
+    def on_replication_message(self, member: str, kind: str, fields: dict[str, Any]) -> None:
+        """Pass a message on to the planner."""
+        self._planner_loop.add_callback(self._service.on_replication_message, member, kind, fields)
 
-    def copy_came(self, member, kind, fields):
-        self.main.add_callback(self.service.copy_came, member, kind, fields)
+    async def on_operator_request(self, request: Any) -> Any:
+        """Return the planner's answer to a request."""
+        return await self._on_planner_loop(self._service.on_operator_request(request))
 
-    async def asked(self, wish):
-        return await self._there(self.service.asked(wish))
+    async def followers(self) -> list[Follower]:
+        """Return the relays that the planner speaks to."""
 
-    async def followers(self):
-        async def asked():
-            return self.service.followers()
+        async def ask() -> list[Follower]:
+            return self._service.followers()
 
-        return await self._there(asked())
+        return await self._on_planner_loop(ask())
 
-    def _there(self, coroutine):
-        """Runs something on the planner's loop, for as long as that takes."""
-        return asyncio.wrap_future(
-            asyncio.run_coroutine_threadsafe(coroutine, self.main.asyncio_loop)
-        )
+    def _on_planner_loop(self, coroutine: Coroutine[Any, Any, Any]) -> Awaitable[Any]:
+        """Run something on the planner's loop, for as long as that takes."""
+        loop: asyncio.AbstractEventLoop = self._planner_loop.asyncio_loop  # type: ignore[attr-defined]
+        return asyncio.wrap_future(asyncio.run_coroutine_threadsafe(coroutine, loop))
--- a/indigodeck/leadership/messages.py
+++ b/indigodeck/leadership/messages.py
@@ -1,25 +1,346 @@
-"""Messages between controllers as bytes: bounded, versioned, and sealed with a key that all of them share.
+"""Messages between controllers: typed inside, and on the wire bounded, versioned and sealed.
 
-Three versions are spoken, so that a fleet may be upgraded one controller after the other. Version 1 knows no changes of
-members: its fleet is always number 0; version 2 no versions of tables. What one can't say is not said to who speaks it.
+Three versions are spoken, so that a fleet may be upgraded one controller after the other. Version 1
+knows no changes of members: its membership is always number 0; version 2 no versions of tables.
+What one version can't say is not said to who speaks it.
 
-A message is a length (4 bytes), a seal (32 bytes, HMAC-SHA256 of the rest) and JSON. What is too long, not sealed by the
-key, of another version, from nobody known or of the wrong shape is refused with a reason, and nothing of it is used.
+A message is a length (4 bytes), a seal (32 bytes, HMAC-SHA256 of the rest, with a key that all
+share) and JSON. What is too long, not sealed by the key, of another version, from nobody known or
+of the wrong shape is rejected with a reason, and nothing of it is used. The wire's names of kinds
+and fields live here, and their shapes in `message_checks`.
 """
 
+import dataclasses
 import hashlib
 import hmac
 import json
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
-from .election import MEMBERS_MOST
+from ..errors import LimitExceededError, RejectedError
+from .message_checks import ELECTION_CHECKS, REPLICATION_CHECKS
+from .state import KnownEpoch, Members, Proposal
 
 VERSIONS = (1, 2, 3)
-NEWEST = VERSIONS[-1]
-LONGEST = 64 * 1024
-HEAD, SEAL = 4, 32
-INTEGERS = {"hello", "epoch", "round", "serial", "highest", "wait", "number"}
-# The fields that each kind has; `epochs` is {ward: [epoch, holder]}, in version 1 {ward: epoch}.
-OLD = {
+NEWEST_VERSION = VERSIONS[-1]
+MAX_BODY_BYTES = 64 * 1024
+LENGTH_BYTES = 4
+SEAL_BYTES = 32
+
+Epochs = dict[str, KnownEpoch]  # by relay group
+
+
+class MessageRejectedError(RejectedError):
+    """A message that is not taken; says why."""
+
+
+# Between members of an election.
+
+
+@dataclass(frozen=True, slots=True)
+class Heartbeat:
+    """The sender runs."""
+
+    membership_number: int
+
+
+@dataclass(frozen=True, slots=True)
+class RecoveryQuery:
+    """A member that starts asks what it may have forgotten."""
+
+    nonce: int
+    membership_number: int
+
+
+@dataclass(frozen=True, slots=True)
+class RecoveryAnswer:
+    """What is known here; `serial` is the highest seen of the asker's record."""
+
+    nonce: int
+    epochs: Epochs
+    serial: int
+    membership_number: int
+    members: Members | None
+    proposal: Proposal | None
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseRequest:
+    """A candidate asks for a relay group, or for more time with it."""
+
+    relay_group: str
+    epoch: int
+    round: int
+    serial: int
+    membership_number: int
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseGrant:
+    """A request is granted; with the proposal accepted last, where the group is the first."""
+
+    relay_group: str
+    epoch: int
+    round: int
+    serial: int
+    membership_number: int
+    proposal: Proposal | None
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseDenial:
+    """A request is not granted; `holder` is empty if unknown, `retry_after` in microseconds."""
+
+    relay_group: str
+    epoch: int
+    round: int
+    highest_epoch: int
+    holder: str
+    retry_after: int
+    membership_number: int
+
+    @property
+    def known_epoch(self) -> KnownEpoch:
+        """The highest epoch that the grantor knows, and its holder."""
+        return KnownEpoch(self.highest_epoch, self.holder or None)
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseRelease:
+    """A holder gives a relay group back before its lease ends."""
+
+    relay_group: str
+    epoch: int
+
+
+@dataclass(frozen=True, slots=True)
+class ProposeMembers:
+    """A leader proposes members."""
+
+    membership_number: int
+    epoch: int
+    members: Members
+
+
+@dataclass(frozen=True, slots=True)
+class AcceptMembers:
+    """A proposal was accepted and written down."""
+
+    membership_number: int
+    epoch: int
+    epochs: Epochs
+
+
+@dataclass(frozen=True, slots=True)
+class MembershipNotice:
+    """Members that were decided."""
+
+    membership_number: int
+    members: Members
+    epochs: Epochs
+
+
+ElectionMessage = (
+    Heartbeat
+    | RecoveryQuery
+    | RecoveryAnswer
+    | LeaseRequest
+    | LeaseGrant
+    | LeaseDenial
+    | LeaseRelease
+    | ProposeMembers
+    | AcceptMembers
+    | MembershipNotice
+)
+
+
+# Between members, beside the election.
+
+
+@dataclass(frozen=True, slots=True)
+class RejectionNotice:
+    """Tables that relays rejected: lists of relay, class and content."""
+
+    rejections: list[list[str]]
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicationMessage:
+    """A message of the replication of versions, by its kind and fields on the wire."""
+
+    kind: str
+    fields: dict[str, Any]
+
+
+PeerMessage = ElectionMessage | RejectionNotice | ReplicationMessage
+
+
+# From operators to a member.
+
+
+@dataclass(frozen=True, slots=True)
+class StatusQuery:
+    """Asks for `Status`."""
+
+
+@dataclass(frozen=True, slots=True)
+class TransferLeadership:
+    """Asks a leader to give a relay group up."""
+
+    relay_group: str
+
+
+@dataclass(frozen=True, slots=True)
+class ChangeMembers:
+    """Asks the leader to add or remove one member."""
+
+    members: Members
+
+
+@dataclass(frozen=True, slots=True)
+class ForceMembers:
+    """Makes these the members without a majority."""
+
+    members: Members
+
+
+@dataclass(frozen=True, slots=True)
+class FollowersQuery:
+    """Asks which relays this member speaks to, from the one after `after` on, in order of ids."""
+
+    after: str
+
+
+@dataclass(frozen=True, slots=True)
+class VersionRequest:
+    """A request to the versions of tables (versions/admin_api.py)."""
+
+    request: Any
+
+
+OperatorMessage = (
+    StatusQuery
+    | TransferLeadership
+    | ChangeMembers
+    | ForceMembers
+    | FollowersQuery
+    | VersionRequest
+)
+
+
+# Answers to operators. Times are in microseconds.
+
+
+@dataclass(frozen=True, slots=True)
+class Answer:
+    """What an operator is told; plain values of JSON."""
+
+    said: Any
+
+
+@dataclass(slots=True)
+class MemberStatus:
+    """One member as another knows it; alive, suspected (not heard for two leases) or unheard."""
+
+    address: str
+    liveness: str
+    heard_ago: int | None
+    membership_number: int | None
+    message_version: int | None = None
+
+    def document(self) -> dict[str, Any]:
+        """Return it as the answer has it."""
+        return {
+            "place": self.address,
+            "state": self.liveness,
+            "heard": self.heard_ago,
+            "number": self.membership_number,
+            "speaks": self.message_version,
+        }
+
+
+@dataclass(slots=True)
+class LeaseStatus:
+    """One relay group as a member knows it; `leading_epoch` is None unless that member leads it."""
+
+    epoch: int
+    granted_to: str | None
+    granted_for: int
+    leading_epoch: int | None
+    followers: int = 0
+
+    def document(self) -> dict[str, Any]:
+        """Return it as the answer has it."""
+        return {
+            "epoch": self.epoch,
+            "granted_to": self.granted_to,
+            "granted_for": self.granted_for,
+            "held": self.leading_epoch,
+            "followers": self.followers,
+        }
+
+
+@dataclass(slots=True)
+class Status:
+    """What a member knows of the others and of the leases."""
+
+    me: str
+    may_grant: bool
+    membership_number: int
+    change_pending: bool
+    members: dict[str, MemberStatus]
+    leases: dict[str, LeaseStatus]
+
+    def document(self) -> dict[str, Any]:
+        """Return it as the answer has it."""
+        return {
+            "me": self.me,
+            "settled": self.may_grant,
+            "number": self.membership_number,
+            "under_way": self.change_pending,
+            "members": {name: member.document() for name, member in self.members.items()},
+            "wards": {group: lease.document() for group, lease in self.leases.items()},
+        }
+
+
+Message = PeerMessage | OperatorMessage | Answer
+
+
+# The wire's names. `epochs` is {relay group: [epoch, holder]}, in version 1 {relay group: epoch}.
+
+MESSAGE_TYPES: dict[str, type[Any]] = {
+    "here": Heartbeat,
+    "greet": RecoveryQuery,
+    "tell": RecoveryAnswer,
+    "ask": LeaseRequest,
+    "grant": LeaseGrant,
+    "deny": LeaseDenial,
+    "release": LeaseRelease,
+    "propose": ProposeMembers,
+    "accept": AcceptMembers,
+    "members": MembershipNotice,
+    "refusals": RejectionNotice,
+    "fleet": StatusQuery,
+    "hand over": TransferLeadership,
+    "change": ChangeMembers,
+    "force": ForceMembers,
+    "followers": FollowersQuery,
+    "versions": VersionRequest,
+    "answer": Answer,
+}
+_KINDS_BY_TYPE = {message_type: kind for kind, message_type in MESSAGE_TYPES.items()}
+_WIRE_NAMES = {
+    "nonce": "hello",
+    "relay_group": "ward",
+    "membership_number": "number",
+    "proposal": "plan",
+    "highest_epoch": "highest",
+    "retry_after": "wait",
+    "rejections": "held",
+    "request": "wish",
+}  # of the fields that are named otherwise in this program
+_FIELDS_OF_VERSION_1: dict[str, set[str]] = {
     "greet": {"hello"},
     "tell": {"hello", "epochs", "serial"},
     "ask": {"ward", "epoch", "round", "serial"},
@@ -30,14 +351,14 @@
     "hand over": {"ward"},
     "answer": {"said"},
 }
-ADDED = {
+_FIELDS_ADDED_IN_VERSION_2: dict[str, set[str]] = {
     "greet": {"number"},
     "tell": {"number", "members", "plan"},
     "ask": {"number"},
     "grant": {"number", "plan"},
     "deny": {"number", "holder"},
 }
-NEW = {
+_KINDS_ADDED_IN_VERSION_2: dict[str, set[str]] = {
     "here": {"number"},
     "propose": {"number", "epoch", "members"},
     "accept": {"number", "epoch", "epochs"},
@@ -47,8 +368,7 @@
     "force": {"members"},
     "followers": {"after"},
 }
-# Versions and operator requests (versions/replication_messages.py).
-COPIED = {
+REPLICATION_KINDS: dict[str, set[str]] = {
     "book": {"newest", "content", "wishes"},
     "version": {"entry", "changes"},
     "wishes": {"wishes"},
@@ -56,250 +376,176 @@
     "noted": {"serial"},
     "want": {"number"},
     "sheets": {"number", "part", "of", "sheets", "about", "parent"},
+}  # versions/replication_messages.py
+_FIELDS_OF_VERSION_2 = {
+    **{
+        kind: fields | _FIELDS_ADDED_IN_VERSION_2.get(kind, set())
+        for kind, fields in _FIELDS_OF_VERSION_1.items()
+    },
+    **_KINDS_ADDED_IN_VERSION_2,
+}
+FIELDS_BY_VERSION = {
+    1: _FIELDS_OF_VERSION_1,
+    2: _FIELDS_OF_VERSION_2,
+    3: {**_FIELDS_OF_VERSION_2, **REPLICATION_KINDS, "versions": {"wish"}},
 }
-SECOND = {**{kind: fields | ADDED.get(kind, set()) for kind, fields in OLD.items()}, **NEW}
-KINDS = {1: OLD, 2: SECOND, 3: {**SECOND, **COPIED, "versions": {"wish"}}}
 # What somebody of version 1 means by leaving these out.
-MEANT = {"number": 0, "members": None, "plan": None, "holder": ""}
+_MEANT_BY_VERSION_1 = {"number": 0, "members": None, "plan": None, "holder": ""}
 
 
-class RejectedError(Exception):
-    """A message that is not taken; says why."""
+def to_wire(message: Message) -> tuple[str, dict[str, Any]]:
+    """Return the kind and the fields of a message on the wire."""
+    if isinstance(message, ReplicationMessage):
+        return message.kind, message.fields
+    fields = {
+        _WIRE_NAMES.get(field.name, field.name): getattr(message, field.name)
+        for field in dataclasses.fields(message)
+    }
+    return _KINDS_BY_TYPE[type(message)], fields
+
+
+def from_wire(kind: str, fields: dict[str, Any]) -> Message:
+    """Return the message that a kind and its fields, checked by `unpack`, are on the wire."""
+    if kind in REPLICATION_KINDS:
+        return ReplicationMessage(kind, fields)
+    message_type = MESSAGE_TYPES[kind]
+    values = {
+        field.name: fields[_WIRE_NAMES.get(field.name, field.name)]
+        for field in dataclasses.fields(message_type)
+    }
+    if "epochs" in values:
+        values["epochs"] = {group: KnownEpoch(*known) for group, known in values["epochs"].items()}
+    if values.get("proposal"):
+        values["proposal"] = Proposal(*values["proposal"])
+    return message_type(**values)
 
 
-class Speech:
-    """The version to speak to one member: the newest, unless it was heard to speak an older one. On one connection of
-    its own it never gets older again: what an earlier program sent last must not hold back the one that replaced it.
+class SpokenVersion:
+    """The version to speak to one member: the newest, unless it was heard to speak an older one.
+
+    On one connection of its own it never gets older again: what an earlier program sent last must
+    not hold back the one that replaced it.
     """
 
-    def __init__(self, newest=NEWEST):
-        self.newest = self.version = newest
-        self.connection = None
+    def __init__(self, newest: int = NEWEST_VERSION) -> None:
+        self._newest = newest
+        self._connection: object = None
+        self.version = newest
 
-    def heard(self, connection, version):
-        if connection != self.connection:
-            self.connection, self.version = connection, min(version, self.newest)
+    def on_message(self, connection: object, version: int) -> None:
+        """Note in which version the member spoke on a connection of its own."""
+        if connection != self._connection:
+            self._connection = connection
+            self.version = min(version, self._newest)
         else:
-            self.version = min(max(version, self.version), self.newest)
+            self.version = min(max(version, self.version), self._newest)
+
 
+def can_say(kind: str, version: int, fields: dict[str, Any]) -> bool:
+    """Return whether somebody of this version can be told so."""
+    return kind in FIELDS_BY_VERSION[version] and (version > 1 or not fields.get("number"))
 
-def sayable(kind, version, fields):
-    """Whether somebody of this version can be told so."""
-    return kind in KINDS[version] and (version >= 2 or not fields.get("number"))
 
+def versions_that_can_say(kind: str, fields: dict[str, Any]) -> list[int]:
+    """Return the versions that this can be said in, the newest first."""
+    return [version for version in reversed(VERSIONS) if can_say(kind, version, fields)]
 
-def versions_of(kind, fields):
-    """The versions that this can be said in, the newest first."""
-    return [version for version in reversed(VERSIONS) if sayable(kind, version, fields)]
 
+def pack(key: bytes, source: str, kind: str, version: int = NEWEST_VERSION, **fields: Any) -> bytes:
+    """Return a message's bytes, its length and seal among them.
 
-def pack(key, source, kind, version=NEWEST, **fields):
+    Raises
+    ------
+    LimitExceededError
+        If the body is longer than `MAX_BODY_BYTES`.
+    """
     if version == 1:
-        fields = {name: value for name, value in fields.items() if name in OLD[kind]}
+        fields = {
+            name: value for name, value in fields.items() if name in _FIELDS_OF_VERSION_1[kind]
+        }
         if "epochs" in fields:
-            fields["epochs"] = {ward: known[0] for ward, known in fields["epochs"].items()}
+            fields["epochs"] = {group: known[0] for group, known in fields["epochs"].items()}
     body = json.dumps(
         {"version": version, "from": source, "kind": kind, **fields}, sort_keys=True
     ).encode()
-    if len(body) > LONGEST:
-        raise ValueError(f"a message of {len(body)} bytes, {LONGEST} at most")
-    return len(body).to_bytes(HEAD, "big") + hmac.digest(key, body, hashlib.sha256) + body
+    if len(body) > MAX_BODY_BYTES:
+        raise LimitExceededError(f"a message of {len(body)} bytes, {MAX_BODY_BYTES} at most")
+    return len(body).to_bytes(LENGTH_BYTES, "big") + _seal(key, body) + body
 
 
-def length(head):
-    """Bytes that follow the length: the seal and the body."""
+def _seal(key: bytes, body: bytes) -> bytes:
+    return hmac.digest(key, body, hashlib.sha256)
+
+
+def remaining_bytes(head: bytes) -> int:
+    """Return how many bytes follow the length: the seal and the body.
+
+    Raises
+    ------
+    MessageRejectedError
+        If the body would be too short for JSON or longer than `MAX_BODY_BYTES`.
+    """
     size = int.from_bytes(head, "big")
-    if not 2 <= size <= LONGEST:
-        raise RejectedError(f"a message of {size} bytes, {LONGEST} at most")
-    return SEAL + size
+    if not 2 <= size <= MAX_BODY_BYTES:
+        raise MessageRejectedError(f"a message of {size} bytes, {MAX_BODY_BYTES} at most")
+    return SEAL_BYTES + size
+
+
+class Received(NamedTuple):
+    """A message that was unpacked and found valid."""
+
+    source: str
+    version: int
+    kind: str
+    fields: dict[str, Any]
 
 
-def unpack(key, data, known):
-    """(source, version, kind, fields) of what follows the length. `known(name)`: whether somebody may speak."""
-    seal, body = data[:SEAL], data[SEAL:]
-    if not hmac.compare_digest(seal, hmac.digest(key, body, hashlib.sha256)):
-        raise RejectedError("not sealed with the key of this fleet")
+def unpack(key: bytes, data: bytes, is_known: Callable[[str], bool]) -> Received:
+    """Return the message in what follows the length; `is_known(name)`: whether somebody may speak.
+
+    Raises
+    ------
+    MessageRejectedError
+        If it is not sealed by the key, from nobody known, or of the wrong version or shape.
+    """
+    seal = data[:SEAL_BYTES]
+    body = data[SEAL_BYTES:]
+    if not hmac.compare_digest(seal, _seal(key, body)):
+        raise MessageRejectedError("not sealed with the key of this fleet")
     try:
         given = json.loads(body)
-        version, source, kind = given.pop("version"), given.pop("from"), given.pop("kind")
+        version = given.pop("version")
+        source = given.pop("from")
+        kind = given.pop("kind")
     except (ValueError, KeyError, AttributeError, TypeError) as error:
-        raise RejectedError(f"no message: {error}") from error
+        raise MessageRejectedError(f"no message: {error}") from error
     if isinstance(version, bool) or version not in VERSIONS:
-        raise RejectedError(f"version {version}; spoken here are {', '.join(map(str, VERSIONS))}")
-    if not isinstance(source, str) or not known(source):
-        raise RejectedError(f"{source!r} is none of this fleet")
-    if (
-        not isinstance(kind, str)
-        or kind not in KINDS[version]
-        or given.keys() != KINDS[version][kind]
-    ):
-        raise RejectedError(f"{kind!r} with fields {sorted(given)}")
+        spoken = ", ".join(map(str, VERSIONS))
+        raise MessageRejectedError(f"version {version}; spoken here are {spoken}")
+    if not isinstance(source, str) or not is_known(source):
+        raise MessageRejectedError(f"{source!r} is none of this fleet")
+    known_fields = FIELDS_BY_VERSION[version].get(kind) if isinstance(kind, str) else None
+    if known_fields is None or given.keys() != known_fields:
+        raise MessageRejectedError(f"{kind!r} with fields {sorted(given)}")
     if version == 1:
-        given.update({name: MEANT[name] for name in ADDED.get(kind, ())})
-        if isinstance(given.get("epochs"), dict):
-            given["epochs"] = {ward: [epoch, None] for ward, epoch in given["epochs"].items()}
-    if kind in COPIED:
-        _check_copied(kind, given)
-    else:
-        _check(given)
-    return source, version, kind, given
+        _complete_version_1(kind, given)
+    _check_fields(kind, given)
+    if kind not in REPLICATION_KINDS and given.get("plan") is not None:
+        given["plan"] = tuple(given["plan"])
+    return Received(source, version, kind, given)
 
 
-def _check(given):
-    for name, value in given.items():
-        if name in INTEGERS and (
-            isinstance(value, bool) or not isinstance(value, int) or not 0 <= value < 1 << 62
-        ):
-            raise RejectedError(f"{name} is {value!r}")
-        if name in ("ward", "holder", "after") and not isinstance(value, str):
-            raise RejectedError(f"{name} is {value!r}")
-        if name == "epochs" and not (
-            isinstance(value, dict) and all(_known(epoch) for epoch in value.values())
-        ):
-            raise RejectedError("epochs are not numbers by ward")
-        if name == "members" and value is not None and not _members(value):
-            raise RejectedError("members are not places by id")
-        if name == "held" and not (
-            isinstance(value, list)
-            and all(
-                isinstance(entry, list)
-                and len(entry) == 3
-                and all(isinstance(part, str) for part in entry)
-                for entry in value
-            )
-        ):
-            raise RejectedError("refusals are not relay, class and content")
-        if name == "plan" and value is not None:
-            if not (
-                isinstance(value, list)
-                and len(value) == 3
-                and _number(value[0])
-                and _number(value[1])
-                and _members(value[2])
-            ):
-                raise RejectedError("a plan is not number, epoch and members")
-            given["plan"] = tuple(value)
-
-
-def _check_copied(kind, given):
-    fine = {
-        "newest": _maybe_pair,
-        "parent": _maybe_pair,
-        "content": lambda value: isinstance(value, str),
-        "wishes": _wishes,
-        "serial": _pair,
-        "number": _pair,
-        "part": _number,
-        "of": _number,
-        "sheets": _sheets,
-        "about": lambda value: (
-            isinstance(value, list) and [type(one) for one in value] == [int, str, str, str]
-        ),
-        "entry": _version,
-        "changes": _changes,
-    }
+def _complete_version_1(kind: str, given: dict[str, Any]) -> None:
+    added = _FIELDS_ADDED_IN_VERSION_2.get(kind, set())
+    given.update({name: _MEANT_BY_VERSION_1[name] for name in added})
+    if isinstance(given.get("epochs"), dict):
+        given["epochs"] = {group: [epoch, None] for group, epoch in given["epochs"].items()}
+
+
+def _check_fields(kind: str, given: dict[str, Any]) -> None:
+    checks = REPLICATION_CHECKS if kind in REPLICATION_KINDS else ELECTION_CHECKS
     for name, value in given.items():
-        if not fine[name](value):
-            raise RejectedError(f"{kind!r}: {name} is of no known shape")
-
-
-def _pair(value):
-    return isinstance(value, list) and len(value) == 2 and all(map(_number, value))
-
-
-def _maybe_pair(value):
-    return value is None or _pair(value)
-
-
-def _wishes(value):
-    return (
-        isinstance(value, dict)
-        and value.keys() == {"serial", "pins", "holds"}
-        and _pair(value["serial"])
-        and isinstance(value["pins"], list)
-        and all(map(_pair, value["pins"]))
-        and isinstance(value["holds"], dict)
-        and all(
-            isinstance(hold, list)
-            and len(hold) == 5
-            and _pair(hold[0])
-            and isinstance(hold[1], str)
-            and isinstance(hold[2], str)
-            and _number(hold[3])
-            and _pair(hold[4])
-            for hold in value["holds"].values()
-        )
-    )
-
-
-def _sheets(value):
-    return isinstance(value, dict) and all(
-        table.isdigit()
-        and isinstance(sheet, dict)
-        and sheet.keys() == {"class", "lines", "level"}
-        and isinstance(sheet["class"], str)
-        and isinstance(sheet["lines"], dict)
-        and all(map(_weight, sheet["lines"].values()))
-        and isinstance(sheet["level"], list)
-        and len(sheet["level"]) == 2
-        and all(map(_weight, sheet["level"]))
-        for table, sheet in value.items()
-    )
-
-
-def _version(value):
-    return (
-        isinstance(value, dict)
-        and value.keys() == {"number", "parent", "at", "cause", "author", "content"}
-        and _pair(value["number"])
-        and _maybe_pair(value["parent"])
-        and _number(value["at"])
-        and all(isinstance(value[name], str) for name in ("cause", "author", "content"))
-    )
-
-
-def _changes(value):
-    """Sheets, or what differs of them: lines that are gone are None."""
-    return isinstance(value, dict) and all(
-        change is None
-        or isinstance(change, dict)
-        and change.keys() in ({"class", "lines", "level"}, {"of", "lines", "level"})
-        and isinstance(change.get("class", change.get("of")), str)
-        and isinstance(change["lines"], dict)
-        and all(
-            weight is None and "of" in change or _weight(weight)
-            for weight in change["lines"].values()
-        )
-        and isinstance(change["level"], list)
-        and len(change["level"]) == 2
-        and all(map(_weight, change["level"]))
-        for change in value.values()
-    )
-
-
-def _weight(value):
-    return isinstance(value, (int, float)) and not isinstance(value, bool) and 0 <= value < 1e12
-
-
-def _number(value):
-    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < 1 << 62
-
-
-def _known(value):
-    return (
-        isinstance(value, list)
-        and len(value) == 2
-        and _number(value[0])
-        and (value[1] is None or isinstance(value[1], str))
-    )
-
-
-def _members(value):
-    return (
-        isinstance(value, dict)
-        and 1 <= len(value) <= MEMBERS_MOST
-        and all(
-            name and isinstance(place, str) and len(name) + len(place) <= 500
-            for name, place in value.items()
-        )
-    )
+        check = checks.get(name)
+        if check is not None and not check.is_valid(value):
+            reason = check.complaint.format(kind=kind, name=name, value=value)
+            raise MessageRejectedError(reason)
--- a/indigodeck/leadership/model.py
+++ b/indigodeck/leadership/model.py
@@ -1,491 +1,516 @@
-"""Controllers, network and clocks on simulated time, running the real decisions: finds schedules that break them.
+"""Controllers, network and clocks on simulated time, running the real elections.
 
-Everything comes from a seed: who pauses, what is lost, twice, late or out of order, who is cut from whom and in which
-direction, how clocks drift, who restarts and what its disk still holds. At every moment the model knows the true time
-and checks: at most one member may write for a ward; epochs in charge never go back; and once faults end and a majority is
-up, somebody is in charge again within a stated time.
+It finds schedules that break them. Everything comes from a seed: who pauses, what is lost, twice,
+late or out of order, who is cut off from whom and in which direction, how clocks drift, who
+restarts and what its disk still holds. At every moment the model knows the true time and checks: at
+most one member may write for a relay group; epochs of leaders never go back; and once faults end
+and a majority is up, somebody leads again within a stated time.
 """
 
 import heapq
+from collections.abc import Callable, Sequence
+from typing import Any
 
 from ..assignment.seeded_random import SeededRandom
-from .election import LeaderElection, heard
-
-SECOND = 1_000_000
-LEASE, DRIFT = 2 * SECOND, 0.05
-QUIET = 14 * LEASE  # after the last fault: by then somebody must be in charge
-
-
-class Broken(AssertionError):
-    """An invariant does not hold; `at` is the true time."""
-
-
-class Seat:
-    """One member's surroundings: a clock that drifts, a disk, a process that may be paused or gone."""
-
-    def __init__(self, world, name, rate, offset):
-        self.world, self.name, self.rate, self.offset = world, name, rate, offset
-        self.charge, self.disk, self.lives = None, None, 0
-        self.paused, self.waiting, self.copies = False, [], []
-        self.hung_at = None  # since when its planner hangs, while the member itself runs
-
-    def start(self, record):
-        self.lives += 1
-        self.paused, self.waiting = False, []
-        # A member that is let in later, and one whose disk is lost, are told today's members, as a charter should.
-        self.charge = self.world.make(
-            self,
-            self.name,
-            self.world.stated(),
-            ["fleet"],
-            LEASE,
-            DRIFT,
-            SeededRandom(
-                self.world.seed * 97 + self.lives * 31 + ord(self.name[0]) + ord(self.name[-1])
-            ),
-            self.lives,
-            record,
-            self.name not in self.world.stated(),
+from ..clock import SECOND
+from .election import LeaderElection
+from .messages import ElectionMessage
+from .state import LeaseRecord, Members
+
+LEASE = 2 * SECOND
+DRIFT = 0.05
+QUIET = 14 * LEASE  # after the last fault: by then somebody must lead
+RELAY_GROUP = "fleet"
+SPARE_MEMBERS = ("s0", "s1")  # stand by to be added
+
+Callback = Callable[[], Any]
+
+
+class InvariantError(AssertionError):
+    """An invariant does not hold; the message says at which true time."""
+
+
+class SimulatedMember:
+    """One member's surroundings: a clock that drifts, a disk, a process that pauses or is gone."""
+
+    def __init__(self, world: "World", name: str, rate: float, offset: int) -> None:
+        self.name = name
+        self._world = world
+        self._rate = rate
+        self._offset = offset
+        self.election: LeaderElection | None = None  # None while the process is gone
+        self.disk: LeaseRecord | None = None
+        self.disk_copies: list[LeaseRecord] = []
+        self.incarnation = 0
+        self.is_paused = False
+        self.delayed: list[tuple[int, Callback]] = []  # with the incarnation that it is for
+        self.planner_hung_at: int | None = None  # while the member itself runs
+
+    def start(self, record: LeaseRecord | None) -> None:
+        """Start a process anew, with this record on its disk."""
+        self.incarnation += 1
+        self.is_paused = False
+        self.delayed = []
+        # A member that is added later, and one whose disk is lost, are told today's members, as
+        # settings should.
+        members = self._world.decided_members()
+        settings = self._world.make.settings_class(
+            me=self.name,
+            members=members,
+            relay_groups=(RELAY_GROUP,),
+            lease=LEASE,
+            drift=DRIFT,
+            incarnation=self.incarnation,
+            joins=self.name not in members,
         )
+        name_seed = ord(self.name[0]) + ord(self.name[-1])
+        random = SeededRandom(self._world.seed * 97 + self.incarnation * 31 + name_seed)
+        self.election = self._world.make(self, settings, random, record)
 
-    def now(self):
-        return self.offset + round(self.world.clock * self.rate)
+    def run(self, incarnation: int, callback: Callback) -> None:
+        """Let something happen, unless it was for an earlier incarnation; later while paused."""
+        if incarnation != self.incarnation or self.election is None:
+            return
+        if self.is_paused:
+            self.delayed.append((incarnation, callback))
+        else:
+            callback()
 
-    def silent(self):
-        return 0 if self.hung_at is None else round((self.world.clock - self.hung_at) * self.rate)
+    def resume(self) -> None:
+        """Go on after a pause, with all that came meanwhile."""
+        if not self.is_paused:
+            return
+        self.is_paused = False
+        delayed = self.delayed
+        self.delayed = []
+        for incarnation, callback in delayed:
+            self.run(incarnation, callback)
 
-    def later(self, after):
-        life = self.lives
-        self.world.at(
-            self.world.clock + round(after / self.rate),
-            lambda: self.run(life, lambda: self.charge.woken()),
-        )
+    def deliver(self, source: str, message: ElectionMessage) -> None:
+        """Take a message, if the process still runs when it has come."""
 
-    def run(self, life, call):
-        """Something happens at this member, unless it was in an earlier life; a paused one sees it when it wakes."""
-        if life != self.lives or self.charge is None:
-            return
-        if self.paused:
-            self.waiting.append((life, call))
-        else:
-            call()
+        def take() -> None:
+            if self.election is not None:
+                self.election.on_message(source, message)
+
+        self.run(self.incarnation, take)
+
+    # What the election may ask.
+
+    def now(self) -> int:
+        """Return the time on this member's clock."""
+        return self._offset + round(self._world.clock * self._rate)
+
+    def planner_idle_time(self) -> int:
+        """Return for how long the planner hangs, on this member's clock."""
+        if self.planner_hung_at is None:
+            return 0
+        return round((self._world.clock - self.planner_hung_at) * self._rate)
 
-    def send(self, member, kind, **fields):
-        self.world.carry(self.name, member, kind, fields)
+    def start_timer(self, delay: int) -> None:
+        """Wake the election after a time on this member's clock."""
+        incarnation = self.incarnation
 
-    def keep(self, record):
-        if self.world.chance.below(100) < 2 and self.world.faulty():
+        def wake() -> None:
+            if self.election is not None:
+                self.election.on_timer()
+
+        at = self._world.clock + round(delay / self._rate)
+        self._world.schedule(at, lambda: self.run(incarnation, wake))
+
+    def send(self, member: str, message: ElectionMessage) -> None:
+        """Give a message to the network."""
+        self._world.carry(self.name, member, message)
+
+    def save_record(self, record: LeaseRecord) -> bool:
+        """Write to the disk, which fails now and then."""
+        if self._world.random.below(100) < 2 and self._world.has_faults():
             return False
         self.disk = record
-        self.copies.append(record)
+        self.disk_copies.append(record)
         return True
 
-    def in_charge(self, ward, epoch):
-        self.world.charges.append((self.world.clock, epoch, self.name))
+    def on_leadership_acquired(self, relay_group: str, epoch: int) -> None:
+        """Note who leads."""
+        self._world.acquired.append((self._world.clock, epoch, self.name))
 
-    def out_of_charge(self, ward, epoch, why):
-        pass
+    def on_leadership_lost(self, relay_group: str, epoch: int, reason: str) -> None:
+        """Do nothing; that the lease has ended is asked at each moment."""
 
-    def members_changed(self, number, members):
-        self.world.decided(number, members)
+    def on_members_changed(self, number: int, members: Members) -> None:
+        """Check what was decided."""
+        self._world.on_decision(number, members)
 
-    def note(self, text):
-        pass
+    def log(self, event: str, **facts: Any) -> None:
+        """Write nothing."""
 
 
 class World:
-    """`make`: the decisions to run, Charge or a mutant of it. Two more controllers than `members` stand by to be let in."""
-
-    def __init__(self, seed, members=3, seconds=120, make=LeaderElection):
-        self.seed, self.make, self.chance = seed, make, SeededRandom(seed * 2654435761 + 1)
-        self.hangs = SeededRandom(seed * 2654435761 + 2)
-        self.clock, self.queue, self.nth, self.end = 0, [], 0, seconds * SECOND
-        self.names = [f"c{nth}" for nth in range(members)] + ["s0", "s1"]
-        self.fleets = {
-            0: {name: "" for name in self.names[:members]}
-        }  # by number, as they were decided
-        self.cut, self.loss, self.charges, self.epoch = set(), 0, [], 0
-        self.last = None  # who was in charge last
-        self.out = {}  # by name: the number by which it was taken out last
-        self.seats, self.fault_until = {}, self.end - QUIET
+    """All members on one true clock.
+
+    `make` is the election to run, `LeaderElection` or a mutant of it. Two more controllers than
+    `members` stand by to be added.
+    """
+
+    def __init__(
+        self,
+        seed: int,
+        members: int = 3,
+        seconds: int = 120,
+        make: type[LeaderElection] = LeaderElection,
+    ) -> None:
+        self.seed = seed
+        self.make = make
+        self.random = SeededRandom(seed * 2654435761 + 1)
+        self._hang_random = SeededRandom(seed * 2654435761 + 2)
+        self.clock = 0
+        self._queue: list[tuple[int, int, Callback]] = []
+        self._scheduled_count = 0
+        self._end = seconds * SECOND
+        self.names = [f"c{index}" for index in range(members)] + list(SPARE_MEMBERS)
+        first_members = {name: "" for name in self.names[:members]}
+        self._decided = {0: first_members}  # by number
+        self.cut: set[tuple[str, str]] = set()  # from whom to whom nothing passes
+        self._loss_percent = 0
+        self.acquired: list[tuple[int, int, str]] = []  # when, epoch, who: not checked yet
+        self._highest_epoch = 0
+        self._last_leader: tuple[str, int] | None = None
+        self._removed_by: dict[str, int] = {}  # by name: the number that removed it last
+        self.members: dict[str, SimulatedMember] = {}
+        self.faults_until = self._end - QUIET
         for name in self.names:
-            rate = 1 + DRIFT * (self.chance.below(2001) - 1000) / 1000
-            self.seats[name] = Seat(self, name, rate, self.chance.below(1000 * SECOND))
-        for seat in self.seats.values():
-            seat.start(None)
-        self.at(self.chance.below(LEASE), self.trouble)
-
-    def faulty(self):
-        return self.clock < self.fault_until
-
-    def stated(self):
-        return self.fleets[max(self.fleets)]
-
-    def decided(self, number, members):
-        fresh = number not in self.fleets
-        if fresh and number - 1 in self.fleets:
-            self.out.update(
-                {name: number for name in self.fleets[number - 1].keys() - members.keys()}
-            )
-        if number and self.fleets.setdefault(number, members) != members:
-            raise Broken(
-                f"{self.clock / SECOND:.3f} s: {members} and {self.fleets[number]} are both number {number}"
+            rate = 1 + DRIFT * (self.random.below(2001) - 1000) / 1000
+            offset = self.random.below(1000 * SECOND)
+            self.members[name] = SimulatedMember(self, name, rate, offset)
+        for member in self.members.values():
+            member.start(None)
+        self._faults = {
+            0: self._pause,
+            1: self._stop,
+            2: self._cut_some,
+            3: self._heal,
+            4: self._heal,
+            5: self._lose_messages,
+            6: self._transfer,
+            7: self._stop_some,
+            8: self._change_one,
+            9: self._change_one,
+            10: self._change_amid_a_fault,
+            11: self._partition,
+        }
+        self.schedule(self.random.below(LEASE), self.cause_fault)
+
+    def has_faults(self) -> bool:
+        """Return whether faults still happen."""
+        return self.clock < self.faults_until
+
+    def decided_members(self) -> Members:
+        """Return the members that were decided on last."""
+        return self._decided[max(self._decided)]
+
+    def on_decision(self, number: int, members: Members) -> None:
+        """Note members that somebody has adopted; one number must not mean two memberships."""
+        before = self._decided.get(number - 1)
+        if number not in self._decided and before is not None:
+            self._removed_by.update(dict.fromkeys(before.keys() - members.keys(), number))
+        if number and self._decided.setdefault(number, members) != members:
+            raise InvariantError(
+                f"{self.clock / SECOND:.3f} s: {members} and {self._decided[number]}"
+                f" are both number {number}"
             )
 
-    def at(self, time, call):
-        self.nth += 1
-        heapq.heappush(self.queue, (max(time, self.clock), self.nth, call))
+    def schedule(self, time: int, callback: Callback) -> None:
+        """Call back at a true time."""
+        self._scheduled_count += 1
+        heapq.heappush(self._queue, (max(time, self.clock), self._scheduled_count, callback))
 
-    def carry(self, source, target, kind, fields):
-        if (source, target) in self.cut or self.chance.below(100) < self.loss:
+    def carry(self, source: str, target: str, message: ElectionMessage) -> None:
+        """Bring a message to another member; perhaps not, late or twice."""
+        if (source, target) in self.cut or self.random.below(100) < self._loss_percent:
             return
-        for _ in range(2 if self.faulty() and self.chance.below(100) < 3 else 1):
-            slow = self.faulty() and self.chance.below(100) < 5
-            delay = 1000 + self.chance.below(3 * LEASE if slow else 50_000)
-            seat = self.seats[target]
-            self.at(
-                self.clock + delay,
-                lambda: seat.run(seat.lives, lambda: heard(seat.charge, source, kind, fields)),
-            )
+        member = self.members[target]
+        is_doubled = self.has_faults() and self.random.below(100) < 3
+        for _ in range(2 if is_doubled else 1):
+            is_slow = self.has_faults() and self.random.below(100) < 5
+            delay = 1000 + self.random.below(3 * LEASE if is_slow else 50_000)
+            self.schedule(self.clock + delay, lambda: member.deliver(source, message))
 
     # What goes wrong.
 
-    def trouble(self):
-        if not self.faulty():
-            self.cut, self.loss = set(), 0
-            for seat in self.seats.values():
-                self.resume(seat)
-                seat.hung_at = None
-                if seat.charge is None:
-                    seat.start(seat.disk)
+    def cause_fault(self) -> None:
+        """Let one thing go wrong, and another soon; at the end all that was wrong is mended."""
+        if not self.has_faults():
+            self._mend_all()
             return
-        seat = self.seats[self.names[self.chance.below(len(self.names))]]
-        if self.hangs.below(16) == 0:
-            hung = self.seats[self.names[self.hangs.below(len(self.names))]]
-            hung.hung_at = self.clock
-            self.at(
-                self.clock + self.hangs.below(6 * LEASE), lambda: setattr(hung, "hung_at", None)
-            )
-        kind = self.chance.below(12)
-        if kind == 0:
-            seat.paused = seat.charge is not None
-            self.at(self.clock + self.chance.below(3 * LEASE), lambda: self.resume(seat))
-        elif kind == 1 and seat.charge is not None:
-            seat.charge = None
-            self.at(self.clock + self.chance.below(LEASE), lambda: self.restart(seat))
-        elif kind == 2:
-            # One way or both, between some; messages alone are lost, members run.
-            for other in self.names:
-                if self.chance.below(2):
-                    self.cut.add((seat.name, other))
-                if self.chance.below(2):
-                    self.cut.add((other, seat.name))
-        elif kind in (3, 4):
-            self.cut = set()
-        elif kind == 5:
-            self.loss = (0, 10, 40)[self.chance.below(3)]
-        elif kind == 6 and seat.charge is not None and not seat.paused:
-            seat.charge.hand_over("fleet")
-        elif kind in (8, 9):
-            self.change(seat.name)
-        elif kind == 10:
-            # Who is in charge is told to change members and, just then, hears nobody, is heard by nobody, or stops.
-            how, held = self.chance.below(3), self.holders()
-            for other in held if how < 2 else ():
-                self.cut |= {(name, other.name) for name in self.names}
-                self.cut |= {(other.name, name) for name in self.names if how}
-            self.change(seat.name)
-            for other in held if how == 2 else ():
-                other.paused = True
-                self.at(
-                    self.clock + 2 * LEASE + self.chance.below(3 * LEASE),
-                    lambda other=other: self.resume(other),
-                )
-        elif kind == 11:
-            side = {name for name in self.names if self.chance.below(2)}
-            self.cut = {
-                (a, b) for a in self.names for b in self.names if (a in side) != (b in side)
-            }
-        elif kind == 7:
-            for other in self.seats.values():
-                if self.chance.below(3) == 0 and other.charge is not None:
-                    other.charge = None
-                    self.at(
-                        self.clock + self.chance.below(LEASE),
-                        lambda other=other: self.restart(other),
-                    )
-        self.at(self.clock + self.chance.below(2 * LEASE), self.trouble)
-
-    def change(self, name):
-        """An operator lets this one in, or takes it out, wherever somebody says that it is in charge."""
-        for other in self.holders():
-            members = dict(other.charge.members)
+        member = self._draw_member(self.random)
+        if self._hang_random.below(16) == 0:
+            self._hang_planner()
+        self._faults[self.random.below(len(self._faults))](member)
+        self.schedule(self.clock + self.random.below(2 * LEASE), self.cause_fault)
+
+    def _mend_all(self) -> None:
+        self.cut = set()
+        self._loss_percent = 0
+        for member in self.members.values():
+            member.resume()
+            member.planner_hung_at = None
+            if member.election is None:
+                member.start(member.disk)
+
+    def _draw_member(self, random: SeededRandom) -> SimulatedMember:
+        return self.members[self.names[random.below(len(self.names))]]
+
+    def _hang_planner(self) -> None:
+        member = self._draw_member(self._hang_random)
+        member.planner_hung_at = self.clock
+
+        def recover() -> None:
+            member.planner_hung_at = None
+
+        self.schedule(self.clock + self._hang_random.below(6 * LEASE), recover)
+
+    def _pause(self, member: SimulatedMember) -> None:
+        member.is_paused = member.election is not None
+        self.schedule(self.clock + self.random.below(3 * LEASE), member.resume)
+
+    def _stop(self, member: SimulatedMember) -> None:
+        if member.election is not None:
+            member.election = None
+            delay = self.random.below(LEASE)
+            self.schedule(self.clock + delay, lambda: self.restart(member))
+
+    def _stop_some(self, _: SimulatedMember) -> None:
+        for member in self.members.values():
+            if self.random.below(3) == 0:
+                self._stop(member)
+
+    def _cut_some(self, member: SimulatedMember) -> None:
+        """Cut off one way or both, from some; messages alone are lost, members run."""
+        for other in self.names:
+            if self.random.below(2):
+                self.cut.add((member.name, other))
+            if self.random.below(2):
+                self.cut.add((other, member.name))
+
+    def _partition(self, _: SimulatedMember) -> None:
+        self.cut_off({name for name in self.names if self.random.below(2)})
+
+    def cut_off(self, side: set[str]) -> None:
+        """Let nothing pass between these members and all others."""
+        self.cut = {
+            (source, target)
+            for source in self.names
+            for target in self.names
+            if (source in side) != (target in side)
+        }
+
+    def _heal(self, _: SimulatedMember) -> None:
+        self.cut = set()
+
+    def _lose_messages(self, _: SimulatedMember) -> None:
+        self._loss_percent = (0, 10, 40)[self.random.below(3)]
+
+    def _transfer(self, member: SimulatedMember) -> None:
+        if member.election is not None and not member.is_paused:
+            member.election.transfer_leadership(RELAY_GROUP)
+
+    def _change_one(self, member: SimulatedMember) -> None:
+        self.change(member.name)
+
+    def _change_amid_a_fault(self, member: SimulatedMember) -> None:
+        """Ask the leader for a change just as it hears nobody, is heard by nobody, or stops."""
+        is_unheard, is_paused = 1, 2  # 0: it hears nobody
+        fault = self.random.below(3)
+        leaders = self.leaders()
+        if fault != is_paused:
+            for leader in leaders:
+                self.cut |= {(name, leader.name) for name in self.names}
+                if fault == is_unheard:
+                    self.cut |= {(leader.name, name) for name in self.names}
+        self.change(member.name)
+        if fault == is_paused:
+            for leader in leaders:
+                leader.is_paused = True
+                pause = 2 * LEASE + self.random.below(3 * LEASE)
+                self.schedule(self.clock + pause, leader.resume)
+
+    def change(self, name: str) -> None:
+        """As an operator, add or remove this one wherever somebody says that it leads."""
+        for leader in self.leaders():
+            if leader.election is None:
+                continue
+            members = dict(leader.election.members)
             if members.pop(name, None) is None:
                 members[name] = ""
             if len(members) >= 2:
-                other.charge.change(members)
+                leader.election.change_members(members)
 
-    def holders(self):
-        """Seats that hold themselves to be in charge."""
+    def leaders(self) -> list[SimulatedMember]:
+        """Return the members that hold themselves to lead."""
         return [
-            seat
-            for seat in self.seats.values()
-            if seat.charge is not None and not seat.paused and seat.charge.bids["fleet"].held
+            member
+            for member in self.members.values()
+            if member.election is not None
+            and not member.is_paused
+            and member.election.candidate.candidacies[RELAY_GROUP].is_leading
         ]
 
-    def resume(self, seat):
-        if seat.paused:
-            seat.paused, waiting, seat.waiting = False, seat.waiting, []
-            for life, call in waiting:
-                seat.run(life, call)
-
-    def restart(self, seat):
-        if seat.charge is not None:
+    def restart(self, member: SimulatedMember) -> None:
+        """Start a member that is gone, now and then with a lost disk or an old copy of it."""
+        if member.election is not None:
             return
-        # One disk at a time may be lost or old: a majority of lost disks is not protected from.
-        record, draw = seat.disk, self.chance.below(10)
-        members, newest = self.stated(), max(self.fleets)
-        others = [other for other in self.seats.values() if other is not seat]
-        # Those that were taken out know it by then, or are gone for good: what a charter may name must not be stale.
-        if (
-            seat.copies
-            and seat.name in members
-            and all(
-                other.charge is not None
-                and (
-                    other.charge.number == newest and other.charge.settled()
-                    if other.name in members
-                    else other.charge.number >= self.out.get(other.name, -1)
-                )
-                for other in others
-            )
-        ):
+        record = member.disk
+        draw = self.random.below(10)
+        if self._may_lose_disk(member):
             if draw == 0:
                 record = None
             elif draw == 1:
-                record = seat.copies[self.chance.below(len(seat.copies))]
-        seat.disk = record
-        seat.start(record)
+                record = member.disk_copies[self.random.below(len(member.disk_copies))]
+        member.disk = record
+        member.start(record)
+
+    def _may_lose_disk(self, member: SimulatedMember) -> bool:
+        """Return whether all others run and know what they must.
+
+        One disk at a time may be lost or old: a majority of lost disks is not protected from. Those
+        that were removed know it by then, or are gone for good: what settings may name must not be
+        stale.
+        """
+        members = self.decided_members()
+        if not member.disk_copies or member.name not in members:
+            return False
+        return all(
+            self._is_up_to_date(other) for other in self.members.values() if other is not member
+        )
+
+    def _is_up_to_date(self, member: SimulatedMember) -> bool:
+        election = member.election
+        if election is None:
+            return False
+        if member.name in self.decided_members():
+            newest = max(self._decided)
+            return election.membership_number == newest and election.recovery.is_recovered()
+        return election.membership_number >= self._removed_by.get(member.name, -1)
 
     # What must hold.
 
-    def check(self):
-        writers = [
-            (seat.name, seat.charge.holds("fleet"))
-            for seat in self.seats.values()
-            if seat.charge is not None and seat.charge.holds("fleet") is not None
-        ]
+    def check(self) -> list[tuple[str, int]]:
+        """Return who may write now, and under which epoch; one at most.
+
+        Raises
+        ------
+        InvariantError
+            If two may write, or somebody leads under an epoch that is not above all before.
+        """
+        writers = []
+        for member in self.members.values():
+            if member.election is not None:
+                epoch = member.election.leading_epoch(RELAY_GROUP)
+                if epoch is not None:
+                    writers.append((member.name, epoch))
         if len(writers) > 1:
-            raise Broken(f"{self.clock / SECOND:.3f} s: {writers} may all write (seed {self.seed})")
-        for at, epoch, name in self.charges:
-            if epoch <= self.epoch:
-                raise Broken(
-                    f"{at / SECOND:.3f} s: {name} is in charge under {epoch}, after {self.epoch} (seed {self.seed})"
+            raise InvariantError(
+                f"{self.clock / SECOND:.3f} s: {writers} may all write (seed {self.seed})"
+            )
+        for at, epoch, name in self.acquired:
+            if epoch <= self._highest_epoch:
+                raise InvariantError(
+                    f"{at / SECOND:.3f} s: {name} leads under {epoch},"
+                    f" after {self._highest_epoch} (seed {self.seed})"
                 )
-            self.epoch = epoch
-        self.charges.clear()
+            self._highest_epoch = epoch
+        self.acquired.clear()
         return writers
 
-    def play(self, until):
-        """The number of takeovers until that true time, in microseconds."""
+    def play(self, until: int) -> int:
+        """Play to a true time; return the number of takeovers."""
         takeovers = 0
-        while self.queue and self.queue[0][0] <= until:
-            self.clock, _, call = heapq.heappop(self.queue)
-            call()
+        while self._queue and self._queue[0][0] <= until:
+            self.clock, _, callback = heapq.heappop(self._queue)
+            callback()
             writers = self.check()
-            if writers and writers[0] != self.last:
-                takeovers, self.last = takeovers + 1, writers[0]
+            if writers and writers[0] != self._last_leader:
+                takeovers += 1
+                self._last_leader = writers[0]
         return takeovers
 
-    def run(self):
-        """Plays to the end; the number of takeovers."""
-        takeovers = self.play(self.end)
+    def run(self) -> int:
+        """Play to the end; return the number of takeovers.
+
+        Raises
+        ------
+        InvariantError
+            If an invariant is broken on the way, or nobody leads at the end.
+        """
+        takeovers = self.play(self._end)
         if not self.check():
-            raise Broken(
-                f"nobody is in charge {QUIET / SECOND:.0f} s after the last fault (seed {self.seed})"
+            raise InvariantError(
+                f"nobody leads {QUIET / SECOND:.0f} s after the last fault (seed {self.seed})"
             )
         return takeovers
 
 
-class Neighbours(World):
-    """A schedule that chance seldom finds: two members that were taken out without hearing of it are left with one more,
-    and were a majority together before; the rest is a majority of those that stayed.
+class NeighbouringMemberships(World):
+    """A schedule that chance seldom finds.
+
+    Two members that were removed without hearing of it are left with one more, and were a majority
+    together before; the rest is a majority of those that stayed.
     """
 
-    def __init__(self, seed, members=5, seconds=120, make=LeaderElection):
+    def __init__(
+        self,
+        seed: int,
+        members: int = 5,
+        seconds: int = 120,
+        make: type[LeaderElection] = LeaderElection,
+    ) -> None:
         super().__init__(seed, 5, seconds, make)
-        self.step, self.missed = 0, []
+        self._step = 0
+        self._unaware: list[str] = []  # removed without hearing of it
+        self._between = ""
 
-    def faulty(self):
+    def has_faults(self) -> bool:
+        """Return False: nothing goes wrong by chance."""
         return False
 
-    def trouble(self):
-        held = self.holders()
-        if self.step == 0 and held:
-            others = [name for name in self.names[:5] if name != held[0].name]
-            self.missed, self.between, self.step = others[:2], others[2], 1
-            self.cut = {
-                (a, b)
-                for a in self.names
-                for b in self.names
-                if (a in self.missed) != (b in self.missed)
-            }
-        elif self.step in (1, 2) and held:
-            if self.missed[self.step - 1] in held[0].charge.members:
-                self.change(self.missed[self.step - 1])
-            else:
-                self.step += 1
-        elif self.step == 3 and held:
-            side = {*self.missed, self.between}
-            self.cut = {
-                (a, b) for a in self.names for b in self.names if (a in side) != (b in side)
-            }
-            self.step, self.fault_until = 4, self.clock + 6 * LEASE
-        elif self.step == 4 and self.clock > self.fault_until:
+    def cause_fault(self) -> None:
+        """Go on to the next step of the schedule once somebody leads."""
+        leaders = self.leaders()
+        if self._step == 0 and leaders:
+            others = [name for name in self.names[:5] if name != leaders[0].name]
+            self._unaware = others[:2]
+            self._between = others[2]
+            self._step = 1
+            self.cut_off(set(self._unaware))
+        elif self._step in (1, 2) and leaders:
+            self._remove(leaders[0], self._unaware[self._step - 1])
+        elif self._step == 3 and leaders:
+            self.cut_off({*self._unaware, self._between})
+            self._step = 4
+            self.faults_until = self.clock + 6 * LEASE
+        elif self._step == 4 and self.clock > self.faults_until:
             self.cut = set()
-        self.at(self.clock + LEASE // 2, self.trouble)
+        self.schedule(self.clock + LEASE // 2, self.cause_fault)
 
+    def _remove(self, leader: SimulatedMember, name: str) -> None:
+        if leader.election is not None and name in leader.election.members:
+            self.change(name)
+        else:
+            self._step += 1
 
-def explore(seeds, members=(3, 5), seconds=60, make=LeaderElection):
-    """Plays schedules until one breaks: (how many were played, takeovers seen, what broke or None)."""
+
+def explore(
+    seeds: Sequence[int],
+    members: Sequence[int] = (3, 5),
+    seconds: int = 60,
+    make: type[LeaderElection] = LeaderElection,
+) -> tuple[int, int, str | None]:
+    """Play schedules until one breaks: how many were played, takeovers seen, what broke or None."""
     takeovers = 0
-    for played, seed in enumerate(seeds):
+    for played, seed in enumerate(seeds, 1):
+        world = NeighbouringMemberships if seed % 16 == 15 else World
         try:
-            world = Neighbours if seed % 16 == 15 else World
             takeovers += world(seed, members[seed % len(members)], seconds, make).run()
-        except Broken as error:
-            return played + 1, takeovers, str(error)
+        except InvariantError as error:
+            return played, takeovers, str(error)
     return len(seeds), takeovers, None
-
-
-# Mutants: each forgets one thing that the decisions must not forget. The model must break every one.
-
-
-class DropsEpochs(LeaderElection):
-    """Grants under any epoch, also one below what it has granted."""
-
-    def asked(self, member, **given):
-        self.known.clear()
-        super().asked(member, **given)
-
-
-class CountsFromReply(LeaderElection):
-    """Counts its lease from when the grants came, not from when it asked."""
-
-    def _count(self, member, ward, epoch, round_, *given):
-        bid = self.bids[ward]
-        if (epoch, round_) == (bid.epoch, bid.round):
-            bid.asked_at = self.host.now()
-        super()._count(member, ward, epoch, round_, *given)
-
-
-class KeepsNothing(LeaderElection):
-    """Says that the record is written and does not write it; believes its disk at a start."""
-
-    def _keep(self, record):
-        self.record = record._replace(serial=self.record.serial + 1)
-        return True
-
-    def told(self, member, hello, epochs, serial, number, members, plan):
-        super().told(member, hello, {}, 0, number, members, None)
-
-
-class GrantsAtOnce(LeaderElection):
-    """Grants as soon as it starts, as if it remembered what it granted before."""
-
-    def _may_grant(self):
-        return self.me in self.members
-
-
-class BelievesItsDisk(LeaderElection):
-    """Asks nobody at a start: an old copy of its record counts as the newest."""
-
-    def settled(self):
-        return self.me in self.members
-
-    def told(self, member, **given):
-        pass
-
-
-class IgnoresDrift(LeaderElection):
-    """Counts a lease alike on both sides, and a little long where it holds."""
-
-    def _holds_for(self):
-        return round(self.lease * (1 + self.drift))
-
-    def _grants_for(self):
-        return self.lease
-
-
-class IgnoresOthersLeases(LeaderElection):
-    """Grants to whoever asks under a higher epoch, while another's lease runs."""
-
-    def asked(self, member, ward, **given):
-        self.grants[ward].until = min(self.grants[ward].until, self.host.now())
-        super().asked(member, ward, **given)
-
-
-class DecidesAlone(LeaderElection):
-    """Takes a change of members as decided when it has accepted it itself."""
-
-    def _accepted(self, member, plan):
-        self.accepts |= self.members.keys()
-        super()._accepted(member, plan)
-
-
-class ServesAnyFleet(LeaderElection):
-    """Grants to who asks by another fleet's number, counts such grants, and never tells who was taken out of it."""
-
-    def _teach(self, member):
-        if member in self.members:
-            super()._teach(member)
-
-    def _why_not(self, member, ward, epoch, number):
-        members, self.members = self.members, {**self.members, member: ""}
-        try:
-            return super()._why_not(member, ward, epoch, self.number)
-        finally:
-            self.members = members
-
-    def _count(self, member, ward, epoch, round_, number, plan):
-        super()._count(member, ward, epoch, round_, self.number, plan)
-
-
-class ForgetsPlans(LeaderElection):
-    """Proposes what it is asked, whatever may have been decided under an epoch before."""
-
-    def _pending(self):
-        return None
-
-
-class ChangesTwiceAtOnce(LeaderElection):
-    """Lets members change two at a time."""
-
-    def change(self, members):
-        spare = [name for name in ("s0", "s1") if (name in self.members) == (name in members)]
-        members = dict(members)
-        for name in spare:
-            if members.pop(name, None) is None:
-                members[name] = ""
-        if (
-            self.holds(self.wards[0]) is not None
-            and not self._pending()
-            and not self.asked_for
-            and len(members) > 1
-        ):
-            self.asked_for = members
-
-
-MUTANTS = (
-    DropsEpochs,
-    CountsFromReply,
-    KeepsNothing,
-    GrantsAtOnce,
-    BelievesItsDisk,
-    IgnoresDrift,
-    IgnoresOthersLeases,
-    DecidesAlone,
-    ServesAnyFleet,
-    ForgetsPlans,
-    ChangesTwiceAtOnce,
-)
--- a/indigodeck/leadership/operator_server.py
+++ b/indigodeck/leadership/operator_server.py
@@ -1,56 +1,96 @@
-"""Where operators' commands reach a planner that has no other controllers: the same sealed messages, heard on a port of its own."""
+"""Where operators' commands reach a planner that has no other controllers.
+
+The same sealed messages as between controllers, on a port of its own.
+"""
+
+from collections.abc import Awaitable
+from typing import Any, Protocol
 
 from tornado.gen import with_timeout
 from tornado.ioloop import IOLoop
-from tornado.iostream import StreamClosedError
+from tornado.iostream import IOStream, StreamClosedError
 from tornado.netutil import bind_sockets
 from tornado.tcpserver import TCPServer
 from tornado.util import TimeoutError as DeadlineExceededError
 
 from . import messages
 
-OPERATOR = "operator"
-AT_ONCE = 64
+OPERATOR = "operator"  # what an operator's messages name as their source
+PLANNER = "planner"  # what a planner without other controllers names as its answers' source
+MAX_CONNECTIONS = 64
+MESSAGE_TIMEOUT = 5  # seconds from the first byte of a message to its last
+BUFFER_BYTES = 4 * messages.MAX_BODY_BYTES
+
+
+class OperatorService(Protocol):
+    """What is needed of the planner."""
+
+    def on_operator_request(self, request: Any) -> Awaitable[Any]:
+        """Answer a request to the versions of tables (versions/admin_api.py)."""
 
+    def note(self, event: str, **facts: Any) -> None:
+        """Write an event to the log."""
 
-async def next_message(stream):
-    """What follows the length of the next message. It may be long in coming; once begun, it must end in time."""
-    head = await stream.read_bytes(messages.HEAD)
-    limit = IOLoop.current().time() + 5
-    return await with_timeout(limit, stream.read_bytes(messages.length(head)), StreamClosedError)
+
+async def read_message(stream: IOStream) -> bytes:
+    """Return what follows the length of the next message.
+
+    It may be long in coming; once begun, it must end in time.
+    """
+    head = await stream.read_bytes(messages.LENGTH_BYTES)
+    deadline = IOLoop.current().time() + MESSAGE_TIMEOUT
+    rest = stream.read_bytes(messages.remaining_bytes(head))
+    return await with_timeout(deadline, rest, StreamClosedError)
 
 
 class OperatorServer(TCPServer):
-    """`service`: `await asked(wish)`, `note(event, **facts)`."""
+    """Answers operators' requests about versions, and rejects all others."""
+
+    def __init__(self, service: OperatorService, key: bytes) -> None:
+        super().__init__(max_buffer_size=BUFFER_BYTES)
+        self._service = service
+        self._key = key
+        self._connection_count = 0
+        self.port: int | None = None
 
-    def __init__(self, service, key):
-        super().__init__(max_buffer_size=4 * messages.LONGEST)
-        self.service, self.key, self.open, self.port = service, key, 0, None
+    def listen_on(self, port: int, address: str) -> None:
+        """Open the port; 0 takes any that is free.
 
-    def hear(self, port, address):
+        Raises
+        ------
+        OSError
+            If the address is in use, or none of this machine.
+        """
         sockets = bind_sockets(port, address)
         self.add_sockets(sockets)
         self.port = sockets[0].getsockname()[1]
-        self.service.note("listening", front="operators", port=self.port)
+        self._service.note("listening", front="operators", port=self.port)
 
-    async def handle_stream(self, stream, address):
-        if self.open >= AT_ONCE:
-            return stream.close()
-        self.open += 1
+    async def handle_stream(self, stream: IOStream, address: tuple) -> None:
+        """Answer requests on one connection until it ends or one is rejected."""
+        if self._connection_count >= MAX_CONNECTIONS:
+            stream.close()
+            return
+        self._connection_count += 1
         try:
             while True:
-                data = await next_message(stream)
-                _, version, kind, fields = messages.unpack(
-                    self.key, data, lambda name: name == OPERATOR
-                )
-                if kind != "versions":
-                    raise messages.RejectedError(f"{kind!r} is for planners that share a fleet")
-                said = await self.service.asked(fields["wish"])
-                await stream.write(messages.pack(self.key, "planner", "answer", version, said=said))
-        except messages.RejectedError as error:
-            self.service.note("refused an operator", peer=address[0], why=str(error))
+                await self._answer_next(stream)
+        except messages.MessageRejectedError as error:
+            self._service.note("operator_rejected", peer=address[0], reason=str(error))
         except (StreamClosedError, DeadlineExceededError, OSError):
             pass
         finally:
-            self.open -= 1
+            self._connection_count -= 1
             stream.close()
+
+    async def _answer_next(self, stream: IOStream) -> None:
+        data = await read_message(stream)
+        received = messages.unpack(self._key, data, lambda name: name == OPERATOR)
+        message = messages.from_wire(received.kind, received.fields)
+        if not isinstance(message, messages.VersionRequest):
+            raise messages.MessageRejectedError(
+                f"{received.kind!r} is for planners that share a fleet"
+            )
+        said = await self._service.on_operator_request(message.request)
+        kind, fields = messages.to_wire(messages.Answer(said))
+        await stream.write(messages.pack(self._key, PLANNER, kind, received.version, **fields))
--- a/indigodeck/leadership/rejections.py
+++ b/indigodeck/leadership/rejections.py
@@ -1,82 +1,106 @@
-"""What relays have refused, free of I/O: remembered over restarts and told to the other controllers.
+"""What relays have rejected, free of I/O: remembered over restarts, and told to other controllers.
 
-A table that a relay could not use must not be pushed to it again by a successor, or by the same controller after all have
-started anew: the relay itself only says what it holds. Kept is the content's own version (a hash of it), not who sent it.
+A table that a relay could not use must not be pushed to it again by a successor, or by the same
+controller after all have started anew: the relay itself only says what it holds. What is kept is
+the content's own version (a hash of it), not who sent it.
 """
 
-from typing import Protocol
+from collections.abc import Callable, Iterable
+from typing import NamedTuple, Protocol
 
-RELAYS_MOST, EACH_MOST = 4096, 32  # the oldest go first
-TOLD_MOST = 64  # in one message
-PAUSE = 1_000_000  # between two writings: a relay that refuses for ever costs one a second
+from ..clock import SECOND
 
+MAX_RELAYS = 4096  # the oldest go first
+MAX_CLASSES_PER_RELAY = 32  # the oldest go first
+MAX_PER_MESSAGE = 64
+WRITE_INTERVAL = SECOND  # a relay that rejects for ever costs one writing a second
 
-class Environment(Protocol):
-    """What the memory may ask of the program around it."""
 
-    def later(self, after: int, call) -> None: ...
+class Rejection(NamedTuple):
+    """A relay could not use this content for a class."""
 
-    def keep_refused(self, entries: list) -> bool:
-        """Write [(relay, class, content)] so that it outlasts a restart; False if that failed."""
+    relay: str
+    class_name: str
+    content: str
 
-    def tell_refused(self, entries: list) -> None:
-        """To all other controllers; may be lost."""
 
+class RejectionHost(Protocol):
+    """What the registry may do to the program around it."""
 
-class RejectionRegistry:
-    """`entries`: [(relay, class, content)] as kept, oldest first."""
-
-    def __init__(self, host, entries=()):
-        self.host, self.by_relay, self.fresh, self.waiting, self.unsaid = host, {}, False, False, []
-        for relay, name, content in entries:
-            self._put(relay, name, content)
-
-    def _put(self, relay, name, content):
-        """Whether that is new. One content for each class: the last that was refused."""
-        held = self.by_relay.pop(relay, {})
-        known = held.pop(name, None) == content
-        held[name] = content
-        self.by_relay[relay] = held
-        if len(held) > EACH_MOST:
-            del held[next(iter(held))]
-        if len(self.by_relay) > RELAYS_MOST:
-            del self.by_relay[next(iter(self.by_relay))]
-        return not known
+    def start_timer(self, delay: int, callback: Callable[[], None]) -> None:
+        """Call back after `delay` microseconds."""
+
+    def save_rejections(self, rejections: list[Rejection]) -> bool:
+        """Write so that it outlasts a restart; False if that failed."""
 
-    def refused(self, relay, name, content):
-        if self._put(relay, name, content):
-            self.unsaid = (self.unsaid + [(relay, name, content)])[-TOLD_MOST:]
-            self._changed()
+    def broadcast_rejections(self, rejections: list[Rejection]) -> None:
+        """Tell all other controllers; may be lost."""
 
-    def heard(self, entries):
-        """What another controller tells: [(relay, class, content)]"""
-        if any([self._put(*entry) for entry in entries[:TOLD_MOST]]):
-            self._changed()
 
-    def of(self, relay):
-        """{class: content} that this relay refused last."""
+class RejectionRegistry:
+    """Holds the last content that each relay rejected for each class.
+
+    `rejections` are those that were saved, oldest first.
+    """
+
+    def __init__(self, host: RejectionHost, rejections: Iterable[Rejection] = ()) -> None:
+        self._host = host
+        self.by_relay: dict[str, dict[str, str]] = {}  # content by class by relay
+        self._is_dirty = False
+        self._timer_runs = False
+        self._untold: list[Rejection] = []
+        for rejection in rejections:
+            self._put(rejection)
+
+    def record(self, relay: str, class_name: str, content: str) -> None:
+        """Remember what a relay rejected here, and tell the others."""
+        rejection = Rejection(relay, class_name, content)
+        if self._put(rejection):
+            self._untold = [*self._untold, rejection][-MAX_PER_MESSAGE:]
+            self._on_change()
+
+    def on_notice(self, rejections: list[Rejection]) -> None:
+        """Remember what another controller tells; it is not told on."""
+        news = [self._put(rejection) for rejection in rejections[:MAX_PER_MESSAGE]]
+        if any(news):
+            self._on_change()
+
+    def of_relay(self, relay: str) -> dict[str, str]:
+        """Return the content that this relay rejected last, by class."""
         return dict(self.by_relay.get(relay, {}))
 
-    def entries(self):
+    def _put(self, rejection: Rejection) -> bool:
+        """Remember one, as the newest of its relay; return whether it was not known."""
+        contents = self.by_relay.pop(rejection.relay, {})
+        is_known = contents.pop(rejection.class_name, None) == rejection.content
+        contents[rejection.class_name] = rejection.content
+        self.by_relay[rejection.relay] = contents
+        if len(contents) > MAX_CLASSES_PER_RELAY:
+            del contents[next(iter(contents))]
+        if len(self.by_relay) > MAX_RELAYS:
+            del self.by_relay[next(iter(self.by_relay))]
+        return not is_known
+
+    def _all(self) -> list[Rejection]:
         return [
-            (relay, name, content)
-            for relay, held in self.by_relay.items()
-            for name, content in held.items()
+            Rejection(relay, class_name, content)
+            for relay, contents in self.by_relay.items()
+            for class_name, content in contents.items()
         ]
 
-    def _changed(self):
-        self.fresh = True
-        if not self.waiting:
-            self.waiting = True
-            self.host.later(0, self._write)
-
-    def _write(self):
-        """Written when something came, at most once a pause; tried again after one that failed."""
-        self.waiting = False
-        if self.unsaid:
-            self.host.tell_refused(self.unsaid)
-            self.unsaid = []
-        if self.fresh:
-            self.fresh = not self.host.keep_refused(self.entries())
-            self.waiting = True
-            self.host.later(PAUSE, self._write)
+    def _on_change(self) -> None:
+        self._is_dirty = True
+        if not self._timer_runs:
+            self._timer_runs = True
+            self._host.start_timer(0, self._on_timer)
+
+    def _on_timer(self) -> None:
+        """Tell and write what is new, at most once an interval; try again what failed."""
+        self._timer_runs = False
+        if self._untold:
+            self._host.broadcast_rejections(self._untold)
+            self._untold = []
+        if self._is_dirty:
+            self._is_dirty = not self._host.save_rejections(self._all())
+            self._timer_runs = True
+            self._host.start_timer(WRITE_INTERVAL, self._on_timer)
--- a/indigodeck/leadership/transport.py
+++ b/indigodeck/leadership/transport.py
@@ -1,260 +1,378 @@
-"""The sockets between controllers, on Tornado's streams: each dials each, says one message at a time, hears all."""
+"""The sockets between controllers, on Tornado's streams: each connects to each, and listens.
+
+A connection carries messages one way; only operators are answered on their own.
+"""
 
 from collections import deque
+from collections.abc import Awaitable, Callable
+from typing import Any, NamedTuple, Protocol
 
 from tornado.gen import sleep, with_timeout
 from tornado.ioloop import IOLoop
-from tornado.iostream import StreamClosedError
+from tornado.iostream import IOStream, StreamClosedError
 from tornado.locks import Event
 from tornado.netutil import bind_sockets
 from tornado.tcpclient import TCPClient
 from tornado.tcpserver import TCPServer
 from tornado.util import TimeoutError as DeadlineExceededError
 
+from ..assignment.seeded_random import SeededRandom
+from ..clock import SECOND
 from . import messages
-from .election import CALLS, LeaderElection, heard
-from .operator_server import OPERATOR, next_message
-from .rejections import RejectionRegistry
+from .election import LeaderElection
+from .lease_record import RecordStore
+from .operator_server import BUFFER_BYTES, OPERATOR, read_message
+from .rejections import Rejection, RejectionRegistry
+from .state import ElectionSettings, LeaseRecord, Members
 
-SECOND = 1_000_000
-WAITING_MOST = 64  # messages for one member; the oldest goes first, for each is asked again
+MAX_QUEUED_MESSAGES = 64  # for one member; the oldest goes first, for each is asked again
+MAX_FOLLOWERS_PER_ANSWER = 200
+CONNECT_TIMEOUT = 1  # seconds, to another controller
+MIN_RECONNECT_BACKOFF = 0.05  # seconds
+MAX_RECONNECT_BACKOFF = 1.0  # seconds
+OPERATOR_CONNECT_TIMEOUT = 2  # seconds
+ANSWER_TIMEOUT = 3  # seconds, that an operator waits
 
-NAMES_MOST = 200  # of relays in one answer
 
+class Address(NamedTuple):
+    """Where a controller listens."""
 
-class Peer:
-    """The way to one other member."""
+    host: str
+    port: int
 
-    def __init__(self, place, newest):
-        self.place, self.waiting, self.wanted = place, deque(maxlen=WAITING_MOST), Event()
-        self.speech, self.over = messages.Speech(newest), False
 
+class Follower(NamedTuple):
+    """A relay that this controller speaks to."""
 
-class Peers(TCPServer):
-    """A member's surroundings on sockets. `service`: `now()`, `silent()`, `note(event, ..)`, `in_charge(ward, epoch)`,
-    `out_of_charge(ward, epoch, why)`, `await followers()`: [(relay, front, ward)], `copy_came(member, kind, fields)`,
-    `await asked(wish)` (apart.py); `places`: {member: "ADDRESS:PORT"} as the
-    charter says; `newest`: the version of messages not to go beyond.
-    """
+    relay: str
+    frontend: str
+    relay_group: str
 
-    def __init__(
-        self,
-        service,
-        me,
-        places,
-        wards,
-        lease,
-        drift,
-        key,
-        file,
-        refused,
-        chance,
-        life,
-        newest,
-        joins,
-    ):
-        super().__init__(max_buffer_size=4 * messages.LONGEST)
-        self.service, self.me, self.key, self.file, self.refused_file = (
-            service,
-            me,
-            key,
-            file,
-            refused,
-        )
-        self.stated, self.newest, self.peers, self.ending = dict(places), newest, {}, False
-        self.refusals = RejectionRegistry(self, refused.read() or ())
-        record = file.read()
-        self._peers_are(record.fleet[1] if record and record.fleet else {})
-        self.charge = LeaderElection(
-            self, me, places, wards, lease, drift, chance, life, record, joins
-        )
-        address, port = place_of(places[me])
-        self.add_sockets(bind_sockets(port, address))
 
-    def _peers_are(self, members):
-        """All that may speak here: who the charter names, and who was let in since. Who was taken out and is named by no
-        charter is heard no more.
-        """
-        places = {**members, **self.stated}
-        for name in [name for name in self.peers if name not in places]:
-            self.peers.pop(name).over = True
-        for name, place in places.items():
-            if name != self.me and name not in self.peers:
-                peer = self.peers[name] = Peer(place_of(place), self.newest)
-                IOLoop.current().add_callback(self._speak, peer)
+class MemberService(Protocol):
+    """What a member needs of the planner beside it."""
 
-    # What the charge may ask.
+    def now(self) -> int:
+        """Return the monotonic time in microseconds."""
 
-    def now(self):
-        return self.service.now()
+    def planner_idle_time(self) -> int:
+        """Return for how long the planner was not seen at work, in microseconds."""
 
-    def silent(self):
-        return self.service.silent()
+    def note(self, event: str, **facts: Any) -> None:
+        """Write an event to the log."""
 
-    def later(self, after, call=None):
-        IOLoop.current().call_later(after / SECOND, call or self._wake)
+    def on_leadership_acquired(self, relay_group: str, epoch: int) -> None:
+        """Lead a relay group from now on."""
 
-    def _wake(self):
-        if not self.ending:
-            self.charge.woken()
+    def on_leadership_lost(self, relay_group: str, epoch: int, reason: str) -> None:
+        """Lead a relay group no longer."""
+
+    def on_replication_message(self, member: str, kind: str, fields: dict[str, Any]) -> None:
+        """Take a message of the replication of versions."""
+
+    def followers(self) -> Awaitable[list[Follower]]:
+        """Return the relays that are spoken to from here."""
+
+    def on_operator_request(self, request: Any) -> Awaitable[Any]:
+        """Answer a request to the versions of tables."""
 
-    def send(self, member, kind, **fields):
-        peer = self.peers.get(member)
-        if peer is not None and messages.sayable(kind, peer.speech.version, fields):
-            peer.waiting.append(
-                (self.now(), messages.pack(self.key, self.me, kind, peer.speech.version, **fields))
-            )
-            peer.wanted.set()
 
-    def keep(self, record):
-        return self.file.keep(record)
+class PeerQueue:
+    """What waits to be sent to one other member, and the version that it speaks."""
 
-    def in_charge(self, ward, epoch):
-        self.service.in_charge(ward, epoch)
+    def __init__(self, address: Address, newest_version: int) -> None:
+        self.address = address
+        self.queue: deque[tuple[int, bytes]] = deque(maxlen=MAX_QUEUED_MESSAGES)  # and since when
+        self.has_messages = Event()
+        self.spoken = messages.SpokenVersion(newest_version)
+        self.is_closed = False
 
-    def out_of_charge(self, ward, epoch, why):
-        self.service.out_of_charge(ward, epoch, why)
 
-    def members_changed(self, number, members):
-        self._peers_are(members)
+class ControllerTransport(TCPServer):
+    """A member's surroundings on sockets: the host of its election and of its rejections.
 
-    def note(self, text):
-        self.service.note(text)
+    `newest_version` is the version of messages not to go beyond. Listens on the address that the
+    settings give this member.
 
-    # What the memory of refusals may ask.
+    Raises
+    ------
+    OSError
+        If the address is in use, or none of this machine.
+    """
+
+    def __init__(
+        self,
+        service: MemberService,
+        settings: ElectionSettings,
+        key: bytes,
+        lease_store: RecordStore[LeaseRecord],
+        rejection_store: RecordStore[list[Rejection]],
+        random: SeededRandom,
+        newest_version: int = messages.NEWEST_VERSION,
+    ) -> None:
+        super().__init__(max_buffer_size=BUFFER_BYTES)
+        self._service = service
+        self._settings = settings
+        self._key = key
+        self._lease_store = lease_store
+        self._rejection_store = rejection_store
+        self._newest_version = newest_version
+        self._peers: dict[str, PeerQueue] = {}
+        self._is_closing = False
+        self.rejections = RejectionRegistry(self, rejection_store.read() or ())
+        record = lease_store.read()
+        self._update_peers(record.membership.members if record and record.membership else {})
+        self.election = LeaderElection(self, settings, random, record)
+        address = parse_address(settings.members[settings.me])
+        self.add_sockets(bind_sockets(address.port, address.host))
+
+    def close(self) -> None:
+        """End by plan: what is led is given up first."""
+        self.election.transfer_all()
+        self._is_closing = True
+        self.stop()
 
-    def keep_refused(self, entries):
-        return self.refused_file.keep(entries)
+    def _update_peers(self, members: Members) -> None:
+        """Let speak here whom the settings name, and who was added since.
 
-    def tell_refused(self, entries):
-        for name in self.peers:
-            self.send(name, "refusals", held=[list(entry) for entry in entries])
+        Who was removed and is not named by the settings is heard no more.
+        """
+        places = {**members, **self._settings.members}
+        for name in [name for name in self._peers if name not in places]:
+            self._peers.pop(name).is_closed = True
+        for name, place in places.items():
+            if name != self._settings.me and name not in self._peers:
+                peer = PeerQueue(parse_address(place), self._newest_version)
+                self._peers[name] = peer
+                IOLoop.current().add_callback(self._send_queue, peer)
+
+    # What the election may ask.
+
+    def now(self) -> int:
+        """Return the monotonic time in microseconds."""
+        return self._service.now()
+
+    def planner_idle_time(self) -> int:
+        """Return for how long the planner was not seen at work, in microseconds."""
+        return self._service.planner_idle_time()
+
+    def start_timer(self, delay: int, callback: Callable[[], None] | None = None) -> None:
+        """Call back, or wake the election, after `delay` microseconds."""
+        IOLoop.current().call_later(delay / SECOND, callback or self._on_election_timer)
+
+    def _on_election_timer(self) -> None:
+        if not self._is_closing:
+            self.election.on_timer()
+
+    def send(self, member: str, message: messages.PeerMessage) -> None:
+        """Queue a message for another member, unless that can't understand it."""
+        peer = self._peers.get(member)
+        if peer is None:
+            return
+        kind, fields = messages.to_wire(message)
+        version = peer.spoken.version
+        if messages.can_say(kind, version, fields):
+            data = messages.pack(self._key, self._settings.me, kind, version, **fields)
+            peer.queue.append((self.now(), data))
+            peer.has_messages.set()
+
+    def save_record(self, record: LeaseRecord) -> bool:
+        """Write the record of leases; False if that failed."""
+        return self._lease_store.save(record)
+
+    def on_leadership_acquired(self, relay_group: str, epoch: int) -> None:
+        """Pass on that this member leads."""
+        self._service.on_leadership_acquired(relay_group, epoch)
+
+    def on_leadership_lost(self, relay_group: str, epoch: int, reason: str) -> None:
+        """Pass on that this member leads no longer."""
+        self._service.on_leadership_lost(relay_group, epoch, reason)
+
+    def on_members_changed(self, number: int, members: Members) -> None:
+        """Connect to the members there are now."""
+        self._update_peers(members)
+
+    def log(self, event: str, **facts: Any) -> None:
+        """Write an event to the log."""
+        self._service.note(event, **facts)
+
+    # What the registry of rejections may ask.
+
+    def save_rejections(self, rejections: list[Rejection]) -> bool:
+        """Write what relays rejected; False if that failed."""
+        return self._rejection_store.save(rejections)
+
+    def broadcast_rejections(self, rejections: list[Rejection]) -> None:
+        """Tell all other controllers what relays rejected."""
+        notice = messages.RejectionNotice([list(rejection) for rejection in rejections])
+        for name in self._peers:
+            self.send(name, notice)
 
     # The sockets.
 
-    async def _speak(self, peer):
-        pause = 0.05
-        while not (self.ending or peer.over):
+    async def _send_queue(self, peer: PeerQueue) -> None:
+        """Send what is queued for a member, over one connection after the other."""
+        backoff = MIN_RECONNECT_BACKOFF
+        while not self._is_over(peer):
             stream = None
             try:
-                stream = await TCPClient().connect(*peer.place, timeout=1)
+                stream = await TCPClient().connect(*peer.address, timeout=CONNECT_TIMEOUT)
                 stream.set_nodelay(True)
-                pause = 0.05
-                while not (self.ending or peer.over):
-                    await peer.wanted.wait()
-                    while peer.waiting:
-                        at, data = peer.waiting.popleft()
-                        if (
-                            self.now() - at < self.charge.lease
-                        ):  # an older one answers nothing any more
-                            await stream.write(data)
-                    peer.wanted.clear()
+                backoff = MIN_RECONNECT_BACKOFF
+                while not self._is_over(peer):
+                    await self._send_queued(peer, stream)
             except (OSError, StreamClosedError, DeadlineExceededError):
-                await sleep(pause)
-                pause = min(1.0, 2 * pause)
+                await sleep(backoff)
+                backoff = min(MAX_RECONNECT_BACKOFF, 2 * backoff)
             finally:
                 if stream is not None:
                     stream.close()
 
-    async def handle_stream(self, stream, address):
+    def _is_over(self, peer: PeerQueue) -> bool:
+        return self._is_closing or peer.is_closed
+
+    async def _send_queued(self, peer: PeerQueue, stream: IOStream) -> None:
+        await peer.has_messages.wait()
+        while peer.queue:
+            queued_at, data = peer.queue.popleft()
+            # One that has waited for a lease answers nothing any more.
+            if self.now() - queued_at < self._settings.lease:
+                await stream.write(data)
+        peer.has_messages.clear()
+
+    async def handle_stream(self, stream: IOStream, address: tuple) -> None:
+        """Take messages from one connection until it ends or one is rejected."""
         connection = object()
         try:
             while True:
-                data = await next_message(stream)
-                source, version, kind, fields = messages.unpack(
-                    self.key, data, lambda name: name in self.peers or name == OPERATOR
-                )
-                if version > self.newest:
-                    raise messages.RejectedError(
-                        f"version {version}, {self.newest} is the newest spoken here"
-                    )
-                if source == OPERATOR:
-                    said = await self._asked(kind, fields)
-                    await stream.write(
-                        messages.pack(self.key, self.me, "answer", version, said=said)
-                    )
-                    continue
-                self.peers[source].speech.heard(connection, version)
-                if kind in CALLS:
-                    heard(self.charge, source, kind, fields)
-                elif kind == "refusals":
-                    self.refusals.heard([tuple(entry) for entry in fields["held"]])
-                elif kind in messages.COPIED:
-                    self.service.copy_came(source, kind, fields)
-        except messages.RejectedError as error:
-            # One line for each connection, which ends: who is not of this fleet can't fill the log through one.
-            self.service.note("refused a controller", peer=address[0], why=str(error))
+                await self._handle_next(stream, connection)
+        except messages.MessageRejectedError as error:
+            # One line for each connection, which ends: who is not of this fleet can't fill the log
+            # through one.
+            self._service.note("controller_rejected", peer=address[0], reason=str(error))
         except (StreamClosedError, DeadlineExceededError, OSError):
             pass
         finally:
             stream.close()
 
-    async def _asked(self, kind, fields):
-        if kind == "fleet":
-            held = await self.service.followers()
-            told = self.charge.fleet()
-            for ward, state in told["wards"].items():
-                state["followers"] = sum(1 for _, _, follows in held if follows == ward)
-            for name, member in told["members"].items():
-                member["speaks"] = (
-                    self.newest if name == self.me else self.peers[name].speech.version
-                )
-            return told
-        if kind == "followers":
-            names = sorted(
-                relay for relay in await self.service.followers() if relay[0] > fields["after"]
+    async def _handle_next(self, stream: IOStream, connection: object) -> None:
+        data = await read_message(stream)
+        received = messages.unpack(
+            self._key, data, lambda name: name in self._peers or name == OPERATOR
+        )
+        if received.version > self._newest_version:
+            raise messages.MessageRejectedError(
+                f"version {received.version}, {self._newest_version} is the newest spoken here"
             )
-            return {"relays": names[:NAMES_MOST], "more": len(names) > NAMES_MOST}
-        if kind == "change":
-            if any(
-                peer.speech.version < 2
-                for name, peer in self.peers.items()
-                if name in self.charge.members
-            ):
-                return {"why_not": "a member speaks version 1, which knows no changes of members"}
-            return {"why_not": self.charge.change(fields["members"])}
-        if kind == "force":
-            return {"why_not": self.charge.force(fields["members"])}
-        if kind == "hand over":
-            ward = fields["ward"]
-            return {"handed_over": ward in self.charge.bids and self.charge.hand_over(ward)}
-        if kind == "versions":
-            return await self.service.asked(fields["wish"])
-        raise messages.RejectedError(f"an operator can't say {kind!r}")
-
-    def cease(self):
-        """Ends by plan: what is held is handed over first."""
-        for ward in self.charge.wards:
-            self.charge.hand_over(ward)
-        self.ending = True
-        self.stop()
-
-
-def place_of(text):
-    address, _, port = text.rpartition(":")
-    return address, int(port)
-
+        message = messages.from_wire(received.kind, received.fields)
+        if received.source == OPERATOR:
+            answer = messages.Answer(await self._answer(received.kind, message))
+            kind, fields = messages.to_wire(answer)
+            await stream.write(
+                messages.pack(self._key, self._settings.me, kind, received.version, **fields)
+            )
+            return
+        self._peers[received.source].spoken.on_message(connection, received.version)
+        self._on_peer_message(received.source, message)
+
+    def _on_peer_message(self, member: str, message: messages.Message) -> None:
+        if isinstance(message, messages.ElectionMessage):
+            self.election.on_message(member, message)
+        elif isinstance(message, messages.RejectionNotice):
+            self.rejections.on_notice([Rejection(*entry) for entry in message.rejections])
+        elif isinstance(message, messages.ReplicationMessage):
+            self._service.on_replication_message(member, message.kind, message.fields)
+
+    # Operators' requests.
+
+    async def _answer(self, kind: str, message: messages.Message) -> Any:
+        match message:
+            case messages.StatusQuery():
+                return await self._status()
+            case messages.FollowersQuery(after):
+                return await self._followers(after)
+            case messages.ChangeMembers(members):
+                return {"why_not": self._change_members(members)}
+            case messages.ForceMembers(members):
+                return {"why_not": self.election.force_members(members)}
+            case messages.TransferLeadership(relay_group):
+                is_known = relay_group in self.election.relay_groups
+                transferred = is_known and self.election.transfer_leadership(relay_group)
+                return {"handed_over": transferred}
+            case messages.VersionRequest(request):
+                return await self._service.on_operator_request(request)
+        raise messages.MessageRejectedError(f"an operator can't say {kind!r}")
+
+    async def _status(self) -> dict[str, Any]:
+        followers = await self._service.followers()
+        status = self.election.status()
+        for group, lease in status.leases.items():
+            lease.followers = sum(follower[2] == group for follower in followers)
+        for name, member in status.members.items():
+            is_self = name == self._settings.me
+            member.message_version = (
+                self._newest_version if is_self else self._peers[name].spoken.version
+            )
+        return status.document()
 
-async def ask(place, key, kind, **fields):
-    """An operator's question to one controller; its answer. One that speaks only an older version is asked in that."""
-    *newer, last = messages.versions_of(kind, fields)
+    async def _followers(self, after: str) -> dict[str, Any]:
+        found = sorted(
+            follower for follower in await self._service.followers() if follower[0] > after
+        )
+        return {
+            "relays": found[:MAX_FOLLOWERS_PER_ANSWER],
+            "more": len(found) > MAX_FOLLOWERS_PER_ANSWER,
+        }
+
+    def _change_members(self, members: Members) -> str | None:
+        if any(
+            peer.spoken.version < 2
+            for name, peer in self._peers.items()
+            if name in self.election.members
+        ):
+            return "a member speaks version 1, which knows no changes of members"
+        return self.election.change_members(members)
+
+
+def parse_address(text: str) -> Address:
+    """Return the address that is written as "HOST:PORT"."""
+    host, _, port = text.rpartition(":")
+    return Address(host, int(port))
+
+
+async def ask(address: tuple[str, int], key: bytes, kind: str, **fields: Any) -> Any:
+    """Return one controller's answer to an operator, by the request's kind and fields on the wire.
+
+    One that speaks only an older version is asked in that.
+
+    Raises
+    ------
+    OSError, StreamClosedError, DeadlineExceededError
+        If the controller is not reached or does not answer in time.
+    MessageRejectedError
+        If its answer is none.
+    """
+    *newer, last = messages.versions_that_can_say(kind, fields)
     for version in newer:
         try:
-            return await _ask(place, key, version, kind, **fields)
+            return await _ask_in_version(address, key, version, kind, **fields)
         except StreamClosedError:
             continue
-    return await _ask(place, key, last, kind, **fields)
+    return await _ask_in_version(address, key, last, kind, **fields)
 
 
-async def _ask(place, key, version, kind, **fields):
-    stream = await TCPClient().connect(*place, timeout=2)
+async def _ask_in_version(
+    address: tuple[str, int], key: bytes, version: int, kind: str, **fields: Any
+) -> Any:
+    stream = await TCPClient().connect(*address, timeout=OPERATOR_CONNECT_TIMEOUT)
     try:
         await stream.write(messages.pack(key, OPERATOR, kind, version, **fields))
-        limit = IOLoop.current().time() + 3
-        size = messages.length(
-            await with_timeout(limit, stream.read_bytes(messages.HEAD), StreamClosedError)
+        deadline = IOLoop.current().time() + ANSWER_TIMEOUT
+        head = await with_timeout(
+            deadline, stream.read_bytes(messages.LENGTH_BYTES), StreamClosedError
         )
-        data = await with_timeout(limit, stream.read_bytes(size), StreamClosedError)
-        return messages.unpack(key, data, lambda name: True)[3]["said"]
+        rest = stream.read_bytes(messages.remaining_bytes(head))
+        data = await with_timeout(deadline, rest, StreamClosedError)
+        return messages.unpack(key, data, lambda name: True).fields["said"]
     finally:
         stream.close()
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -52,7 +52,7 @@
         self.service.peers.send(member, kind, **fields)
 
     def others(self):
-        return self.service.peers.others()
+        return self.service.peers.peer_ids()
 
     def is_leader(self):
         return self.service.publisher.is_leader
@@ -133,7 +133,7 @@
 
     def ward(self, hall):
         """The ward that a relay in this hall (its place) belongs to."""
-        wards = self.peers.charge.wards
+        wards = self.peers.election.relay_groups
         return (
             self.settings.halls[hall]
             if self.settings.takeover.get("wards") == "halls"
@@ -144,7 +144,7 @@
         """The epoch under which orders to a hall's relays may leave now; 0 where controllers share nothing, None while
         another is in charge. Asked as bytes leave.
         """
-        return 0 if self.peers is None else self.peers.charge.holds(self.ward(hall))
+        return 0 if self.peers is None else self.peers.election.leading_epoch(self.ward(hall))
 
     def may_serve(self, uid, hall=None):
         """Whether a relay that introduces itself may be told anything from here."""
@@ -168,13 +168,13 @@
 
     def refusals(self, uid):
         """{class: content} that a relay is known to have refused, here or with another controller."""
-        return {} if self.peers is None else self.peers.refusals_of(uid)
+        return {} if self.peers is None else self.peers.rejections_of(uid)
 
     def refused(self, uid, name, content):
         if self.peers is not None:
-            self.peers.refused(uid, name, content)
+            self.peers.record_rejection(uid, name, content)
 
-    def in_charge(self, ward, epoch):
+    def on_leadership_acquired(self, ward, epoch):
         self.note("in charge", ward=ward, epoch=epoch)
         if self.publisher is not None:
             self.publisher.become_leader(epoch, after_another=True)
@@ -183,7 +183,7 @@
         for front in self.fronts:
             front.doors(True)
 
-    def out_of_charge(self, ward, epoch, why):
+    def on_leadership_lost(self, ward, epoch, why):
         """Nothing more is written: streams end at once, and what waited for them is dropped with them."""
         self.note("out of charge", ward=ward, epoch=epoch, why=why)
         for proxy, front in list(self.front_of.items()):
@@ -198,7 +198,8 @@
 
     def holds_any(self):
         return self.peers is None or any(
-            self.peers.charge.holds(ward) is not None for ward in self.peers.charge.wards
+            self.peers.election.leading_epoch(ward) is not None
+            for ward in self.peers.election.relay_groups
         )
 
     # What outlasts a restart.
@@ -291,12 +292,12 @@
         if self.replicator is not None:
             self.replicator.send_requests(state)
 
-    def copy_came(self, member, kind, fields):
+    def on_replication_message(self, member, kind, fields):
         """Another controller's word on versions and wishes."""
         if self.replicator is not None:
             self.replicator.on_message(member, kind, fields)
 
-    async def asked(self, wish):
+    async def on_operator_request(self, wish):
         """An operator's word on versions."""
         if wish == {"what": "trust"}:
             return {
@@ -664,7 +665,7 @@
         for task in self.tasks:
             task.stop()
         if self.peers is not None:
-            self.peers.cease()
+            self.peers.close()
         if self.store is not None:
             self.store.close()
         for front in self.fronts:
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -42,7 +42,7 @@
     service = Service(settings, make, reach)
     store, held = opened(settings, service.note) if settings.store else (None, {})
     if settings.takeover:
-        service.peers = peers(service, settings, store, held)
+        service.peers = member_thread(service, settings, store, held)
     if store is not None:
         service.keep_books(store, held)
     if settings.operators:
@@ -51,7 +51,7 @@
         service.operators = OperatorServer(
             service, key_of(settings, settings.operators["key_file"])
         )
-        service.operators.hear(
+        service.operators.listen_on(
             settings.operators["port"], settings.operators.get("address", "127.0.0.1")
         )
     for name, stated in settings.fronts.items():
@@ -89,52 +89,53 @@
     return key
 
 
-def peers(service, settings, store, held):
+def member_thread(service, settings, store, held):
+    """The member of the controllers' election that runs beside this planner."""
     from .leadership.lease_record import (
-        InStore,
         RecordFile,
-        entries_of,
-        pack_entries,
-        unpack_entries,
+        StoredRecord,
+        pack_rejections,
+        rejections_from_document,
+        unpack_rejections,
     )
     from .leadership.member_thread import MemberThread
-    from .leadership.transport import Peers
+    from .leadership.state import ElectionSettings
+    from .leadership.transport import ControllerTransport
 
     stated = settings.takeover
-    wards = settings.halls if stated.get("wards") == "halls" else ["fleet"]
-    path, lease = (
-        settings.folder / stated.get("record", "none"),
-        round(stated.get("lease_ms", 3000) * 1000),
-    )
-    record, refused = (
-        RecordFile(path),
-        RecordFile(path.with_name(path.name + ".refused"), pack_entries, unpack_entries),
+    path = settings.folder / stated.get("record", "none")
+    lease_store = RecordFile(path)
+    rejection_store = RecordFile(
+        path.with_name(path.name + ".refused"), pack_rejections, unpack_rejections
     )
     if store is not None:
         # A file from before there was a store is read once more, for its epochs must not be forgotten.
-        record, refused = (
-            InStore(store, held, "charge", record),
-            InStore(store, held, "refused", refused, list, entries_of),
+        lease_store = StoredRecord(store, held, "charge", lease_store)
+        rejection_store = StoredRecord(
+            store, held, "refused", rejection_store, list, rejections_from_document
         )
-    return MemberThread(
-        service,
-        lambda surroundings: Peers(
-            surroundings,
-            stated["me"],
-            stated["members"],
-            wards,
-            lease,
-            stated.get("drift", 0.01),
+    election_settings = ElectionSettings(
+        me=stated["me"],
+        members=stated["members"],
+        relay_groups=tuple(settings.halls if stated.get("wards") == "halls" else ["fleet"]),
+        lease=round(stated.get("lease_ms", 3000) * 1000),
+        drift=stated.get("drift", 0.01),
+        incarnation=int(time.time() * 10),
+        joins=stated.get("joins", False),
+    )
+
+    def make_transport(member_service):
+        return ControllerTransport(
+            member_service,
+            election_settings,
             key_of(settings, stated["key_file"]),
-            record,
-            refused,
+            lease_store,
+            rejection_store,
             SeededRandom(seed_from(stated["me"], [str(settings.seed).encode()])),
-            int(time.time() * 10),
             stated.get("speaks", 3),
-            stated.get("joins", False),
-        ),
-        lease,
-    )
+        )
+
+    return MemberThread(service, make_transport, election_settings.lease)
 
 
 async def serve(settings, make=Assigner):
--- /dev/null
+++ b/tests/leadership/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the controllers' lease election, and of several controllers together."""
--- /dev/null
+++ b/tests/leadership/test_model.py
@@ -0,0 +1,100 @@
+"""Elections on simulated time: no schedule of faults may break an invariant."""
+
+import unittest
+
+from hypothesis import settings
+from hypothesis import strategies as some
+from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
+
+from indigodeck.clock import SECOND
+from indigodeck.leadership import model
+from indigodeck.leadership.mutants import MUTANTS
+
+
+class ExploredSchedules(unittest.TestCase):
+    """Schedules drawn from seeds, for the elections and for the mutants of them."""
+
+    def test_some_hundreds_of_schedules_break_nothing(self):
+        played, takeovers, broken = model.explore(range(500))
+        self.assertIsNone(broken)
+        self.assertGreater(takeovers, played)
+
+    def test_every_mutant_is_caught(self):
+        seeds = [*range(600, 700), *range(220)]
+        for mutant in MUTANTS:
+            with self.subTest(mutant.__name__):
+                self.assertIsNotNone(model.explore(seeds, make=mutant)[2])
+
+    def test_the_same_seed_plays_the_same_schedule(self):
+        self.assertEqual(
+            [model.World(seed).run() for seed in (3, 8)],
+            [model.World(seed).run() for seed in (3, 8)],
+        )
+
+
+class AnySchedule(RuleBasedStateMachine):
+    """What the explorer draws from a seed, drawn by Hypothesis, which shortens what it finds."""
+
+    @initialize(members=some.sampled_from((1, 3, 5)), seed=some.integers(0, 99))
+    def start(self, members, seed):
+        self.world = model.World(seed, members, 3600)
+        self.world.cause_fault = lambda: None
+        self.world.faults_until = 3600 * SECOND
+        self.play(8)
+
+    @rule(seconds=some.sampled_from((0.05, 0.4, 1.0, 2.5)))
+    def play(self, seconds):
+        self.world.play(self.world.clock + round(seconds * SECOND))
+
+    @rule(at=some.integers(0, 6))
+    def stop(self, at):
+        member = self.member(at)
+        member.is_paused = member.election is not None
+
+    @rule(at=some.integers(0, 6))
+    def wake(self, at):
+        self.member(at).resume()
+
+    @rule(at=some.integers(0, 6))
+    def start_anew(self, at):
+        member = self.member(at)
+        member.election = None
+        self.world.restart(member)
+
+    @rule(side=some.sets(some.integers(0, 6)), one_way=some.booleans())
+    def cut(self, side, one_way):
+        far = {self.member(at).name for at in side}
+        names = self.world.names
+        self.world.cut = {
+            (a, b)
+            for a in names
+            for b in names
+            if a in far and b not in far or not one_way and b in far and a not in far
+        }
+
+    @rule(at=some.integers(0, 6))
+    def change(self, at):
+        self.world.change(self.member(at).name)
+
+    @rule()
+    def transfer_leadership(self):
+        for member in self.world.leaders():
+            member.election.transfer_leadership("fleet")
+
+    @invariant()
+    def one_leader_at_most(self):
+        if hasattr(self, "world"):
+            self.world.check()
+
+    def member(self, at):
+        return self.world.members[self.world.names[at % len(self.world.names)]]
+
+
+AnySchedule.TestCase.settings = settings(
+    max_examples=40, stateful_step_count=40, deadline=None, derandomize=True
+)
+DrawnSchedules = AnySchedule.TestCase
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/leadership/test_relay_client.py
@@ -0,0 +1,43 @@
+"""Relays that know several controllers: which they try, and whose orders they take."""
+
+import os
+import unittest
+
+os.environ.setdefault("GRPC_VERBOSITY", "NONE")
+
+from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402 - after the variable
+from indigodeck.client import Tables  # noqa: E402 - after the variable
+from indigodeck.client.reconnecting import ReconnectBackoff  # noqa: E402 - after the variable
+from indigodeck.client.xds import RequestRejectedError, XdsSession  # noqa: E402 - after the variable
+from indigodeck.frontends.xds import codec  # noqa: E402 - after the variable
+
+
+class RelayClient(unittest.TestCase):
+    """What a relay of the client library does while leaders change."""
+
+    def test_a_relay_tries_all_controllers_before_it_waits_longer(self):
+        backoff = ReconnectBackoff(SeededRandom(3))
+        waits = [backoff.next_delay(3) for _ in range(15)]
+        self.assertLess(max(waits[0], waits[1], waits[9], waits[10]), backoff.first_delay // 4)
+        self.assertGreater(waits[14], backoff.first_delay)
+        alone = ReconnectBackoff(SeededRandom(3))
+        self.assertGreaterEqual(min(alone.next_delay() for _ in range(6)), alone.first_delay // 4)
+
+    def test_a_relay_rejects_an_epoch_below_the_highest_it_has_seen(self):
+        tables = Tables(["read"], lambda: 0)
+        session = XdsSession(tables, {})
+
+        def response(epoch, port):
+            made = codec.endpoints("read", [("a", "h", "127.0.0.1", port, 5)], [], 1.0)
+            return codec.changes(codec.ENDPOINTS, f"{epoch}.1", "n", [("read", *made)], [])
+
+        session.read(response(7, 80))
+        with self.assertRaises(RequestRejectedError):
+            session.read(response(4, 81))
+        self.assertEqual(tables.lines["read"], {("127.0.0.1", 80): 5})
+        session.read(response(8, 82))
+        self.assertEqual(tables.lines["read"], {("127.0.0.1", 82): 5})
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/test_outlasting.py
+++ b/tests/test_outlasting.py
@@ -11,9 +11,9 @@
 
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
+from leadership.controllers import ControllersTestCase as Controllers  # noqa: E402
 from rig import SECOND, Loop, TraceCase  # noqa: E402
 from support import ROOT, Planner, ports, until  # noqa: E402
-from test_takeover import Controllers  # noqa: E402
 from versions.support import StubPlanner, StubStore  # noqa: E402
 
 from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
@@ -161,7 +161,7 @@
         # As it travels: what a message can't carry must show here.
         *_, fields = messages.unpack(
             b"a key",
-            messages.pack(b"a key", source, kind, **fields)[messages.HEAD :],
+            messages.pack(b"a key", source, kind, **fields)[messages.LENGTH_BYTES :],
             lambda name: True,
         )
         for _ in range(2 if self.chance.below(10) == 0 else 1):
@@ -522,7 +522,7 @@
             (self.fleet.folder / f"{name}.log").read_text() for name in self.fleet.member_ports
         )
         self.assertNotIn("Exception", said)
-        self.assertNotIn("refused a controller", said)
+        self.assertNotIn("controller_rejected", said)
 
 
 if __name__ == "__main__":
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -10,13 +10,20 @@
 
 from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.leadership import messages
-from indigodeck.leadership.election import LeaderElection, LeaseRecord
+from indigodeck.leadership.election import LeaderElection
 from indigodeck.leadership.lease_record import (
-    InStore,
     RecordFile,
-    entries_of,
-    pack_entries,
-    unpack_entries,
+    StoredRecord,
+    pack_rejections,
+    rejections_from_document,
+    unpack_rejections,
+)
+from indigodeck.leadership.state import (
+    ElectionSettings,
+    KnownEpoch,
+    LeaseRecord,
+    Membership,
+    Proposal,
 )
 from indigodeck.planner.endpoint_list import EndpointList
 from indigodeck.store.files import StoreFolder
@@ -32,11 +39,17 @@
 PLANNED_MEMBERS = {**MEMBERS, "c4": "10.0.0.4:3900"}
 LEASES = LeaseRecord(
     serial=42,
-    wards={"fleet": (33, "c2"), "north": (48, "c3"), "south": (18, None)},
-    fleet=(5, MEMBERS),
-    plan=(6, 33, PLANNED_MEMBERS),
+    epochs={
+        "fleet": KnownEpoch(33, "c2"),
+        "north": KnownEpoch(48, "c3"),
+        "south": KnownEpoch(18, None),
+    },
+    membership=Membership(5, MEMBERS),
+    proposal=Proposal(6, 33, PLANNED_MEMBERS),
+)
+LEASES_WITHOUT_FLEET = LeaseRecord(
+    serial=7, epochs={"fleet": KnownEpoch(16, "c1"), "south": KnownEpoch(2, None)}
 )
-LEASES_WITHOUT_FLEET = LeaseRecord(serial=7, wards={"fleet": (16, "c1"), "south": (2, None)})
 REFUSALS = [("relay-1", "read", "00c0ffee00c0ffee"), ("relay-é", "write", "0123456789abcdef")]
 
 NUMBERS = [*((3, serial) for serial in range(1, 37)), (17, 1), (17, 2), (33, 1), (33, 2), (33, 3)]
@@ -181,32 +194,37 @@
 
 
 class Leases(StoredFolder):
-    def test_leases_and_refusals_are_read_from_the_store(self):
+    def test_leases_and_rejections_are_read_from_the_store(self):
         shelf = self.opened()
-        leases = InStore(shelf.store, shelf.held, "charge", RecordFile(self.folder / "none"))
-        refusals = InStore(
-            shelf.store, shelf.held, "refused", RecordFile(self.folder / "none"), list, entries_of
+        leases = StoredRecord(shelf.store, shelf.held, "charge", RecordFile(self.folder / "none"))
+        refusals = StoredRecord(
+            shelf.store,
+            shelf.held,
+            "refused",
+            RecordFile(self.folder / "none"),
+            list,
+            rejections_from_document,
         )
         self.assertEqual((leases.read(), refusals.read()), (LEASES, REFUSALS))
-        self.assertTrue(leases.keep(LEASES) and refusals.keep(REFUSALS))
+        self.assertTrue(leases.save(LEASES) and refusals.save(REFUSALS))
         shelf.reopen()
         self.assertEqual(shelf.held, STORED["records"])
 
-    def test_leases_and_refusals_are_read_from_files_and_written_as_the_same_bytes(self):
+    def test_leases_and_rejections_are_read_from_files_and_written_as_the_same_bytes(self):
         for name, record, form in (
             ("leases.record", LEASES, ()),
             ("leases-without-fleet.record", LEASES_WITHOUT_FLEET, ()),
-            ("leases.record.refused", REFUSALS, (pack_entries, unpack_entries)),
+            ("leases.record.refused", REFUSALS, (pack_rejections, unpack_rejections)),
         ):
             with self.subTest(name=name):
                 self.assertEqual(RecordFile(DATA / name, *form).read(), record)
                 again = RecordFile(self.folder / name, *form)
-                self.assertTrue(again.keep(record))
+                self.assertTrue(again.save(record))
                 self.assertEqual((self.folder / name).read_bytes(), (DATA / name).read_bytes())
 
     def test_a_file_from_before_there_was_a_store_is_read_where_the_store_has_none(self):
         shelf = self.opened()
-        before = InStore(
+        before = StoredRecord(
             shelf.store, {}, "charge", RecordFile(DATA / "leases-without-fleet.record")
         )
         self.assertEqual(before.read(), LEASES_WITHOUT_FLEET)
@@ -216,40 +234,37 @@
             def now(self):
                 return 0
 
-            def later(self, after):
+            def start_timer(self, delay):
                 pass
 
-            def send(self, member, kind, **fields):
+            def send(self, member, message):
                 pass
 
         for record, number, members in (
             (LEASES, 5, MEMBERS),
             (LEASES_WITHOUT_FLEET, 0, {"c1": "a:1", "c2": "a:2"}),
         ):
-            charge = LeaderElection(
+            election = LeaderElection(
                 Alone(),
-                "c1",
-                {"c1": "a:1", "c2": "a:2"},
-                ["fleet", "north"],
-                3_000_000,
-                0.01,
+                ElectionSettings(
+                    "c1", {"c1": "a:1", "c2": "a:2"}, ("fleet", "north"), 3_000_000, 0.01, 1
+                ),
                 SeededRandom(1),
-                1,
                 record,
             )
-            told = charge.fleet()
+            told = election.status()
             self.assertEqual(
                 (
-                    told["number"],
-                    {name: member["place"] for name, member in told["members"].items()},
+                    told.membership_number,
+                    {name: member.address for name, member in told.members.items()},
                 ),
                 (number, members),
             )
             self.assertEqual(
-                {ward: state["epoch"] for ward, state in told["wards"].items()},
-                {ward: record.wards.get(ward, (0, None))[0] for ward in ("fleet", "north")},
+                {group: lease.epoch for group, lease in told.leases.items()},
+                {group: record.epochs.get(group, (0, None))[0] for group in ("fleet", "north")},
             )
-            self.assertEqual(charge.known, record.wards)
+            self.assertEqual(election.state.known_epochs, record.epochs)
 
 
 class KeptList(StoredFolder):
@@ -294,8 +309,8 @@
         for place, one in enumerate(MESSAGES["messages"]):
             with self.subTest(place=place, kind=one["kind"], version=one["version"]):
                 data = bytes.fromhex(one["bytes"])
-                head, rest = data[: messages.HEAD], data[messages.HEAD :]
-                self.assertEqual(messages.length(head), len(rest))
+                head, rest = data[: messages.LENGTH_BYTES], data[messages.LENGTH_BYTES :]
+                self.assertEqual(messages.remaining_bytes(head), len(rest))
                 source, version, kind, fields = messages.unpack(
                     self.KEY, rest, lambda name, who=one["from"]: name == who
                 )
@@ -319,7 +334,7 @@
         self.assertEqual([one["version"] for one in grants], [2, 3])
         for one in grants:
             fields = messages.unpack(
-                self.KEY, bytes.fromhex(one["bytes"])[messages.HEAD :], lambda name: True
+                self.KEY, bytes.fromhex(one["bytes"])[messages.LENGTH_BYTES :], lambda name: True
             )[3]
             self.assertEqual(
                 (fields["plan"], fields["ward"], fields["epoch"], fields["number"]),
