--- a/indigodeck/testbed/baselines.py
+++ b/indigodeck/testbed/baselines.py
@@ -1,47 +1,63 @@
-"""Policies to measure against, hosted by the same desk: none of them decides anything."""
+"""Policies to measure against, hosted as the assigner is: none of them decides anything."""
 
-from ..assignment.interface import ServerState, UpdateKind
+from collections.abc import Iterable
+from typing import Any
 
+from ..assignment.interface import AssignerHost, Server, ServerState, UpdateKind
+from ..settings import DeploymentSettings
 
-class Equal:
-    """One table: every host that is listed as ready, all alike, for every class and relay."""
 
-    def __init__(self, host, settings, seed):
-        self.host, self.settings, self.fleet, self.lines = host, settings, {}, {}
+class EqualWeights:
+    """One table for every class and proxy: each server that is listed as ready, all alike."""
 
-    def on_endpoint_update(self, kind, servers):
+    random = None  # of the assigner; a baseline draws nothing
+
+    def __init__(self, host: AssignerHost, settings: DeploymentSettings, seed: int) -> None:
+        self._host = host
+        self._settings = settings
+        self._ready: dict[int, Server] = {}
+        self._weights: dict[int, float] = {}
+
+    def on_endpoint_update(self, kind: UpdateKind, servers: Iterable[Server]) -> None:
+        """Follow the endpoint list."""
         if kind != UpdateKind.CHANGES:
-            self.fleet = {}
+            self._ready = {}
         for server in servers:
-            self.fleet.pop(server.index, None)
+            self._ready.pop(server.index, None)
             if server.state == ServerState.READY:
-                self.fleet[server.index] = server
-        self._lay()
-
-    def _lay(self):
-        want = {index: 1.0 for index in self.fleet}
-        for index in sorted(self.lines.keys() | want.keys()):
-            if self.lines.get(index) != want.get(index):
-                self.host.set_weight(0, index, want.get(index, 0.0))
-        self.lines = want
-
-    def on_proxy_joined(self, proxy, zone, rate, fresh):
-        self.host.assign_table(proxy, 0, range(len(self.settings.classes)))
-
-    def nothing(self, *_):
-        pass
-
-    on_proxy_left = on_load_report = on_demand_report = on_ack = on_health_check = nothing
-    on_peer_message = on_timer = on_endpoint_list_failed = nothing
-    chance = None
-
-
-class Frozen(Equal):
+                self._ready[server.index] = server
+        self._update_table()
+
+    def on_proxy_joined(self, proxy: int, zone: int, rate: float, fresh: bool) -> None:
+        """Put each proxy on the one table."""
+        self._host.assign_table(proxy, 0, range(len(self._settings.classes)))
+
+    def _update_table(self) -> None:
+        weights = {index: 1.0 for index in self._ready}
+        for index in sorted(self._weights.keys() | weights.keys()):
+            if self._weights.get(index) != weights.get(index):
+                self._host.set_weight(0, index, weights.get(index, 0.0))
+        self._weights = weights
+
+    def _ignore(self, *_: Any) -> None:
+        """Ignore an event."""
+
+    on_proxy_left = _ignore
+    on_load_report = _ignore
+    on_demand_report = _ignore
+    on_ack = _ignore
+    on_health_check = _ignore
+    on_peer_message = _ignore
+    on_timer = _ignore
+    on_endpoint_list_failed = _ignore
+
+
+class FrozenWeights(EqualWeights):
     """The weights of the first list, for as long as it runs."""
 
-    def _lay(self):
-        if not self.lines:
-            super()._lay()
+    def _update_table(self) -> None:
+        if not self._weights:
+            super()._update_table()
 
 
-BASELINES = {"equal": Equal, "frozen": Frozen}
+BASELINES = {"equal": EqualWeights, "frozen": FrozenWeights}
--- a/indigodeck/testbed/host_pool.py
+++ b/indigodeck/testbed/host_pool.py
@@ -1,227 +1,214 @@
-"""Substation hosts over HTTP: exchanges take real time on few cores, cold hosts are slow, pushed ones fall over.
+"""Hosts over HTTP, many in one process: they start, stop, and fail in stated ways.
 
-`Works` is the model, free of I/O; `Yard` runs many hosts in one process and is told to start, stop and hurt them.
-Each exchange leaves a receipt, a JSON line, as it comes to the host.
+Each request leaves a receipt, a JSON line, as it reaches the host (read by `evidence.py`).
 """
 
 import json
-from collections import deque
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import Any, TextIO
 
 from tornado.gen import sleep
 from tornado.httpserver import HTTPServer
+from tornado.httputil import HTTPHeaders
 from tornado.locks import Event
 from tornado.netutil import bind_sockets
 from tornado.web import Application, RequestHandler
 
-SECOND = 1_000_000
-
-
-class Works:
-    """One host's capacity. Times in microseconds; work in microseconds of one core at full speed."""
-
-    def __init__(
-        self,
-        now,
-        cores,
-        slots,
-        room,
-        started=0,
-        cold_time=0,
-        cold_share=1.0,
-        tip_multiple=0,
-        tip_time=0,
-    ):
-        self.cores, self.slots, self.room = cores, slots, room
-        self.started, self.cold_time, self.cold_share = started, cold_time, cold_share
-        self.tip_multiple, self.tip_time = tip_multiple, tip_time
-        self.busy, self.waiting, self.fallen, self.slowed = 0, deque(), False, 1.0
-        self.brought, self.done, self.made = deque(), deque(maxlen=4096), now
-
-    def warmth(self, now):
-        """The part of its capacity that a host has."""
-        if not self.started or now - self.started >= self.cold_time:
-            return 1.0
-        return self.cold_share + (1 - self.cold_share) * (now - self.started) / self.cold_time
-
-    def bring(self, now, work):
-        """Work arrives; a cold host that is sent too much for too long falls over and stays down."""
-        if self.warmth(now) < 1 and self.tip_multiple:
-            self.brought.append((now, work))
-            while self.brought and self.brought[0][0] < now - self.tip_time:
-                self.brought.popleft()
-            able = self.cores * self.warmth(now) * self.tip_time
-            self.fallen = (
-                self.fallen
-                or sum(part for _, part in self.brought) > self.tip_multiple * able * 1.1
-            )
-        return not self.fallen
-
-    def took(self, now, work):
-        """How long this work takes when begun now: holding more than its cores slows all."""
-        crowd = max(1.0, (self.busy + 1) / self.cores)
-        return work * crowd / (self.warmth(now) * self.slowed)
-
-    def report(self, now, names):
-        """The load report, as the JSON form of an ORCA header. Rates are of the last second."""
-        while self.done and self.done[0][0] < now - SECOND:
-            self.done.popleft()
-        good = [took for _, _, fine, took in self.done if fine]
-        named = {
-            "inflight": self.busy + len(self.waiting),
-            "latency_ms": round(sum(good) / len(good) / 1000, 1) if good else 0.0,
-        }
-        for name in names:
-            named[f"rps.{name}"] = sum(1 for _, kind, _, _ in self.done if kind == name)
-        return "JSON " + json.dumps(
-            {
-                "cpu_utilization": min(1.0, round(self.busy / self.cores, 3)),
-                "rps_fractional": len(self.done),
-                "eps": len(self.done) - len(good),
-                "named_metrics": named,
-            }
-        )
+from ..clock import SECOND
+from .host_model import CompletedRequest, HostModel, HostSettings
 
+LOAD_REPORT_HEADER = "endpoint-load-metrics"
+USUAL_WORK = 1000  # microseconds of one core, of a class that states none
+HUNG_CPU_UTILIZATION = 0.01  # what a hung host reports: from within it looks idle
 
-class Host:
-    """One host on a port of its own."""
-
-    def __init__(self, yard, name, **stated):
-        self.yard, self.name = yard, name
-        self.works = Works(yard.now(), **stated)
-        self.fault, self.part, self.release = None, 1.0, Event()
-        self.tries, self.server, self.port = 0, None, None
-        self.open(0)
 
-    def open(self, port):
-        sockets = bind_sockets(port, "127.0.0.1", reuse_port=False)
+class Host:
+    """One host on a port of its own.
+
+    `fault`: "slow", "hang" (requests begin and never end), "errors" (a share of requests fails),
+    "silent" (nothing is answered), or None.
+    """
+
+    def __init__(self, pool: "HostPool", name: str, settings: HostSettings) -> None:
+        self.name = name
+        self.port = 0
+        self.fault: str | None = None
+        self._fault_size = 1.0
+        self._fault_ended = Event()
+        self._pool = pool
+        self._model = HostModel(settings)
+        self._request_count = 0
+        self._server: HTTPServer | None = None
+        self._listen()
+
+    async def stop(self) -> None:
+        """Stop listening and close all connections."""
+        assert self._server is not None
+        self._server.stop()
+        await self._server.close_all_connections()
+
+    def set_fault(self, fault: str | None, size: float = 1.0) -> None:
+        """Have the host fail from now on, or (None) no longer.
+
+        `size` is the part of its speed that a slow host loses, or the share that errors have.
+        """
+        self.fault = fault
+        self._fault_size = size
+        self._model.speed = 1 - size if fault == "slow" else 1.0
+        if fault not in ("hang", "silent"):
+            self._fault_ended.set()
+            self._fault_ended = Event()
+
+    async def serve(self, handler: RequestHandler, class_name: str) -> None:
+        """Answer one request."""
+        headers = handler.request.headers
+        work = int(headers.get("Work", 0)) or self._pool.work.get(class_name, USUAL_WORK)
+        now = self._pool.now()
+        self._request_count += 1
+        if not self._model.arrive(now, work):
+            self._write_receipt(class_name, work, headers, "fallen")
+            await self.stop()
+            return
+        if self.fault == "silent":
+            self._write_receipt(class_name, work, headers, "silent")
+            await self._fault_ended.wait()
+            return
+        if self._model.is_full():
+            self._write_receipt(class_name, work, headers, "full")
+            handler.set_status(HTTPStatus.SERVICE_UNAVAILABLE)
+            return
+        self._write_receipt(class_name, work, headers, "begun")
+        if self.fault == "errors" and self._request_count % 100 < self._fault_size * 100:
+            self._model.complete(CompletedRequest(now, class_name, False, 0))
+            handler.set_status(HTTPStatus.INTERNAL_SERVER_ERROR)
+            return
+        await self._execute(class_name, work)
+        report = self._model.load_report(self._pool.now(), self._pool.work)
+        handler.set_header(LOAD_REPORT_HEADER, report)
+
+    async def load_report(self) -> str:
+        """Return the load report; a silent host gives none until the fault ends."""
+        if self.fault == "silent":
+            await self._fault_ended.wait()
+        report = self._model.load_report(self._pool.now(), self._pool.work)
+        if self.fault != "hang":
+            return report
+        metrics = json.loads(report.partition(" ")[2])
+        metrics["cpu_utilization"] = HUNG_CPU_UTILIZATION
+        return "JSON " + json.dumps(metrics)
+
+    def _listen(self) -> None:
+        sockets = bind_sockets(0, "127.0.0.1", reuse_port=False)
         self.port = sockets[0].getsockname()[1]
-        self.server = HTTPServer(
+        self._server = HTTPServer(
             Application(
                 [
-                    (r"/exchange/([a-z-]+)", Exchange, {"host": self}),
-                    (r"/load", Load, {"host": self}),
+                    (r"/exchange/([a-z-]+)", RequestEndpoint, {"host": self}),
+                    (r"/load", LoadReportEndpoint, {"host": self}),
                 ],
                 log_function=lambda handler: None,
             )
         )
-        self.server.add_sockets(sockets)
+        self._server.add_sockets(sockets)
 
-    async def shut(self):
-        self.server.stop()
-        await self.server.close_all_connections()
+    async def _execute(self, class_name: str, work: int) -> None:
+        """Wait for a slot, then take the time that the work takes."""
+        model = self._model
+        if model.in_flight >= model.settings.slots:
+            turn = Event()
+            model.queue.append(turn)
+            await turn.wait()
+        model.in_flight += 1
+        try:
+            if self.fault == "hang":
+                await self._fault_ended.wait()
+            service_time = model.service_time(self._pool.now(), work)
+            await sleep(service_time / SECOND)
+            model.complete(CompletedRequest(self._pool.now(), class_name, True, service_time))
+        finally:
+            model.in_flight -= 1
+            if model.queue:
+                model.queue.popleft().set()
 
-    def receipt(self, kind, work, headers, state):
-        now = self.yard.now()
-        self.yard.write(
+    def _write_receipt(self, class_name: str, work: int, headers: HTTPHeaders, state: str) -> None:
+        now = self._pool.now()
+        self._pool.write(
             {
                 "at": now,
                 "host": self.name,
                 "relay": headers.get("Relay", ""),
                 "key": headers.get("Exchange", ""),
                 "try": int(headers.get("Try", 0)),
-                "class": kind,
+                "class": class_name,
                 "work": work,
-                "able": self.works.cores * self.works.warmth(now),
-                "cold": self.works.warmth(now) < 1,
+                "able": self._model.capacity(now),
+                "cold": self._model.capacity_share(now) < 1,
                 "state": state,
             }
         )
 
-    async def exchange(self, handler, kind):
-        works, headers = self.works, handler.request.headers
-        work = int(headers.get("Work", 0)) or self.yard.work.get(kind, 1000)
-        now = self.yard.now()
-        self.tries += 1
-        if not works.bring(now, work):
-            self.receipt(kind, work, headers, "fallen")
-            return await self.shut()
-        if self.fault == "silent":
-            self.receipt(kind, work, headers, "silent")
-            return await self.release.wait()
-        if len(works.waiting) >= works.room:
-            self.receipt(kind, work, headers, "full")
-            return handler.set_status(503)
-        self.receipt(kind, work, headers, "begun")
-        if self.fault == "errors" and self.tries % 100 < self.part * 100:
-            works.done.append((now, kind, False, 0))
-            return handler.set_status(500)
-        if works.busy >= works.slots:
-            turn = Event()
-            works.waiting.append(turn)
-            await turn.wait()
-        works.busy += 1
-        try:
-            if self.fault == "hang":
-                await self.release.wait()
-            took = works.took(self.yard.now(), work)
-            await sleep(took / SECOND)
-            works.done.append((self.yard.now(), kind, True, took))
-        finally:
-            works.busy -= 1
-            if works.waiting:
-                works.waiting.popleft().set()
-        handler.set_header("endpoint-load-metrics", works.report(self.yard.now(), self.yard.work))
-
-    def hurt(self, fault, part=1.0):
-        self.fault, self.part = fault, part
-        self.works.slowed = 1 - part if fault == "slow" else 1.0
-        if fault not in ("hang", "silent"):
-            self.release.set()
-            self.release = Event()
-
-    def report(self):
-        report = self.works.report(self.yard.now(), self.yard.work)
-        if self.fault == "hang":
-            # It says what its kind of fault looks like from within: nothing to do.
-            given = json.loads(report.partition(" ")[2])
-            given["cpu_utilization"] = 0.01
-            report = "JSON " + json.dumps(given)
-        return report
 
+class RequestEndpoint(RequestHandler):
+    """Answers requests of proxies."""
 
-class Exchange(RequestHandler):
-    def initialize(self, host):
-        self.host = host
+    def initialize(self, host: Host) -> None:
+        """Keep the host that serves them."""
+        self._host = host
 
-    async def get(self, kind):
-        await self.host.exchange(self, kind)
+    async def get(self, class_name: str) -> None:
+        """Serve a request of a class."""
+        await self._host.serve(self, class_name)
 
     post = get
 
 
-class Load(RequestHandler):
-    def initialize(self, host):
-        self.host = host
+class LoadReportEndpoint(RequestHandler):
+    """Answers health checks and reads of the load report."""
+
+    def initialize(self, host: Host) -> None:
+        """Keep the host that is reported on."""
+        self._host = host
 
-    async def get(self):
-        if self.host.fault == "silent":
-            await self.host.release.wait()
-        self.set_header("endpoint-load-metrics", self.host.report())
+    async def get(self) -> None:
+        """Answer with the load report in a header."""
+        self.set_header(LOAD_REPORT_HEADER, await self._host.load_report())
 
 
 class HostPool:
-    """Hosts in one process. `work`: microseconds of one core that an exchange of each class takes."""
+    """Hosts in one process.
+
+    `work` is how long a request of each class takes, in microseconds of one core. Receipts are
+    written to a file.
+    """
 
-    def __init__(self, now, receipts, work):
-        self.now, self.receipts, self.work, self.hosts = now, receipts, work, {}
+    def __init__(self, now: Callable[[], int], receipts: TextIO, work: dict[str, int]) -> None:
+        self.now = now
+        self.work = work
+        self.hosts: dict[str, Host] = {}
+        self._receipts = receipts
 
-    def write(self, receipt):
-        self.receipts.write(json.dumps(receipt, separators=(",", ":")) + "\n")
+    def write(self, receipt: dict[str, Any]) -> None:
+        """Write one receipt."""
+        self._receipts.write(json.dumps(receipt, separators=(",", ":")) + "\n")
 
-    def start(self, name, **stated):
-        host = self.hosts[name] = Host(self, name, **stated)
+    def start(self, name: str, settings: HostSettings) -> int:
+        """Start one host; return its port."""
+        host = self.hosts[name] = Host(self, name, settings)
         return host.port
 
-    async def stop(self, name):
-        await self.hosts.pop(name).shut()
-
-    async def command(self, line):
-        """{"do": "start" | "stop" | "hurt", "host": .., ..}: one command, its answer."""
-        do, name = line.pop("do"), line.pop("host")
-        if do == "start":
-            return {"port": self.start(name, **line)}
-        if do == "stop":
-            await self.stop(name)
-        elif do == "hurt":
-            self.hosts[name].hurt(line["fault"], line.get("part", 1.0))
+    async def stop(self, name: str) -> None:
+        """Stop one host."""
+        await self.hosts.pop(name).stop()
+
+    async def command(self, line: dict[str, Any]) -> dict[str, Any]:
+        """Execute one command: {"do": "start" | "stop" | "hurt", "host": .., ..}."""
+        name = line["host"]
+        match line["do"]:
+            case "start":
+                return {"port": self.start(name, HostSettings.from_json(line))}
+            case "stop":
+                await self.stop(name)
+            case "hurt":
+                self.hosts[name].set_fault(line["fault"], line.get("part", 1.0))
         return {}
--- a/tests/leadership/test_controllers.py
+++ b/tests/leadership/test_controllers.py
@@ -19,7 +19,7 @@
 from indigodeck.clock import now  # noqa: E402 - after the variable
 from indigodeck.testbed.faulty_link import FaultyLink  # noqa: E402 - after the variable
 from indigodeck.testbed.fleet_scenario import FleetScenarioRunner  # noqa: E402 - after the variable
-from indigodeck.testbed.stock_client import GrpcHost  # noqa: E402 - after the variable
+from indigodeck.testbed.grpc_host import GrpcHost  # noqa: E402 - after the variable
 from leadership.controllers import ControllersTestCase  # noqa: E402 - after the variable
 
 
--- a/tests/planner/test_planner_sockets.py
+++ b/tests/planner/test_planner_sockets.py
@@ -8,6 +8,7 @@
 
 from indigodeck.clock import now
 from indigodeck.testbed.discovery_server import DiscoveryServer
+from indigodeck.testbed.host_model import HostSettings
 from indigodeck.testbed.host_pool import HostPool
 
 
@@ -16,14 +17,13 @@
 
     async def test_a_hung_host_loses_its_share_within_three_periods_and_comes_back_by_ramp(self):
         with open(os.devnull, "w") as nowhere:
+            settings = HostSettings(cores=4, slots=8, queue_limit=16)
             pool = HostPool(now, nowhere, {"reading": 20_000, "setpoint": 20_000})
             async with Planner(
                 hosts=0, reports={"period_ms": 1000, "probes_per_s": 60, "probes_at_once": 40}
             ) as planner:
                 for nth in range(8):
-                    planner.hosts[f"host-{nth}"] = {
-                        "port": pool.start(f"host-{nth}", cores=4, slots=8, room=16)
-                    }
+                    planner.hosts[f"host-{nth}"] = {"port": pool.start(f"host-{nth}", settings)}
                 planner.service.patience = 800_000
                 planner.keep()
                 tables, client, task = planner.client()
@@ -32,7 +32,7 @@
                 planner.service.evidence.turn = lambda *given: (turns.append(now()), old(*given))
                 await until(lambda: hung in tables.lines["reading"] and len(turns) > 2)
                 full = tables.lines["reading"][hung]
-                pool.hosts["host-3"].hurt("hang")
+                pool.hosts["host-3"].set_fault("hang")
                 begun = len(turns)
                 await until(
                     lambda: (
@@ -42,13 +42,13 @@
                 self.assertLessEqual(
                     len(turns) - begun, 4
                 )  # the first of them may end a period that began before
-                pool.hosts["host-3"].hurt(None)
+                pool.hosts["host-3"].set_fault(None)
                 await until(lambda: hung in tables.lines["reading"], 30)
                 self.assertLess(tables.lines["reading"][hung], full)
                 client.stop()
                 await task
                 for host in pool.hosts.values():
-                    await host.shut()
+                    await host.stop()
 
     async def test_the_list_from_a_service_that_pushes_or_is_asked_and_fails_for_a_while(self):
         for asked in (False, True):
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -24,16 +24,18 @@
 
 from indigodeck.client import Tables  # noqa: E402
 from indigodeck.client.sasp import SaspClient  # noqa: E402
-from indigodeck.client.xds import XdsClient  # noqa: E402
-from indigodeck.client.xds import read_assignment
+from indigodeck.client.xds import (
+    XdsClient,  # noqa: E402
+    read_assignment,
+)
 from indigodeck.frontends.xds import codec  # noqa: E402
 from indigodeck.frontends.xds.codec import CLUSTER, ENDPOINTS, KINDS, LISTENER, ROUTE  # noqa: E402
 from indigodeck.frontends.xds.streams import UNDERWAY_MOST, Bounds, LimitExceededError, Relay  # noqa: E402
 from indigodeck.planner.demand_aggregation import DemandAggregator  # noqa: E402
 from indigodeck.planner.planner_settings import PlannerSettings  # noqa: E402
 from indigodeck.serve import assemble  # noqa: E402
-from indigodeck.testbed.conversation import Talkers  # noqa: E402
-from indigodeck.testbed.stock_client import GrpcHost  # noqa: E402
+from indigodeck.testbed.grpc_host import GrpcHost  # noqa: E402
+from indigodeck.testbed.scripted_conversation import ScriptedConversation  # noqa: E402
 
 SHORT = {CLUSTER: "cluster", ENDPOINTS: "endpoints", LISTENER: "listener", ROUTE: "route"}
 NAMED = {short: kind for kind, short in SHORT.items()}
@@ -482,7 +484,7 @@
                 ),
                 60,
             )
-            hosts[0].hung = True
+            hosts[0].hangs = True
             await until(
                 lambda: not any(0 in lines for lines in planner.service.desk.tables.values()), 10
             )
@@ -652,7 +654,7 @@
         structlog.configure(processors=[lambda *_: (_ for _ in ()).throw(structlog.DropEvent)])
         script = json.loads((ROOT / "examples/conversation.json").read_text())
         with tempfile.TemporaryDirectory() as folder:
-            traces = await Talkers(script, folder).play()
+            traces = await ScriptedConversation(script, folder).play()
         path = ROOT / "tests/traces/conversation.txt"
         if os.environ.get("INDIGODECK_WRITE_TRACES"):
             path.write_text("\n".join(traces["sasp"]) + "\n")
