--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -60,20 +60,26 @@
         document["roster"] = {"file": "roster.json", "look_every_ms": 20}
         listed.write(hosts)
         service = assemble(PlannerSettings(document, folder))
-        ordered, withdraw = {}, service.desk.withdraw
+        ordered = {}
+        eject = service.planner_host.eject_server
+        uneject = service.planner_host.uneject_server
 
-        def noted(server, out):
-            ordered[service.places[server][1]] = now()
-            withdraw(server, out)
+        def note_time(order):
+            def noted(server):
+                ordered[service.endpoints.address_of(server)[1]] = now()
+                order(server)
 
-        service.desk.withdraw = noted
-        acknowledged, applied = [], service.desk.assigner.on_ack
+            return noted
+
+        service.planner_host.eject_server = note_time(eject)
+        service.planner_host.uneject_server = note_time(uneject)
+        acknowledged, applied = [], service.planner_host.assigner.on_ack
 
         def heard(proxy, number, took):
             acknowledged.append(took)
             applied(proxy, number, took)
 
-        service.desk.assigner.on_ack = heard
+        service.planner_host.assigner.on_ack = heard
         crews = [
             await WorkerProcess.start("standin", "relay", "--outcomes", os.devnull)
             for _ in range(4)
@@ -86,7 +92,7 @@
                 until=0,
                 relay={
                     "uid": uid,
-                    "planners": [["127.0.0.1", service.fronts[0].port()]],
+                    "planners": [["127.0.0.1", service.frontends[0].port()]],
                     "classes": classes,
                     "rate": 0,
                     "wire": wire,
@@ -94,7 +100,7 @@
                     "planner_patience": 30,
                 },
             )
-        while len(service.front_of) < many or service.desk.queue():
+        while len(service.proxies.frontend_of) < many or service.planner_host.waiting_lines():
             await asyncio.sleep(0.1)
         await asyncio.sleep(2)
         for crew in crews:
@@ -113,7 +119,7 @@
                 if port in ordered:
                     took.append(at - ordered[port])
             await crew.end()
-        service.cease()
+        service.close()
         await asyncio.sleep(0.1)
     memory = (
         int(pathlib.Path("/proc/self/statm").read_text().split()[1])
--- a/benchmarks/wire_bytes.py
+++ b/benchmarks/wire_bytes.py
@@ -84,7 +84,7 @@
         raise RuntimeError(why)
 
     def pull(self):
-        self.talk.desk.take(self.talk.proxy)
+        self.talk.planner_host.take_updates(self.talk.proxy)
         data = self.talk.news()
         if data:
             self.bytes, self.messages = self.bytes + len(data), self.messages + 1
@@ -116,9 +116,9 @@
         service = assemble(PlannerSettings(document, folder))
         names = [kind["name"] for kind in document["classes"]]
         meters = {
-            "whole": Meter(service.fronts[0], "hall-a/whole", False, names),
-            "incremental": Meter(service.fronts[0], "hall-a/delta", True, names),
-            "sasp": SaspMeter(service.fronts[1], names),
+            "whole": Meter(service.frontends[0], "hall-a/whole", False, names),
+            "incremental": Meter(service.frontends[0], "hall-a/delta", True, names),
+            "sasp": SaspMeter(service.frontends[1], names),
         }
 
         async def settle(seconds):
@@ -141,7 +141,7 @@
                 )
             listed.write(hosts)
             await settle(3)
-        service.cease()
+        service.close()
         await asyncio.sleep(0.1)
     return {
         "replaced": part,
--- a/indigodeck/cli/controller_group.py
+++ b/indigodeck/cli/controller_group.py
@@ -68,16 +68,16 @@
 def read_controller_group(settings_path: str) -> ControllerGroup:
     """Ask the controllers of a settings file, and those that were added since, for their state."""
     from ..leadership.transport import parse_address
-    from ..planner.planner_settings import read
-    from ..serve import key_of
+    from ..planner.planner_settings import read_settings
+    from ..serve import read_key
 
     try:
-        settings = read(settings_path)
-        if not settings.takeover:
+        settings = read_settings(settings_path)
+        if not settings.leadership:
             fail(f"{settings_path}: controllers share nothing here: no section takeover")
-        members = settings.takeover["members"]
+        members = settings.leadership.members
         addresses = {name: parse_address(text) for name, text in members.items()}
-        key = key_of(settings, settings.takeover["key_file"])
+        key = read_key(settings, settings.leadership.key_file)
     except (InvalidDocumentError, OSError) as error:
         fail(str(error))
     states = asyncio.run(ask_all(addresses, key, "fleet"))
@@ -93,20 +93,20 @@
 
 def read_operator_targets(settings_path: str) -> OperatorTargets:
     """Return the programs of a settings file that answer requests about versions."""
-    from ..planner.planner_settings import read
-    from ..serve import key_of
+    from ..planner.planner_settings import read_settings
+    from ..serve import read_key
 
     try:
-        settings = read(settings_path)
-        if settings.takeover:
+        settings = read_settings(settings_path)
+        if settings.leadership:
             return read_controller_group(settings_path)
         if not settings.operators:
             fail(
                 f"{settings_path}: neither a section operators nor takeover: "
                 "this planner hears no operators"
             )
-        section = settings.operators
-        address = (section.get("address", "127.0.0.1"), section["port"])
-        return OperatorTargets({settings.name: address}, key_of(settings, section["key_file"]))
+        operators = settings.operators
+        address = (operators.address, operators.port)
+        return OperatorTargets({settings.name: address}, read_key(settings, operators.key_file))
     except (InvalidDocumentError, OSError) as error:
         fail(str(error))
--- a/indigodeck/cli/documents.py
+++ b/indigodeck/cli/documents.py
@@ -33,10 +33,10 @@
 
     document = read_document(path)
     if "hosts" in document and isinstance(document["hosts"], list):
-        return "roster", _mistakes(lambda: endpoint_list.read(json.dumps(document)))
+        return "roster", _mistakes(lambda: endpoint_list.parse_endpoint_list(json.dumps(document)))
     if "relays" in document and "seconds" in document:
         return "script", scenario_script.check(document)
-    return "charter", _mistakes(lambda: planner_settings.read(path))
+    return "charter", _mistakes(lambda: planner_settings.read_settings(path))
 
 
 def _mistakes(read: Callable[[], Any]) -> list[str]:
--- a/indigodeck/cli/planner.py
+++ b/indigodeck/cli/planner.py
@@ -27,7 +27,7 @@
 def serve(settings_path: str, log_format: str, policy: str) -> None:
     """Run a planner until it is told to end."""
     from ..assignment.assigner import Assigner
-    from ..planner.planner_settings import read
+    from ..planner.planner_settings import read_settings
     from ..serve import serve as run_planner
 
     configure_logging(log_format)
@@ -37,7 +37,7 @@
 
         make_assigner = BASELINES[policy]
     try:
-        settings = read(settings_path)
+        settings = read_settings(settings_path)
         asyncio.run(run_planner(settings, make_assigner))
     except InvalidDocumentError as error:
         fail(str(error))
--- a/indigodeck/edge/discovery.py
+++ b/indigodeck/edge/discovery.py
@@ -14,7 +14,7 @@
 from ..assignment.seeded_random import SeededRandom
 from ..clock import SECOND
 from ..errors import MalformedMessageError
-from ..planner.health_checks import authority
+from ..planner.host_client import authority
 from ..settings import MICROSECONDS_PER_MILLISECOND
 from .codec import MessageCodec
 from .connecting import CONNECTION_ERRORS, Backoff, NumericResolver, keep_running
--- a/indigodeck/edge/health_checks.py
+++ b/indigodeck/edge/health_checks.py
@@ -9,7 +9,7 @@
 from ..assignment.interface import HealthCheckOutcome
 from ..clock import SECOND
 from ..errors import MalformedMessageError
-from ..planner.health_checks import HttpReach
+from ..planner.host_client import HttpHostClient
 from .assigner_host import CheckedServer
 from .codec import MessageCodec
 from .json_fields import read_object
@@ -31,14 +31,14 @@
     address: Address
 
 
-class EdgeHttpHealthCheck(HttpReach):
+class EdgeHttpHealthCheck(HttpHostClient):
     """A health check as the platform's servers answer it."""
 
     def __init__(self, codec: MessageCodec) -> None:
-        super().__init__({"probe_path": PATH}, None)
+        super().__init__(PATH)
         self._codec = codec
 
-    def report_in(self, answer: Any) -> Load | None:
+    def read_report(self, answer: Any) -> Load | None:
         """Return the load report that an answer carries, or None."""
         if answer.code != 200 or not answer.body:
             return None
@@ -83,7 +83,7 @@
                 outcome: HealthCheckOutcome
                 load: Load | None
                 try:
-                    outcome, load = await self._http.exchange(address, TIMEOUT / SECOND)
+                    outcome, load = await self._http.check(address, TIMEOUT / SECOND)
                 except Exception:  # a check that is never reported would be the server's last
                     outcome = HealthCheckOutcome.ERROR
                     load = None
--- a/indigodeck/frontends/sasp/conversation.py
+++ b/indigodeck/frontends/sasp/conversation.py
@@ -1,7 +1,7 @@
 """What is said on SASP connections, free of I/O: who is registered for what, and what each is told.
 
 A load balancer is a proxy, a group is a class, a member is a server; the weights of a group are the class's
-table as the desk holds it for that proxy. Nothing is weighed here: what can't be told by a weight is said by
+table as the planner_host holds it for that proxy. Nothing is weighed here: what can't be told by a weight is said by
 a flag, and where there is no table yet, that there is no opinion (docs/sasp.md).
 """
 
@@ -46,13 +46,13 @@
 
 
 class RegistrationRegistry:
-    """All conversations of one planner's SASP front. `desk` holds the tables; `clerk` is the program around:
+    """All conversations of one planner's SASP front. `planner_host` holds the tables; `clerk` is the program around:
     `proxy(uid)` a number for it or None, `joined(proxy, uid)`, `left(proxy)`, `server_at(place)` an index or
     None, `address(server)` (address, port), `in_contact(server)`, `quiesced(place, on)`, `note(event, **facts)`.
     """
 
-    def __init__(self, desk, clerk, classes, bounds, interval, span):
-        self.desk, self.clerk, self.bounds = desk, clerk, bounds
+    def __init__(self, planner_host, clerk, classes, bounds, interval, span):
+        self.planner_host, self.clerk, self.bounds = planner_host, clerk, bounds
         self.interval, self.span = interval, span
         self.places = {name.encode(): place for place, name in enumerate(classes)}
         self.names = {place: name.encode() for place, name in enumerate(classes)}
@@ -62,7 +62,7 @@
         """The newest connection speaks for an id: the older is most often a broken one that nobody noticed.
         Two that take it from each other by turns are told apart from that by their pace, and the newest waits.
         """
-        older, now = self.balancers.get(uid), self.desk.now()
+        older, now = self.balancers.get(uid), self.planner_host.now()
         if older is conversation:
             return True
         lately = [at for at in self.taken.get(uid, ()) if now - at < self.span]
@@ -91,7 +91,7 @@
     """One connection. `line`: `send(bytes)` answers, `due()` says that weights wait, `close(why)`."""
 
     def __init__(self, office, line):
-        self.office, self.desk, self.line = office, office.desk, line
+        self.office, self.planner_host, self.line = office, office.planner_host, line
         self.uid = self.proxy = None
         self.push = self.trust = self.no_change = False
         self.groups = {}  # class's place: Group
@@ -100,7 +100,7 @@
 
     def read(self, message):
         if self.proxy is not None:
-            self.desk.spoke(self.proxy)
+            self.planner_host.on_proxy_request(self.proxy)
         try:
             codec.dispatch(message, self, self.office.bounds)
         except MalformedSaspMessageError as error:
@@ -286,7 +286,7 @@
         return DONE
 
     def _lines(self, name, speaker):
-        return self.desk.view(speaker.proxy, self.office.places[name]) or {}
+        return self.planner_host.table_for(speaker.proxy, self.office.places[name]) or {}
 
     def answered(self, number, kind, code):
         raise MalformedSaspMessageError(f"a reply ({kind:#06x}) to nothing that was asked")
@@ -319,7 +319,7 @@
 
     def _whole(self, place):
         """All that a group's members are told, and kept as told."""
-        group, lines = self.groups[place], self.desk.view(self.proxy, place)
+        group, lines = self.groups[place], self.planner_host.table_for(self.proxy, place)
         entries = self._no_table(group) if lines is None else self._table(group, lines)
         for entry in entries:
             group.told[entry.member.endpoint()] = entry.weight, entry.flags, entry.state
@@ -333,7 +333,7 @@
 
     def _entry(self, group, where, weight, server):
         # By what is withdrawn, never by the list: a host that is wrongly listed as gone may be kept on purpose.
-        out = server in self.desk.withdrawn or where in group.quiet
+        out = server in self.planner_host.ejected_servers or where in group.quiet
         flags = (QUIESCED if out else 0) | (BY_BALANCER if where in group.by_balancer else 0)
         if server is not None:
             flags |= CONFIDENT | (CONTACT if self.office.clerk.in_contact(server) else 0)
@@ -365,7 +365,7 @@
         for where in sorted(group.members):
             entries.append(self._entry(group, where, NEUTRAL, self.office.clerk.server_at(where)))
         held = {entry.member.endpoint() for entry in entries}
-        for server in sorted(self.desk.withdrawn):
+        for server in sorted(self.planner_host.ejected_servers):
             # It may hold such a host from an earlier connection, and never have registered it.
             where = self.office.clerk.address(server)
             if self.trust and where and where not in held:
--- a/indigodeck/frontends/sasp/server.py
+++ b/indigodeck/frontends/sasp/server.py
@@ -89,11 +89,11 @@
 
     async def _allowed(self):
         """A relay that asks too often waits; what it sends meanwhile stays in its own socket."""
-        while wait := self._allowance().answer_in(self.front.now()):
+        while wait := self._allowance().answer_wait(self.front.now()):
             await sleep(wait / SECOND)
 
     async def _admitted(self):
-        if not await self.front.service.admitted():
+        if not await self.front.service.proxies.wait_for_admission():
             self.close("too many relays wait to join")
         if self.stream.closed() or self.closing is not None:
             raise StreamClosedError  # it did not wait for its turn, and would be told all for nothing
@@ -104,12 +104,12 @@
     async def _answer(self):
         answers, self.answers = self.answers, []
         for data in answers:
-            self._allowance().wrote(self.front.now(), answer=True)
+            self._allowance().on_written(self.front.now(), is_answer=True)
             await self._sent(data)
 
     async def _sent(self, data):
         proxy = self.conversation.proxy
-        if proxy is not None and not self.front.service.may_write(proxy):
+        if proxy is not None and not self.front.service.leadership.may_write(proxy):
             # Another may be in charge by now: asked here and not before, for much may have passed since it was queued.
             raise StreamClosedError
         # A peer that reads nothing holds up its own connection, and not for ever.
@@ -125,17 +125,17 @@
                 await self.wanted.wait()
                 self.wanted.clear()
                 # Registered or not, what is withdrawn waits until it can be told; one message at a time.
-                while wait := self._allowance().order_in(self.front.now()):
+                while wait := self._allowance().order_wait(self.front.now()):
                     await sleep(wait / SECOND)
                 proxy = self.conversation.proxy
-                parcel = self.front.desk.take(proxy) if proxy is not None else None
+                parcel = self.front.planner_host.take_updates(proxy) if proxy is not None else None
                 data = self.conversation.news()
                 if data is not None:
-                    self._allowance().wrote(self.front.now())
+                    self._allowance().on_written(self.front.now())
                     await self._sent(data)
                     await self._taken()
                 if parcel is not None and (data is not None or self.conversation.groups):
-                    self.front.desk.acknowledged(parcel, by_program=False)
+                    self.front.planner_host.on_delivered(parcel, by_program=False)
         except StreamClosedError:
             pass
         except DeadlineExceededError:
@@ -165,21 +165,21 @@
     """Listens for load balancers and members. `service`: the program around (planner/service.py)."""
 
     def __init__(self, service, settings):
-        super().__init__(max_buffer_size=2 * settings.fronts["sasp"].get("message_bytes", 1 << 20))
-        stated = settings.fronts["sasp"]
-        self.service, self.desk = service, service.desk
+        super().__init__(max_buffer_size=2 * settings.frontends["sasp"].max_message_bytes)
+        stated = settings.frontends["sasp"]
+        self.service, self.planner_host = service, service.planner_host
         bounds = codec.Bounds(
-            stated.get("message_bytes", 1 << 20),
-            stated.get("groups", 64),
-            stated.get("members", 1024),
+            stated.max_message_bytes,
+            stated.max_groups,
+            stated.max_members,
         )
         self.span = settings.deployment.channel.message_window
         self.office = RegistrationRegistry(
-            self.desk, self, settings.classes, bounds, stated.get("interval_s", 5), self.span
+            self.planner_host, self, settings.class_names, bounds, stated.poll_interval_s, self.span
         )
-        self.connections = stated.get("connections", 4096)
-        self.message_time = stated.get("message_ms", 5000) / 1000
-        self.deaf_time = stated.get("deaf_ms", 60_000) / 1000
+        self.connections = stated.max_connections
+        self.message_time = stated.message_timeout / SECOND
+        self.deaf_time = stated.stalled_timeout / SECOND
         self.lines, self.uids = set(), {}
 
     def now(self):
@@ -207,7 +207,7 @@
             self.lines.discard(line)
 
     def allowance(self, who):
-        return self.service.allowance(who)
+        return self.service.proxies.message_quota(who)
 
     def doors(self, open):
         """Open while another controller is in charge, too: who dials is refused with a code, and goes on to the next."""
@@ -241,31 +241,31 @@
     # What the office asks of the program.
 
     def proxy(self, uid):
-        if not self.service.may_serve(uid.decode("utf-8", "replace")):
+        if not self.service.leadership.may_serve(uid.decode("utf-8", "replace")):
             return None
-        number = self.service.proxy_number(uid)
+        number = self.service.proxies.proxy_index(uid)
         if number is not None:
             self.uids[number] = uid
         return number
 
     def joined(self, proxy, uid):
         # What an earlier connection wrote before its id was known here counts as well.
-        self.service.joined(self, proxy, uid.decode("utf-8", "replace"))
+        self.service.proxies.on_proxy_joined(self, proxy, uid.decode("utf-8", "replace"))
 
     def left(self, proxy):
-        self.service.left(self, proxy)
+        self.service.proxies.on_proxy_left(self, proxy)
 
     def server_at(self, where):
-        return self.service.server_at(where)
+        return self.service.endpoints.server_at(where)
 
     def address(self, server):
-        return self.service.address(server)
+        return self.service.endpoints.address_of(server)
 
     def in_contact(self, server):
-        return self.service.in_contact(server)
+        return self.service.health_checker.answered_recently(server)
 
     def quiesced(self, where, on):
-        return self.service.quiesced(where, on)
+        return self.service.endpoints.on_host_quiesced(where, on)
 
     def note(self, event, **facts):
         self.service.note(event, front="sasp", **facts)
--- a/indigodeck/frontends/xds/health_checks.py
+++ b/indigodeck/frontends/xds/health_checks.py
@@ -9,18 +9,20 @@
 from xds.data.orca.v3 import orca_load_report_pb2
 from xds.service.orca.v3 import orca_pb2
 
-from ...planner.health_inference import report_of
+from ...assignment.interface import HealthCheckOutcome
+from ...planner.host_client import CheckResult
+from ...planner.host_reports import read_host_report
 
 OUTCOMES = {
-    grpc.StatusCode.DEADLINE_EXCEEDED: "silent",
-    grpc.StatusCode.UNAVAILABLE: "unreachable",
-    grpc.StatusCode.RESOURCE_EXHAUSTED: "full",
+    grpc.StatusCode.DEADLINE_EXCEEDED: HealthCheckOutcome.SILENT,
+    grpc.StatusCode.UNAVAILABLE: HealthCheckOutcome.UNREACHABLE,
+    grpc.StatusCode.RESOURCE_EXHAUSTED: HealthCheckOutcome.FULL,
 }
 STREAM = "/xds.service.orca.v3.OpenRcaService/StreamCoreMetrics"
 PAUSE = 1.0  # between two calls for reports of a host that does not give them
 
 
-class GrpcReach:
+class GrpcHostClient:
     """`method`: the path of an exchange that may be done twice; `period`: microseconds between reports."""
 
     def __init__(self, method, period):
@@ -66,21 +68,21 @@
         if message.rps_fractional:
             given["rps_fractional"] = message.rps_fractional
         try:
-            return report_of(given, dict(message.named_metrics))
+            return read_host_report(given, dict(message.named_metrics))
         except (TypeError, ValueError, OverflowError):
             return None
 
-    async def exchange(self, where, patience):
+    async def check(self, where, patience):
         held = self._host(where)
         call = held["channel"].unary_unary(self.method)(
             b"", timeout=patience, metadata=[("relay", "planner")]
         )
         try:
             await call
-            outcome = "ok"
+            outcome = HealthCheckOutcome.OK
         except grpc.aio.AioRpcError as error:
-            outcome = OUTCOMES.get(error.code(), "error")
-        return outcome, self._trailing(await call.trailing_metadata())
+            outcome = OUTCOMES.get(error.code(), HealthCheckOutcome.ERROR)
+        return CheckResult(outcome, self._trailing(await call.trailing_metadata()))
 
     def _trailing(self, metadata):
         for key, value in metadata or ():
@@ -93,7 +95,7 @@
                 return self._read(message) if message.rps_fractional else None
         return None
 
-    async def report(self, where, patience):
+    async def fetch_report(self, where, patience):
         last = self._host(where)["last"]
         return last
 
--- a/indigodeck/frontends/xds/server.py
+++ b/indigodeck/frontends/xds/server.py
@@ -64,7 +64,10 @@
     async def _read(self):
         while (request := await self.context.read()) is not grpc.aio.EOF:
             if self.stream is None:
-                if not self.front.joined(request.node) and not await self.front.service.admitted():
+                if (
+                    not self.front.joined(request.node)
+                    and not await self.front.service.proxies.wait_for_admission()
+                ):
                     raise streams.LimitExceededError("too many relays wait to join")
                 self.relay = self.front.introduced(request.node)
                 self.stream = self.relay.opened(self, self.delta)
@@ -96,21 +99,21 @@
             self.wanted.clear()
             self.relay.take()
             while True:
-                allowance = self.front.service.allowance(self.relay.uid)
-                while wait := allowance.order_in(self.front.service.now()):
+                allowance = self.front.service.proxies.message_quota(self.relay.uid)
+                while wait := allowance.order_wait(self.front.service.now()):
                     await asyncio.sleep(wait / SECOND)
                 self.relay.take()  # the newest, after whatever it waited for
                 # Answers to subscriptions have a part of the limit: a relay that asks for ever delays no order to it.
-                wait = allowance.answer_in(self.front.service.now())
+                wait = allowance.answer_wait(self.front.service.now())
                 kind = self.stream.news(only=(codec.ENDPOINTS,) if wait else codec.KINDS)
                 if kind is None:
                     if wait:
                         asyncio.get_running_loop().call_later(wait / SECOND, self.wanted.set)
                     break
                 # What answers a subscription is told apart from orders: only endpoints change by themselves.
-                allowance.wrote(self.front.service.now(), answer=kind != codec.ENDPOINTS)
+                allowance.on_written(self.front.service.now(), is_is_answer=kind != codec.ENDPOINTS)
                 answer, self.outbox = self.outbox, None
-                if not self.front.service.may_write(self.relay.proxy):
+                if not self.front.service.leadership.may_write(self.relay.proxy):
                     # Another may be in charge by now: asked here, for much may have passed since it was made.
                     return self.end()
                 await self.context.write(answer)
@@ -122,17 +125,20 @@
     """`service`: the program around (planner/service.py)."""
 
     def __init__(self, service, settings):
-        stated = settings.fronts["xds"]
-        self.service, self.desk, self.settings = service, service.desk, settings
-        self.bounds = streams.Bounds(stated.get("names", 256), stated.get("streams", 16))
-        self.most = stated.get("relays", 4096)
+        stated = settings.frontends["xds"]
+        self.service, self.planner_host, self.settings = service, service.planner_host, settings
+        self.bounds = streams.Bounds(stated.max_resource_names, stated.max_streams)
+        self.most = stated.max_proxies
         self.shelf = streams.ResourceCache(
-            self.desk, self, {name: place for place, name in enumerate(settings.classes)}, scaled
+            self.planner_host,
+            self,
+            {name: place for place, name in enumerate(settings.class_names)},
+            scaled,
         )
         self.known, self.relays = {}, {}  # by id; by proxy
-        keep = round(stated.get("keepalive_ms", 10_000))
+        keep = stated.keepalive_ms
         self.options = [
-            ("grpc.max_receive_message_length", stated.get("message_bytes", 1 << 20)),
+            ("grpc.max_receive_message_length", stated.max_message_bytes),
             ("grpc.keepalive_time_ms", keep),
             ("grpc.keepalive_timeout_ms", keep),
             ("grpc.so_reuseport", 0),
@@ -198,31 +204,33 @@
 
     def joined(self, node):
         """Whether this relay has other streams here already."""
-        return codec.place_of(node, self.settings.halls)[0] in self.known
+        return codec.place_of(node, self.settings.zone_names)[0] in self.known
 
     def introduced(self, node):
-        uid, hall = codec.place_of(node, self.settings.halls)
+        uid, hall = codec.place_of(node, self.settings.zone_names)
         relay = self.known.get(uid)
         if relay is not None and self.relays.get(relay.proxy) is relay:
             return relay
         if not uid or len(uid) > 255:
             raise streams.LimitExceededError("a node needs an id of 1 to 255 characters")
-        if not self.service.may_serve(uid, hall):
+        if not self.service.leadership.may_serve(uid, hall):
             raise streams.NotLeaderError("another controller is in charge")
-        proxy = self.service.proxy_number(uid.encode()) if len(self.known) < self.most else None
+        proxy = (
+            self.service.proxies.proxy_index(uid.encode()) if len(self.known) < self.most else None
+        )
         if proxy is None:
             raise streams.LimitExceededError("too many relays")
         relay = self.known[uid] = self.relays[proxy] = streams.Relay(
-            uid, proxy, self.shelf, self.desk, self, self.bounds
+            uid, proxy, self.shelf, self.planner_host, self, self.bounds
         )
-        self.service.joined(self, proxy, uid, hall)
+        self.service.proxies.on_proxy_joined(self, proxy, uid, hall)
         return relay
 
     def closed(self, relay, stream):
         relay.closed(stream)
         if not relay.streams and self.relays.get(relay.proxy) is relay:
             del self.relays[relay.proxy], self.known[relay.uid]
-            self.service.left(self, relay.proxy)
+            self.service.proxies.on_proxy_left(self, relay.proxy)
 
     def replaced(self, proxy):
         """The relay speaks through another front now: its streams here are told nothing more."""
@@ -248,7 +256,7 @@
                 known = self.known.get(relay)
                 for name, span, refused, met in codec.reports_in(request):
                     if known is not None and name in places:
-                        self.reports_read += self.service.told(
+                        self.reports_read += self.service.proxies.on_proxy_report(
                             known.proxy,
                             places[name],
                             span,
@@ -262,7 +270,7 @@
                         )
                 await asyncio.sleep(0)
         finally:
-            self.service.sums.stream_ended(mine)
+            self.service.demand_aggregator.on_stream_ended(mine)
 
     # What the service and streams ask.
 
@@ -272,19 +280,19 @@
             relay.due()
 
     def standing_of(self, places):
-        """Nothing is told but by tables and withdrawals, which the desk tells of."""
+        """Nothing is told but by tables and withdrawals, which the planner_host tells of."""
 
     def host(self, server):
-        return self.service.host(server)
+        return self.service.endpoints.endpoint_of(server)
 
     def refused(self, uid, name, version):
-        self.service.refused(uid, name, version)
+        self.service.leadership.on_content_rejected(uid, name, version)
 
     def refusals(self, uid):
-        return self.service.refusals(uid)
+        return self.service.leadership.rejected_content(uid)
 
     def epoch(self, proxy):
-        return self.service.epoch(self.service.hall_of.get(proxy, 0)) or 0
+        return self.service.leadership.lease_epoch(self.service.proxies.zone_of.get(proxy, 0)) or 0
 
     def note(self, event, **facts):
         self.service.note(event, front="xds", **facts)
--- a/indigodeck/frontends/xds/streams.py
+++ b/indigodeck/frontends/xds/streams.py
@@ -34,12 +34,17 @@
 
 
 class ResourceCache:
-    """The resources as one relay should see them. `classes` may change while streams are open; `desk` holds tables;
+    """The resources as one relay should see them. `classes` may change while streams are open; `planner_host` holds tables;
     `clerk.host(server)` gives (hall, id, address, port) or None.
     """
 
-    def __init__(self, desk, clerk, classes, scaled):
-        self.desk, self.clerk, self.classes, self.scaled = desk, clerk, dict(classes), scaled
+    def __init__(self, planner_host, clerk, classes, scaled):
+        self.planner_host, self.clerk, self.classes, self.scaled = (
+            planner_host,
+            clerk,
+            dict(classes),
+            scaled,
+        )
         self.fixed = {}
 
     def names(self):
@@ -56,7 +61,10 @@
                 None,
                 lambda: (codec.cluster if kind == CLUSTER else codec.listener)(name),
             )
-        edition, (level, way) = self.desk.edition(proxy, place), self.desk.level(proxy, place)
+        edition, (level, way) = (
+            self.planner_host.revision_of(proxy, place),
+            self.planner_host.admission_for(proxy, place),
+        )
         if kind == ROUTE:
             return self._made((kind, name, way), None, lambda: codec.route(name, max(0, way - 1)))
         if edition is None:
@@ -73,14 +81,14 @@
         return held[1]
 
     def _endpoints(self, name, place, proxy, level):
-        lines = self.desk.view(proxy, place)
+        lines = self.planner_host.table_for(proxy, place)
         weights = self.scaled(lines)
         told = [host + (weights[server],) for server in lines if (host := self.clerk.host(server))]
         out = [
             host + (0,)
-            for server in self.desk.withdrawn
-            if self.desk.standing(server) is not None
-            and self.desk.standing(server).state == ServerState.DRAINING
+            for server in self.planner_host.ejected_servers
+            if self.planner_host.endpoint(server) is not None
+            and self.planner_host.endpoint(server).state == ServerState.DRAINING
             and (host := self.clerk.host(server))
         ]
         return codec.endpoints(name, told, out, min(1.0, max(0.0, level)))
@@ -314,8 +322,8 @@
             if held.held.get(name) == version
         }
         waiting = self.relay.parcels_out()
-        self.relay.parcels = [parcel for parcel in waiting if not parcel.places <= holds]
-        self.relay.settled([parcel for parcel in waiting if parcel.places <= holds], True)
+        self.relay.parcels = [parcel for parcel in waiting if not parcel.class_indices <= holds]
+        self.relay.settled([parcel for parcel in waiting if parcel.class_indices <= holds], True)
 
 
 class Relay:
@@ -323,12 +331,12 @@
     `refused(uid, class, version)`, `refusals(uid)`: {class: version} of earlier streams, here or elsewhere.
     """
 
-    def __init__(self, uid, proxy, shelf, desk, clerk, bounds):
-        self.uid, self.proxy, self.shelf, self.desk, self.clerk, self.bounds = (
+    def __init__(self, uid, proxy, shelf, planner_host, clerk, bounds):
+        self.uid, self.proxy, self.shelf, self.planner_host, self.clerk, self.bounds = (
             uid,
             proxy,
             shelf,
-            desk,
+            planner_host,
             clerk,
             bounds,
         )
@@ -367,8 +375,8 @@
         return self.clerk.refusals(self.uid) if kind == ENDPOINTS else {}
 
     def take(self):
-        """What waits at the desk is on its way now: with the next endpoints that any stream sends."""
-        parcel = self.desk.take(self.proxy)
+        """What waits at the planner_host is on its way now: with the next endpoints that any stream sends."""
+        parcel = self.planner_host.take_updates(self.proxy)
         if parcel is not None:
             self.parcels = (self.parcels + [parcel])[-64:]
 
@@ -381,7 +389,7 @@
         unanswered, as they would if the stream broke.
         """
         for parcel in parcels if taken else ():
-            self.desk.acknowledged(parcel)
+            self.planner_host.on_delivered(parcel)
 
     def due(self):
         for stream in self.streams:
--- a/indigodeck/planner/cached_endpoint_list.py
+++ b/indigodeck/planner/cached_endpoint_list.py
@@ -1,193 +1,213 @@
-"""Starting without a list, free of I/O: how far the last list kept on disk may be gone by, and for how long.
+"""Starting without an endpoint list, free of I/O: how far the last list that was stored may be gone by, and for how long.
 
-What was kept is a belief. An entry counts once its host has answered an exchange of the planner's own; who does not answer is
-left out, however young the list, and tried again; who answers after it had not is taken for one that has just started. Drains
-that were known stay drained, unproved: believing them costs little. Nothing is published before half of the weight that was
-kept has answered, or all have been tried: the first few to answer would be brought everybody's exchanges. Relays go on with
-what they hold meanwhile.
+An entry of the cached list counts once its host has answered a health check of the planner's own. A host that does not
+answer is left out, however young the list, and checked again; one that answers after it had not is taken for one that
+has just started. Drains that were known stay drained, unproved: believing them costs little. Nothing is published before
+half of the cached weight has answered, or all hosts have been checked: the first few to answer would be brought
+everybody's requests. Proxies go on with what they hold meanwhile.
 
-A list from its keeper ends the belief at once, but for one that is older than what was kept: its keeper may have come back from
-an old copy. Then what it names more is tried like the rest, and what was kept goes on counting until a list is newer.
+A list from its source ends this at once, unless it is older than the cached one: its source may have come back from an
+old copy. Then what it names beyond the cached list is checked like the rest, and the cached list goes on counting until a
+list is newer.
 """
 
-from typing import Protocol
+from collections.abc import Callable, Iterable
+from typing import Any, Protocol
 
-SECOND = 1_000_000
-PATIENCE = 1 * SECOND  # for the list itself, before anything is gone by
-AT_ONCE = 32  # hosts that are tried at one time
-AGAIN = 5 * SECOND  # until who did not answer is tried again
-ENOUGH = 0.5  # of the weight that was kept
-HALF_LIFE = (
-    24 * 3600 * SECOND
-)  # of trust by age alone: what is told to people, and for who can't be tried
+from ..clock import SECOND
+from .endpoint_list import Entry
+
+LIST_TIMEOUT = 1 * SECOND  # for the list itself, before the cached one is gone by
+MAX_CHECKS_AT_ONCE = 32
+CHECK_INTERVAL = SECOND // 4
+RECHECK_AFTER = 5 * SECOND  # until a host that did not answer is checked again
+QUORUM = 0.5  # of the cached weight, before anything is published
+# Of trust by age alone: what operators are told, and for hosts that can't be checked.
+TRUST_HALF_LIFE = 24 * 3600 * SECOND
+MAX_LOGGED_HOSTS = 20
 
 
 class Environment(Protocol):
-    """What a belief may ask of the program around it."""
+    """What a cached list may ask of the program around it."""
 
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """Return the time on a clock that never goes back."""
 
-    def wall(self) -> int: ...
+    def wall(self) -> int:
+        """Return the time of day, in microseconds since 1970."""
 
-    def later(self, after: int, call) -> None: ...
+    def later(self, after: int, call: Callable[[], None]) -> None:
+        """Call back after this time."""
 
-    def prove(self, host: dict) -> None:
-        """Try an exchange on this host; `proved` or `disproved` is called with its id."""
+    def check_cached_host(self, entry: Entry) -> None:
+        """Check a host's health; `on_answer` or `on_no_answer` is called with its id."""
 
-    def believed(self, hosts: list, fresh: bool) -> None:
-        """Go by these entries: all there are (`fresh`), or changes of them."""
+    def use_cached_entries(self, entries: list[Entry], is_first: bool) -> None:
+        """Go by these entries: all there are (`is_first`), or more of them."""
 
-    def note(self, event: str, **facts) -> None: ...
+    def note(self, event: str, **facts: Any) -> None:
+        """Write a line to the log."""
 
 
 class CachedEndpointList:
-    """`kept`: {"hosts": [entry as a list has it], "at": wall clock in microseconds, ..}; `tries`: whether hosts may be tried."""
-
-    def __init__(self, host, kept, tries=True):
-        self.host, self.tries, self.kept_at = host, tries, kept["at"]
-        self.entries = {
-            entry["id"]: dict(entry) for entry in kept["hosts"] if entry["state"] != "gone"
+    """Checks the hosts of a stored list, and has those that answer used until a newer list comes.
+
+    `record` is {"hosts": [entry], "at": wall clock in microseconds, ..} as it was stored.
+    `checks_enabled`: whether hosts may be checked; otherwise all are taken at the list's word.
+    """
+
+    def __init__(
+        self, environment: Environment, record: dict[str, Any], checks_enabled: bool = True
+    ) -> None:
+        self.environment = environment
+        self.checks_enabled = checks_enabled
+        self.superseded = False  # a newer list has come
+        self._stored_at: int = record["at"]
+        self._entries: dict[str, Entry] = {
+            entry["id"]: dict(entry) for entry in record["hosts"] if entry["state"] != "gone"
         }
-        self.there, self.missing, self.underway, self.told, self.over = (
-            set(),
-            {},
-            set(),
-            None,
-            False,
-        )
-        host.later(PATIENCE, self._begin)
+        self._answering: set[str] = set()
+        self._silent_since: dict[str, int] = {}
+        self._in_progress: set[str] = set()
+        self._published: set[str] | None = None  # None: the cached list is not gone by yet
+        environment.later(LIST_TIMEOUT, self._begin)
+
+    def on_answer(self, host_id: str) -> None:
+        """Take note that a host has answered its check."""
+        self._in_progress.discard(host_id)
+        if self.superseded or host_id not in self._entries:
+            return
+        if host_id in self._silent_since:
+            del self._silent_since[host_id]
+            # It was not there a moment ago: whatever the list says of its start, this is a new one.
+            self._entries[host_id]["started_ms"] = self.environment.wall() // 1000
+        self._answering.add(host_id)
+        self._publish(without_quorum=False)
+        self._check_next()
+
+    def on_no_answer(self, host_id: str) -> None:
+        """Take note that a host did not answer its check, or with an error."""
+        self._in_progress.discard(host_id)
+        if self.superseded or host_id not in self._entries:
+            return
+        self._silent_since[host_id] = self.environment.now()
+        self._publish(without_quorum=False)
+        self._check_next()
 
-    def _begin(self):
-        if self.over:
+    def on_list(self, entries: dict[str, Entry]) -> None:
+        """End this: a list that counts has come from its source, by ids."""
+        if self.superseded:
             return
-        self.host.note("starting from the list that was kept", **self.figures())
-        self.told = set()
-        if not self.tries:
-            # Nobody may be tried: its age is all there is to go by, and who drains.
-            self.there = set(self._ready())
-            self._publish(True)
+        self.superseded = True
+        if self._published is None:
+            return  # in time: the cached list was never gone by
+        self.environment.note(
+            "cached_list_superseded",
+            more=len(entries.keys() - self._entries.keys()),
+            fewer=len(self._entries.keys() - entries.keys()),
+            **self.figures(),
+        )
+
+    def on_stale_list(self, entries: dict[str, Entry]) -> None:
+        """Have checked what a list that is older than the cached one names beyond it."""
+        added = {
+            host_id: entry
+            for host_id, entry in entries.items()
+            if host_id not in self._entries and entry["state"] == "ready"
+        }
+        if not added or self.superseded:
             return
-        self._turn()
+        self.environment.note("stale_list_names_more", hosts=sorted(added)[:MAX_LOGGED_HOSTS])
+        self._entries.update((host_id, dict(entry)) for host_id, entry in added.items())
+
+    def trust(self) -> float:
+        """Return how far the cached list is proved, from 0 to 1.
 
-    def _ready(self):
-        return [name for name, entry in self.entries.items() if entry["state"] == "ready"]
+        That is the share of its weight that answers, or what its age leaves where nothing is checked.
+        """
+        if not self.checks_enabled:
+            return round(0.5 ** (self._age() / TRUST_HALF_LIFE), 3)
+        ready_weight = self._weight(self._ready())
+        return round(self._weight(self._answering) / ready_weight, 3) if ready_weight else 0.0
+
+    def figures(self) -> dict[str, Any]:
+        """Return what operators and the log are told."""
+        return {
+            "age_s": self._age() // SECOND,
+            "named": len(self._entries),
+            "answer": len(self._answering),
+            "do_not": len(self._silent_since),
+            "trust": self.trust(),
+        }
 
-    def _weight(self, names):
-        return sum(self.entries[name].get("weight", 1.0) for name in names)
+    def _age(self) -> int:
+        return max(0, self.environment.wall() - self._stored_at)
 
-    def _turn(self):
-        if self.over:
+    def _begin(self) -> None:
+        if self.superseded:
             return
-        now = self.host.now()
-        due = [
-            name
-            for name in self._ready()
-            if name not in self.there
-            and name not in self.underway
-            and now - self.missing.get(name, -AGAIN) >= AGAIN
-        ]
-        for name in sorted(due, key=lambda name: (name in self.missing, name))[
-            : AT_ONCE - len(self.underway)
-        ]:
-            self.underway.add(name)
-            self.host.prove(self.entries[name])
-        self.host.later(SECOND // 4, self._turn)
-
-    def proved(self, name):
-        self.underway.discard(name)
-        if self.over or name not in self.entries:
+        self.environment.note("cached_list_checked", **self.figures())
+        self._published = set()
+        if not self.checks_enabled:
+            self._answering = set(self._ready())
+            self._publish(without_quorum=True)
             return
-        if name in self.missing:
-            del self.missing[name]
-            # It was not there a moment ago: whatever the list says of its start, this is a new one.
-            self.entries[name]["started_ms"] = self.host.wall() // 1000
-        self.there.add(name)
-        self._publish(False)
-        self._more()
-
-    def disproved(self, name):
-        self.underway.discard(name)
-        if self.over or name not in self.entries:
+        self._check_due()
+
+    def _check_due(self) -> None:
+        """Check who was not yet, and who has long been silent; again after CHECK_INTERVAL."""
+        if self.superseded:
             return
-        self.missing[name] = self.host.now()
-        self._publish(False)
-        self._more()
-
-    def _more(self):
-        """Those that wait for their turn are tried as soon as others have been."""
-        untried = [
-            name
-            for name in self._ready()
-            if name not in self.there and name not in self.missing and name not in self.underway
+        now = self.environment.now()
+        due = [
+            host_id
+            for host_id in self._unproved()
+            if now - self._silent_since.get(host_id, -RECHECK_AFTER) >= RECHECK_AFTER
         ]
-        for name in sorted(untried)[: AT_ONCE - len(self.underway)]:
-            self.underway.add(name)
-            self.host.prove(self.entries[name])
+        self._check(sorted(due, key=lambda host_id: (host_id in self._silent_since, host_id)))
+        self.environment.later(CHECK_INTERVAL, self._check_due)
 
-    def _publish(self, at_once):
-        ready = self._ready()
-        if not self.told and not at_once:
-            tried = len(self.there) + len(self.missing) >= len(ready)
-            if (
-                not self.there
-                or self._weight(self.there) < ENOUGH * self._weight(ready)
-                and not tried
-            ):
-                return
-        draining = [entry for entry in self.entries.values() if entry["state"] == "draining"]
-        first = not self.told
-        new = sorted(self.there - self.told)
-        if first:
-            self.host.note("going by the list that was kept", **self.figures())
-            self.host.believed([self.entries[name] for name in new] + draining, True)
-        elif new:
-            self.host.believed([self.entries[name] for name in new], False)
-        self.told = set(self.there)
-
-    # What the list's keeper says after all.
-
-    def listed(self, hosts):
-        """A list that counts has come: {id: entry} of what it names."""
-        if self.over:
-            return
-        self.over = True
-        if self.told is None:
-            return  # in time: nothing was gone by
-        self.host.note(
-            "the list has come",
-            more=len(hosts.keys() - self.entries.keys()),
-            fewer=len(self.entries.keys() - hosts.keys()),
-            **self.figures(),
+    def _check_next(self) -> None:
+        """Check hosts that wait for their turn as soon as others have been."""
+        self._check(
+            sorted(host_id for host_id in self._unproved() if host_id not in self._silent_since)
         )
 
-    def older(self, hosts):
-        """A list that is older than what was kept: {id: entry}. What it names more may be there: it is tried."""
-        more = {
-            name: entry
-            for name, entry in hosts.items()
-            if name not in self.entries and entry["state"] == "ready"
-        }
-        if more and not self.over:
-            self.host.note(
-                "a list older than the one that was kept names more", hosts=sorted(more)[:20]
-            )
-            self.entries.update((name, dict(entry)) for name, entry in more.items())
-
-    # What people are told.
-
-    def trust(self):
-        """From 0 to 1: how much of the kept weight is proved, or where nothing is tried what its age leaves of it."""
-        age = max(0, self.host.wall() - self.kept_at)
-        ready = self._weight(self._ready())
-        if not self.tries:
-            return round(0.5 ** (age / HALF_LIFE), 3)
-        return round(self._weight(self.there) / ready, 3) if ready else 0.0
-
-    def figures(self):
-        return {
-            "age_s": max(0, self.host.wall() - self.kept_at) // SECOND,
-            "named": len(self.entries),
-            "answer": len(self.there),
-            "do_not": len(self.missing),
-            "trust": self.trust(),
-        }
+    def _check(self, host_ids: list[str]) -> None:
+        for host_id in host_ids[: MAX_CHECKS_AT_ONCE - len(self._in_progress)]:
+            self._in_progress.add(host_id)
+            self.environment.check_cached_host(self._entries[host_id])
+
+    def _unproved(self) -> list[str]:
+        return [
+            host_id
+            for host_id in self._ready()
+            if host_id not in self._answering and host_id not in self._in_progress
+        ]
+
+    def _ready(self) -> list[str]:
+        return [host_id for host_id, entry in self._entries.items() if entry["state"] == "ready"]
+
+    def _weight(self, host_ids: Iterable[str]) -> float:
+        return sum(self._entries[host_id].get("weight", 1.0) for host_id in host_ids)
+
+    def _publish(self, without_quorum: bool) -> None:
+        already_used = self._published or set()
+        if not already_used and not without_quorum and not self._has_quorum():
+            return
+        added = [self._entries[host_id] for host_id in sorted(self._answering - already_used)]
+        if not already_used:
+            draining = [entry for entry in self._entries.values() if entry["state"] == "draining"]
+            self.environment.note("cached_list_used", **self.figures())
+            self.environment.use_cached_entries(added + draining, True)
+        elif added:
+            self.environment.use_cached_entries(added, False)
+        self._published = set(self._answering)
+
+    def _has_quorum(self) -> bool:
+        if not self._answering:
+            return False
+        ready = self._ready()
+        if len(self._answering) + len(self._silent_since) >= len(ready):
+            return True  # all have been checked
+        return self._weight(self._answering) >= QUORUM * self._weight(ready)
--- a/indigodeck/planner/demand_aggregation.py
+++ b/indigodeck/planner/demand_aggregation.py
@@ -1,103 +1,240 @@
-"""Sums of what relays tell of, free of I/O: taken in at any rate, let through at the rate that the assigner expects.
+"""Sums of the proxies' own load reports, free of I/O: taken in at any rate, handed on at the rate that the assigner expects.
 
-Relays that report (xDS load reports) tell what they met at each server and what came to them. The assigner is handed at
-most so many lines a second, the oldest first; what has to wait adds up with what comes meanwhile, so nothing is lost
-and nothing is queued twice. Bounded by servers times halls and relays times classes.
+Proxies that report (xDS load reports) tell what they met at each server and what came to them. The assigner is handed
+at most so many reports a second, the oldest first; what has to wait adds up with what comes meanwhile, so nothing is
+lost and nothing is queued twice. Bounded by servers times zones and proxies times classes.
 """
 
-SECOND = 1_000_000
+from collections.abc import Callable, Hashable, Iterable
+from dataclasses import dataclass
+from typing import NamedTuple, Protocol
 
+from ..assignment.interface import DemandReport, LoadReport
+from ..clock import SECOND
 
-class Sum:
-    def __init__(self, since):
-        self.since, self.tries, self.failed, self.took, self.good, self.span = since, 0, 0, 0, 0, 0
+MAX_COUNT = 1 << 31  # of requests in one report: more is no figure that anybody met
+SPAN_TOLERANCE_PERIODS = 3  # by which a stream's reports may run ahead of the time it was open
+REPORTS_STALE_AFTER_PERIODS = 4  # from when on a proxy counts as one that does not report
+
+
+class ReportSink(Protocol):
+    """What takes in the reports (`planner_host.PlannerHost`)."""
+
+    def now(self) -> int:
+        """Return the time on a clock that never goes back."""
+
+    def on_load_report(self, report: LoadReport) -> None:
+        """Take in what proxies met at a server."""
+
+    def on_demand_report(self, report: DemandReport) -> None:
+        """Take in what came to a proxy."""
+
+
+class ServerFigures(NamedTuple):
+    """What a proxy met at one server; `mean_latency` is of the attempts that did not fail."""
+
+    server: int
+    attempts: int
+    failures: int
+    mean_latency: int
+
+
+class ProxyReport(NamedTuple):
+    """One proxy's report on one class over `span`.
+
+    `rejected` requests were turned away by the proxy itself. `stream` stands for the connection
+    that brought the report.
+    """
+
+    proxy: int
+    zone: int
+    class_index: int
+    span: int
+    servers: tuple[ServerFigures, ...]
+    rejected: int
+    stream: Hashable
+
+
+@dataclass(slots=True)
+class _ServerSum:
+    """What the proxies of a zone met at a server since the last report of it."""
+
+    since: int
+    attempts: int = 0
+    failures: int = 0
+    total_latency: int = 0
+    timed_attempts: int = 0
+    span: int = 0
+
+    def add(self, figures: ServerFigures, attempts: int, failures: int, span: int) -> None:
+        self.attempts += attempts
+        self.failures += failures
+        self.span = max(self.span, span)
+        successes = attempts - failures
+        if figures.mean_latency and successes > 0:
+            self.total_latency += figures.mean_latency * successes
+            self.timed_attempts += successes
+
+
+@dataclass(slots=True)
+class _DemandSum:
+    """What came to a proxy for a class since the last report of it."""
+
+    since: int
+    requests: int = 0
+    failures: int = 0
+    span: int = 0
+
+
+@dataclass(slots=True)
+class _StreamClock:
+    """How much time a stream's reports on one class cover, beside the time it has been open."""
+
+    opened_at: int
+    covered: int = 0
 
 
 class DemandAggregator:
-    """`desk`: its `heard`, `demand`, `now` are called. `lines_per_s`: lines let through a second."""
+    """Adds reports up, and hands the sums to `sink` at most `reports_per_second`.
+
+    `dropped` counts reports that were left out as sent twice or by a clock that runs fast.
+    """
 
-    def __init__(self, desk, lines_per_s, report_period):
-        self.desk, self.rate, self.period = desk, lines_per_s, report_period
-        self.met, self.brought = {}, {}  # (zone, server): Sum; (proxy, place): Sum
-        self.spent, self.spent_at = 0.0, desk.now()
-        self.spans, self.known, self.dropped = {}, {}, 0
+    def __init__(self, sink: ReportSink, reports_per_second: float, report_period: int) -> None:
+        self.sink = sink
+        self.reports_per_second = reports_per_second
+        self.report_period = report_period
+        self.dropped = 0
+        self._server_sums: dict[tuple[int, int], _ServerSum] = {}  # by zone and server
+        self._demand_sums: dict[tuple[int, int], _DemandSum] = {}  # by proxy and class
+        self._spent = 0.0  # reports of late, drained at the rate allowed
+        self._spent_at = sink.now()
+        self._stream_clocks: dict[tuple[Hashable, int], _StreamClock] = {}  # by stream and class
+        self._last_report_at: dict[int, int] = {}  # by proxy
 
-    def told(self, proxy, zone, place, span, met, refused, stream):
-        """One relay's report on one class over `span`: met: [(server, issued, failed, mean time of good ones)].
+    def on_proxy_report(self, report: ProxyReport) -> bool:
+        """Take in a report; return whether it counted.
 
-        Spans of one stream can't add up to more than the time that it has been open: what would is a report sent
-        twice, or a clock that runs fast, and is left out.
+        The spans of one stream can't add up to more than the time that it has been open: what would
+        is a report sent twice, or a clock that runs fast, and is left out.
         """
-        now = self.desk.now()
-        opened, heard = self.spans.setdefault((stream, place), (now, 0))
-        if span <= 0 or heard + span > now - opened + 3 * self.period:
+        now = self.sink.now()
+        if not self._covers_new_time(report, now):
             self.dropped += 1
             return False
-        self.spans[stream, place] = opened, heard + span
-        came, lost = refused, 0
-        for server, tries, failed, took in met:
-            tries, failed = min(tries, 1 << 31), min(failed, tries, 1 << 31)
-            came, lost = came + tries, lost + failed
-            if tries:
-                held = self.met.setdefault((zone, server), Sum(now))
-                held.tries, held.failed, held.span = (
-                    held.tries + tries,
-                    held.failed + failed,
-                    max(held.span, span),
-                )
-                if took and tries > failed:
-                    held.took, held.good = (
-                        held.took + took * (tries - failed),
-                        held.good + tries - failed,
-                    )
-        held = self.brought.setdefault((proxy, place), Sum(now))
-        held.tries, held.failed, held.span = held.tries + came, held.failed + lost, held.span + span
-        self.known[proxy] = now
+        requests = report.rejected
+        lost = 0
+        for figures in report.servers:
+            attempts = min(figures.attempts, MAX_COUNT)
+            failures = min(figures.failures, attempts, MAX_COUNT)
+            requests += attempts
+            lost += failures
+            if attempts:
+                key = (report.zone, figures.server)
+                server_sum = self._server_sums.setdefault(key, _ServerSum(now))
+                server_sum.add(figures, attempts, failures, report.span)
+        demand = self._demand_sums.setdefault((report.proxy, report.class_index), _DemandSum(now))
+        demand.requests += requests
+        demand.failures += lost
+        demand.span += report.span
+        self._last_report_at[report.proxy] = now
+        return True
+
+    def _covers_new_time(self, report: ProxyReport, now: int) -> bool:
+        clock = self._stream_clocks.setdefault(
+            (report.stream, report.class_index), _StreamClock(now)
+        )
+        allowed = now - clock.opened_at + SPAN_TOLERANCE_PERIODS * self.report_period
+        if report.span <= 0 or clock.covered + report.span > allowed:
+            return False
+        clock.covered += report.span
         return True
 
-    def stream_ended(self, stream):
-        for key in [key for key in self.spans if key[0] == stream]:
-            del self.spans[key]
+    def on_stream_ended(self, stream: Hashable) -> None:
+        """Forget a stream."""
+        for key in [key for key in self._stream_clocks if key[0] == stream]:
+            del self._stream_clocks[key]
 
-    def left(self, proxy):
-        self.known.pop(proxy, None)
-        for key in [key for key in self.brought if key[0] == proxy]:
-            del self.brought[key]
+    def on_proxy_left(self, proxy: int) -> None:
+        """Forget a proxy and what it brought; what it met at servers stays."""
+        self._last_report_at.pop(proxy, None)
+        for key in [key for key in self._demand_sums if key[0] == proxy]:
+            del self._demand_sums[key]
 
-    def tells(self, proxy):
-        """Whether a relay reports for itself, lately enough that nothing need be guessed of it."""
-        return self.desk.now() - self.known.get(proxy, -SECOND * 1000) < 4 * self.period
+    def reports_recently(self, proxy: int) -> bool:
+        """Return whether a proxy reports for itself, so that nothing need be inferred of it."""
+        last = self._last_report_at.get(proxy, -SECOND * 1000)
+        return self.sink.now() - last < REPORTS_STALE_AFTER_PERIODS * self.report_period
 
-    def turn(self, fresh, usual=lambda server: 0):
-        """Lets lines through. `fresh(server)`: whether the server is still listed; `usual(server)`: how long exchanges
-        take there by its own word, for relays that count but don't time. Returns the servers heard of.
+    def hand_on(
+        self, is_listed: Callable[[int], bool], usual_latency: Callable[[int], int] = lambda _: 0
+    ) -> set[int]:
+        """Hand the oldest sums to the sink, as many as the rate allows.
+
+        Sums of servers that are no longer listed are dropped. `usual_latency` is what a server itself
+        says its requests take, for proxies that count but don't time.
+
+        Returns
+        -------
+        The servers that were reported on.
         """
-        now = self.desk.now()
-        self.spent = max(0.0, self.spent - (now - self.spent_at) * self.rate / SECOND)
-        self.spent_at = now
-        room = int(max(0.0, self.rate * self.period / SECOND - self.spent))
-        oldest = sorted(
-            [(held.since, 0, key) for key, held in self.met.items()]
-            + [(held.since, 1, key) for key, held in self.brought.items()]
+        now = self.sink.now()
+        reported = set()
+        for is_demand, key in self._oldest(self._budget(now)):
+            self._spent += 1
+            if is_demand:
+                self._report_demand(key)
+                continue
+            _, server = key
+            server_sum = self._server_sums.pop(key)
+            if is_listed(server):
+                reported.add(server)
+                self._report_server(key, server_sum, now, usual_latency)
+        return reported
+
+    def _budget(self, now: int) -> int:
+        drained = (now - self._spent_at) * self.reports_per_second / SECOND
+        self._spent = max(0.0, self._spent - drained)
+        self._spent_at = now
+        per_period = self.reports_per_second * self.report_period / SECOND
+        return int(max(0.0, per_period - self._spent))
+
+    def _oldest(self, count: int) -> Iterable[tuple[bool, tuple[int, int]]]:
+        waiting = [(one.since, False, key) for key, one in self._server_sums.items()]
+        waiting += [(one.since, True, key) for key, one in self._demand_sums.items()]
+        return [(is_demand, key) for _, is_demand, key in sorted(waiting)[:count]]
+
+    def _report_demand(self, key: tuple[int, int]) -> None:
+        proxy, class_index = key
+        demand = self._demand_sums.pop(key)
+        self.sink.on_demand_report(
+            DemandReport(proxy, class_index, demand.requests, demand.failures, max(demand.span, 1))
+        )
+
+    def _report_server(
+        self,
+        key: tuple[int, int],
+        server_sum: _ServerSum,
+        now: int,
+        usual_latency: Callable[[int], int],
+    ) -> None:
+        zone, server = key
+        mean_latency = 0
+        if server_sum.timed_attempts:
+            mean_latency = server_sum.total_latency // server_sum.timed_attempts
+        elif server_sum.attempts > server_sum.failures:
+            mean_latency = usual_latency(server)
+        self.sink.on_load_report(
+            LoadReport(
+                zone,
+                server,
+                server_sum.attempts,
+                server_sum.failures,
+                mean_latency,
+                max(server_sum.span, now - server_sum.since),
+            )
         )
-        heard = set()
-        for since, which, key in oldest[:room]:
-            held = (self.brought if which else self.met).pop(key)
-            self.spent += 1
-            span = max(held.span, now - since)
-            if which:
-                self.desk.demand(*key, held.tries, held.failed, max(held.span, 1))
-            elif fresh(key[1]):
-                heard.add(key[1])
-                took = (
-                    held.took // held.good
-                    if held.good
-                    else usual(key[1])
-                    if held.tries > held.failed
-                    else 0
-                )
-                self.desk.heard(*key, held.tries, held.failed, took, span, None)
-        return heard
-
-    def waiting(self):
-        return len(self.met) + len(self.brought)
+
+    def waiting_count(self) -> int:
+        """Return how many sums wait to be handed on."""
+        return len(self._server_sums) + len(self._demand_sums)
--- a/indigodeck/planner/endpoint_list.py
+++ b/indigodeck/planner/endpoint_list.py
@@ -1,120 +1,198 @@
-"""The list of hosts as a planner is given it, free of I/O: which list counts, and what it says.
+"""The endpoint list as a planner is given it, free of I/O: which list counts, and what it says.
 
 Lists come from a file or a service, whole or as changes, late, twice or out of order. A list older than the
 one held is left aside; changes that don't follow on it are asked for again as a whole.
 """
 
+from collections.abc import Iterable, Sequence
+from typing import Any, Protocol
+
 from ..assignment.interface import Server, ServerState, UpdateKind
 from ..json_documents import InvalidDocumentError, load_schema, parse_document
+from .id_registry import IdRegistry
 
 SCHEMA = load_schema(__file__, "endpoint_list.schema.json")
-STATES = {"ready": ServerState.READY, "draining": ServerState.DRAINING, "gone": ServerState.GONE}
+SERVER_STATES = {
+    "ready": ServerState.READY,
+    "draining": ServerState.DRAINING,
+    "gone": ServerState.GONE,
+}
+MICROSECONDS_PER_MILLISECOND = 1000
+
+Entry = dict[str, Any]  # a host as the document states it (`endpoint_list.schema.json`)
+
 
+def parse_endpoint_list(text: str | bytes) -> dict[str, Any]:
+    """Read a list's document, {"version", "kind", "hosts": [..]}.
 
-def read(text):
-    """A list's document, checked: {"version", "kind", "hosts": [..]}."""
-    document, seen = parse_document(text, SCHEMA, "roster"), set()
-    for place, host in enumerate(document["hosts"]):
-        if host["id"] in seen:
-            raise InvalidDocumentError(f"roster: hosts/{place}/id: {host['id']!r} stands twice")
-        seen.add(host["id"])
+    Raises
+    ------
+    InvalidDocumentError
+        If it does not follow its schema, or names a host twice; the message names the place.
+    """
+    document = parse_document(text, SCHEMA, "roster")
+    seen = set()
+    for index, entry in enumerate(document["hosts"]):
+        if entry["id"] in seen:
+            raise InvalidDocumentError(f"roster: hosts/{index}/id: {entry['id']!r} stands twice")
+        seen.add(entry["id"])
     return document
 
 
+class Listener(Protocol):
+    """What is told of the endpoint list."""
+
+    def on_endpoint_update(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
+        """Take in what the list says now, or what changed in it."""
+
+    def on_stale_list(self, entries: dict[str, Entry]) -> None:
+        """Take note of a list that is older than the one that counts, by ids."""
+
+    def fetch_endpoint_list(self) -> None:
+        """Fetch the whole list: changes are missing."""
+
+    def note(self, event: str, **facts: Any) -> None:
+        """Write a line to the log."""
+
+
 class EndpointList:
-    """Holds the newest list and tells the desk what it says.
+    """Holds the newest list and tells its listener what it says.
 
-    `halls`, `kinds`: names in the charter's order; `clock_gap`: microseconds from the wall clock, in which
-    lists state starts, to the planner's own clock. The host has `listed(kind, servers)`, `older(hosts)`, `ask()`, `note(text)`.
+    `zone_names` and `machine_type_names` are in the order of the settings. `clock_gap` is from the
+    planner's own clock to the wall clock, in which lists state starts (microseconds).
+    `oldest_accepted` is the version and epoch of a list that was cached: an older one is no first
+    list either. `quiesced_ids` are hosts that say of themselves that they take no new work.
     """
 
-    def __init__(self, host, door, halls, kinds, clock_gap):
-        self.host, self.door, self.clock_gap = host, door, clock_gap
-        self.halls = {name: place for place, name in enumerate(halls)}
-        self.kinds = {name: place for place, name in enumerate(kinds)}
-        self.version, self.epoch = None, 0
-        self.floor = (
-            None  # (version, epoch) of a list that was kept: an older one is no first list either
-        )
-        self.hosts, self.quiet = {}, set()
-
-    def whole(self, document):
-        version, epoch = (
-            self.floor or (-1, 0) if self.version is None else (self.version, self.epoch)
-        )
+    def __init__(
+        self,
+        listener: Listener,
+        server_ids: IdRegistry,
+        zone_names: Sequence[str],
+        machine_type_names: Sequence[str],
+        clock_gap: int,
+    ) -> None:
+        self.listener = listener
+        self.server_ids = server_ids
+        self.clock_gap = clock_gap
+        self.version: int | None = None
+        self.epoch = 0
+        self.oldest_accepted: tuple[int, int] | None = None
+        self.entries: dict[str, Entry] = {}
+        self.quiesced_ids: set[str] = set()
+        self._zone_indices = {name: index for index, name in enumerate(zone_names)}
+        self._machine_types = {name: index for index, name in enumerate(machine_type_names)}
+
+    def apply(self, document: dict[str, Any]) -> None:
+        """Take in a document of either kind."""
+        if document.get("kind") == "changes":
+            self.apply_changes(document)
+        else:
+            self.apply_whole(document)
+
+    def apply_whole(self, document: dict[str, Any]) -> None:
+        """Take in a list of all hosts, unless it is older than what is held."""
+        version = document["version"]
+        epoch = document.get("epoch", 0)
+        held_version, held_epoch = self._held()
         # A service that starts again may count from the start again; its epoch says so.
-        if document["version"] < version and document.get("epoch", 0) <= epoch:
-            self.host.older({host["id"]: host for host in document["hosts"]})
-            return self.host.note(f"list {document['version']} is older than {version}: left aside")
-        first, self.version, self.epoch = (
-            self.version is None,
-            document["version"],
-            document.get("epoch", 0),
-        )
-        self.hosts = {host["id"]: host for host in document["hosts"] if host["state"] != "gone"}
-        self.quiet &= self.hosts.keys()
+        if version < held_version and epoch <= held_epoch:
+            self.listener.on_stale_list({entry["id"]: entry for entry in document["hosts"]})
+            self.listener.note("endpoint_list_stale", version=version, held_version=held_version)
+            return
         # The first list after a start says nothing of what changed: processes in it may be long up.
-        self.host.listed(
-            UpdateKind.CACHED if first else UpdateKind.WHOLE, self.servers(self.hosts.values())
-        )
-
-    def changes(self, document):
-        if self.version is None or document["version"] != self.version + 1:
-            if self.version is not None and document["version"] <= self.version:
-                return  # sent twice
-            return self.host.ask()
-        self.version = document["version"]
-        for host in document["hosts"]:
-            if host["state"] == "gone":
-                self.hosts.pop(host["id"], None)
+        kind = UpdateKind.CACHED if self.version is None else UpdateKind.WHOLE
+        self.version = version
+        self.epoch = epoch
+        self.entries = {
+            entry["id"]: entry for entry in document["hosts"] if entry["state"] != "gone"
+        }
+        self.quiesced_ids &= self.entries.keys()
+        self.listener.on_endpoint_update(kind, self._servers(self.entries.values()))
+
+    def apply_changes(self, document: dict[str, Any]) -> None:
+        """Take in changes that follow on the version held; others have the list fetched."""
+        version = document["version"]
+        if self.version is None or version > self.version + 1:
+            self.listener.fetch_endpoint_list()
+            return
+        if version <= self.version:
+            return  # sent twice
+        self.version = version
+        for entry in document["hosts"]:
+            if entry["state"] == "gone":
+                self.entries.pop(entry["id"], None)
             else:
-                self.hosts[host["id"]] = host
-        self.host.listed(UpdateKind.CHANGES, self.servers(document["hosts"]))
+                self.entries[entry["id"]] = entry
+        self.listener.on_endpoint_update(UpdateKind.CHANGES, self._servers(document["hosts"]))
 
-    def kept(self):
-        """What of the list should outlast a restart."""
+    def _held(self) -> tuple[int, int]:
+        if self.version is not None:
+            return self.version, self.epoch
+        return self.oldest_accepted or (-1, 0)
+
+    def to_record(self) -> dict[str, Any]:
+        """Return what of the list outlasts a restart, as it is stored."""
         return {
             "version": self.version,
             "epoch": self.epoch,
-            "hosts": list(self.hosts.values()),
-            "quiet": sorted(self.quiet),
+            "hosts": list(self.entries.values()),
+            "quiet": sorted(self.quiesced_ids),
         }
 
-    def believed(self, kept, hosts, fresh):
-        """Entries of a list that was kept, as far as they are believed. Lists older than it are left aside as ever."""
-        self.version, self.epoch = kept["version"], kept["epoch"]
-        self.hosts = {**({} if fresh else self.hosts), **{host["id"]: host for host in hosts}}
-        self.quiet = set(kept["quiet"]) & self.hosts.keys()
-        self.host.listed(UpdateKind.CACHED if fresh else UpdateKind.CHANGES, self.servers(hosts))
-
-    def quiesced(self, address, port, on):
-        """A host says of itself that it takes no new work, or takes it again; sooner than any list."""
-        for name, host in self.hosts.items():
-            if (host["address"], host["port"]) == (address, port):
-                (self.quiet.add if on else self.quiet.discard)(name)
-                self.host.listed(UpdateKind.CHANGES, self.servers([host]))
+    def restore(self, record: dict[str, Any], entries: Sequence[Entry], is_first: bool) -> None:
+        """Go by these entries of a stored record: all there are (`is_first`), or more of them.
+
+        Lists older than the record are left aside as ever.
+        """
+        self.version = record["version"]
+        self.epoch = record["epoch"]
+        restored = {entry["id"]: entry for entry in entries}
+        self.entries = restored if is_first else {**self.entries, **restored}
+        self.quiesced_ids = set(record["quiet"]) & self.entries.keys()
+        kind = UpdateKind.CACHED if is_first else UpdateKind.CHANGES
+        self.listener.on_endpoint_update(kind, self._servers(entries))
+
+    def set_quiesced(self, address: str, port: int, quiesced: bool) -> bool:
+        """Take a host's own word that it takes no new work, or takes it again; sooner than any list.
+
+        Returns
+        -------
+        Whether the list names a host at this address.
+        """
+        for host_id, entry in self.entries.items():
+            if (entry["address"], entry["port"]) == (address, port):
+                if quiesced:
+                    self.quiesced_ids.add(host_id)
+                else:
+                    self.quiesced_ids.discard(host_id)
+                self.listener.on_endpoint_update(UpdateKind.CHANGES, self._servers([entry]))
                 return True
         return False
 
-    def servers(self, hosts):
-        return [self.server(host) for host in hosts]
-
-    def server(self, host):
-        started = host.get("started_ms", 0) * 1000
-        # Before the planner's own clock began, or long ago: the same to the assigner.
-        started = max(0, started - self.clock_gap) if started else 0
-        state = (
-            ServerState.DRAINING
-            if host["id"] in self.quiet and host["state"] == "ready"
-            else STATES[host["state"]]
-        )
+    def _servers(self, entries: Iterable[Entry]) -> list[Server]:
+        return [self._server(entry) for entry in entries]
+
+    def _server(self, entry: Entry) -> Server:
+        host_id = entry["id"]
         return Server(
-            self.door.index(host["id"]),
-            host["id"].encode(),
-            host.get("cell", 0),
-            self.kinds.get(host.get("kind"), len(self.kinds)),
-            self.halls.get(host.get("hall"), 0),
-            float(host.get("weight", 1.0)),
-            started,
-            state,
+            index=self.server_ids.index(host_id),
+            stable_id=host_id.encode(),
+            cell=entry.get("cell", 0),
+            machine_type=self._machine_types.get(entry.get("kind", ""), len(self._machine_types)),
+            zone=self._zone_indices.get(entry.get("hall", ""), 0),
+            weight=float(entry.get("weight", 1.0)),
+            started=self._started(entry),
+            state=self._state(entry),
         )
+
+    def _started(self, entry: Entry) -> int:
+        """Return when a host's process started, on the planner's clock; 0: before that began."""
+        started = entry.get("started_ms", 0) * MICROSECONDS_PER_MILLISECOND
+        return max(0, started - self.clock_gap) if started else 0
+
+    def _state(self, entry: Entry) -> ServerState:
+        state = SERVER_STATES[entry["state"]]
+        if state == ServerState.READY and entry["id"] in self.quiesced_ids:
+            return ServerState.DRAINING
+        return state
--- a/indigodeck/planner/health_checks.py
+++ b/indigodeck/planner/health_checks.py
@@ -1,68 +1,132 @@
-"""How a planner reaches hosts: a real exchange as a probe, and the host's load report, over HTTP.
-
-Reports are read in the JSON form of an ORCA header, `endpoint-load-metrics: JSON {..}`. Over gRPC see fronts/xds/reach.py.
-"""
-
-import json
-
-from tornado.httpclient import HTTPClientError, HTTPRequest
-from tornado.simple_httpclient import HTTPStreamClosedError, HTTPTimeoutError, SimpleAsyncHTTPClient
-
-from .health_inference import report_of
-
-HEADER = "endpoint-load-metrics"
-
-
-def authority(place):
-    """(address, port) as it stands in a URL."""
-    return f"[{place[0]}]:{place[1]}" if ":" in place[0] else f"{place[0]}:{place[1]}"
-
-
-class HttpReach:
-    """`reports`: the charter's section; `safe`: a class whose exchanges may be done twice."""
-
-    def __init__(self, reports, safe):
-        self.path, self.probe = (
-            reports.get("path", "/load"),
-            reports.get("probe_path", f"/exchange/{safe}"),
-        )
-        self.client = SimpleAsyncHTTPClient(
-            force_instance=True, max_clients=512, max_body_size=1 << 20
-        )
-
-    async def exchange(self, where, patience):
-        """(outcome as the assigner knows them, report or None)"""
-        return await self._fetch(where, self.probe, patience)
-
-    async def report(self, where, patience):
-        return (await self._fetch(where, self.path, patience))[1]
-
-    async def _fetch(self, where, path, patience):
-        request = HTTPRequest(
-            f"http://{authority(where)}{path}",
-            connect_timeout=min(patience, 1.0),
-            request_timeout=patience,
-            headers={"Relay": "planner"},
-        )
-        try:
-            answer = await self.client.fetch(request, raise_error=False)
-        except HTTPTimeoutError:
-            return "silent", None
-        except HTTPStreamClosedError:
-            return "broken", None
-        except (OSError, HTTPClientError):
-            return "unreachable", None
-        outcome = "ok" if answer.code < 400 else "full" if answer.code == 503 else "error"
-        return outcome, self.report_in(answer)
-
-    def report_in(self, answer):
-        """The load report that an answer carries, or None."""
-        kind, _, text = answer.headers.get(HEADER, "").strip().partition(" ")
-        try:
-            given = json.loads(text) if kind == "JSON" else None
-            return report_of(given, given.get("named_metrics", {}))
-        except (AttributeError, TypeError, ValueError, OverflowError):
-            return None
-
-    def close(self):
+"""Health checks and load reports of hosts: whom to ask when is `health_inference`'s, the asking is here."""
+
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from tornado.ioloop import IOLoop, PeriodicCallback
+
+from ..assignment.interface import HealthCheckOutcome
+from ..clock import SECOND, now
+from .health_inference import HealthInference
+from .host_client import Address, CheckResult, HostClient
+from .planner_settings import PlannerSettings
+
+DUE_INTERVAL_MS = 50  # between two looks at which checks are due
+RECENT_PERIODS = 3  # a host that answered within so many report periods is there
+# A host answered a check, whatever it said.
+ANSWERS = (HealthCheckOutcome.OK, HealthCheckOutcome.ERROR, HealthCheckOutcome.FULL)
+# A host takes requests, though it may refuse one.
+ALIVE = (HealthCheckOutcome.OK, HealthCheckOutcome.FULL)
+
+
+class HealthChecker:
+    """Sends the checks of one planner and fetches the hosts' load reports.
+
+    `address_of` gives a server's address or None. `on_assigner_check(server, outcome, latency, load)`
+    is called with the end of each check that the assigner asked for. `timeout` is how long an answer
+    is waited for (microseconds): the shortest deadline of all classes.
+    """
+
+    def __init__(
+        self,
+        settings: PlannerSettings,
+        client: HostClient,
+        inference: HealthInference,
+        address_of: Callable[[int], Address | None],
+        on_assigner_check: Callable[..., None],
+    ) -> None:
+        self.client = client
+        self.timeout = min(one.deadline for one in settings.deployment.classes)
+        self._inference = inference
+        self._address_of = address_of
+        self._on_assigner_check = on_assigner_check
+        self._report_period = settings.deployment.report_period
+        self._class_indices = {name: index for index, name in enumerate(settings.class_names)}
+        self._answered_at: dict[int, int] = {}
+        self._timer: PeriodicCallback | None = None
+        if settings.reports.checks_enabled:
+            self._timer = PeriodicCallback(self._check_due, DUE_INTERVAL_MS)
+
+    def start(self) -> None:
+        """Begin to send checks of the planner's own accord, where the settings allow any."""
+        if self._timer is not None:
+            self._timer.start()
+
+    def close(self) -> None:
+        """Stop, and close all connections."""
+        if self._timer is not None:
+            self._timer.stop()
         self.client.close()
+
+    def check_for_assigner(self, server: int) -> None:
+        """Check a host; the assigner is told the end."""
+        self._spawn(self._check, server, self._end_assigner_check)
+
+    async def is_alive(self, address: Address) -> bool:
+        """Check a host that no list names yet; return whether it takes requests."""
+        result = await self.client.check(address, self.timeout / SECOND)
+        return result.outcome in ALIVE
+
+    def answered_recently(self, server: int) -> bool:
+        """Return whether a host has answered of late."""
+        last = self._answered_at.get(server, -10 * SECOND)
+        return now() - last < RECENT_PERIODS * self._report_period
+
+    def fetch_reports(self) -> None:
+        """Ask all hosts for their load reports, spread over half of the report period."""
+        servers = sorted(self._inference.hosts)
+        period_s = self._report_period / SECOND
+        for position, server in enumerate(servers):
+            delay_s = period_s * position / (2 * len(servers))
+            IOLoop.current().call_later(delay_s, self._spawn, self._fetch_report, server)
+
+    def _check_due(self) -> None:
+        for server in self._inference.due(now()):
+            self._spawn(self._check, server, self._end_own_check)
+
+    async def _check(self, server: int, on_end: Callable[..., None]) -> None:
+        address = self._address_of(server)
+        started_at = now()
+        result = CheckResult(HealthCheckOutcome.UNREACHABLE)
+        if address is not None:
+            result = await self.client.check(address, self.timeout / SECOND)
+        ended_at = now()
+        if result.outcome in ANSWERS:
+            self._answered_at[server] = ended_at
+        self._take_report(server, result.report, ended_at)
+        on_end(server, result.outcome, ended_at - started_at, ended_at)
+
+    def _end_assigner_check(
+        self, server: int, outcome: HealthCheckOutcome, latency: int, ended_at: int
+    ) -> None:
+        self._on_assigner_check(server, outcome, latency, None)
+
+    def _end_own_check(
+        self, server: int, outcome: HealthCheckOutcome, latency: int, ended_at: int
+    ) -> None:
+        self._inference.on_check(server, outcome, latency, ended_at)
+
+    async def _fetch_report(self, server: int) -> None:
+        address = self._address_of(server)
+        if address is None:
+            return
+        report = await self.client.fetch_report(address, self._report_period / SECOND)
+        if report is None:
+            self._inference.on_no_report(server)
+            return
+        self._take_report(server, report, now())
+        self._answered_at[server] = now()
+
+    def _take_report(self, server: int, report: Any, at: int) -> None:
+        if report is None:
+            return
+        by_class = {
+            self._class_indices[name]: rate
+            for name, rate in report.completed_by_class.items()
+            if name in self._class_indices
+        }
+        self._inference.on_host_report(server, report._replace(completed_by_class=by_class), at)
+
+    @staticmethod
+    def _spawn(function: Callable[..., Coroutine[Any, Any, None]], *arguments: Any) -> None:
+        IOLoop.current().add_callback(function, *arguments)
--- a/indigodeck/planner/health_inference.py
+++ b/indigodeck/planner/health_inference.py
@@ -1,264 +1,360 @@
-"""What the assigner must hear and a protocol doesn't carry, worked out from hosts' own reports and from probes.
+"""What the assigner must hear and a protocol doesn't carry, worked out from hosts' own load reports and from health checks.
 
-A weight-advice protocol tells a planner neither what relays met at a server nor what comes to them. What a
-planner can know: the load report that each host gives when asked (exchanges completed and failed a second,
-exchanges in hand, the time its work takes), and real exchanges that it sends itself. From these:
+A weight-advice protocol tells a planner neither what proxies met at a server nor what comes to them. What a planner can
+know: the load report that each host gives when asked (requests completed and failed a second, requests in flight, the
+time its work takes), and real requests that it sends itself. From these:
 
 - Time at a host is the longer of what it says its work takes and what it holds over what it completes
   (Little's law, L = lambda W: J. D. C. Little, "A Proof for the Queuing Formula", 1961), for the time that
   a host states leaves out waiting.
-- A host that holds exchanges and completes none, while probes on it go unanswered, fails what it holds,
+- A host that holds requests and completes none, while checks of it go unanswered, fails what it holds,
   whatever its other figures say: a hung host reports the least use of its cores of all.
-- What comes to relays is what hosts complete and fail, by class where hosts tell, parted evenly over relays:
-  which relay brings how much is unknowable here, and so is what relays refuse or give up.
+- What comes to proxies is what hosts complete and fail, by class where hosts tell, parted evenly over proxies:
+  which proxy brings how much is unknowable here, and so is what proxies reject or give up.
 
-Times are whole microseconds, rates a second. Nothing here does I/O: the shell asks `due` whom to ask, tells what
-came back, and calls `turn` once a period.
+Times are whole microseconds, rates a second. Nothing here does I/O: the program asks `due` whom to check, tells what
+came back, and calls `report` once a period.
 """
 
 from collections import deque
+from collections.abc import Callable, Collection, Iterable
 from itertools import zip_longest
 from typing import NamedTuple
 
-SECOND = 1_000_000
-# A host is tried more closely from its first bad sign until it has shown so many good ones in a row: so often in a
-# period that one period suffices for the assigner, which judges nobody by fewer than eight tries.
-CLOSELY, REASSURED = 12, 4
-# It judges by the median of servers heard of so often, too: in an idle fleet a suspect alone would be its own median, so
-# some that answer are tried as closely.
-WITNESSES = 2
-# `due` is asked far more often than this while the planner runs. Whatever was under way when it was not, has waited for the
-# planner: one that had been stopped for 3 s read 3 s into every answer, and closed its levels to a third.
-STOOD = 250_000
-
-
-class Report(NamedTuple):
-    """A host's load report: part of its cores busy, exchanges in hand, work time in microseconds, exchanges
-    completed and failed a second (None where not told), the same by class.
-    """
+from ..assignment.interface import (
+    DemandReport,
+    HealthCheckOutcome,
+    LoadReport,
+    Server,
+    ServerState,
+)
+from ..clock import SECOND
+from ..settings import DeploymentSettings
+from .demand_aggregation import ReportSink
+from .host_reports import HostReport
+
+# A suspect is checked so often in a period that one period suffices for the assigner, which judges nobody by fewer than
+# eight attempts.
+SUSPECT_CHECKS_PER_PERIOD = 12
+# So many good signs in a row clear a suspect.
+GOOD_SIGNS_TO_CLEAR = 4
+# The assigner judges by the median of servers that were checked so often, too: in an idle fleet a suspect alone would be
+# its own median, so some that answer are checked as closely.
+CONTROL_COUNT = 2
+# `due` is asked far more often than this while the planner runs. Whatever was in flight when it was not, has waited for
+# the planner: one that had been stopped for 3 s read 3 s into every answer, and closed its admission to a third.
+STALL_THRESHOLD = SECOND // 4
+REPORT_FRESH_PERIODS = 3  # a report counts for so many periods; older, it tells of another day
+REPORTS_KEPT = 4
+CHECKS_KEPT = 32
+
+
+class Check(NamedTuple):
+    """A health check that ended at this time, after `latency`."""
+
+    ended_at: int
+    succeeded: bool
+    latency: int
+
+
+class Met(NamedTuple):
+    """What one host is taken to have done in a period; `mean_latency` is of the good attempts."""
+
+    attempts: int
+    failures: int
+    mean_latency: int
+
+
+class DemandTotals(NamedTuple):
+    """What all hosts completed and failed a second: in all, by class, and what the classes add up to."""
+
+    rate: float
+    rate_by_class: dict[int, float]
+    classified_rate: float
+
+
+class HostEvidence:
+    """What is known of one host: its last reports, and the checks of this period and the last."""
+
+    def __init__(self) -> None:
+        self.reports: deque[tuple[int, HostReport]] = deque(maxlen=REPORTS_KEPT)
+        self.checks: deque[Check] = deque(maxlen=CHECKS_KEPT)
+        self.is_suspect = False
+        self.good_signs = 0  # in a row
+        self.checked_at = -1
+        self.checks_in_flight = 0
+
+    def add_report(self, report: HostReport, at: int) -> None:
+        """Keep a report, unless it is older than what is held: it is late and says nothing new."""
+        if not self.reports or at > self.reports[-1][0]:
+            self.reports.append((at, report))
+
+    def add_sign(self, is_good: bool) -> None:
+        """Count a sign of life, or the lack of one."""
+        self.good_signs = self.good_signs + 1 if is_good else 0
+        still_suspect = self.is_suspect and self.good_signs < GOOD_SIGNS_TO_CLEAR
+        self.is_suspect = not is_good or still_suspect
+
+    def fresh_report(self, now: int, report_period: int) -> HostReport | None:
+        """Return the last report if it still counts."""
+        if self.reports and now - self.reports[-1][0] < REPORT_FRESH_PERIODS * report_period:
+            return self.reports[-1][1]
+        return None
+
+    def last_load(self) -> dict[str, float] | None:
+        """Return the columns of the last report, however old."""
+        return self.reports[-1][1].load() if self.reports else None
+
+    def met(self, since: int, span: int, report: HostReport | None) -> Met:
+        """Work out what the host did over `span`, by its report and the checks since then."""
+        checks = [check for check in self.checks if check.ended_at > since]
+        failed_checks = sum(not check.succeeded for check in checks)
+        latencies = [check.latency for check in checks if check.succeeded]
+        completed = 0
+        failed = 0
+        latency = 0
+        if report is not None and report.completed is not None:
+            completed = round(report.completed * span / SECOND)
+            failed = round(report.failed * span / SECOND)
+            latency = _reported_latency(report)
+            if failed_checks and not latencies and not completed:
+                # It takes requests and gives nothing back: what it holds is lost, though it says it is idle.
+                failed += max(round(report.in_flight), 0)
+        elif report is not None:
+            latency = report.work_time
+        succeeded = completed + len(latencies)
+        failures = failed + failed_checks
+        if not succeeded:
+            return Met(failures, failures, 0)
+        mean_latency = (latency * completed + sum(latencies)) // succeeded
+        return Met(succeeded + failures, failures, mean_latency)
 
-    cores_busy: float
-    in_hand: float
-    work_time: int
-    completed: float | None = None
-    failed: float = 0.0
-    by_class: dict = {}
-
-
-def report_of(given, named):
-    """A report from the fields of an ORCA load report and its named metrics; what they hold may be of any type."""
-    by_class = {
-        name.removeprefix("rps."): float(value)
-        for name, value in named.items()
-        if name.startswith("rps.")
-    }
-    failed, rps = float(given.get("eps", 0.0)), given.get("rps_fractional")
-    figures = [
-        float(given.get("cpu_utilization", 0.0)),
-        float(named.get("inflight", 0.0)),
-        float(named.get("latency_ms", 0.0)),
-        failed,
-        0.0 if rps is None else float(rps),
-        *by_class.values(),
-    ]
-    if not all(0 <= figure < 1e9 for figure in figures):
-        raise ValueError("a figure that can't be")
-    return Report(
-        figures[0],
-        figures[1],
-        round(figures[2] * 1000),
-        None if rps is None else max(0.0, figures[4] - failed),
-        failed,
-        by_class,
-    )
-
-
-class Case:
-    """What is known of one host: its last reports and the probes of this period and the last."""
-
-    def __init__(self):
-        self.reports, self.probes, self.shown = deque(maxlen=4), deque(maxlen=32), 0
-        self.suspect, self.good, self.asked_at, self.tried_at, self.out = False, 0, -1, -1, 0
 
+def _reported_latency(report: HostReport) -> int:
+    if not report.completed:
+        return 0
+    return max(report.work_time, round(report.in_flight / report.completed * SECOND))
 
-class HealthInference:
-    """`desk`: its `heard`, `demand` and `now` are called. `stated`: the charter as the assigner knows it."""
 
-    def __init__(self, desk, settings, probes_per_s, probes_at_once):
-        self.desk, self.settings = desk, settings
-        self.rate, self.at_once = probes_per_s, probes_at_once
-        self.cases, self.proxies, self.turned_at, self.spent = {}, [], desk.now(), 0.0
-        self.budget_at = desk.now()
-        self.woke_at = -(1 << 60)  # when the planner last went on after it had stood still
+class HealthInference:
+    """Hands `sink` load reports and demand reports worked out from hosts, and picks hosts to check.
 
-    # The fleet and the relays, as they come and go.
+    At most `checks_per_second` are sent, and `checks_at_once` in flight.
+    """
 
-    def listed(self, servers):
+    def __init__(
+        self,
+        sink: ReportSink,
+        settings: DeploymentSettings,
+        checks_per_second: float,
+        checks_at_once: int,
+    ) -> None:
+        self.sink = sink
+        self.settings = settings
+        self.checks_per_second = checks_per_second
+        self.checks_at_once = checks_at_once
+        self.hosts: dict[int, HostEvidence] = {}
+        self._proxies: list[int] = []
+        self._reported_at = sink.now()
+        self._checks_spent = 0.0  # of late, drained at the rate allowed
+        self._due_asked_at = sink.now()
+        self._resumed_at = -(1 << 60)  # when the planner last went on after a stall
+
+    # The fleet and the proxies, as they come and go.
+
+    def on_endpoint_update(self, servers: Iterable[Server]) -> None:
+        """Take in listed servers."""
         for server in servers:
-            if server.state == "gone":
-                self.cases.pop(server.index, None)
-            elif server.index not in self.cases:
-                self.cases[server.index] = Case()
+            if server.state == ServerState.GONE:
+                self.hosts.pop(server.index, None)
+            elif server.index not in self.hosts:
+                self.hosts[server.index] = HostEvidence()
 
-    def unlisted(self, server):
-        self.cases.pop(server, None)
+    def on_unlisted(self, server: int) -> None:
+        """Forget a server that a whole list does not name."""
+        self.hosts.pop(server, None)
 
-    def joined(self, proxy):
-        self.proxies.append(proxy)
+    def on_proxy_joined(self, proxy: int) -> None:
+        """Count a proxy."""
+        self._proxies.append(proxy)
 
-    def left(self, proxy):
-        self.proxies = [other for other in self.proxies if other != proxy]
+    def on_proxy_left(self, proxy: int) -> None:
+        """Count a proxy no more."""
+        self._proxies = [other for other in self._proxies if other != proxy]
 
     # What comes back.
 
-    def reported(self, server, report, at):
-        """A load report, which speaks of the moment `at`; one that is older than what is held is late and
-        says nothing new.
-        """
-        case = self.cases.get(server)
-        if case is not None and (not case.reports or at > case.reports[-1][0]):
-            case.reports.append((at, report))
-
-    def unanswered(self, server):
-        """A host did not even give its report."""
-        self._sign(server, False)
-
-    def tried(self, server, outcome, took, at):
-        """A probe, which is a real exchange, ended: "ok", or why not; after `took`."""
-        case = self.cases.get(server)
-        if case is not None:
-            case.out = max(0, case.out - 1)
-            if at - took < self.woke_at or at - self.budget_at > STOOD:
-                return
-            case.probes.append((at, outcome == "ok", took))
-            self._sign(server, outcome == "ok")
-
-    def _sign(self, server, good):
-        case = self.cases.get(server)
-        if case is None:
+    def on_host_report(self, server: int, report: HostReport, at: int) -> None:
+        """Take in a load report, which speaks of the moment `at`."""
+        host = self.hosts.get(server)
+        if host is not None:
+            host.add_report(report, at)
+
+    def on_no_report(self, server: int) -> None:
+        """Take note that a host did not even give its report."""
+        host = self.hosts.get(server)
+        if host is not None:
+            host.add_sign(False)
+
+    def on_check(self, server: int, outcome: HealthCheckOutcome, latency: int, at: int) -> None:
+        """Take note that a check that `due` chose has ended after `latency`."""
+        host = self.hosts.get(server)
+        if host is None:
             return
-        case.good = case.good + 1 if good else 0
-        case.suspect = not good or case.suspect and case.good < REASSURED
-
-    # Whom to ask.
-
-    def due(self, now):
-        """The hosts to try now, suspects and others by turns, who was tried longest ago first; within the budget."""
-        self.spent = max(0.0, self.spent - (now - self.budget_at) * self.rate / SECOND)
-        self.woke_at = now if now - self.budget_at > STOOD else self.woke_at
-        self.budget_at = now
-        out = sum(case.out for case in self.cases.values())
-        period, suspects, others = self.settings.report_period, [], []
-        doubted = any(case.suspect for case in self.cases.values())
-        well = sorted(server for server, case in self.cases.items() if case.good) if doubted else []
-        for server, case in self.cases.items():
-            closely = case.suspect or server in well[:WITNESSES]
-            if now - case.tried_at >= (period // CLOSELY if closely else period) and (
-                closely or not case.out
-            ):
-                (suspects if case.suspect else others).append((case.tried_at, server))
-        # By turns: a fleet full of suspects must not keep the others from being tried at all.
-        wanted = [
-            pick for pair in zip_longest(sorted(suspects), sorted(others)) for pick in pair if pick
-        ]
-        chosen = []
-        for _, server in wanted:
-            if out + len(chosen) >= self.at_once or self.spent + 1 > max(1.0, self.rate):
+        host.checks_in_flight = max(0, host.checks_in_flight - 1)
+        was_sent_before_stall = at - latency < self._resumed_at
+        is_stalled = at - self._due_asked_at > STALL_THRESHOLD
+        if was_sent_before_stall or is_stalled:
+            return
+        succeeded = outcome == HealthCheckOutcome.OK
+        host.checks.append(Check(at, succeeded, latency))
+        host.add_sign(succeeded)
+
+    # Whom to check.
+
+    def due(self, now: int) -> list[int]:
+        """Return the hosts to check now, within the budget.
+
+        Suspects and others take turns, each checked longest ago first: a fleet full of suspects must
+        not keep the others from being checked at all.
+        """
+        self._drain_budget(now)
+        in_flight = sum(host.checks_in_flight for host in self.hosts.values())
+        suspects, others = self._candidates(now)
+        chosen: list[int] = []
+        for candidate in _by_turns(sorted(suspects), sorted(others)):
+            is_over_rate = self._checks_spent + 1 > max(1.0, self.checks_per_second)
+            if in_flight + len(chosen) >= self.checks_at_once or is_over_rate:
                 break
-            self.spent += 1
-            self.cases[server].out += 1
-            self.cases[server].tried_at = now
+            _, server = candidate
+            self._checks_spent += 1
+            self.hosts[server].checks_in_flight += 1
+            self.hosts[server].checked_at = now
             chosen.append(server)
         return chosen
 
-    # What the assigner hears.
-
-    def took(self, server):
-        """How long exchanges lately took at a host, in microseconds, by its report and by probes; 0 if nothing tells."""
-        case = self.cases.get(server)
-        return (
-            self._met(case, self.desk.now() - 2 * self.settings.report_period, SECOND)[2]
-            if case
-            else 0
+    def _drain_budget(self, now: int) -> None:
+        elapsed = now - self._due_asked_at
+        self._checks_spent = max(
+            0.0, self._checks_spent - elapsed * self.checks_per_second / SECOND
         )
+        if elapsed > STALL_THRESHOLD:
+            self._resumed_at = now
+        self._due_asked_at = now
+
+    def _candidates(self, now: int) -> tuple[list[tuple[int, int]], list[tuple[int, int]]]:
+        """Return suspects and others that are due, as (checked at, server)."""
+        period = self.settings.report_period
+        controls = self._controls()
+        suspects: list[tuple[int, int]] = []
+        others: list[tuple[int, int]] = []
+        for server, host in self.hosts.items():
+            is_close = host.is_suspect or server in controls
+            interval = period // SUSPECT_CHECKS_PER_PERIOD if is_close else period
+            may_overlap = is_close or not host.checks_in_flight
+            if now - host.checked_at < interval or not may_overlap:
+                continue
+            (suspects if host.is_suspect else others).append((host.checked_at, server))
+        return suspects, others
+
+    def _controls(self) -> list[int]:
+        """Return the hosts that are well and checked as closely as suspects, if there are any."""
+        if not any(host.is_suspect for host in self.hosts.values()):
+            return []
+        return sorted(server for server, host in self.hosts.items() if host.good_signs)[
+            :CONTROL_COUNT
+        ]
+
+    # What the assigner hears.
 
-    def turn(self, heard=(), tells=lambda proxy: False):
-        """Once a period: what each host met since the last turn, and what relays are taken to bring. `heard`: servers
-        that relays themselves told of, whose word is nearer; `tells(proxy)`: whether a relay tells what comes to it.
+    def usual_latency(self, server: int) -> int:
+        """Return how long requests lately took at a host, by its report and checks; 0 if nothing tells."""
+        host = self.hosts.get(server)
+        if host is None:
+            return 0
+        now = self.sink.now()
+        report = host.fresh_report(now, self.settings.report_period)
+        return host.met(now - 2 * self.settings.report_period, SECOND, report).mean_latency
+
+    def report(
+        self,
+        reported_servers: Collection[int] = (),
+        reports_for_itself: Callable[[int], bool] = lambda proxy: False,
+    ) -> None:
+        """Once a period: hand over what each host met since, and what proxies are taken to bring.
+
+        Parameters
+        ----------
+        reported_servers
+            Those that proxies themselves reported on, who know it more nearly.
+        reports_for_itself
+            Whether a proxy tells what comes to it.
         """
-        now = self.desk.now()
-        span, since, self.turned_at = now - self.turned_at, self.turned_at, now
+        now = self.sink.now()
+        since = self._reported_at
+        span = now - since
+        self._reported_at = now
         if span <= 0:
             return
-        total, by_class, told = 0.0, {}, 0.0
-        for server, case in sorted(self.cases.items()):
-            tries, failed, took = self._met(case, since, span)
-            # Relays hear of a hung host only when their own patience ends; probes that fail are told beside that.
-            if tries and (server not in heard or case.suspect and failed):
-                self.desk.heard(
-                    self.settings.planner_zone, server, tries, failed, took, span, self._load(case)
+        for server, host in sorted(self.hosts.items()):
+            met = host.met(since, span, host.fresh_report(now, self.settings.report_period))
+            # Proxies hear of a hung host only at their own deadline; failed checks are told beside that.
+            has_failed_checks = host.is_suspect and met.failures
+            if met.attempts and (server not in reported_servers or has_failed_checks):
+                self.sink.on_load_report(
+                    LoadReport(self.settings.planner_zone, server, *met, span, host.last_load())
                 )
-            fresh = self._fresh(case, now)
-            if fresh and fresh.completed is not None:
-                total += fresh.completed + fresh.failed
-                for place, rate in fresh.by_class.items():
-                    by_class[place] = by_class.get(place, 0.0) + rate
-                    told += rate
-        self._spread(total, by_class, told, span, tells)
-
-    def _fresh(self, case, now):
-        """A report counts for three periods; older, it tells of another day."""
-        if case.reports and now - case.reports[-1][0] < 3 * self.settings.report_period:
-            return case.reports[-1][1]
-        return None
+        self._report_demand(self._demand_totals(now), span, reports_for_itself)
+
+    def _demand_totals(self, now: int) -> DemandTotals:
+        rate = 0.0
+        rate_by_class: dict[int, float] = {}
+        classified_rate = 0.0
+        for _, host in sorted(self.hosts.items()):
+            report = host.fresh_report(now, self.settings.report_period)
+            if report is None or report.completed is None:
+                continue
+            rate += report.completed + report.failed
+            for class_index, class_rate in report.completed_by_class.items():
+                rate_by_class[class_index] = rate_by_class.get(class_index, 0.0) + class_rate
+                classified_rate += class_rate
+        return DemandTotals(rate, rate_by_class, classified_rate)
+
+    def _report_demand(
+        self, totals: DemandTotals, span: int, reports_for_itself: Callable[[int], bool]
+    ) -> None:
+        proxy_count = self._proxy_count()
+        if not proxy_count or not totals.rate:
+            return
+        class_count = len(self.settings.classes)
+        for position, proxy in enumerate(self._proxies):
+            if reports_for_itself(proxy):
+                continue
+            for class_index in range(class_count):
+                share = 1 / class_count
+                if totals.classified_rate:
+                    rate_of_class = totals.rate_by_class.get(class_index, 0.0)
+                    share = rate_of_class / totals.classified_rate
+                requests = totals.rate * share * span / SECOND
+                # Whole requests, with the remainder going to the first ones, so that the sum is kept.
+                own_requests = int(requests * (position + 1) / proxy_count) - int(
+                    requests * position / proxy_count
+                )
+                self.sink.on_demand_report(DemandReport(proxy, class_index, own_requests, 0, span))
 
-    def _load(self, case):
-        report = case.reports[-1][1] if case.reports else None
-        return report and {
-            "cores_busy": report.cores_busy,
-            "in_hand": report.in_hand,
-            "work_time": report.work_time,
-        }
-
-    def _met(self, case, since, span):
-        """(tries, failed, mean time of good ones) of one host in this period."""
-        probes = [(good, took) for at, good, took in case.probes if at > since]
-        lost = sum(not good for good, _ in probes)
-        good_times = [took for good, took in probes if good]
-        report, done, bad, took = self._fresh(case, self.desk.now()), 0, 0, 0
-        if report is not None and report.completed is not None:
-            done, bad = (
-                round(report.completed * span / SECOND),
-                round(report.failed * span / SECOND),
-            )
-            if report.completed:
-                took = max(report.work_time, round(report.in_hand / report.completed * SECOND))
-            if lost and not good_times and not done:
-                # It takes exchanges and gives nothing back: what it holds is lost, though it says it is idle.
-                bad += max(round(report.in_hand), 0)
-        elif report is not None:
-            took = report.work_time
-        good = done + len(good_times)
-        if good:
-            took = (took * done + sum(good_times)) // good
-        return good + bad + lost, bad + lost, took if good else 0
-
-    def _spread(self, total, by_class, told, span, tells):
-        """Demand by relay and class. With several planners hosts tell of all relays, this planner's among
-        them, so each relay counts as one of all that the charter states.
+    def _proxy_count(self) -> int:
+        """Return how many proxies the hosts' figures are parted over.
+
+        With several planners hosts tell of all proxies, this planner's among them, so each proxy
+        counts as one of all that the settings state.
         """
-        everyone = (
-            len(self.proxies)
-            if self.settings.planner_count == 1
-            else max(len(self.proxies), self.settings.proxy_count)
-        )
-        if not everyone or not total:
-            return
-        places = range(len(self.settings.classes))
-        for nth, proxy in enumerate(self.proxies):
-            for place in () if tells(proxy) else places:
-                share = by_class.get(place, 0.0) / told if told else 1 / len(places)
-                many = total * share * span / SECOND
-                # Whole exchanges, with the remainder going to the first ones, so that the sum is kept.
-                mine = int(many * (nth + 1) / everyone) - int(many * nth / everyone)
-                self.desk.demand(proxy, place, mine, 0, span)
+        if self.settings.planner_count == 1:
+            return len(self._proxies)
+        return max(len(self._proxies), self.settings.proxy_count)
+
+
+def _by_turns(
+    first: list[tuple[int, int]], second: list[tuple[int, int]]
+) -> Iterable[tuple[int, int]]:
+    for pair in zip_longest(first, second):
+        yield from (candidate for candidate in pair if candidate)
--- a/indigodeck/planner/join_admission.py
+++ b/indigodeck/planner/join_admission.py
@@ -1,77 +1,98 @@
-"""Who may join now, free of I/O: relays that arrive all at once are let in as the channel takes what they must be told.
+"""Which proxies may join now, free of I/O: those that arrive all at once are admitted as the channel takes their tables.
 
-After a takeover every relay of a fleet dials the successor within a second, and each has a whole table coming. Let in as they
-came, 303 of them put 15,500 lines into a channel that may hold 4,500 (docs/takeover.md). Who waits here holds its tables
-and goes on; what it sends meanwhile stays in its own socket. First come, first served.
+After a change of leader every proxy of a fleet dials the successor within a second, and each has a whole table coming.
+Admitted as they came, 303 of them put 15,500 lines into a channel that may hold 4,500 (docs/takeover.md). A proxy that
+waits here holds its tables and goes on; what it sends meanwhile stays in its own socket. First come, first served.
 """
 
 from collections import OrderedDict
+from collections.abc import Callable, Hashable
 from typing import Protocol
 
-PART = 0.4  # of the lines that may wait: what arrivals fill; the rest is for drains and swaps
-# Between two looks at the queue while somebody waits. Each look's arrivals are one moment to the assigner, which goes through all
-# of its tables once for them: one by one, 303 relays over xDS were let in at 50 a second, and drains came too late.
-TURN = 50_000
-AT_LEAST = 200_000  # a queue that a deaf relay's lines keep long must not shut everybody out: one in so long may come
-WAITING_MOST = 65_535
+from ..clock import SECOND
+
+# Of the lines that may wait: what joining proxies fill; the rest is for drains and replacements.
+JOIN_SHARE = 0.4
+# Between two looks at the queue while somebody waits. All that a look admits are one moment to the assigner, which goes
+# through all of its tables once for them: one by one, 303 xDS proxies were admitted at 50 a second, and drains came late.
+ADMISSION_INTERVAL = SECOND // 20
+# A queue that a stalled proxy's lines keep long must not shut everybody out: one in this time may join.
+ADMIT_ONE_EVERY = SECOND // 5
+MAX_WAITING_PROXIES = 65_535
 
 
 class Environment(Protocol):
-    """What arrivals may ask of the program around them."""
+    """What join admission may ask of the program around it."""
 
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """Return the time on a clock that never goes back."""
 
-    def later(self, after: int, call) -> None: ...
+    def later(self, after: int, call: Callable[[], None]) -> None:
+        """Call back after this time."""
 
-    def queue(self) -> int:
-        """Lines that wait for all relays."""
+    def waiting_lines(self) -> float:
+        """Return the lines that wait for all proxies."""
 
-    def arrival(self) -> int:
-        """Lines that one more relay may have waiting at once."""
+    def lines_of_one_join(self) -> float:
+        """Return the lines that one more proxy may have waiting at once."""
 
-    def let_in(self, relay) -> None: ...
+    def admit(self, candidate: Hashable) -> None:
+        """Let a candidate join now."""
 
-    def turned_away(self, relay) -> None: ...
+    def reject(self, candidate: Hashable) -> None:
+        """Turn a candidate away: too many wait."""
 
 
 class JoinAdmission:
-    """`most`: lines that may wait. Relays are known here by whatever the program hands over, one object for each that comes."""
-
-    def __init__(self, host, most):
-        self.host, self.most = host, most
-        self.line, self.looking = OrderedDict(), False
-        self.let_in_at, self.coming, self.turned_at = host.now() - AT_LEAST, 0, host.now() - TURN
-
-    def came(self, relay):
-        if len(self.line) >= WAITING_MOST:
-            return self.host.turned_away(relay)
-        self.line[relay] = True
-        if not self.looking:
-            self.looking = True
-            self.host.later(max(0, self.turned_at + TURN - self.host.now()), self._look)
-        return None
-
-    def left(self, relay):
-        self.line.pop(relay, None)
-
-    def _look(self):
-        # What the last were let in for shows in the queue by now, or has been written.
-        now, self.coming = self.host.now(), 0
-        self.turned_at = now
-        while self.line and self._room(now):
-            relay, _ = self.line.popitem(last=False)
-            self.coming += self.host.arrival()
-            self.let_in_at = now
-            self.host.let_in(relay)
-        self.looking = bool(self.line)
-        if self.looking:
-            self.host.later(TURN, self._look)
-
-    def _room(self, now):
-        waiting, one = self.host.queue() + self.coming, self.host.arrival()
-        # An empty channel takes anybody, however small it is stated to be.
-        return (
-            not waiting
-            or waiting + one <= PART * self.most
-            or (now - self.let_in_at >= AT_LEAST and waiting + one <= self.most)
-        )
+    """Holds candidates back until the channel has room; `max_waiting_lines` may wait in it.
+
+    A candidate is whatever the program hands over, one object for each proxy that comes.
+    """
+
+    def __init__(self, environment: Environment, max_waiting_lines: float) -> None:
+        self.environment = environment
+        self.max_waiting_lines = max_waiting_lines
+        self._candidates: OrderedDict[Hashable, bool] = OrderedDict()
+        self._is_scheduled = False
+        self._last_admitted_at = environment.now() - ADMIT_ONE_EVERY
+        self._last_look_at = environment.now() - ADMISSION_INTERVAL
+        self._lines_of_this_look: float = 0
+
+    def on_arrival(self, candidate: Hashable) -> None:
+        """Line a candidate up; its admission or rejection follows."""
+        if len(self._candidates) >= MAX_WAITING_PROXIES:
+            self.environment.reject(candidate)
+            return
+        self._candidates[candidate] = True
+        if not self._is_scheduled:
+            self._is_scheduled = True
+            next_look_at = self._last_look_at + ADMISSION_INTERVAL
+            self.environment.later(max(0, next_look_at - self.environment.now()), self._look)
+
+    def on_departure(self, candidate: Hashable) -> None:
+        """Forget a candidate that waits no more, whether it was admitted or not."""
+        self._candidates.pop(candidate, None)
+
+    def _look(self) -> None:
+        now = self.environment.now()
+        # What the last look admitted shows in the queue by now, or has been written.
+        self._lines_of_this_look = 0
+        self._last_look_at = now
+        while self._candidates and self._has_room(now):
+            candidate, _ = self._candidates.popitem(last=False)
+            self._lines_of_this_look += self.environment.lines_of_one_join()
+            self._last_admitted_at = now
+            self.environment.admit(candidate)
+        self._is_scheduled = bool(self._candidates)
+        if self._is_scheduled:
+            self.environment.later(ADMISSION_INTERVAL, self._look)
+
+    def _has_room(self, now: int) -> bool:
+        waiting = self.environment.waiting_lines() + self._lines_of_this_look
+        needed = self.environment.lines_of_one_join()
+        if not waiting:
+            return True  # an empty channel takes anybody, however small it is stated to be
+        if waiting + needed <= JOIN_SHARE * self.max_waiting_lines:
+            return True
+        is_overdue = now - self._last_admitted_at >= ADMIT_ONE_EVERY
+        return is_overdue and waiting + needed <= self.max_waiting_lines
--- a/indigodeck/planner/planner_settings.py
+++ b/indigodeck/planner/planner_settings.py
@@ -1,9 +1,19 @@
-"""The charter: what a planner is told at start, as JSON, and the plain map that the assigner picks from."""
+"""The planner's settings file: checked once at start, and read into the types that the program uses.
+
+This is the only module that knows the keys of the file (`settings.schema.json` states its shape). Times are whole
+microseconds unless a name says otherwise; rates are per second. Relative paths are seen from the file's folder.
+"""
 
 import pathlib
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any
 
+from ..clock import SECOND
 from ..json_documents import InvalidDocumentError, load_document, load_schema, schema_errors
 from ..settings import (
+    MICROSECONDS_PER_MILLISECOND,
     AdmissionMode,
     ChannelSettings,
     ClassSettings,
@@ -14,128 +24,432 @@
 
 SCHEMA = load_schema(__file__, "settings.schema.json")
 
+LOCAL_ADDRESS = "127.0.0.1"
+SASP_PORT = 3860
+XDS_PORT = 18000
+MEBIBYTE = 1 << 20
+SECONDS_PER_DAY = 86_400
+CHECKS_PER_SECOND = 20
+CHECKS_AT_ONCE = 16
+FILE_POLL_INTERVAL_MS = 200
+SERVICE_POLL_INTERVAL_MS = 1000
+CHANNEL_DEFAULTS = {
+    "head_lines": 6,
+    "way_mean_ms": 50,
+    "way_longest_ms": 500,
+    "messages_most": 0,
+    "messages_span_ms": 10_000,
+}
+
+
+class HostTransport(StrEnum):
+    """How hosts are reached for load reports and health checks."""
+
+    HTTP = "http"
+    GRPC = "grpc"
+
+
+@dataclass(frozen=True, slots=True)
+class ReportSettings:
+    """Load reports and health checks.
+
+    `proxy_reports_per_second` bounds the sums of the proxies' own reports that the assigner takes
+    in. Without a `check_path` the check is a request of an idempotent class.
+    """
+
+    proxy_reports_per_second: float
+    transport: HostTransport
+    load_path: str
+    check_path: str | None
+    checks_per_second: float
+    checks_at_once: int
+
+    @property
+    def checks_enabled(self) -> bool:
+        """Whether the planner sends health checks of its own accord."""
+        return bool(self.checks_per_second and self.checks_at_once)
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListSettings:
+    """Where the endpoint list comes from: a file, or a service that pushes changes or is polled."""
+
+    file: str | None
+    service_url: str | None
+    polled: bool
+    poll_interval: int
+
+
+@dataclass(frozen=True, slots=True)
+class MessageLimits:
+    """How many messages one proxy may be written within the channel's `message_window`.
+
+    0 messages means no limit. `max_answers` of them may answer the proxy's own requests.
+    """
+
+    max_messages: int
+    max_answers: int
+
+
+@dataclass(frozen=True, slots=True)
+class SaspFrontendSettings:
+    """The SASP frontend. `poll_interval_s` (seconds) is told to proxies that poll."""
+
+    address: str
+    port: int
+    poll_interval_s: int
+    max_connections: int
+    max_message_bytes: int
+    max_groups: int
+    max_members: int
+    message_timeout: int
+    stalled_timeout: int
+
+
+@dataclass(frozen=True, slots=True)
+class XdsFrontendSettings:
+    """The xDS frontend. `max_streams` is of one proxy, `max_resource_names` of one stream."""
+
+    address: str
+    port: int
+    max_proxies: int
+    max_streams: int
+    max_resource_names: int
+    max_message_bytes: int
+    keepalive_ms: int
+
+
+FrontendSettings = SaspFrontendSettings | XdsFrontendSettings
+
+
+@dataclass(frozen=True, slots=True)
+class LeadershipSettings:
+    """The group of controllers that this one belongs to.
+
+    `members` maps names to "ADDRESS:PORT". There is one lease for each zone if `lease_per_zone`,
+    else one for the whole fleet. `clock_drift` is how far a clock may run off true time, as a share.
+    `record_file` is needed only where there is no store.
+    """
+
+    member_name: str
+    members: Mapping[str, str]
+    key_file: str
+    record_file: str
+    lease_time: int
+    lease_per_zone: bool
+    clock_drift: float
+    protocol_version: int
+    joining: bool
+
+
+@dataclass(frozen=True, slots=True)
+class StoreSettings:
+    """What outlasts a restart. At least `max_versions` versions, younger than `max_version_age`."""
+
+    folder: str
+    write_delay: int
+    max_versions: int
+    max_version_age: int
+
+
+@dataclass(frozen=True, slots=True)
+class OperatorSettings:
+    """Where a planner without other controllers listens for operators."""
+
+    address: str
+    port: int
+    key_file: str
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyRule:
+    """The zone and usual request rate of the proxies whose id begins with `prefix`."""
+
+    prefix: str
+    zone: int
+    rate: float
+
+
+class ProxyDefaults:
+    """The zone and the usual rate of a proxy that introduces itself by its id alone."""
+
+    def __init__(self, rules: tuple[ProxyRule, ...], zone: int, rate: float) -> None:
+        self._rules = rules
+        self._default = ProxyRule("", zone, rate)
+
+    def of(self, proxy_id: str) -> ProxyRule:
+        """Return the rule with the longest matching prefix."""
+        matching = [rule for rule in self._rules if proxy_id.startswith(rule.prefix)]
+        return max(matching, key=lambda rule: len(rule.prefix), default=self._default)
+
 
-def read(path):
-    """The charter in a file, checked; relative paths in it are seen from its folder."""
+def read_settings(path: str | pathlib.Path) -> "PlannerSettings":
+    """Read and check a settings file.
+
+    Raises
+    ------
+    InvalidDocumentError
+        If the file cannot be read, or does not follow its schema; one line for each fault.
+    """
     path = pathlib.Path(path)
     return PlannerSettings(load_document(path, SCHEMA), path.parent, path.name)
 
 
 class PlannerSettings:
-    """`deployment`: the settings that the assigner is handed, times in microseconds; the rest by sections."""
-
-    def __init__(self, document, folder=pathlib.Path("."), name="charter"):
-        against = schema_errors(document, SCHEMA) or list(self._crossed(document))
-        if against:
-            raise InvalidDocumentError("\n".join(f"{name}: {line}" for line in against))
-        self.document, self.folder = document, pathlib.Path(folder)
-        self.name, self.seed = document.get("name", "planner"), document.get("seed", 1)
-        self.halls, self.kinds = document["halls"], document.get("kinds", [])
-        self.relays, self.reports = document.get("relays", {}), document.get("reports", {})
-        self.roster, self.fronts = document["roster"], document["fronts"]
-        self.channel = dict(
-            {
-                "head_lines": 6,
-                "way_mean_ms": 50,
-                "way_longest_ms": 500,
-                "messages_most": 0,
-                "messages_span_ms": 10_000,
-            },
-            **document["channel"],
-        )
-        # Unless stated, a third of what may be written to a relay answers what it asks itself.
-        self.channel.setdefault("answers_most", max(1, self.channel["messages_most"] // 3))
-        self.takeover, self.store, self.operators = (
-            document.get(name) for name in ("takeover", "store", "operators")
-        )
-        self.classes = [kind["name"] for kind in document["classes"]]
-        self.deployment = self._deployment()
-
-    @staticmethod
-    def _crossed(document):
-        """What a schema can't say: names that must be stated elsewhere."""
-        halls = document["halls"]
-        if document.get("hall", halls[0]) not in halls:
-            yield f"hall: {document['hall']!r} is none of the halls {halls}"
-        for place, entry in enumerate(document.get("relays", {}).get("halls", [])):
-            if entry["hall"] not in halls:
-                yield f"relays/halls/{place}/hall: {entry['hall']!r} is none of the halls {halls}"
-        names = [kind["name"] for kind in document["classes"]]
-        for place, kind in enumerate(document["classes"]):
-            if kind["name"] in names[:place]:
-                yield f"classes/{place}/name: {kind['name']!r} stands twice"
-            if kind["patience_ms"] < kind["agreed_time_ms"]:
-                yield f"classes/{place}/patience_ms: shorter than the agreed time"
-        planners = document.get("planners", {})
-        if planners.get("number", 0) >= planners.get("many", 1):
-            yield f"planners/number: {planners['number']} of {planners.get('many', 1)}, counted from 0"
-        takeover = document.get("takeover")
-        if takeover and takeover["me"] not in takeover["members"]:
-            yield f"takeover/me: {takeover['me']!r} is none of the members {sorted(takeover['members'])}"
-        if takeover and "record" not in takeover and "store" not in document:
-            yield "takeover/record: needed where there is no store"
-        if takeover and "operators" in document:
-            yield "operators: controllers hear operators where they hear each other"
-        channel = document["channel"]
-        if 0 < channel.get("messages_most", 0) <= channel.get("answers_most", 0):
-            yield "channel/answers_most: leaves no message for orders"
-
-    def _deployment(self):
-        document, rules, reports = self.document, self.document["rules"], self.reports
-        planners, relays = document.get("planners", {}), self.relays
-        return DeploymentSettings(
-            classes=tuple(self._class(given) for given in document["classes"]),
-            channel=self._channel(),
-            zone_count=len(self.halls),
-            planner_count=planners.get("many", 1),
-            planner_number=planners.get("number", 0),
-            planner_zone=self.halls.index(document.get("hall", self.halls[0])),
-            proxy_count=relays.get("most", 0),
-            proxy_failure_limit=relays.get("strikes", 0),
-            report_period=microseconds(reports.get("period_ms", 1000)),
-            max_unserved_time=microseconds(rules["bare_ms"]),
-            warm_up_time=microseconds(rules["cold_ms"]),
-            cold_capacity_share=rules["cold_share"],
-            drain_grace=microseconds(rules["drain_grace_ms"]),
-            overload_multiple=rules["tip_multiple"],
-            overload_time=microseconds(rules["tip_ms"]),
-            removal_is_final=rules.get("gone_binds", True),
-            health_checks_allowed=reports.get("probes_per_s", 20) > 0,
-            list_on_request=self.roster.get("asked", False),
-            # Admission levels reach only relays whose protocol can carry them.
-            admission_mode=AdmissionMode.SHARE if "xds" in self.fronts else AdmissionMode.NONE,
-        )
+    """The settings of one planner, by sections.
 
-    def _channel(self):
-        channel, limit = self.channel, self.channel["messages_most"]
-        return ChannelSettings(
-            lines_per_second=channel["lines_per_s"],
-            max_waiting_lines=channel["waiting_most"],
-            message_overhead_lines=channel["head_lines"],
-            mean_delivery_delay=microseconds(channel["way_mean_ms"]),
-            max_delivery_delay=microseconds(channel["way_longest_ms"]),
-            # Answers to a relay's own requests come off what the assigner may order.
-            max_messages=limit - channel["answers_most"] if limit else 0,
-            message_window=microseconds(channel["messages_span_ms"]),
-        )
+    `deployment` is what the assigner is handed. `frontends` keeps the order of the file. `document`
+    is the file's own object, for programs that write a changed copy of it.
+
+    Raises
+    ------
+    InvalidDocumentError
+        If the document does not follow its schema, or contradicts itself.
+    """
 
-    @staticmethod
-    def _class(given):
-        return ClassSettings(
-            name=given["name"],
-            latency_objective=microseconds(given["agreed_time_ms"]),
-            deadline=microseconds(given["patience_ms"]),
-            priority_weight=given.get("credit", 1),
-            late_priority_weight=given.get("late_credit", 0),
-            idempotency=Idempotency(given.get("repeats", "safe")),
-            idempotency_window=microseconds(given.get("repeat_window_ms", 0)),
-            deduplication_scope=given.get("repeat_scope", "all"),
-            zone_bound=given.get("own_hall", False),
+    def __init__(
+        self,
+        document: dict[str, Any],
+        folder: str | pathlib.Path = pathlib.Path("."),
+        name: str = "charter",
+    ) -> None:
+        faults = schema_errors(document, SCHEMA) or list(_contradictions(document))
+        if faults:
+            raise InvalidDocumentError("\n".join(f"{name}: {fault}" for fault in faults))
+        self.document = document
+        self.folder = pathlib.Path(folder)
+        self.name: str = document.get("name", "planner")
+        self.seed: int = document.get("seed", 1)
+        self.zone_names: list[str] = document["halls"]
+        self.machine_type_names: list[str] = document.get("kinds", [])
+        self.class_names: list[str] = [given["name"] for given in document["classes"]]
+        self.reports = _reports(document.get("reports", {}))
+        self.endpoint_list = _endpoint_list(document["roster"])
+        self.frontends = _frontends(document["fronts"])
+        self.leadership = _leadership(document.get("takeover"))
+        self.store = _store(document.get("store"))
+        self.operators = _operators(document.get("operators"))
+        channel = _channel_with_defaults(document["channel"])
+        self.message_limits = MessageLimits(channel["messages_most"], channel["answers_most"])
+        self.deployment = _deployment(document, channel)
+        self.proxy_defaults = self._proxy_defaults(document.get("relays", {}))
+
+    def class_for_checks(self) -> str:
+        """Return the class of which health checks are: one that may be executed twice, if any."""
+        idempotent = [
+            one.name for one in self.deployment.classes if one.idempotency == Idempotency.SAFE
+        ]
+        return (idempotent or self.class_names)[0]
+
+    def _proxy_defaults(self, section: dict[str, Any]) -> ProxyDefaults:
+        usual_rate = section.get("rate", 1.0)
+        rules = tuple(
+            ProxyRule(
+                entry["prefix"],
+                self.zone_names.index(entry["hall"]),
+                entry.get("rate", usual_rate),
+            )
+            for entry in section.get("halls", [])
         )
+        return ProxyDefaults(rules, self.deployment.planner_zone, usual_rate)
+
+
+def _contradictions(document: dict[str, Any]) -> Iterator[str]:
+    """What a schema can't express: names that must be stated elsewhere, and their like."""
+    yield from _zone_contradictions(document)
+    yield from _class_contradictions(document["classes"])
+    planners = document.get("planners", {})
+    if planners.get("number", 0) >= planners.get("many", 1):
+        yield f"planners/number: {planners['number']} of {planners.get('many', 1)}, counted from 0"
+    if document.get("takeover"):
+        yield from _leadership_contradictions(document["takeover"], document)
+    channel = document["channel"]
+    if 0 < channel.get("messages_most", 0) <= channel.get("answers_most", 0):
+        yield "channel/answers_most: leaves no message for orders"
+
+
+def _zone_contradictions(document: dict[str, Any]) -> Iterator[str]:
+    zone_names = document["halls"]
+    if document.get("hall", zone_names[0]) not in zone_names:
+        yield f"hall: {document['hall']!r} is none of the halls {zone_names}"
+    for index, entry in enumerate(document.get("relays", {}).get("halls", [])):
+        if entry["hall"] not in zone_names:
+            yield f"relays/halls/{index}/hall: {entry['hall']!r} is none of the halls {zone_names}"
+
+
+def _class_contradictions(classes: list[dict[str, Any]]) -> Iterator[str]:
+    names = [given["name"] for given in classes]
+    for index, given in enumerate(classes):
+        if given["name"] in names[:index]:
+            yield f"classes/{index}/name: {given['name']!r} stands twice"
+        if given["patience_ms"] < given["agreed_time_ms"]:
+            yield f"classes/{index}/patience_ms: shorter than the agreed time"
+
+
+def _leadership_contradictions(section: dict[str, Any], document: dict[str, Any]) -> Iterator[str]:
+    if section["me"] not in section["members"]:
+        yield f"takeover/me: {section['me']!r} is none of the members {sorted(section['members'])}"
+    if "record" not in section and "store" not in document:
+        yield "takeover/record: needed where there is no store"
+    if "operators" in document:
+        yield "operators: controllers hear operators where they hear each other"
+
+
+def _reports(section: dict[str, Any]) -> ReportSettings:
+    return ReportSettings(
+        proxy_reports_per_second=section.get("lines_per_s", 500),
+        transport=HostTransport(section.get("over", "http")),
+        load_path=section.get("path", "/load"),
+        check_path=section.get("probe_path"),
+        checks_per_second=section.get("probes_per_s", CHECKS_PER_SECOND),
+        checks_at_once=section.get("probes_at_once", CHECKS_AT_ONCE),
+    )
+
+
+def _endpoint_list(section: dict[str, Any]) -> EndpointListSettings:
+    usual = FILE_POLL_INTERVAL_MS if "file" in section else SERVICE_POLL_INTERVAL_MS
+    return EndpointListSettings(
+        file=section.get("file"),
+        service_url=section.get("service"),
+        polled=section.get("asked", False),
+        poll_interval=_whole_microseconds(section.get("look_every_ms", usual)),
+    )
+
+
+def _frontends(section: dict[str, Any]) -> dict[str, FrontendSettings]:
+    readers = {"sasp": _sasp_frontend, "xds": _xds_frontend}
+    return {name: readers[name](given) for name, given in section.items()}
+
+
+def _sasp_frontend(section: dict[str, Any]) -> FrontendSettings:
+    return SaspFrontendSettings(
+        address=section.get("address", LOCAL_ADDRESS),
+        port=section.get("port", SASP_PORT),
+        poll_interval_s=section.get("interval_s", 5),
+        max_connections=section.get("connections", 4096),
+        max_message_bytes=section.get("message_bytes", MEBIBYTE),
+        max_groups=section.get("groups", 64),
+        max_members=section.get("members", 1024),
+        message_timeout=_whole_microseconds(section.get("message_ms", 5000)),
+        stalled_timeout=_whole_microseconds(section.get("deaf_ms", 60_000)),
+    )
+
+
+def _xds_frontend(section: dict[str, Any]) -> FrontendSettings:
+    return XdsFrontendSettings(
+        address=section.get("address", LOCAL_ADDRESS),
+        port=section.get("port", XDS_PORT),
+        max_proxies=section.get("relays", 4096),
+        max_streams=section.get("streams", 16),
+        max_resource_names=section.get("names", 256),
+        max_message_bytes=section.get("message_bytes", MEBIBYTE),
+        keepalive_ms=round(section.get("keepalive_ms", 10_000)),
+    )
+
+
+def _leadership(section: dict[str, Any] | None) -> LeadershipSettings | None:
+    if not section:
+        return None
+    return LeadershipSettings(
+        member_name=section["me"],
+        members=section["members"],
+        key_file=section["key_file"],
+        record_file=section.get("record", "none"),
+        lease_time=_whole_microseconds(section.get("lease_ms", 3000)),
+        lease_per_zone=section.get("wards") == "halls",
+        clock_drift=section.get("drift", 0.01),
+        protocol_version=section.get("speaks", 3),
+        joining=section.get("joins", False),
+    )
+
+
+def _store(section: dict[str, Any] | None) -> StoreSettings | None:
+    if not section:
+        return None
+    versions = section.get("versions", {})
+    return StoreSettings(
+        folder=section["folder"],
+        write_delay=_whole_microseconds(section.get("delay_ms", 0)),
+        max_versions=versions.get("most", 1000),
+        max_version_age=round(versions.get("days", 30) * SECONDS_PER_DAY * SECOND),
+    )
+
+
+def _operators(section: dict[str, Any] | None) -> OperatorSettings | None:
+    if not section:
+        return None
+    return OperatorSettings(
+        address=section.get("address", LOCAL_ADDRESS),
+        port=section["port"],
+        key_file=section["key_file"],
+    )
+
+
+def _channel_with_defaults(section: dict[str, Any]) -> dict[str, Any]:
+    channel = {**CHANNEL_DEFAULTS, **section}
+    # Unless stated, a third of what may be written to a proxy answers what it asks itself.
+    channel.setdefault("answers_most", max(1, channel["messages_most"] // 3))
+    return channel
+
+
+def _deployment(document: dict[str, Any], channel: dict[str, Any]) -> DeploymentSettings:
+    rules = document["rules"]
+    reports = document.get("reports", {})
+    planners = document.get("planners", {})
+    proxies = document.get("relays", {})
+    zone_names = document["halls"]
+    # Admission levels reach only proxies whose protocol can carry them.
+    carries_levels = "xds" in document["fronts"]
+    return DeploymentSettings(
+        classes=tuple(_class(given) for given in document["classes"]),
+        channel=_channel(channel),
+        zone_count=len(zone_names),
+        planner_count=planners.get("many", 1),
+        planner_number=planners.get("number", 0),
+        planner_zone=zone_names.index(document.get("hall", zone_names[0])),
+        proxy_count=proxies.get("most", 0),
+        proxy_failure_limit=proxies.get("strikes", 0),
+        report_period=microseconds(reports.get("period_ms", 1000)),
+        max_unserved_time=microseconds(rules["bare_ms"]),
+        warm_up_time=microseconds(rules["cold_ms"]),
+        cold_capacity_share=rules["cold_share"],
+        drain_grace=microseconds(rules["drain_grace_ms"]),
+        overload_multiple=rules["tip_multiple"],
+        overload_time=microseconds(rules["tip_ms"]),
+        removal_is_final=rules.get("gone_binds", True),
+        health_checks_allowed=reports.get("probes_per_s", CHECKS_PER_SECOND) > 0,
+        list_on_request=document["roster"].get("asked", False),
+        admission_mode=AdmissionMode.SHARE if carries_levels else AdmissionMode.NONE,
+    )
+
+
+def _channel(section: dict[str, Any]) -> ChannelSettings:
+    limit = section["messages_most"]
+    return ChannelSettings(
+        lines_per_second=section["lines_per_s"],
+        max_waiting_lines=section["waiting_most"],
+        message_overhead_lines=section["head_lines"],
+        mean_delivery_delay=microseconds(section["way_mean_ms"]),
+        max_delivery_delay=microseconds(section["way_longest_ms"]),
+        # Answers to a proxy's own requests come off what the assigner may order.
+        max_messages=limit - section["answers_most"] if limit else 0,
+        message_window=microseconds(section["messages_span_ms"]),
+    )
+
+
+def _class(given: dict[str, Any]) -> ClassSettings:
+    return ClassSettings(
+        name=given["name"],
+        latency_objective=microseconds(given["agreed_time_ms"]),
+        deadline=microseconds(given["patience_ms"]),
+        priority_weight=given.get("credit", 1),
+        late_priority_weight=given.get("late_credit", 0),
+        idempotency=Idempotency(given.get("repeats", "safe")),
+        idempotency_window=microseconds(given.get("repeat_window_ms", 0)),
+        deduplication_scope=given.get("repeat_scope", "all"),
+        zone_bound=given.get("own_hall", False),
+    )
+
 
-    def relay(self, uid):
-        """(place of its hall, usual rate) of a relay, by the longest prefix of its id that is stated."""
-        fits = [entry for entry in self.relays.get("halls", []) if uid.startswith(entry["prefix"])]
-        best = max(fits, key=lambda entry: len(entry["prefix"]), default={})
-        hall = self.halls.index(best["hall"]) if best else self.deployment.planner_zone
-        return hall, best.get("rate", self.relays.get("rate", 1.0))
+def _whole_microseconds(milliseconds: float) -> int:
+    return round(milliseconds * MICROSECONDS_PER_MILLISECOND)
--- a/indigodeck/planner/weights.py
+++ b/indigodeck/planner/weights.py
@@ -1,15 +1,20 @@
 """A table's weights as whole numbers, the same for every protocol."""
 
-MOST = 0xFFFF
+from collections.abc import Mapping
 
+MAX_WEIGHT = 0xFFFF
 
-def scaled(lines):
-    """A table's weights as 16 bits: a power of two times each, so that one change leaves the others as they
-    were told; none that is listed comes to 0. {server: float} to {server: 1 to 65535}
+
+def scaled(weights: Mapping[int, float]) -> dict[int, int]:
+    """Return weights of 1 to 65535 by server.
+
+    Each is a power of two times what it was, so that one change leaves the others as they were
+    told; none that is listed comes to 0.
     """
-    most, factor = max(lines.values(), default=0.0), 1.0
-    while 0 < most * factor * 2 <= MOST:
+    largest = max(weights.values(), default=0.0)
+    factor = 1.0
+    while 0 < largest * factor * 2 <= MAX_WEIGHT:
         factor *= 2
-    while most * factor > MOST:
+    while largest * factor > MAX_WEIGHT:
         factor /= 2
-    return {server: max(1, round(weight * factor)) for server, weight in lines.items()}
+    return {server: max(1, round(weight * factor)) for server, weight in weights.items()}
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -1,20 +1,107 @@
-"""Puts a planner together: the charter's service with its fronts, until it is told to end."""
+"""Puts a planner together from its settings, and runs it until it is told to end."""
 
 import asyncio
+import pathlib
 import signal
 import time
+from collections.abc import Callable
+from typing import Any
 
 from .assignment.assigner import Assigner
 from .assignment.seeded_random import SeededRandom, seed_from
+from .clock import SECOND
 from .json_documents import InvalidDocumentError
-from .planner.service import Service
-from .settings import Idempotency
+from .planner.host_client import HostClient
+from .planner.planner_settings import (
+    HostTransport,
+    LeadershipSettings,
+    OperatorSettings,
+    PlannerSettings,
+    StoreSettings,
+)
+from .planner.service import PlannerService
+
+SHORTEST_KEY_BYTES = 16
+INCARNATIONS_PER_SECOND = 10  # a controller that starts again within this is not told apart
+CLOSING_TIME_S = 0.05  # for what closes to say so
+FLEET_GROUP = "fleet"  # the one group of proxies where leases are not per zone
+
+
+async def serve(settings: PlannerSettings, make: Callable[..., Any] = Assigner) -> None:
+    """Run a planner until SIGTERM or SIGINT; proxies keep their tables."""
+    stopped = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stopped.set)
+    service = assemble(settings, make)
+    try:
+        await stopped.wait()
+    finally:
+        service.note(
+            "planner_stopping",
+            proxies=len(service.proxies.frontend_of),
+            most_waiting_lines=service.planner_host.most_waiting_lines,
+        )
+        service.close()
+        await asyncio.sleep(CLOSING_TIME_S)
+
+
+def assemble(settings: PlannerSettings, make: Callable[..., Any] = Assigner) -> PlannerService:
+    """Return a service that runs on the current loop, with its frontends open.
+
+    Raises
+    ------
+    InvalidDocumentError
+        If a key file is too short.
+    OSError
+        If a port can't be opened, or a file can't be read.
+    """
+    service = PlannerService(settings, make, _grpc_client(settings))
+    store = None
+    stored: dict[str, Any] = {}
+    if settings.store is not None:
+        store, stored = _open_store(settings, settings.store, service.note)
+    if settings.leadership is not None:
+        service.leadership.members = _join_group(
+            service, settings, settings.leadership, store, stored
+        )
+    if store is not None:
+        service.versions.open(store, stored)
+    if settings.operators is not None:
+        service.operator_server = _listen_for_operators(service, settings, settings.operators)
+    for name, frontend_settings in settings.frontends.items():
+        service.open_frontend(
+            _make_frontend(name, service, settings),
+            name,
+            frontend_settings.port,
+            frontend_settings.address,
+        )
+    service.start()
+    return service
+
 
-USUAL_PORTS = {"sasp": 3860, "xds": 18000}
+def read_key(settings: PlannerSettings, name: str) -> bytes:
+    """Return the key that all controllers of a fleet share, or operators and a planner.
 
+    Raises
+    ------
+    InvalidDocumentError
+        If it is too short.
+    OSError
+        If the file can't be read.
+    """
+    key = (settings.folder / name).read_bytes().strip()
+    if len(key) < SHORTEST_KEY_BYTES:
+        raise InvalidDocumentError(
+            f"{name}: a key of {len(key)} bytes, {SHORTEST_KEY_BYTES} at least"
+        )
+    return key
 
-def front(name, service, settings):
-    """A front by its name; each one's libraries are loaded only where the charter names it."""
+
+# The libraries of each part are loaded only where the settings name it.
+
+
+def _make_frontend(name: str, service: PlannerService, settings: PlannerSettings) -> Any:
     if name == "xds":
         from .frontends.xds.server import XdsFront
 
@@ -24,129 +111,99 @@
     return SaspFront(service, settings)
 
 
-def assemble(settings, make=Assigner):
-    """A service that runs on the current loop, with its fronts open."""
-    reach = None
-    if settings.reports.get("over") == "grpc":
-        from .frontends.xds.health_checks import GrpcReach
+def _grpc_client(settings: PlannerSettings) -> HostClient | None:
+    """Return how hosts that serve gRPC are reached; None where they serve HTTP."""
+    if settings.reports.transport != HostTransport.GRPC:
+        return None
+    from .frontends.xds.health_checks import GrpcHostClient
 
-        safe = [
-            kind.name
-            for kind in settings.deployment.classes
-            if kind.idempotency == Idempotency.SAFE
-        ]
-        method = settings.reports.get(
-            "probe_path", f"/exchange.Hosts/{(safe or settings.classes)[0]}"
-        )
-        reach = GrpcReach(method, settings.deployment.report_period)
-    service = Service(settings, make, reach)
-    store, held = opened(settings, service.note) if settings.store else (None, {})
-    if settings.takeover:
-        service.peers = member_thread(service, settings, store, held)
-    if store is not None:
-        service.keep_books(store, held)
-    if settings.operators:
-        from .leadership.operator_server import OperatorServer
-
-        service.operators = OperatorServer(
-            service, key_of(settings, settings.operators["key_file"])
-        )
-        service.operators.listen_on(
-            settings.operators["port"], settings.operators.get("address", "127.0.0.1")
-        )
-    for name, stated in settings.fronts.items():
-        service.open(
-            front(name, service, settings),
-            name,
-            stated.get("port", USUAL_PORTS[name]),
-            stated.get("address", "127.0.0.1"),
-        )
-    service.start()
-    return service
+    usual_method = f"/exchange.Hosts/{settings.class_for_checks()}"
+    method = settings.reports.check_path or usual_method
+    return GrpcHostClient(method, settings.deployment.report_period)
 
 
-def opened(settings, note):
-    """(the planner's store, {key: value} of all that it holds)"""
+def _open_store(
+    settings: PlannerSettings, store_settings: StoreSettings, note: Callable[..., None]
+) -> tuple[Any, dict[str, Any]]:
+    """Return the planner's store, and all values that it holds by their keys."""
     from .store.files import StoreFolder
     from .store.write_ahead_log import WriteAheadLog
     from .store.writer import StoreWriter
 
-    store = StoreWriter(
-        StoreFolder(settings.folder / settings.store["folder"]),
-        note,
-        settings.store.get("delay_ms", 0) / 1000,
-    )
-    held = store.query(WriteAheadLog.read_all).result()
-    note("store_opened", records=len(held), data_lost=store.log.data_lost)
-    return store, held
+    folder = StoreFolder(settings.folder / store_settings.folder)
+    store = StoreWriter(folder, note, store_settings.write_delay / SECOND)
+    stored = store.query(WriteAheadLog.read_all).result()
+    note("store_opened", records=len(stored), data_lost=store.log.data_lost)
+    return store, stored
 
 
-def key_of(settings, name):
-    """The key that all controllers of a fleet share, or operators and a planner."""
-    key = (settings.folder / name).read_bytes().strip()
-    if len(key) < 16:
-        raise InvalidDocumentError(f"{name}: a key of {len(key)} bytes, 16 at least")
-    return key
+def _listen_for_operators(
+    service: PlannerService, settings: PlannerSettings, operators: OperatorSettings
+) -> Any:
+    from .leadership.operator_server import OperatorServer
 
+    server = OperatorServer(service.versions, read_key(settings, operators.key_file))
+    server.listen_on(operators.port, operators.address)
+    return server
 
-def member_thread(service, settings, store, held):
-    """The member of the controllers' election that runs beside this planner."""
-    from .leadership.lease_record import (
-        RecordFile,
-        StoredRecord,
-        pack_rejections,
-        rejections_from_document,
-        unpack_rejections,
-    )
+
+def _join_group(
+    service: PlannerService,
+    settings: PlannerSettings,
+    leadership: LeadershipSettings,
+    store: Any,
+    stored: dict[str, Any],
+) -> Any:
+    """Start the thread that is this controller's member of the group."""
     from .leadership.member_thread import MemberThread
     from .leadership.state import ElectionSettings
     from .leadership.transport import ControllerTransport
 
-    stated = settings.takeover
-    path = settings.folder / stated.get("record", "none")
-    lease_store = RecordFile(path)
-    rejection_store = RecordFile(
-        path.with_name(path.name + ".refused"), pack_rejections, unpack_rejections
-    )
-    if store is not None:
-        # A file from before there was a store is read once more, for its epochs must not be forgotten.
-        lease_store = StoredRecord(store, held, "charge", lease_store)
-        rejection_store = StoredRecord(
-            store, held, "refused", rejection_store, list, rejections_from_document
-        )
+    record_path = settings.folder / leadership.record_file
+    lease_store, rejection_store = _group_records(record_path, store, stored)
+    seed = seed_from(leadership.member_name, [str(settings.seed).encode()])
     election_settings = ElectionSettings(
-        me=stated["me"],
-        members=stated["members"],
-        relay_groups=tuple(settings.halls if stated.get("wards") == "halls" else ["fleet"]),
-        lease=round(stated.get("lease_ms", 3000) * 1000),
-        drift=stated.get("drift", 0.01),
-        incarnation=int(time.time() * 10),
-        joins=stated.get("joins", False),
+        me=leadership.member_name,
+        members=dict(leadership.members),
+        relay_groups=tuple(settings.zone_names if leadership.lease_per_zone else [FLEET_GROUP]),
+        lease=leadership.lease_time,
+        drift=leadership.clock_drift,
+        incarnation=int(time.time() * INCARNATIONS_PER_SECOND),
+        joins=leadership.joining,
     )
 
-    def make_transport(member_service):
+    def make_transport(member_service: Any) -> ControllerTransport:
         return ControllerTransport(
             member_service,
             election_settings,
-            key_of(settings, stated["key_file"]),
+            read_key(settings, leadership.key_file),
             lease_store,
             rejection_store,
-            SeededRandom(seed_from(stated["me"], [str(settings.seed).encode()])),
-            stated.get("speaks", 3),
+            SeededRandom(seed),
+            leadership.protocol_version,
         )
 
-    return MemberThread(service, make_transport, election_settings.lease)
+    return MemberThread(service.leadership, make_transport, election_settings.lease)
 
 
-async def serve(settings, make=Assigner):
-    """Runs until SIGTERM or SIGINT; relays keep their tables."""
-    ended, loop = asyncio.Event(), asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
-    service = assemble(settings, make)
-    try:
-        await ended.wait()
-    finally:
-        service.note("ending", relays=len(service.front_of), most_waiting=service.desk.most_waiting)
-        service.cease()
-        await asyncio.sleep(0.05)  # what closes says so
+def _group_records(path: pathlib.Path, store: Any, stored: dict[str, Any]) -> tuple[Any, Any]:
+    """Return where granted leases and rejected contents are recorded."""
+    from .leadership.lease_record import (
+        RecordFile,
+        StoredRecord,
+        pack_rejections,
+        rejections_from_document,
+        unpack_rejections,
+    )
+
+    lease_file: RecordFile[Any] = RecordFile(path)
+    rejection_file: RecordFile[Any] = RecordFile(
+        path.with_name(path.name + ".refused"), pack_rejections, unpack_rejections
+    )
+    if store is None:
+        return lease_file, rejection_file
+    # A file from before there was a store is read once more, for its epochs must not be forgotten.
+    return (
+        StoredRecord(store, stored, "charge", lease_file),
+        StoredRecord(store, stored, "refused", rejection_file, list, rejections_from_document),
+    )
--- a/indigodeck/testbed/host_fleet.py
+++ b/indigodeck/testbed/host_fleet.py
@@ -78,7 +78,7 @@
             "port": answer["port"],
             "hall": zone,
             "weight": float(cores),
-            "kind": (self._settings.kinds or ["std"])[0],
+            "kind": (self._settings.machine_type_names or ["std"])[0],
             "state": "ready",
             "started_ms": time.time_ns() // 1_000_000 if is_cold else 0,
         }
--- a/indigodeck/testbed/scenario.py
+++ b/indigodeck/testbed/scenario.py
@@ -163,7 +163,7 @@
     async def _start_hosts(self) -> list[str]:
         """Start the hosts of the beginning, over all zones by turns; return their names."""
         await self.hosts.start_processes(self.folder)
-        zones = self.settings.halls
+        zones = self.settings.zone_names
         names = [
             await self.hosts.add(zones[index % len(zones)], is_cold=False)
             for index in range(self.script["hosts"]["many"])
@@ -181,7 +181,7 @@
         self, first_hosts: list[str], addresses: list[Address], until: int
     ) -> None:
         relays = self.script["relays"]
-        zones = self.settings.halls
+        zones = self.settings.zone_names
         # A few relays carry far more than the others.
         parts = [1 / (1 + index) ** 0.5 for index in range(relays["many"])]
         for index in range(relays["many"]):
--- a/indigodeck/testbed/scenario_result.py
+++ b/indigodeck/testbed/scenario_result.py
@@ -20,9 +20,9 @@
     deployment = settings.deployment
     # The audit counts all messages that may be written, answers to relays' own requests too.
     channel = dataclasses.replace(
-        deployment.channel, max_messages=settings.channel["messages_most"]
+        deployment.channel, max_messages=settings.message_limits.max_messages
     )
-    return Evidence(dataclasses.replace(deployment, channel=channel), settings.classes, started_at)
+    return Evidence(dataclasses.replace(deployment, channel=channel), settings.class_names, started_at)
 
 
 def read_files(evidence: Evidence, folder: pathlib.Path, controllers: list[str]) -> None:
--- a/indigodeck/testbed/scenario_script.py
+++ b/indigodeck/testbed/scenario_script.py
@@ -94,12 +94,12 @@
     except InvalidDocumentError as error:
         return ["charter: " + line for line in str(error).splitlines()]
     names = sorted(stated["name"] for stated in script["classes"])
-    if names != sorted(settings.classes):
-        mistakes.append(f"classes: {names}, the charter has {sorted(settings.classes)}")
+    if names != sorted(settings.class_names):
+        mistakes.append(f"classes: {names}, the charter has {sorted(settings.class_names)}")
     for index, fault in enumerate(script.get("troubles", [])):
-        if fault.get("hall") not in (None, *settings.halls):
+        if fault.get("hall") not in (None, *settings.zone_names):
             mistakes.append(
-                f"troubles/{index}/hall: {fault['hall']!r} is none of the halls {settings.halls}"
+                f"troubles/{index}/hall: {fault['hall']!r} is none of the halls {settings.zone_names}"
             )
     return mistakes
 
--- a/indigodeck/testbed/scripted_conversation.py
+++ b/indigodeck/testbed/scripted_conversation.py
@@ -193,12 +193,12 @@
         self._service = assemble(PlannerSettings(document, self._folder))
 
     async def _stop_planner(self) -> None:
-        self._service.cease()
+        self._service.close()
         await asyncio.sleep(STOP_TIME_S)
 
     def _planner_address(self, protocol: str) -> Callable[[], Address]:
         def address() -> Address:
-            frontends = zip(self._service.settings.fronts, self._service.fronts, strict=True)
+            frontends = zip(self._service.settings.frontends, self._service.frontends, strict=True)
             return "127.0.0.1", dict(frontends)[protocol].port()
 
         return address
--- a/tests/frontends/test_sasp_sockets.py
+++ b/tests/frontends/test_sasp_sockets.py
@@ -102,12 +102,12 @@
             for nth in range(30):
                 planner.keep(**{f"host_{nth}": "draining"})
                 await until(lambda drained=set(range(nth + 1)): not ports(tables) & drained)
-            limit = planner.service.desk.settings.channel.max_waiting_lines
-            self.assertLess(planner.service.desk.most_waiting, limit)
+            limit = planner.service.planner_host.settings.channel.max_waiting_lines
+            self.assertLess(planner.service.planner_host.most_waiting_lines, limit)
             held, data = Tables(["reading"], now), b""
             deaf.setblocking(False)
             idle = 0
-            while idle < 50 or planner.service.desk.waits(planner.service.relays.index(b"raw")):
+            while idle < 50 or planner.service.planner_host.has_pending(planner.service.proxies.proxy_ids.index(b"raw")):
                 await asyncio.sleep(0.01)
                 try:
                     data, idle = data + deaf.recv(65536), 0
@@ -128,7 +128,7 @@
         async with Planner(channel={"messages_most": 30, "answers_most": 10}) as planner:
             tables, client, task = planner.client()
             await until(lambda: ports(tables) == set(range(6)))
-            wrote = planner.service.fronts[0].allowance(b"hall-a/r1").written
+            wrote = planner.service.frontends[0].allowance(b"hall-a/r1").written
             before = len(wrote)
             time.sleep(2)  # the whole loop stands still
             planner.keep(host_0="draining")
--- a/tests/planner/test_planner_sockets.py
+++ b/tests/planner/test_planner_sockets.py
@@ -24,12 +24,15 @@
             ) as planner:
                 for nth in range(8):
                     planner.hosts[f"host-{nth}"] = {"port": pool.start(f"host-{nth}", settings)}
-                planner.service.patience = 800_000
+                planner.service.health_checker.timeout = 800_000
                 planner.keep()
                 tables, client, task = planner.client()
                 hung = ("127.0.0.1", pool.hosts["host-3"].port)
-                turns, old = [], planner.service.evidence.turn
-                planner.service.evidence.turn = lambda *given: (turns.append(now()), old(*given))
+                turns, old = [], planner.service.health_inference.report
+                planner.service.health_inference.report = lambda *given: (
+                    turns.append(now()),
+                    old(*given),
+                )
                 await until(lambda: hung in tables.lines["reading"] and len(turns) > 2)
                 full = tables.lines["reading"][hung]
                 pool.hosts["host-3"].set_fault("hang")
@@ -81,12 +84,17 @@
             discovery.set(dict(hosts[1], state="draining"))
             await until(lambda: ports(tables) == {0, 2, 3, 4, 5})
             discovery.unavailable = True
-            await until(lambda: planner.said("list not read") or planner.said("list not followed"))
+            await until(
+                lambda: (
+                    planner.said("endpoint_list_not_read")
+                    or planner.said("endpoint_list_not_followed")
+                )
+            )
             discovery.set(dict(hosts[2], state="gone"))
             await asyncio.sleep(0.3)
             self.assertEqual(ports(tables), {0, 2, 3, 4, 5})
             discovery.unavailable = False
-            await until(lambda: 2 not in planner.service.desk.assigner.state.servers, 12)
+            await until(lambda: 2 not in planner.service.planner_host.assigner.state.servers, 12)
             client.stop()
             await task
         discovery.stop()
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -211,10 +211,10 @@
     def due(self, proxy):
         self.wanting.append(proxy)
 
-    def probe(self, server):
+    def check_health(self, server):
         self.note(f"probe {server}")
 
-    def ask_list(self, watch):
+    def fetch_endpoint_list(self):
         self.note("ask for the list")
 
     def note(self, text, **facts):
--- a/tests/support.py
+++ b/tests/support.py
@@ -65,11 +65,11 @@
             cache_logger_on_first_use=False,
         )
         self.service = assemble(PlannerSettings(self.document, self.folder.name))
-        self.port = self.service.fronts[0].port()
+        self.port = self.service.frontends[0].port()
         return self
 
     async def __aexit__(self, *_):
-        self.service.cease()
+        self.service.close()
         await asyncio.sleep(0.05)
         self.folder.cleanup()
 
--- a/tests/test_outlasting.py
+++ b/tests/test_outlasting.py
@@ -41,7 +41,7 @@
             }
             for name in hosts
         ]
-        self.belief = CachedEndpointList(
+        self.cached_list = CachedEndpointList(
             self,
             {
                 "hosts": entries,
@@ -56,15 +56,17 @@
     def wall(self):
         return self.clock + DAY
 
-    def prove(self, host):
+    def check_cached_host(self, host):
         self.tried.append(host["id"])
         there = host["id"] in self.there
         self.later(
             50_000 if there else SECOND,
-            lambda: (self.belief.proved if there else self.belief.disproved)(host["id"]),
+            lambda: (self.cached_list.on_answer if there else self.cached_list.on_no_answer)(
+                host["id"]
+            ),
         )
 
-    def believed(self, hosts, fresh):
+    def use_cached_entries(self, hosts, fresh):
         self.by = {**({} if fresh else self.by), **{host["id"]: host for host in hosts}}
         self.note(
             "goes by" if fresh else "and",
@@ -99,19 +101,19 @@
 
     def test_a_list_that_comes_in_time_is_all_that_counts_and_a_late_one_ends_it(self):
         early, late = Kept("abc", "abc"), Kept("abc", "abc")
-        early.belief.listed({"a": {}})
+        early.cached_list.on_list({"a": {}})
         early.run(20)
         self.assertEqual((early.tried, early.printed), ([], []))
         late.run(3)
-        late.belief.listed({"a": {}, "z": {}})
+        late.cached_list.on_list({"a": {}, "z": {}})
         late.run(20)
-        self.assertEqual((len(late.tried), late.belief.over), (3, True))
+        self.assertEqual((len(late.tried), late.cached_list.superseded), (3, True))
         self.assertIn("more=1 fewer=2", late.printed[-1])
 
     def test_an_older_list_adds_who_answers_and_takes_nobody_away(self):
         kept = Kept("abc", "abcz")
         kept.run(2)
-        kept.belief.older(
+        kept.cached_list.on_stale_list(
             {
                 name: {"id": name, "state": "ready", "address": "h", "port": 2}
                 for name in ("a", "y", "z")
@@ -125,8 +127,8 @@
         for kept in (young, old):
             kept.run(2)
             self.assertEqual((sorted(kept.by), kept.tried), (list("ab"), []))
-        self.assertGreater(young.belief.trust(), 0.99)
-        self.assertLess(old.belief.trust(), 0.01)
+        self.assertGreater(young.cached_list.trust(), 0.99)
+        self.assertLess(old.cached_list.trust(), 0.01)
 
 
 class Net:
@@ -313,16 +315,16 @@
         planner = self.planner()
         async with planner:
             tables, client, task = await self.settled(planner)
-            await until(lambda: planner.service.publisher.newest())
-            first = planner.service.publisher.newest()
+            await until(lambda: planner.service.versions.publisher.newest())
+            first = planner.service.versions.publisher.newest()
             planner.keep(host_0="draining", host_1="draining")
             await until(lambda: not ports(tables) & {0, 1})
             planner.keep(host_0="ready", host_1="ready")
             await until(lambda: ports(tables) == set(range(6)))
-            answer = await planner.service.asked(
+            answer = await planner.service.versions.on_operator_request(
                 {
                     "what": "rollback",
-                    "number": str(max(planner.service.publisher.version_log.versions)),
+                    "number": str(max(planner.service.versions.publisher.version_log.versions)),
                     "classes": ["reading"],
                     "author": "duty",
                     "reason": "to see",
@@ -330,17 +332,17 @@
             )
             self.assertIn("reading held at", answer["done"])
             last, content = (
-                planner.service.publisher.newest(),
-                planner.service.publisher.version_log.content_hash(),
+                planner.service.versions.publisher.newest(),
+                planner.service.versions.publisher.version_log.content_hash(),
             )
             await self.end(client, task)
-            planner.service.cease()
+            planner.service.close()
             # The same folder, the next start.
             planner.service = None
             async with RestartOf(planner):
                 tables, client, task = await self.settled(planner)
                 await asyncio.sleep(0.5)
-                publisher = planner.service.publisher
+                publisher = planner.service.versions.publisher
                 self.assertEqual(
                     (publisher.newest(), publisher.version_log.content_hash()), (last, content)
                 )
@@ -365,9 +367,9 @@
         (pathlib.Path(planner.folder.name) / "key").write_text("operators and planner share this")
         async with planner:
             tables, client, task = await self.settled(planner)
-            await until(lambda: planner.service.publisher.newest())
+            await until(lambda: planner.service.versions.publisher.newest())
             document = json.loads(json.dumps(planner.document))
-            document["operators"]["port"] = planner.service.operators.port
+            document["operators"]["port"] = planner.service.operator_server.port
             path = pathlib.Path(planner.folder.name) / "operators.json"
             path.write_text(json.dumps(document))
 
@@ -391,7 +393,9 @@
             await until(lambda: 0 not in ports(tables))
             planner.keep(host_0="ready")
             await until(lambda: 0 in ports(tables))
-            numbers = [str(one) for one in sorted(planner.service.publisher.version_log.versions)]
+            numbers = [
+                str(one) for one in sorted(planner.service.versions.publisher.version_log.versions)
+            ]
             code, out = await said("diff", numbers[0], numbers[1])
             self.assertIn("host-0                   4.0 -> -", out)
             self.assertEqual((await said("diff", "9.9", numbers[0]))[0], 1)
@@ -421,17 +425,24 @@
             await until(lambda: 3 not in ports(tables))
             await asyncio.sleep(1.3)  # kept once a second
             await self.end(client, task)
-            planner.service.cease()
+            planner.service.close()
             (pathlib.Path(planner.folder.name) / "roster.json").unlink()
             async with RestartOf(planner):
                 tables, client, task = await self.settled(planner)
                 self.assertEqual(ports(tables), {0, 1, 2, 4, 5})
                 self.assertEqual(
-                    sorted(planner.service.desk.assigner.state.tables[0].members),
-                    [planner.service.servers.index_of[f"host-{nth}"] for nth in (0, 1, 2, 4, 5)],
+                    sorted(planner.service.planner_host.assigner.state.tables[0].members),
+                    [
+                        planner.service.endpoints.server_ids.index_of[f"host-{nth}"]
+                        for nth in (0, 1, 2, 4, 5)
+                    ],
+                )
+                told = (await planner.service.versions.on_operator_request({"what": "trust"}))[
+                    "trust"
+                ]
+                self.assertEqual(
+                    (told["named"], planner.service.endpoints.endpoint_list.version), (6, 2)
                 )
-                told = (await planner.service.asked({"what": "trust"}))["trust"]
-                self.assertEqual((told["named"], planner.service.roster.version), (6, 2))
                 # One that is older is left aside, the next one counts.
                 planner.version = 0
                 planner.keep(host_4="draining")
@@ -440,7 +451,9 @@
                 planner.version = 5
                 planner.keep(host_4="draining")
                 await until(lambda: 4 not in ports(tables))
-                self.assertIsNone((await planner.service.asked({"what": "trust"}))["trust"])
+                self.assertIsNone(
+                    (await planner.service.versions.on_operator_request({"what": "trust"}))["trust"]
+                )
                 await self.end(client, task)
 
     async def test_a_store_that_stops_holds_up_no_decision(self):
@@ -451,7 +464,7 @@
             def full(name, data):
                 raise OSError(28, "no space left on device")
 
-            planner.service.store.files.append = full
+            planner.service.versions.store.files.append = full
             planner.keep(host_0="draining")
             await until(lambda: 0 not in ports(tables))
             await until(lambda: planner.said("store_stopped"))
@@ -468,7 +481,7 @@
         await Planner.__aenter__(self.planner)
 
     async def __aexit__(self, *_):
-        self.planner.service.cease()
+        self.planner.service.close()
         self.planner.service = Gone()
 
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The live planner without sockets: desk, roster, evidence, allowances, and conversations with relays."""
+"""The live planner without sockets: planner_host, roster, evidence, allowances, and conversations with relays."""
 
 import copy
 import json
@@ -16,11 +16,13 @@
 from indigodeck.frontends.sasp.conversation import Conversation, RegistrationRegistry
 from indigodeck.json_documents import InvalidDocumentError
 from indigodeck.planner import join_admission as arrivals
-from indigodeck.planner.endpoint_list import EndpointList, read
-from indigodeck.planner.health_inference import HealthInference, Report
+from indigodeck.planner.endpoint_list import EndpointList, parse_endpoint_list
+from indigodeck.planner.health_inference import HealthInference
+from indigodeck.planner.host_reports import HostReport
 from indigodeck.planner.join_admission import JoinAdmission
 from indigodeck.planner.message_quota import MessageQuota
-from indigodeck.planner.pending_updates import Desk, IdRegistry
+from indigodeck.planner.id_registry import IdRegistry
+from indigodeck.planner.planner_host import PlannerHost
 from indigodeck.planner.planner_settings import PlannerSettings
 from indigodeck.planner.weights import scaled
 
@@ -33,28 +35,28 @@
     def __init__(self, servers=6, **stated):
         super().__init__()
         self.relays, self.quiet, self.fleet = IdRegistry(), [], {}
-        self.desk = Desk(self, deployment_settings(**stated), 3)
+        self.planner_host = PlannerHost(self, deployment_settings(**stated), 3)
         self.office = RegistrationRegistry(
-            self.desk, self, ["read", "write"], Bounds(members=64), 5, 10 * SECOND
+            self.planner_host, self, ["read", "write"], Bounds(members=64), 5, 10 * SECOND
         )
         self.change(*[server(index) for index in range(servers)])
 
     def change(self, *servers):
         self.fleet.update((one.index, one) for one in servers)
-        self.desk.listed("changes", servers)
+        self.planner_host.on_endpoint_update("changes", servers)
 
     def proxy(self, uid):
         return self.relays.index(uid)
 
     def joined(self, proxy, uid):
-        if proxy in self.desk.holdings:
-            self.desk.proxy_left(proxy)
+        if proxy in self.planner_host.pending_updates:
+            self.planner_host.on_proxy_left(proxy)
         self.note(f"relay {uid.decode()} joined")
-        self.desk.proxy_joined(proxy, 0, 10.0, True)
+        self.planner_host.on_proxy_joined(proxy, 0, 10.0, True)
 
     def left(self, proxy):
         self.note(f"relay {proxy} left")
-        self.desk.proxy_left(proxy)
+        self.planner_host.on_proxy_left(proxy)
 
     def server_at(self, where):
         return where[1] - PORT if where[1] - PORT in self.fleet else None
@@ -109,12 +111,16 @@
 
     def push(self):
         """What the shell does when the relay can be written to."""
-        parcel = self.clerk.desk.take(self.talk.proxy) if self.talk.proxy is not None else None
+        parcel = (
+            self.clerk.planner_host.take_updates(self.talk.proxy)
+            if self.talk.proxy is not None
+            else None
+        )
         data, self.wants = self.talk.news(), False
         if data:
             self.send(data)
         if parcel:
-            self.clerk.desk.acknowledged(parcel)
+            self.clerk.planner_host.on_delivered(parcel)
         return data
 
 
@@ -230,7 +236,7 @@
         held = dict(wire.talk.groups[0].told)
         clerk.change(*[server(index, ServerState.GONE) for index in range(3)])
         for index in range(3):
-            clerk.desk.probed(index, "ok", 1000, None)
+            clerk.planner_host.on_health_check(index, "ok", 1000, None)
         wire.ask(codec.get_weights(4, [(b"r1", b"read")]))
         self.assertEqual(wire.talk.groups[0].told, held)
 
@@ -241,7 +247,7 @@
             wire.ask(*hello())
             clerk.run(0.5)
         self.assertEqual(sum(wire.closed is None for wire in wires), 3)
-        self.assertEqual(len(clerk.desk.holdings), 1)
+        self.assertEqual(len(clerk.planner_host.pending_updates), 1)
         clerk.note("what a replaced connection still asks is not answered for the relay")
         wires[0].ask(codec.get_weights(9, [(b"r1", b"read")]))
         clerk.run(11)
@@ -273,7 +279,10 @@
             clerk.change(server(nth, ServerState.DRAINING))
             clerk.run(1)
             messages += bool(other.push())
-            self.assertLess(clerk.desk.queue(), clerk.desk.settings.channel.max_waiting_lines)
+            self.assertLess(
+                clerk.planner_host.waiting_lines(),
+                clerk.planner_host.settings.channel.max_waiting_lines,
+            )
         self.assertGreater(messages, 8)
         self.assertTrue(deaf.push())
         self.assertFalse(deaf.push())
@@ -373,7 +382,7 @@
             clerk.run(1)
             wire.ask(codec.get_weights(9, [read]))
             told = wire.talk.groups[0].told
-            for index in clerk.desk.withdrawn:
+            for index in clerk.planner_host.ejected_servers:
                 weight, flags, _ = told.get(("127.0.0.1", PORT + index), (0, codec.QUIESCED, 0))
                 self.assertEqual((weight, flags & codec.QUIESCED), (0, codec.QUIESCED))
 
@@ -391,19 +400,19 @@
         self.calls = []
         self.roster = EndpointList(self, IdRegistry(), ["a", "b"], ["std"], 5 * SECOND)
 
-    def listed(self, kind, servers):
+    def on_endpoint_update(self, kind, servers):
         self.calls.append(
             (kind, [(one.stable_id.decode(), one.state, one.started) for one in servers])
         )
 
-    def older(self, hosts):
+    def on_stale_list(self, hosts):
         self.left_aside = hosts
 
-    def ask(self):
+    def fetch_endpoint_list(self):
         self.calls.append("ask")
 
-    def note(self, text):
-        self.calls.append(text)
+    def note(self, event, **facts):
+        self.calls.append((event, facts))
 
     def document(self, version, *hosts, **more):
         return dict(
@@ -418,13 +427,13 @@
         )
 
     def test_lists_late_twice_and_out_of_order(self):
-        self.roster.changes(self.document(3, ("x", "ready")))
-        self.roster.whole(self.document(4, ("x", "ready"), ("y", "ready")))
-        self.roster.changes(self.document(4, ("x", "gone")))
-        self.roster.changes(self.document(5, ("x", "draining")))
-        self.roster.changes(self.document(7, ("y", "gone")))
-        self.roster.whole(self.document(2, ("y", "ready")))
-        self.roster.whole(self.document(1, ("y", "ready"), epoch=1))
+        self.roster.apply_changes(self.document(3, ("x", "ready")))
+        self.roster.apply_whole(self.document(4, ("x", "ready"), ("y", "ready")))
+        self.roster.apply_changes(self.document(4, ("x", "gone")))
+        self.roster.apply_changes(self.document(5, ("x", "draining")))
+        self.roster.apply_changes(self.document(7, ("y", "gone")))
+        self.roster.apply_whole(self.document(2, ("y", "ready")))
+        self.roster.apply_whole(self.document(1, ("y", "ready"), epoch=1))
         self.assertEqual(
             self.calls,
             [
@@ -432,16 +441,16 @@
                 ("cached", [("x", ServerState.READY, 0), ("y", ServerState.READY, 0)]),
                 ("changes", [("x", ServerState.DRAINING, 0)]),
                 "ask",
-                "list 2 is older than 5: left aside",
+                ("endpoint_list_stale", {"version": 2, "held_version": 5}),
                 ("whole", [("y", ServerState.READY, 0)]),
             ],
         )
 
     def test_a_host_that_says_it_is_quiet_drains_at_once_and_until_it_says_otherwise(self):
-        self.roster.whole(self.document(1, ("x", "ready")))
-        self.assertTrue(self.roster.quiesced("127.0.0.1", 9000, True))
-        self.roster.whole(self.document(2, ("x", "ready")))
-        self.roster.quiesced("127.0.0.1", 9000, False)
+        self.roster.apply_whole(self.document(1, ("x", "ready")))
+        self.assertTrue(self.roster.set_quiesced("127.0.0.1", 9000, True))
+        self.roster.apply_whole(self.document(2, ("x", "ready")))
+        self.roster.set_quiesced("127.0.0.1", 9000, False)
         self.assertEqual(
             [servers[0][1] for _, servers in self.calls],
             [ServerState.READY, ServerState.DRAINING, ServerState.DRAINING, ServerState.READY],
@@ -456,7 +465,7 @@
             (json.dumps(dict(self.document(1), colour=1)), "'colour' was unexpected"),
         ):
             with self.assertRaises(InvalidDocumentError) as caught:
-                read(text)
+                parse_endpoint_list(text)
             self.assertIn(said, str(caught.exception))
 
     def test_charters_name_the_place_of_what_is_wrong(self):
@@ -484,29 +493,29 @@
         self.clock, self.met, self.brought = 0, {}, {}
         stated = deployment_settings(planner_zone=0)
         self.evidence = HealthInference(self, stated, 40, 16)
-        self.evidence.listed([server(index) for index in range(6)])
+        self.evidence.on_endpoint_update([server(index) for index in range(6)])
 
     def now(self):
         return self.clock
 
-    def heard(self, zone, index, tries, failed, took, span, load):
-        self.met[index] = tries, failed, took
+    def on_load_report(self, report):
+        self.met[report.server] = report.attempts, report.failures, report.mean_latency
 
-    def demand(self, proxy, place, exchanges, failed, span):
-        self.brought[proxy, place] = exchanges
+    def on_demand_report(self, report):
+        self.brought[report.proxy, report.class_index] = report.requests
 
     def second(self, reports=()):
         for _ in range(20):
             self.clock += SECOND // 20
             for index in self.evidence.due(self.clock):
                 hung = index == 3
-                self.evidence.tried(
+                self.evidence.on_check(
                     index, "silent" if hung else "ok", 2 * SECOND if hung else 300_000, self.clock
                 )
         for index in range(6):
-            self.evidence.reported(
+            self.evidence.on_host_report(
                 index,
-                Report(
+                HostReport(
                     0.01 if index == 3 else 0.5,
                     9 if index == 3 else 4,
                     200_000,
@@ -517,7 +526,7 @@
                 self.clock,
             )
         self.met.clear()
-        self.evidence.turn()
+        self.evidence.report()
 
     def test_a_hung_host_with_the_least_use_fails_what_it_holds(self):
         self.second()
@@ -528,14 +537,14 @@
         self.assertTrue(all(self.met[index][1] == 0 for index in (0, 1, 2, 4, 5)))
 
     def test_time_at_a_host_counts_waiting(self):
-        self.evidence.reported(0, Report(1.0, 30, 200_000, 10.0), 1)
+        self.evidence.on_host_report(0, HostReport(1.0, 30, 200_000, 10.0), 1)
         self.clock = SECOND
-        self.evidence.turn()
+        self.evidence.report()
         self.assertEqual(self.met[0], (10, 0, 3 * SECOND))
 
     def test_demand_is_what_hosts_complete_and_its_sum_is_kept(self):
         for proxy in range(7):
-            self.evidence.joined(proxy)
+            self.evidence.on_proxy_joined(proxy)
         self.second()
         self.second()
         self.assertEqual(
@@ -547,13 +556,14 @@
         )
 
     def test_suspects_are_tried_more_closely_and_all_within_the_budget(self):
-        self.evidence.rate, sent = 8, []
+        self.evidence.checks_per_second = 8
+        sent = []
         for _ in range(40):
             self.clock += SECOND // 20
             chosen = self.evidence.due(self.clock)
             sent += chosen
             for index in chosen:
-                self.evidence.tried(index, "silent" if index == 3 else "ok", 1000, self.clock)
+                self.evidence.on_check(index, "silent" if index == 3 else "ok", 1000, self.clock)
         self.assertLessEqual(len(sent), 8 * 2 + 8)
         self.assertGreaterEqual(sent.count(3), 4)
         self.assertEqual(set(sent), set(range(6)))
@@ -563,21 +573,21 @@
         asked = self.evidence.due(self.clock + SECOND // 10)
         self.clock += 3 * SECOND  # stopped, with probes under way
         for index in asked:
-            self.evidence.tried(index, "ok", 3 * SECOND, self.clock)
+            self.evidence.on_check(index, "ok", 3 * SECOND, self.clock)
         self.evidence.due(self.clock)
         for index in range(6):
-            self.evidence.tried(index, "silent", 2 * SECOND, self.clock + 1000)
+            self.evidence.on_check(index, "silent", 2 * SECOND, self.clock + 1000)
         self.met.clear()
-        self.evidence.turn()
+        self.evidence.report()
         self.assertEqual(self.met, {})
         self.second()
         self.assertLess(self.met[0][2], SECOND // 2)
 
     def test_late_reports_and_old_ones_say_nothing(self):
-        self.evidence.reported(0, Report(0, 1, 1, 5.0), 10 * SECOND)
-        self.evidence.reported(0, Report(0, 1, 1, 99.0), 9 * SECOND)
+        self.evidence.on_host_report(0, HostReport(0, 1, 1, 5.0), 10 * SECOND)
+        self.evidence.on_host_report(0, HostReport(0, 1, 1, 99.0), 9 * SECOND)
         self.clock = 20 * SECOND
-        self.evidence.turn()
+        self.evidence.report()
         self.assertEqual(self.met, {})
 
 
@@ -587,24 +597,24 @@
         self.now, self.later = self.loop.now, self.loop.later
         self.arrivals = JoinAdmission(self, 1000)
 
-    def queue(self):
+    def waiting_lines(self):
         return self.waiting
 
-    def arrival(self):
+    def lines_of_one_join(self):
         return 50
 
-    def let_in(self, relay):
+    def admit(self, relay):
         self.inside.append(relay)
         self.waiting += 50
 
-    def turned_away(self, relay):
+    def reject(self, relay):
         self.away.append(relay)
 
     def test_all_that_come_at_once_are_let_in_as_the_channel_empties_first_come_first(self):
         for relay in range(100):
-            self.arrivals.came(relay)
-        self.arrivals.left(5)
-        self.arrivals.left(90)
+            self.arrivals.on_arrival(relay)
+        self.arrivals.on_departure(5)
+        self.arrivals.on_departure(90)
         most = self.waiting
         while len(self.inside) < 98 and self.loop.clock < 110 * SECOND:
             self.loop.run(0.02)
@@ -615,14 +625,14 @@
     def test_a_queue_that_never_empties_lets_one_in_now_and_then_and_is_never_overfilled(self):
         self.waiting = 700  # of relays that read nothing
         for relay in range(20):
-            self.arrivals.came(relay)
+            self.arrivals.on_arrival(relay)
         self.loop.run(10)
         self.assertEqual((self.inside, self.waiting), (list(range(6)), 1000))
 
     def test_no_more_wait_than_there_is_room_for(self):
         self.waiting = 1000
-        for relay in range(arrivals.WAITING_MOST + 2):
-            self.arrivals.came(relay)
+        for relay in range(arrivals.MAX_WAITING_PROXIES + 2):
+            self.arrivals.on_arrival(relay)
         self.assertEqual(len(self.away), 2)
 
 
@@ -633,14 +643,16 @@
         allowance, clock, written = MessageQuota(7, 1000, 3), 0, []
         for gap, answer in wishes:
             clock += gap
-            wait = allowance.answer_in(clock) if answer else allowance.order_in(clock)
+            wait = allowance.answer_wait(clock) if answer else allowance.order_wait(clock)
             if wait == 0:
-                allowance.wrote(clock, answer)
+                allowance.on_written(clock, answer)
                 written.append((clock, answer))
             else:
                 self.assertTrue(0 < wait <= 1000)
                 later = copy.deepcopy(allowance)
-                self.assertEqual((later.answer_in if answer else later.order_in)(clock + wait), 0)
+                self.assertEqual(
+                    (later.answer_wait if answer else later.order_wait)(clock + wait), 0
+                )
         for at, _ in written:
             within = [answer for other, answer in written if at - 1000 < other <= at]
             self.assertLessEqual(len(within), 7)
