--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -17,9 +17,11 @@
 from indigodeck.client.xds import RequestRejectedError, XdsSession  # noqa: E402
 from indigodeck.frontends.xds import codec  # noqa: E402
 from indigodeck.frontends.xds.streams import Bounds, Relay, ResourceCache, Stream  # noqa: E402
-from indigodeck.planner.pending_updates import Desk, IdRegistry  # noqa: E402
+from indigodeck.planner.id_registry import IdRegistry  # noqa: E402
+from indigodeck.planner.planner_host import PlannerHost  # noqa: E402
 from indigodeck.planner.version_source import VersionSource  # noqa: E402
 from indigodeck.planner.weights import scaled  # noqa: E402
+from indigodeck.versions.publisher import TablePublisher  # noqa: E402
 from indigodeck.versions.operator_commands import OperatorCommands  # noqa: E402
 from indigodeck.versions.version_log import DAY  # noqa: E402
 
@@ -29,15 +31,15 @@
 class Drawn:
     """Lays whatever a schedule says, in place of an assigner."""
 
-    def __init__(self, desk, stated, seed):
-        self.desk = desk
+    def __init__(self, planner_host, stated, seed):
+        self.planner_host = planner_host
 
     def on_endpoint_update(self, kind, servers):
         pass
 
     def on_proxy_joined(self, proxy, zone, rate, fresh):
         for place in (0, 1):
-            self.desk.assign_table(proxy, 2 * (proxy % 2) + place, [place])
+            self.planner_host.assign_table(proxy, 2 * (proxy % 2) + place, [place])
 
     def on_proxy_left(self, proxy):
         pass
@@ -70,44 +72,48 @@
         self.relays = IdRegistry()
         for nth in range(8):
             self.servers.index(f"h{nth}")
-        self.desk = Desk(self, deployment_settings(), 1, Drawn)
-        self.desk.listed("whole", [server(nth) for nth in range(8)])
+        self.planner_host = PlannerHost(self, deployment_settings(), 1, Drawn)
+        self.planner_host.on_endpoint_update("whole", [server(nth) for nth in range(8)])
         held = {key: value for key, value in self.kept_store.held.items()}
         source = VersionSource(
-            self,
-            self.desk,
-            self,
-            held,
-            deployment_settings(),
-            CLASSES,
-            500,
-            DAY,
-            lambda document: None,
+            planner_host=self.planner_host,
+            server_ids=self.servers,
+            proxy_ids=self.relays,
+            store=self,
+            stored=held,
+            clock_gap=self.clock_gap,
+            on_version_published=lambda version, delta: None,
+            on_requests_changed=lambda state: None,
+            log=self.note,
+            clock=self.now,
         )
-        self.publisher = source.publisher
-        self.desk.publisher = source.publisher
-        self.commands = OperatorCommands(source.publisher, source)
+        self.publisher = TablePublisher(source, CLASSES, 500, DAY)
+        self.planner_host.publisher = self.publisher
+        self.commands = OperatorCommands(self.publisher, source)
         self.publisher.become_leader(self.epoch)
-        self.shelf = ResourceCache(self.desk, self, dict(zip(CLASSES, (0, 1))), scaled)
+        self.shelf = ResourceCache(self.planner_host, self, dict(zip(CLASSES, (0, 1))), scaled)
         self.known = {}
         for relay in self.fars:
             relay.broken()
         self.change(all_of_them=True)
 
-    replicator = None
-
     def change(self, all_of_them=False):
         for table in range(4) if all_of_them else (self.chance.below(4),):
-            self.desk.place_of[table] = table % 2
+            self.planner_host.class_of_table[table] = table % 2
             for nth in range(8):
                 if all_of_them or self.chance.below(3) == 0:
-                    self.desk.set_weight(table, nth, self.chance.below(3) * 1.0 if nth else 1.0)
-        self.desk._settle("a turn")
+                    self.planner_host.set_weight(
+                        table, nth, self.chance.below(3) * 1.0 if nth else 1.0
+                    )
+        self.planner_host.flush_orders("a turn")
         self.note_published()
 
     def note_published(self):
         for table in range(4):
-            lines = {server: weight for server, weight in self.desk._lines(table).items()}
+            lines = {
+                server: weight
+                for server, weight in self.planner_host.published_weights(table).items()
+            }
             _, data = codec.endpoints(
                 CLASSES[table % 2],
                 [self.host(one) + (weight,) for one, weight in scaled(lines).items()],
@@ -134,7 +140,7 @@
                     and len(self.publisher.version_log.versions) > before
                 ):
                     raise AssertionError(f"{number} took effect twice")
-        self.desk._settle("a turn")
+        self.planner_host.flush_orders("a turn")
         self.note_published()
 
     def host(self, server):
@@ -189,7 +195,7 @@
     def broken(self):
         if self.stream is not None and self.proxy in self.day.known:
             del self.day.known[self.proxy]
-            self.day.desk.proxy_left(self.proxy)
+            self.day.planner_host.on_proxy_left(self.proxy)
         self.life, self.stream = self.life + 1, None
         life = self.life
         self.day.later(
@@ -199,11 +205,11 @@
     def dial(self):
         self.proxy = self.day.relays.index(self.uid.encode())
         self.relay = Relay(
-            self.uid, self.proxy, self.day.shelf, self.day.desk, Clerk(self.day), Bounds()
+            self.uid, self.proxy, self.day.shelf, self.day.planner_host, Clerk(self.day), Bounds()
         )
         self.stream, self.session = self.relay.opened(self, True), XdsSession(self.tables, {})
         self.day.known[self.proxy] = self
-        self.day.desk.proxy_joined(self.proxy, 0, 1.0, False)
+        self.day.planner_host.on_proxy_joined(self.proxy, 0, 1.0, False)
         opening = self.session.opening_request(base_pb2.Node(id=self.uid))
         # The first message opens the connection: without it there is none.
         self.stream.asked_changes(
@@ -315,10 +321,10 @@
         day = Day(1)
         for far in day.fars:
             far.life += 1  # none dials by itself
-        day.desk.place_of.clear()
+        day.planner_host.class_of_table.clear()
         day.publisher.retain_tables_until = 0
         for proxy, tables in ((0, ["0", "1"]), (1, ["0", "1", "2", "3"])):
-            day.desk.proxy_joined(day.relays.index(f"r{proxy}".encode()), 0, 1.0, False)
+            day.planner_host.on_proxy_joined(day.relays.index(f"r{proxy}".encode()), 0, 1.0, False)
             self.assertEqual(sorted(day.publisher.version_log.snapshot), tables)
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -270,7 +270,7 @@
 class KeptList(StoredFolder):
     def test_the_list_of_hosts_that_was_kept_is_taken_up_again(self):
         class Listener:
-            def listed(self, kind, servers):
+            def on_endpoint_update(self, kind, servers):
                 self.servers = servers
 
         class IdRegistry:
@@ -281,8 +281,8 @@
         roster = EndpointList(
             listener, IdRegistry(), ["north", "south"], ["small", "big"], 1_749_999_000_000_000 - 7
         )
-        roster.believed(kept, kept["hosts"], True)
-        self.assertEqual((roster.version, roster.epoch, roster.quiet), (1042, 2, {"host-7"}))
+        roster.restore(kept, kept["hosts"], True)
+        self.assertEqual((roster.version, roster.epoch, roster.quiesced_ids), (1042, 2, {"host-7"}))
         self.assertEqual(
             [
                 plain([one.index, one.cell, one.machine_type, one.zone, one.weight, one.started])
@@ -290,7 +290,7 @@
             ],
             [[3, 1, 1, 0, 2.5, 7], [7, 0, 2, 0, 1.0, 0], [9, 0, 2, 1, 1.0, 0]],
         )
-        self.assertEqual({**roster.kept(), "at": STARTED_AT}, kept)
+        self.assertEqual({**roster.to_record(), "at": STARTED_AT}, kept)
 
 
 class Messages(unittest.TestCase):
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -31,7 +31,11 @@
 from indigodeck.frontends.xds import codec  # noqa: E402
 from indigodeck.frontends.xds.codec import CLUSTER, ENDPOINTS, KINDS, LISTENER, ROUTE  # noqa: E402
 from indigodeck.frontends.xds.streams import UNDERWAY_MOST, Bounds, LimitExceededError, Relay  # noqa: E402
-from indigodeck.planner.demand_aggregation import DemandAggregator  # noqa: E402
+from indigodeck.planner.demand_aggregation import (  # noqa: E402
+    DemandAggregator,
+    ProxyReport,
+    ServerFigures,
+)
 from indigodeck.planner.planner_settings import PlannerSettings  # noqa: E402
 from indigodeck.serve import assemble  # noqa: E402
 from indigodeck.testbed.grpc_host import GrpcHost  # noqa: E402
@@ -42,7 +46,7 @@
 
 
 class Fleet(Loop):
-    """A shelf and a desk in one: resources are what a test says they are."""
+    """A shelf and a planner_host in one: resources are what a test says they are."""
 
     def __init__(self, *names):
         super().__init__()
@@ -58,7 +62,7 @@
         version = self.made.get((kind, name))
         return None if version is None else (version, b"")
 
-    def take(self, proxy):
+    def take_updates(self, proxy):
         return self.parcels.pop() if self.parcels else None
 
     def epoch(self, proxy):
@@ -70,7 +74,7 @@
     def refusals(self, uid):
         return dict(self.known)
 
-    def acknowledged(self, parcel):
+    def on_delivered(self, parcel):
         self.note(f"parcel {parcel} is applied")
 
     def set(self, version, kind="endpoints", name="read"):
@@ -295,57 +299,65 @@
 class Reports(unittest.TestCase):
     def setUp(self):
         self.clock, self.lines = 0, []
-        self.sums = DemandAggregator(self, 10, SECOND)
+        self.aggregator = DemandAggregator(self, 10, SECOND)
 
     def now(self):
         return self.clock
 
-    def heard(self, zone, server, tries, failed, took, span, load):
-        self.lines.append(("heard", server, tries, failed, took))
+    def on_load_report(self, report):
+        self.lines.append(
+            ("load", report.server, report.attempts, report.failures, report.mean_latency)
+        )
 
-    def demand(self, proxy, place, exchanges, failed, span):
-        self.lines.append(("demand", proxy, exchanges, failed))
+    def on_demand_report(self, report):
+        self.lines.append(("demand", report.proxy, report.requests, report.failures))
+
+    def told(self, proxy, zone, class_index, span, figures, rejected, stream):
+        servers = tuple(ServerFigures(*one) for one in figures)
+        return self.aggregator.on_proxy_report(
+            ProxyReport(proxy, zone, class_index, span, servers, rejected, stream)
+        )
 
     def turn(self, seconds=1):
         self.clock += round(seconds * SECOND)
-        self.sums.turn(lambda server: server != 9, lambda server: 77)
+        self.aggregator.hand_on(lambda server: server != 9, lambda server: 77)
         lines, self.lines = self.lines, []
         return lines
 
     def test_reports_add_up_over_relays_and_servers_long_gone_are_left_out(self):
         self.clock = SECOND
-        self.sums.told(1, 0, 0, SECOND, [(3, 10, 1, 200), (9, 5, 5, 0)], 2, "s1")
-        self.sums.told(2, 0, 0, SECOND, [(3, 10, 0, 400), (4, 6, 0, 0)], 0, "s2")
+        self.told(1, 0, 0, SECOND, [(3, 10, 1, 200), (9, 5, 5, 0)], 2, "s1")
+        self.told(2, 0, 0, SECOND, [(3, 10, 0, 400), (4, 6, 0, 0)], 0, "s2")
         self.assertEqual(
             sorted(self.turn()),
             [
                 ("demand", 1, 17, 6),
                 ("demand", 2, 16, 0),
-                ("heard", 3, 20, 1, 305),
-                ("heard", 4, 6, 0, 77),
+                ("load", 3, 20, 1, 305),
+                ("load", 4, 6, 0, 77),
             ],
         )
 
     def test_reports_sent_twice_or_by_a_fast_clock_are_left_out_by_their_time(self):
-        told = [self.sums.told(1, 0, 0, SECOND, [(3, 10, 0, 0)], 0, "s1") for _ in range(6)]
+        told = [self.told(1, 0, 0, SECOND, [(3, 10, 0, 0)], 0, "s1") for _ in range(6)]
         self.assertEqual(told, [True, True, True, False, False, False])
         self.clock += 10 * SECOND
-        self.assertTrue(self.sums.told(1, 0, 0, SECOND, [(3, 1, 9, 0)], 0, "s1"))
-        self.assertFalse(self.sums.told(1, 0, 0, 3600 * SECOND, [(3, 10, 0, 0)], 0, "s1"))
-        self.assertFalse(self.sums.told(1, 0, 0, 0, [(3, 10, 0, 0)], 0, "s1"))
+        self.assertTrue(self.told(1, 0, 0, SECOND, [(3, 1, 9, 0)], 0, "s1"))
+        self.assertFalse(self.told(1, 0, 0, 3600 * SECOND, [(3, 10, 0, 0)], 0, "s1"))
+        self.assertFalse(self.told(1, 0, 0, 0, [(3, 10, 0, 0)], 0, "s1"))
 
     def test_what_is_over_the_limit_waits_oldest_first_and_adds_up(self):
         for proxy in range(30):
             self.clock += 1
-            self.sums.told(proxy, 0, 0, SECOND, [], 5, proxy)
+            self.told(proxy, 0, 0, SECOND, [], 5, proxy)
         first = self.turn(0.5)
         self.assertEqual([line[1] for line in first], list(range(len(first))))
         self.assertLessEqual(len(first), 10)
-        self.sums.told(29, 0, 0, SECOND, [], 5, 29)
+        self.told(29, 0, 0, SECOND, [], 5, 29)
         rest = [line for _ in range(6) for line in self.turn()]
         self.assertEqual([line[1] for line in first + rest], list(range(30)))
         self.assertEqual(rest[-1], ("demand", 29, 10, 0))
-        self.assertEqual(self.sums.waiting(), 0)
+        self.assertEqual(self.aggregator.waiting_count(), 0)
 
 
 class Stock(unittest.IsolatedAsyncioTestCase):
@@ -429,10 +441,12 @@
             ]
             self.assertLess(max(late, default=0), planner.service.settings.deployment.drain_grace)
             # What they met and what came to them reached the assigner: it is told of nothing else here.
-            self.assertGreater(planner.service.fronts[0].reports_read, 4)
-            self.assertTrue(planner.service.desk.assigner.admission.fleet.completion_rates)
+            self.assertGreater(planner.service.frontends[0].reports_read, 4)
+            self.assertTrue(planner.service.planner_host.assigner.admission.fleet.completion_rates)
             # Marks of the last orders were answered by acknowledgements.
-            self.assertLessEqual(len(planner.service.desk.assigner.state.channel.pending_acks), 2)
+            self.assertLessEqual(
+                len(planner.service.planner_host.assigner.state.channel.pending_acks), 2
+            )
 
     async def test_stock_clients_in_several_processes_on_a_bad_day(self):
         hosts = [GrpcHost(now, f"host-{nth}", 5_000) for nth in range(15)]
@@ -449,7 +463,7 @@
             planner.hosts[host.name] = {"port": host.port}
         planner.keep()
         async with planner:
-            planner.service.patience = 1_000_000
+            planner.service.health_checker.timeout = 1_000_000
             planner.document["fronts"]["xds"]["port"] = planner.port
             relays = [
                 await asyncio.create_subprocess_exec(
@@ -486,7 +500,10 @@
             )
             hosts[0].hangs = True
             await until(
-                lambda: not any(0 in lines for lines in planner.service.desk.tables.values()), 10
+                lambda: (
+                    not any(0 in lines for lines in planner.service.planner_host.tables.values())
+                ),
+                10,
             )
             # Two thirds are replaced by cold successors at once, and the planner starts over in the middle of it.
             drained = now()
@@ -496,11 +513,11 @@
                     "started_ms": int(time.time() * 1000),
                 }
             planner.keep(**{f"host_{nth}": "draining" for nth in range(3, 9)})
-            await until(lambda: len(planner.service.desk.withdrawn) == 6)
-            planner.service.cease()
+            await until(lambda: len(planner.service.planner_host.ejected_servers) == 6)
+            planner.service.close()
             await asyncio.sleep(0.5)
             planner.service = assemble(PlannerSettings(planner.document, planner.folder.name))
-            planner.service.patience = 1_000_000
+            planner.service.health_checker.timeout = 1_000_000
             said = [
                 json.loads(line)
                 for relay in relays
@@ -541,7 +558,7 @@
 
     def relay(self, planner, wire, uid):
         tables, errors = Tables(["reading", "setpoint"], now), []
-        port = dict(zip(planner.service.settings.fronts, planner.service.fronts))
+        port = dict(zip(planner.service.settings.frontends, planner.service.frontends))
         client = {"sasp": SaspClient, "xds": XdsClient}[wire](
             uid, lambda: [("127.0.0.1", port[wire].port())], tables, connection_lost=errors.append
         )
@@ -554,7 +571,7 @@
             await until(lambda: len(sasp[0].lines["reading"]) == 6)
             xds = self.relay(planner, "xds", "hall-a/r1")
             await until(lambda: xds[0].versions and sasp[3])
-            self.assertEqual(len(planner.service.desk.holdings), 1)
+            self.assertEqual(len(planner.service.planner_host.pending_updates), 1)
             sasp[1].stop()
             planner.keep(host_3="draining")
             await until(lambda: len(xds[0].lines["reading"]) == 5)
@@ -565,7 +582,7 @@
         async with self.planner() as planner:
             tables, client, task, _ = self.relay(planner, "xds", "hall-b/r2")
             await until(lambda: len(tables.lines["reading"]) == 6)
-            channel = grpc.aio.insecure_channel(f"127.0.0.1:{planner.service.fronts[1].port()}")
+            channel = grpc.aio.insecure_channel(f"127.0.0.1:{planner.service.frontends[1].port()}")
             stream = ads_pb2_grpc.AggregatedDiscoveryServiceStub(
                 channel
             ).StreamAggregatedResources()
@@ -590,8 +607,8 @@
                 await until(lambda: len(tables.lines["reading"]) == 5 - nth)
             flooding = False
             await flooder
-            wrote = planner.service.allowance("hall-a/flood").written
-            self.assertLessEqual(len(wrote), planner.service.settings.channel["messages_most"])
+            wrote = planner.service.proxies.message_quota("hall-a/flood").written
+            self.assertLessEqual(len(wrote), planner.service.settings.message_limits.max_messages)
             # More names than are allowed end its stream, with the reason.
             with self.assertRaises(grpc.aio.AioRpcError) as caught:
                 await stream.write(
@@ -619,13 +636,13 @@
             )
             for tables, *_ in relays:
                 tables.changed = lambda name, tables=tables: tables.lines[name] or bare.append(name)
-            planner.service.cease()
+            planner.service.close()
             await asyncio.sleep(0.3)
             planner.service = assemble(PlannerSettings(planner.document, planner.folder.name))
             for tables, client, *_ in relays:
-                front = planner.service.fronts[isinstance(client, XdsClient)]
+                front = planner.service.frontends[isinstance(client, XdsClient)]
                 client.planners = lambda front=front: [("127.0.0.1", front.port())]
-            await until(lambda: len(planner.service.front_of) == many, 20)
+            await until(lambda: len(planner.service.proxies.frontend_of) == many, 20)
             planner.keep(host_5="draining")
             await until(
                 lambda: all(
@@ -633,12 +650,16 @@
                 ),
                 10,
             )
-            channel, service = planner.service.settings.channel, planner.service
+            service = planner.service
+            settings = service.settings
             self.assertEqual(bare, [])
-            self.assertLess(service.desk.most_waiting, channel["waiting_most"])
+            self.assertLess(
+                service.planner_host.most_waiting_lines,
+                settings.deployment.channel.max_waiting_lines,
+            )
             self.assertLessEqual(
-                max(len(held.written) for held in service.allowances.values()),
-                channel["messages_most"],
+                max(len(held.written) for held in service.proxies.message_quotas.values()),
+                settings.message_limits.max_messages,
             )
             for _, client, *_ in relays:
                 client.stop()
