--- a/indigodeck/assignment/admission.py
+++ b/indigodeck/assignment/admission.py
@@ -1,6 +1,6 @@
 """Admission control: how much of the demand is admitted, and when proxies may retry.
 
-`AdmissionController` decides it for servers that share load; `AdmissionControl` keeps one of these
+`AdmissionController` decides it for servers that share load; `AdmissionLevels` keeps one of these
 for the fleet and one for each zone with zone-bound classes, and turns them into levels of classes.
 """
 
@@ -27,6 +27,20 @@
 RATES_KEPT = 32
 LATENCY_RATIOS_KEPT = 3
 UNKNOWN_LATENCY_RATIO = 9.0  # before any is seen: above any that matters
+HIGHEST_FAILURE_CUT = 0.15  # of all: cut by all that failed, levels stayed low after an overload
+DEMAND_FLOOR = 0.6  # of the target rate over the demand before: a cut goes no lower
+WORSE_FAILURE_SHARE = 0.15  # above that at the last cut, to cut again before reports can show it
+FAILURE_FACTOR = 4  # how much failures beside higher latencies raise the pressure
+MOST_FAILURE_SHARE = 0.1  # that counts for the pressure
+MOST_EXTRAPOLATED = 0.15  # of the latency ratio
+SLOWER_RATIO = 1.25  # latency over the lowest seen, that is no chance
+NOTABLE_FAILURE_SHARE = 0.02
+HIGH_LATENCY_RATIO = 0.6  # high, whatever the lowest was
+LEAST_RAISE = 1.06  # of the target rate and of the admitted share
+BEYOND_DEMAND_RAISE = 1.15  # of the admitted share, where demand is met already
+MOST_RAISE = 1.5  # of the admitted share
+OVERLOAD_QUANTILE = 0.6  # two of five high latencies tell an overload from a few outliers
+WORSE_ZONE = 1.5  # a zone's latency over the fleet's, to cut the zone while the fleet is cut
 LEAST_ADMITTED_SHARE = 0.1
 MOST_REFUSED_OF_A_CLASS = 0.95
 UNLIMITED_RATE = 1e6  # requests a second for each proxy
@@ -112,9 +126,9 @@
         if self.admitted_share == 1 and (pressure < CALM or not self.demand_before_cut):
             self.demand_before_cut = measured.attempted  # later, retries would count as demand
         # One period ahead: what is ordered now takes effect only then.
-        pressure += min(0.15, max(0.0, latency_ratio - self.latency_ratios[0]))
+        pressure += min(MOST_EXTRAPOLATED, max(0.0, latency_ratio - self.latency_ratios[0]))
         settled = now >= self.changed_at + feedback_delay
-        much_worse = measured.failure_share > self.failure_share_at_cut + 0.15
+        much_worse = measured.failure_share > self.failure_share_at_cut + WORSE_FAILURE_SHARE
         may_raise = self.last_was_cut or now >= self.changed_at + feedback_delay // 2
         if pressure > BUSY and self._is_slower(measured) and may_cut and (settled or much_worse):
             self._cut(measured, sustainable_rate)
@@ -145,42 +159,44 @@
         # servers that fail quickly, leave the latencies of the rest as they are.
         lowest = min(lowest_latency_ratio, self.lowest_latency_ratio)
         slowdown = min(1.0, max(0.0, measured.latency_ratio / lowest - 1))
-        return measured.latency_ratio + 4 * min(measured.failure_share, 0.1) * slowdown
+        failures = FAILURE_FACTOR * min(measured.failure_share, MOST_FAILURE_SHARE)
+        return measured.latency_ratio + failures * slowdown
 
     def _is_slower(self, measured: LoadMeasurement) -> bool:
         return (
-            measured.latency_ratio > 1.25 * self.lowest_latency_ratio
-            or measured.failure_share > 0.02
-            or measured.latency_ratio > 0.6
+            measured.latency_ratio > SLOWER_RATIO * self.lowest_latency_ratio
+            or measured.failure_share > NOTABLE_FAILURE_SHARE
+            or measured.latency_ratio > HIGH_LATENCY_RATIO
         )
 
     def _cut(self, measured: LoadMeasurement, sustainable_rate: float) -> None:
-        # Less the part that fails, 0.15 at most: else levels stayed low long after an overload.
-        part = SUSTAINABLE_PART - min(0.15, measured.failure_share)
+        part = SUSTAINABLE_PART - min(HIGHEST_FAILURE_CUT, measured.failure_share)
         self.target_rate = part * sustainable_rate
         self.failure_share_at_cut = measured.failure_share
         self.last_was_cut = True
         share = max(
             self.admitted_share * self.target_rate / measured.attempted,
-            0.6 * self.target_rate / self.demand_before_cut,
+            DEMAND_FLOOR * self.target_rate / self.demand_before_cut,
         )
         self.admitted_share = max(LEAST_ADMITTED_SHARE, min(self.admitted_share, share))
 
     def _raise(self, measured: LoadMeasurement, sustainable_rate: float) -> None:
         # A step, no further than demand: while proxies recover few accept, and twice the rate is
         # too much for these.
-        self.target_rate = max(self.target_rate * 1.06, SUSTAINABLE_PART * sustainable_rate)
+        self.target_rate = max(self.target_rate * LEAST_RAISE, SUSTAINABLE_PART * sustainable_rate)
         self.failure_share_at_cut = 0.0
         self.last_was_cut = False
         share = min(
             self.admitted_share * self.target_rate / measured.attempted,
-            max(self.admitted_share * 1.15, self.target_rate / self.demand_before_cut),
+            max(
+                self.admitted_share * BEYOND_DEMAND_RAISE, self.target_rate / self.demand_before_cut
+            ),
         )
-        share = max(self.admitted_share * 1.06, share)
-        self.admitted_share = min(1.0, 1.5 * self.admitted_share, share)
+        share = max(self.admitted_share * LEAST_RAISE, share)
+        self.admitted_share = min(1.0, MOST_RAISE * self.admitted_share, share)
 
 
-class AdmissionControl:
+class AdmissionLevels:
     """The admission levels of all classes.
 
     Attributes
@@ -261,11 +277,10 @@
         samples = [sample for sample in summary.samples if sample.server in ready]
         current = self._begun_after_last_change(controller, samples)
         enough_current = 2 * len(current) >= len(samples)
-        # Two of five high latencies tell an overload from a few outliers.
         latency_ratio = NO_ANSWER_LATENCY_RATIO
         if samples:
             told = current if enough_current else samples
-            latency_ratio = weighted_quantile(0.6, told) / summary.latency_objective
+            latency_ratio = weighted_quantile(OVERLOAD_QUANTILE, told) / summary.latency_objective
         may_cut = (enough_current or controller.admitted_share == 1) and (
             zone is None
             or 2 * len(failure_shares) >= len(ready)
@@ -304,7 +319,7 @@
     def _may_cut_zone(self, latency_ratio: float, fleet_latency_ratio: float) -> bool:
         # In an overload the fleet's controller decides, unless a zone is far worse.
         return self.fleet.admitted_share == 1 or (
-            fleet_latency_ratio < BUSY and latency_ratio > 1.5 * fleet_latency_ratio
+            fleet_latency_ratio < BUSY and latency_ratio > WORSE_ZONE * fleet_latency_ratio
         )
 
     def _shed_cheapest_first(self) -> None:
--- a/indigodeck/assignment/assigner.py
+++ b/indigodeck/assignment/assigner.py
@@ -9,7 +9,7 @@
 from enum import IntEnum
 
 from ..settings import DeploymentSettings
-from .admission import AdmissionControl
+from .admission import AdmissionLevels
 from .delivery import Delivery
 from .endpoints import EndpointSubscription, EndpointTracker
 from .interface import (
@@ -49,7 +49,7 @@
         self.settings = settings
         self.random = SeededRandom(seed)
         self.state = AssignerState(host, settings)
-        self.admission = AdmissionControl(self.state)
+        self.admission = AdmissionLevels(self.state)
         self.shards = ShardPlanner(self.state, self.admission)
         self.weights = WeightPlanner(self.state, self.admission)
         self.outliers = OutlierDetector(self.state, self.shards)
--- a/indigodeck/assignment/delivery.py
+++ b/indigodeck/assignment/delivery.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from .admission import RETRY_POLICY, AdmissionControl
+from .admission import RETRY_POLICY, AdmissionLevels
 from .interface import Server
 from .server_health import LONGEST_EJECTION
 from .state import REMEMBER_DEPARTED, TURN, AssignerState
@@ -43,7 +43,7 @@
     `joining` are proxies that wait for their tables; until then they hold older ones.
     """
 
-    def __init__(self, state: AssignerState, admission: AdmissionControl) -> None:
+    def __init__(self, state: AssignerState, admission: AdmissionLevels) -> None:
         self.state = state
         self.admission = admission
         self.joining: list[int] = []
--- a/indigodeck/assignment/demand.py
+++ b/indigodeck/assignment/demand.py
@@ -6,7 +6,7 @@
 from ..clock import SECOND
 from ..settings import DeploymentSettings
 from .seeded_random import SeededRandom
-from .tables import Table
+from .tables import TINY, Table
 
 DEMAND_REPORTS_KEPT = 3  # of each class and proxy; more would follow a change too slowly
 MESSAGE_TIMES_KEPT = 256  # of each proxy; above any limit that is stated
@@ -128,7 +128,7 @@
         missing = {
             locality: max(0.0, even_count - known[locality]) for locality in self.tables_by_locality
         }
-        scale = max(0, self.settings.proxy_count - len(self)) / max(1e-9, sum(missing.values()))
+        scale = max(0, self.settings.proxy_count - len(self)) / max(TINY, sum(missing.values()))
         every_table = (table for tables in self.tables_by_locality.values() for table in tables)
         for table in dict.fromkeys(every_table):
             usual[table.class_index] += rates[table.number] / len(self)
--- a/indigodeck/assignment/shards.py
+++ b/indigodeck/assignment/shards.py
@@ -7,21 +7,16 @@
 from collections import defaultdict
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
-from typing import NamedTuple
 
 from ..clock import SECOND
-from .admission import AdmissionControl
+from .admission import AdmissionLevels
 from .interface import Server
-from .seeded_random import SeededRandom, seed_from
+from .shard_draws import LEAST_SERVERS, ShardSide, draw_shard, fill_shard
 from .state import AssignerState
-from .tables import ServerGroup, Table, total_weight
+from .tables import TINY, ServerGroup, Table, total_weight
 
 SIZE_FACTOR = 3.0  # a shard's share of listed weight, over its class's share of demand
 SIZE_FACTOR_GROUPED = 2.0  # for groups whose proxies never avoid a failing server themselves
-LEAST_SERVERS = 4  # in a shard
-MOST_OVERLAP = 0.5  # share of a shard's servers that one other shard may hold
-DRAWS = 5  # of a whole shard, until one keeps within that overlap
-CANDIDATES = 8  # drawn for each place, of which the least loaded is taken
 RESIZE_EVERY = 10 * SECOND  # each change of size closes connections
 RESIZE_THRESHOLD = 0.08  # change of a class's share of demand
 REMOVE_SURPLUS_EVERY = RESIZE_EVERY // 4
@@ -29,19 +24,10 @@
 # below which it is taken again.
 HOT = 1.15
 COOL = 0.95
-FILL_SLACK = 0.5  # of a mean server's weight, that a shard may lack
 FAR_STEPS = 8  # the part of far servers moves in so many steps, for demand is never steady
 NEGLIGIBLE_LOAD = 1e-6  # requests a second
 
 
-class ShardSide(NamedTuple):
-    """The near or the far servers that a shard may hold, and the weight it should hold of these."""
-
-    servers: dict[int, Server]
-    weight: float
-    needed_weight: float
-
-
 @dataclass(slots=True)
 class _Round:
     """Sums over all tables for one update: with hundreds of tables they can't be done for each.
@@ -70,7 +56,7 @@
     `class_shares` is each class's share of demand, as shards are sized by at present.
     """
 
-    def __init__(self, state: AssignerState, admission: AdmissionControl) -> None:
+    def __init__(self, state: AssignerState, admission: AdmissionLevels) -> None:
         self.state = state
         self.admission = admission
         self.class_shares: dict[int, float] = {}
@@ -139,7 +125,7 @@
             admitted_rate = self.admission.admitted_rate(table, rates)
             this_round.admitted_rates[table.zone, table.zone_bound] += admitted_rate
         total_rate = sum(self.admission.admitted_rate(table, rates) for table in self.state.tables)
-        this_round.mean_load = total_rate / max(1e-9, fleet_weight)
+        this_round.mean_load = total_rate / max(TINY, fleet_weight)
         return this_round
 
     def _add_load(
@@ -148,7 +134,7 @@
         """Add a shard's planned load on each of its servers, by listed weight, or take it off."""
         servers = self.state.servers
         members = [servers[member] for member in table.members if member in servers]
-        rate = sign * self.admission.admitted_rate(table, rates) / max(1e-9, total_weight(members))
+        rate = sign * self.admission.admitted_rate(table, rates) / max(TINY, total_weight(members))
         for server in members:
             loads[server.index] += rate * server.weight
 
@@ -165,10 +151,10 @@
             pool = _without_hot_servers(table, pool, this_round)
         sides = self._sides(table, pool, this_round)
         if not table.drawn:
-            table.members = self._draw(table, pool, sides, loads)
+            table.members = draw_shard(table, self.state.tables, pool, sides, loads)
             table.drawn = True
         table.members = [member for member in table.members if member in pool]
-        _fill(table, table.members, sides, loads)
+        fill_shard(table, table.members, sides, loads)
         if this_round.now - table.resized_at > REMOVE_SURPLUS_EVERY:
             for side in sides:
                 _remove_surplus(table, side, pool, this_round)
@@ -186,7 +172,7 @@
         near_part = 1.0
         if not (table.zone_bound or table.zone is None):
             bound_rate = this_round.admitted_rates[table.zone, True]
-            free_rate = max(1e-9, this_round.admitted_rates[table.zone, False])
+            free_rate = max(TINY, this_round.admitted_rates[table.zone, False])
             near_part = (this_round.mean_load * near.weight - bound_rate) / free_rate
             near_part = round(max(0.0, min(1.0, near_part)) * FAR_STEPS) / FAR_STEPS
         return (
@@ -212,7 +198,7 @@
         if self.admission.fleet.is_full() and self.state.group_count == 1:
             # Too busy to keep classes apart: some servers would idle beside overloaded ones.
             return everything
-        class_rate = max(1e-9, this_round.class_rates[table.class_index])
+        class_rate = max(TINY, this_round.class_rates[table.class_index])
         share = self.class_shares[table.class_index] * this_round.rates[table.number] / class_rate
         # Larger shards are evener; where proxies can't avoid a failing server, smaller groups keep
         # the failure from one another.
@@ -222,30 +208,6 @@
         whole = this_round.fleet_weight if table.zone is not None else everything
         return min(everything, factor * share * whole)
 
-    def _draw(
-        self,
-        table: Table,
-        pool: dict[int, Server],
-        sides: Sequence[ShardSide],
-        loads: Mapping[int, float],
-    ) -> list[int]:
-        """Draw a shard at random, the one of a few draws that overlaps least with any other."""
-        ids = sorted(server.stable_id for server in pool.values())
-        random = SeededRandom(seed_from(table.name, ids))
-        others = [set(other.members) for other in self.state.tables if other is not table]
-        best: tuple[float, float, list[int]] | None = None
-        for _ in range(DRAWS):
-            shard = _fill(table, [], sides, loads, random)
-            common = max((len(other.intersection(shard)) for other in others), default=0)
-            overlap = common / len(shard)
-            highest_load = max(loads[member] / pool[member].weight for member in shard)
-            candidate = overlap, highest_load, shard
-            best = candidate if best is None else min(best, candidate)
-            if overlap <= MOST_OVERLAP:
-                break
-        assert best is not None
-        return best[2]
-
     def _use_all_servers(self, this_round: _Round) -> None:
         """Add each server that is in no shard to the one with the most load for its weight."""
         used = set().union(*(table.members for table in self.state.tables))
@@ -265,7 +227,7 @@
     def _need(self, table: Table, server: Server, this_round: _Round) -> tuple[bool, float]:
         weight = total_weight(self.state.servers[member] for member in table.members)
         rate = self.admission.admitted_rate(table, this_round.rates)
-        return table.zone in (None, server.zone), rate / max(1e-9, weight)
+        return table.zone in (None, server.zone), rate / max(TINY, weight)
 
 
 def _pool_key(table: Table) -> tuple[int, int | None]:
@@ -290,43 +252,6 @@
     return cooler if len(cooler) >= LEAST_SERVERS and half_left else pool
 
 
-def _fill(
-    table: Table,
-    shard: list[int],
-    sides: Sequence[ShardSide],
-    loads: Mapping[int, float],
-    random: SeededRandom | None = None,
-) -> list[int]:
-    """Add servers, each the least loaded of a few drawn at random, until each side has enough.
-
-    Without a generator each draw is seeded by the servers that are left, so that it is the same
-    whatever was drawn before.
-    """
-    for side in sides:
-        weight = total_weight(side.servers[member] for member in shard if member in side.servers)
-        slack = FILL_SLACK * side.weight / max(1, len(side.servers))
-        enough = side.needed_weight - slack
-        if weight >= enough and len(shard) >= LEAST_SERVERS:
-            continue
-        left = sorted(
-            (side.servers[index] for index in side.servers.keys() - set(shard)),
-            key=lambda server: server.stable_id,
-        )
-        while left and (weight < enough or len(shard) < LEAST_SERVERS):
-            draw = random or SeededRandom(
-                seed_from(table.name, [server.stable_id for server in left])
-            )
-            candidates = [left[draw.below(len(left))] for _ in range(CANDIDATES)]
-            server = min(
-                candidates,
-                key=lambda server: (loads[server.index] / server.weight, server.stable_id),
-            )
-            left.remove(server)
-            shard.append(server.index)
-            weight += server.weight
-    return shard
-
-
 def _remove_surplus(
     table: Table, side: ShardSide, pool: dict[int, Server], this_round: _Round
 ) -> None:
@@ -343,6 +268,6 @@
     if side.needed_weight and loads[hottest] <= NEGLIGIBLE_LOAD:
         return
     surplus = total_weight(side.servers[member] for member in members) - spare
-    if surplus - pool[hottest].weight > side.needed_weight - 1e-9:
+    if surplus - pool[hottest].weight > side.needed_weight - TINY:
         table.members.remove(hottest)
         table.resized_at = this_round.now
--- a/indigodeck/assignment/tables.py
+++ b/indigodeck/assignment/tables.py
@@ -5,6 +5,8 @@
 
 from .interface import Server
 
+TINY = 1e-9  # against a division by no weight or rate, and in comparisons of sums
+
 
 class ServerGroup(NamedTuple):
     """Some servers by index, and the sum of their listed weights."""
--- a/indigodeck/assignment/weights.py
+++ b/indigodeck/assignment/weights.py
@@ -3,12 +3,12 @@
 from collections import defaultdict
 from collections.abc import Mapping
 
-from .admission import AdmissionControl
+from .admission import AdmissionLevels
 from .interface import Server
-from .shards import LEAST_SERVERS
+from .shard_draws import LEAST_SERVERS
 from .slow_start import cold_budgets, warm_up_factor
 from .state import AssignerState
-from .tables import Table, total_weight
+from .tables import TINY, Table, total_weight
 
 LOST_SHARE_COLD_WAITS = 0.125  # of attempts, above which cold servers wait where proxies avoid some
 LOWERING_ROUNDS = 6  # each lowers what is too much, and so raises what is left
@@ -19,7 +19,7 @@
 class WeightPlanner:
     """Works out the weights that tables should have."""
 
-    def __init__(self, state: AssignerState, admission: AdmissionControl) -> None:
+    def __init__(self, state: AssignerState, admission: AdmissionLevels) -> None:
         self.state = state
         self.admission = admission
 
@@ -63,7 +63,7 @@
         if self.admission.fleet.completion_rates:
             return self.admission.fleet.shown_rate()
         stated = sum(proxy.stated_rate for proxy in self.state.proxies.values())
-        return stated / max(1e-9, 2 * total_weight(ready.values()))
+        return stated / max(TINY, 2 * total_weight(ready.values()))
 
     def _members_to_use(
         self, table: Table, ready: dict[int, Server], budgets: Mapping[int, float]
