--- a/indigodeck/planner/cached_endpoint_list.py
+++ b/indigodeck/planner/cached_endpoint_list.py
@@ -1,14 +1,15 @@
-"""Starting without an endpoint list, free of I/O: how far the last list that was stored may be gone by, and for how long.
-
-An entry of the cached list counts once its host has answered a health check of the planner's own. A host that does not
-answer is left out, however young the list, and checked again; one that answers after it had not is taken for one that
-has just started. Drains that were known stay drained, unproved: believing them costs little. Nothing is published before
-half of the cached weight has answered, or all hosts have been checked: the first few to answer would be brought
-everybody's requests. Proxies go on with what they hold meanwhile.
-
-A list from its source ends this at once, unless it is older than the cached one: its source may have come back from an
-old copy. Then what it names beyond the cached list is checked like the rest, and the cached list goes on counting until a
-list is newer.
+"""Start without an endpoint list: how far the stored one may be gone by; free of I/O.
+
+An entry of the cached list counts once its host has answered a health check of the planner's own. A
+host that does not answer is left out, however young the list, and checked again; one that answers
+after it had not is taken for one that has just started. Drains that were known stay drained,
+unproved: believing them costs little. Nothing is published before half of the cached weight has
+answered, or all hosts have been checked: the first few to answer would be brought everybody's
+requests. Proxies go on with what they hold meanwhile.
+
+A list from its source ends this at once, unless it is older than the cached one: its source may
+have come back from an old copy. Then what it names beyond the cached list is checked like the rest,
+and the cached list goes on counting until a list is newer.
 """
 
 from collections.abc import Callable, Iterable
@@ -123,7 +124,8 @@
     def trust(self) -> float:
         """Return how far the cached list is proved, from 0 to 1.
 
-        That is the share of its weight that answers, or what its age leaves where nothing is checked.
+        That is the share of its weight that answers, or what its age leaves where nothing is
+        checked.
         """
         if not self.checks_enabled:
             return round(0.5 ** (self._age() / TRUST_HALF_LIFE), 3)
--- a/indigodeck/planner/demand_aggregation.py
+++ b/indigodeck/planner/demand_aggregation.py
@@ -1,8 +1,9 @@
-"""Sums of the proxies' own load reports, free of I/O: taken in at any rate, handed on at the rate that the assigner expects.
+"""Sums of the proxies' own load reports, handed on at the assigner's rate; free of I/O.
 
-Proxies that report (xDS load reports) tell what they met at each server and what came to them. The assigner is handed
-at most so many reports a second, the oldest first; what has to wait adds up with what comes meanwhile, so nothing is
-lost and nothing is queued twice. Bounded by servers times zones and proxies times classes.
+Proxies that report (xDS load reports) tell what they met at each server and what came to them. The
+assigner is handed at most so many reports a second, the oldest first; what has to wait adds up with
+what comes meanwhile, so nothing is lost and nothing is queued twice. Bounded by servers times zones
+and proxies times classes.
 """
 
 from collections.abc import Callable, Hashable, Iterable
@@ -171,8 +172,8 @@
     ) -> set[int]:
         """Hand the oldest sums to the sink, as many as the rate allows.
 
-        Sums of servers that are no longer listed are dropped. `usual_latency` is what a server itself
-        says its requests take, for proxies that count but don't time.
+        Sums of servers that are no longer listed are dropped. `usual_latency` is what a server
+        itself says its requests take, for proxies that count but don't time.
 
         Returns
         -------
--- a/indigodeck/planner/endpoint_directory.py
+++ b/indigodeck/planner/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""What this planner knows of its hosts: their ids and addresses, the endpoint list, and the list stored by an earlier run."""
+"""The hosts of this planner: their ids, their addresses, and what lists say of them."""
 
 import contextlib
 from collections.abc import Callable, Iterator, Sequence
@@ -21,7 +21,7 @@
 
 
 class EndpointDirectory:
-    """Takes in the endpoint list, and hands it on to the assigner, the health checks and the frontends.
+    """Takes in the endpoint list, and hands it on to assigner, health checks and frontends.
 
     It is what `EndpointList` tells (`endpoint_list.Listener`) and what `CachedEndpointList` asks
     (`cached_endpoint_list.Environment`).
@@ -195,7 +195,7 @@
 
     @contextlib.contextmanager
     def _not_from_source(self) -> Iterator[None]:
-        """Within this, what is listed comes from the planner itself, and not from the list's source."""
+        """Take what is listed within this as the planner's own, not as the source's."""
         self._is_from_source = False
         try:
             yield
--- a/indigodeck/planner/endpoint_list.py
+++ b/indigodeck/planner/endpoint_list.py
@@ -1,7 +1,7 @@
 """The endpoint list as a planner is given it, free of I/O: which list counts, and what it says.
 
-Lists come from a file or a service, whole or as changes, late, twice or out of order. A list older than the
-one held is left aside; changes that don't follow on it are asked for again as a whole.
+Lists come from a file or a service, whole or as changes, late, twice or out of order. A list older
+than the one held is left aside; changes that don't follow on it are asked for again as a whole.
 """
 
 from collections.abc import Iterable, Sequence
@@ -154,7 +154,7 @@
         self.listener.on_endpoint_update(kind, self._servers(entries))
 
     def set_quiesced(self, address: str, port: int, quiesced: bool) -> bool:
-        """Take a host's own word that it takes no new work, or takes it again; sooner than any list.
+        """Take a host's own word, sooner than any list, whether it takes new work.
 
         Returns
         -------
--- a/indigodeck/planner/endpoint_list_source.py
+++ b/indigodeck/planner/endpoint_list_source.py
@@ -1,4 +1,4 @@
-"""Where the endpoint list comes from: a file that is polled, or a service that pushes changes or is asked."""
+"""Where the endpoint list comes from: a file, or a service that pushes it or is polled."""
 
 from collections.abc import Callable
 from typing import Any
--- a/indigodeck/planner/health_checks.py
+++ b/indigodeck/planner/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks and load reports of hosts: whom to ask when is `health_inference`'s, the asking is here."""
+"""Health checks and load reports of hosts; `health_inference` says whom to ask when."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -22,9 +22,9 @@
 class HealthChecker:
     """Sends the checks of one planner and fetches the hosts' load reports.
 
-    `address_of` gives a server's address or None. `on_assigner_check(server, outcome, latency, load)`
-    is called with the end of each check that the assigner asked for. `timeout` is how long an answer
-    is waited for (microseconds): the shortest deadline of all classes.
+    `address_of` gives a server's address or None. `on_assigner_check(server, outcome, latency,
+    load)` is called with the end of each check that the assigner asked for. `timeout` is how long
+    an answer is waited for (microseconds): the shortest deadline of all classes.
     """
 
     def __init__(
--- a/indigodeck/planner/health_inference.py
+++ b/indigodeck/planner/health_inference.py
@@ -1,22 +1,23 @@
-"""What the assigner must hear and a protocol doesn't carry, worked out from hosts' own load reports and from health checks.
-
-A weight-advice protocol tells a planner neither what proxies met at a server nor what comes to them. What a planner can
-know: the load report that each host gives when asked (requests completed and failed a second, requests in flight, the
-time its work takes), and real requests that it sends itself. From these:
-
-- Time at a host is the longer of what it says its work takes and what it holds over what it completes
-  (Little's law, L = lambda W: J. D. C. Little, "A Proof for the Queuing Formula", 1961), for the time that
-  a host states leaves out waiting.
-- A host that holds requests and completes none, while checks of it go unanswered, fails what it holds,
-  whatever its other figures say: a hung host reports the least use of its cores of all.
-- What comes to proxies is what hosts complete and fail, by class where hosts tell, parted evenly over proxies:
-  which proxy brings how much is unknowable here, and so is what proxies reject or give up.
-
-Times are whole microseconds, rates a second. Nothing here does I/O: the program asks `due` whom to check, tells what
-came back, and calls `report` once a period.
+"""Reports to the assigner that no protocol carries, inferred from hosts; free of I/O.
+
+A weight-advice protocol tells a planner neither what proxies met at a server nor what comes to
+them. What a planner can know: the load report that each host gives when asked (requests completed
+and failed a second, requests in flight, the time its work takes), and real requests that it sends
+itself. From these:
+
+- Time at a host is the longer of what it says its work takes and what it holds over what it
+  completes (Little's law, L = lambda W: J. D. C. Little, "A Proof for the Queuing Formula", 1961),
+  for the time that a host states leaves out waiting.
+- A host that holds requests and completes none, while checks of it go unanswered, fails what it
+  holds, whatever its other figures say: a hung host reports the least use of its cores of all.
+- What comes to proxies is what hosts complete and fail, by class where hosts tell, parted evenly
+  over proxies: which proxy brings how much is unknowable here, and so is what proxies reject or
+  give up.
+
+Times are whole microseconds, rates a second. Nothing here does I/O: the program asks `due` whom to
+check, tells what came back, and calls `report` once a period.
 """
 
-from collections import deque
 from collections.abc import Callable, Collection, Iterable
 from itertools import zip_longest
 from typing import NamedTuple
@@ -31,111 +32,32 @@
 from ..clock import SECOND
 from ..settings import DeploymentSettings
 from .demand_aggregation import ReportSink
+from .host_evidence import HostEvidence
 from .host_reports import HostReport
 
-# A suspect is checked so often in a period that one period suffices for the assigner, which judges nobody by fewer than
-# eight attempts.
+# A suspect is checked so often in a period that one period suffices for the assigner, which judges
+# nobody by fewer than eight attempts.
 SUSPECT_CHECKS_PER_PERIOD = 12
-# So many good signs in a row clear a suspect.
-GOOD_SIGNS_TO_CLEAR = 4
-# The assigner judges by the median of servers that were checked so often, too: in an idle fleet a suspect alone would be
-# its own median, so some that answer are checked as closely.
+# The assigner judges by the median of servers that were checked so often, too: in an idle fleet a
+# suspect alone would be its own median, so some that answer are checked as closely.
 CONTROL_COUNT = 2
-# `due` is asked far more often than this while the planner runs. Whatever was in flight when it was not, has waited for
-# the planner: one that had been stopped for 3 s read 3 s into every answer, and closed its admission to a third.
+# `due` is asked far more often than this while the planner runs. Whatever was in flight when it was
+# not, has waited for the planner: one that had been stopped for 3 s read 3 s into every answer, and
+# closed its admission to a third.
 STALL_THRESHOLD = SECOND // 4
-REPORT_FRESH_PERIODS = 3  # a report counts for so many periods; older, it tells of another day
-REPORTS_KEPT = 4
-CHECKS_KEPT = 32
-
-
-class Check(NamedTuple):
-    """A health check that ended at this time, after `latency`."""
-
-    ended_at: int
-    succeeded: bool
-    latency: int
-
-
-class Met(NamedTuple):
-    """What one host is taken to have done in a period; `mean_latency` is of the good attempts."""
-
-    attempts: int
-    failures: int
-    mean_latency: int
 
 
 class DemandTotals(NamedTuple):
-    """What all hosts completed and failed a second: in all, by class, and what the classes add up to."""
+    """What all hosts completed and failed a second, in all and by class.
+
+    `classified_rate` is what the classes add up to.
+    """
 
     rate: float
     rate_by_class: dict[int, float]
     classified_rate: float
 
 
-class HostEvidence:
-    """What is known of one host: its last reports, and the checks of this period and the last."""
-
-    def __init__(self) -> None:
-        self.reports: deque[tuple[int, HostReport]] = deque(maxlen=REPORTS_KEPT)
-        self.checks: deque[Check] = deque(maxlen=CHECKS_KEPT)
-        self.is_suspect = False
-        self.good_signs = 0  # in a row
-        self.checked_at = -1
-        self.checks_in_flight = 0
-
-    def add_report(self, report: HostReport, at: int) -> None:
-        """Keep a report, unless it is older than what is held: it is late and says nothing new."""
-        if not self.reports or at > self.reports[-1][0]:
-            self.reports.append((at, report))
-
-    def add_sign(self, is_good: bool) -> None:
-        """Count a sign of life, or the lack of one."""
-        self.good_signs = self.good_signs + 1 if is_good else 0
-        still_suspect = self.is_suspect and self.good_signs < GOOD_SIGNS_TO_CLEAR
-        self.is_suspect = not is_good or still_suspect
-
-    def fresh_report(self, now: int, report_period: int) -> HostReport | None:
-        """Return the last report if it still counts."""
-        if self.reports and now - self.reports[-1][0] < REPORT_FRESH_PERIODS * report_period:
-            return self.reports[-1][1]
-        return None
-
-    def last_load(self) -> dict[str, float] | None:
-        """Return the columns of the last report, however old."""
-        return self.reports[-1][1].load() if self.reports else None
-
-    def met(self, since: int, span: int, report: HostReport | None) -> Met:
-        """Work out what the host did over `span`, by its report and the checks since then."""
-        checks = [check for check in self.checks if check.ended_at > since]
-        failed_checks = sum(not check.succeeded for check in checks)
-        latencies = [check.latency for check in checks if check.succeeded]
-        completed = 0
-        failed = 0
-        latency = 0
-        if report is not None and report.completed is not None:
-            completed = round(report.completed * span / SECOND)
-            failed = round(report.failed * span / SECOND)
-            latency = _reported_latency(report)
-            if failed_checks and not latencies and not completed:
-                # It takes requests and gives nothing back: what it holds is lost, though it says it is idle.
-                failed += max(round(report.in_flight), 0)
-        elif report is not None:
-            latency = report.work_time
-        succeeded = completed + len(latencies)
-        failures = failed + failed_checks
-        if not succeeded:
-            return Met(failures, failures, 0)
-        mean_latency = (latency * completed + sum(latencies)) // succeeded
-        return Met(succeeded + failures, failures, mean_latency)
-
-
-def _reported_latency(report: HostReport) -> int:
-    if not report.completed:
-        return 0
-    return max(report.work_time, round(report.in_flight / report.completed * SECOND))
-
-
 class HealthInference:
     """Hands `sink` load reports and demand reports worked out from hosts, and picks hosts to check.
 
@@ -207,16 +129,15 @@
         if was_sent_before_stall or is_stalled:
             return
         succeeded = outcome == HealthCheckOutcome.OK
-        host.checks.append(Check(at, succeeded, latency))
-        host.add_sign(succeeded)
+        host.add_check(at, succeeded, latency)
 
     # Whom to check.
 
     def due(self, now: int) -> list[int]:
         """Return the hosts to check now, within the budget.
 
-        Suspects and others take turns, each checked longest ago first: a fleet full of suspects must
-        not keep the others from being checked at all.
+        Suspects and others take turns, each checked longest ago first: a fleet full of suspects
+        must not keep the others from being checked at all.
         """
         self._drain_budget(now)
         in_flight = sum(host.checks_in_flight for host in self.hosts.values())
@@ -268,7 +189,7 @@
     # What the assigner hears.
 
     def usual_latency(self, server: int) -> int:
-        """Return how long requests lately took at a host, by its report and checks; 0 if nothing tells."""
+        """Return how long requests lately took at a host; 0 if nothing tells."""
         host = self.hosts.get(server)
         if host is None:
             return 0
@@ -298,7 +219,8 @@
             return
         for server, host in sorted(self.hosts.items()):
             met = host.met(since, span, host.fresh_report(now, self.settings.report_period))
-            # Proxies hear of a hung host only at their own deadline; failed checks are told beside that.
+            # Proxies hear of a hung host only at their own deadline; failed checks are told beside
+            # that.
             has_failed_checks = host.is_suspect and met.failures
             if met.attempts and (server not in reported_servers or has_failed_checks):
                 self.sink.on_load_report(
@@ -336,7 +258,8 @@
                     rate_of_class = totals.rate_by_class.get(class_index, 0.0)
                     share = rate_of_class / totals.classified_rate
                 requests = totals.rate * share * span / SECOND
-                # Whole requests, with the remainder going to the first ones, so that the sum is kept.
+                # Whole requests, with the remainder going to the first ones, so that the sum is
+                # kept.
                 own_requests = int(requests * (position + 1) / proxy_count) - int(
                     requests * position / proxy_count
                 )
--- a/indigodeck/planner/host_client.py
+++ b/indigodeck/planner/host_client.py
@@ -1,7 +1,7 @@
-"""How a planner reaches hosts over HTTP: a real request as a health check, and the host's load report.
+"""How a planner reaches hosts over HTTP: a real request to check them, or a load report.
 
-Reports are read in the JSON form of an ORCA header, `endpoint-load-metrics: JSON {..}`. For gRPC see
-`frontends.xds.health_checks`.
+Reports are read in the JSON form of an ORCA header, `endpoint-load-metrics: JSON {..}`. For gRPC
+see `frontends.xds.health_checks`.
 """
 
 import json
--- a/indigodeck/planner/host_reports.py
+++ b/indigodeck/planner/host_reports.py
@@ -1,4 +1,7 @@
-"""A host's own load report (ORCA, the Open Request Cost Aggregation of Envoy and gRPC), as the planner reads it."""
+"""A host's own load report, as the planner reads it.
+
+Its form is ORCA, the Open Request Cost Aggregation of Envoy and gRPC.
+"""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
--- a/indigodeck/planner/join_admission.py
+++ b/indigodeck/planner/join_admission.py
@@ -1,8 +1,9 @@
-"""Which proxies may join now, free of I/O: those that arrive all at once are admitted as the channel takes their tables.
+"""Which proxies may join now, as the channel takes their tables; free of I/O.
 
-After a change of leader every proxy of a fleet dials the successor within a second, and each has a whole table coming.
-Admitted as they came, 303 of them put 15,500 lines into a channel that may hold 4,500 (docs/takeover.md). A proxy that
-waits here holds its tables and goes on; what it sends meanwhile stays in its own socket. First come, first served.
+After a change of leader every proxy of a fleet dials the successor within a second, and each has a
+whole table coming. Admitted as they came, 303 of them put 15,500 lines into a channel that may hold
+4,500 (docs/takeover.md). A proxy that waits here holds its tables and goes on; what it sends
+meanwhile stays in its own socket. First come, first served.
 """
 
 from collections import OrderedDict
@@ -13,10 +14,12 @@
 
 # Of the lines that may wait: what joining proxies fill; the rest is for drains and replacements.
 JOIN_SHARE = 0.4
-# Between two looks at the queue while somebody waits. All that a look admits are one moment to the assigner, which goes
-# through all of its tables once for them: one by one, 303 xDS proxies were admitted at 50 a second, and drains came late.
+# Between two looks at the queue while somebody waits. All that a look admits are one moment to the
+# assigner, which goes through all of its tables once for them: one by one, 303 xDS proxies were
+# admitted at 50 a second, and drains came late.
 ADMISSION_INTERVAL = SECOND // 20
-# A queue that a stalled proxy's lines keep long must not shut everybody out: one in this time may join.
+# A queue that a stalled proxy's lines keep long must not shut everybody out: one in this time may
+# join.
 ADMIT_ONE_EVERY = SECOND // 5
 MAX_WAITING_PROXIES = 65_535
 
--- a/indigodeck/planner/leadership_hooks.py
+++ b/indigodeck/planner/leadership_hooks.py
@@ -1,7 +1,8 @@
-"""Where leadership meets the planner: whom it may serve while other controllers share the fleet, and what a lease changes.
+"""Where leadership meets the planner: whom it may serve, and what a lease changes.
 
-A planner alone always may. `members` is its thread of the group of controllers (`leadership.member_thread`), where there
-is a group; its events arrive here on the planner's own loop.
+A planner alone always may. `members` is its thread of the group of controllers
+(`leadership.member_thread`), where there is a group; its events arrive here on the planner's own
+loop.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -52,7 +53,7 @@
         return self.lease_epoch(self._service.proxies.zone_of.get(proxy, 0)) is not None
 
     def rejected_content(self, proxy_id: str) -> dict[str, str]:
-        """Return what a proxy is known to have rejected, here or with another controller, by class."""
+        """Return what a proxy rejected, here or with another controller, by class."""
         if self.members is None:
             return {}
         return self.members.rejections_of(proxy_id)
--- a/indigodeck/planner/message_quota.py
+++ b/indigodeck/planner/message_quota.py
@@ -1,8 +1,9 @@
 """How many messages one proxy may still be written, counted at its socket; free of I/O.
 
-The deployment limits what a planner writes to one proxy within a window. The assigner keeps an account of its orders;
-this one is of all messages that leave, answers to the proxy's own requests among them, and is what binds. Answers have
-a part of their own, so that a proxy that asks too often delays itself and no drain.
+The deployment limits what a planner writes to one proxy within a window. The assigner keeps an
+account of its orders; this one is of all messages that leave, answers to the proxy's own requests
+among them, and is what binds. Answers have a part of their own, so that a proxy that asks too often
+delays itself and no drain.
 """
 
 from collections import deque
@@ -10,7 +11,7 @@
 
 
 class MessageQuota:
-    """At most `max_messages` (0: any number) within `window`, of which `max_answers` reply to requests.
+    """At most `max_messages` (0: any number) within `window`, `max_answers` of them answers.
 
     A message is counted where it is read as well, later by its way: `margin` is by how much two
     counts may differ. Times are microseconds.
@@ -42,7 +43,7 @@
         self.written.append((now, is_answer))
 
     def is_idle(self, now: int) -> bool:
-        """Return whether nothing that was written still counts, so that the quota may be dropped."""
+        """Return whether nothing that was written counts, so that the quota may be dropped."""
         self._forget(now)
         return not self.written
 
--- a/indigodeck/planner/pending_updates.py
+++ b/indigodeck/planner/pending_updates.py
@@ -1,7 +1,7 @@
 """What one joined proxy is bound to, and what waits for it until it can be written to.
 
-Only the classes and servers that changed are remembered, not their values: a proxy is told the newest state at the
-time of writing, and what was ordered in between is never sent.
+Only the classes and servers that changed are remembered, not their values: a proxy is told the
+newest state at the time of writing, and what was ordered in between is never sent.
 """
 
 from collections.abc import Iterable
--- a/indigodeck/planner/planner_host.py
+++ b/indigodeck/planner/planner_host.py
@@ -1,8 +1,9 @@
-"""The assigner's host in a running planner, free of I/O: what each proxy should hold, and what waits for it.
+"""The assigner's host in a running planner: tables and pending updates; free of I/O.
 
-`PlannerHost` decides no table. It keeps what the assigner orders, tells its environment which proxies have something
-waiting, and hands over the newest state when a proxy can be written to. Frontends read it through `take_updates`,
-`table_for`, `admission_for` and `endpoint`. Times are whole microseconds.
+`PlannerHost` decides no table. It keeps what the assigner orders, tells its environment which
+proxies have something waiting, and hands over the newest state when a proxy can be written to.
+Frontends read it through `take_updates`, `table_for`, `admission_for` and `endpoint`. Times are
+whole microseconds.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Sequence
@@ -59,7 +60,8 @@
 
     Each `on_...` method ends with the orders of that call laid out for the proxies concerned: the
     environment hears of each proxy once. `publisher` numbers the versions of what is published,
-    where they are kept (`versions.publisher`). `make` builds another policy in the assigner's place.
+    where they are kept (`versions.publisher`). `make` builds another policy in the assigner's
+    place.
     """
 
     def __init__(
@@ -105,7 +107,10 @@
         self.flush_orders("no list")
 
     def on_proxy_joined(self, proxy: int, zone: int, rate: float, fresh: bool) -> None:
-        """Begin to serve a proxy of usually `rate` requests a second; `fresh`: it holds no table."""
+        """Begin to serve a proxy.
+
+        It gets usually `rate` requests a second; `fresh`: it holds no table.
+        """
         pending = self.pending_updates[proxy] = PendingUpdates()
         if self.ejected_servers:
             # It may come with tables of an earlier stream: ejections bind it before any table does.
@@ -139,12 +144,15 @@
         self.flush_orders("a probe")
 
     def on_proxy_request(self, proxy: int) -> None:
-        """Take note that a proxy's program has gone on since what it took last: it asked something."""
+        """Take note that a proxy asked something: its program goes on since its last update."""
         if self.publisher is not None:
             self.publisher.relay_versions.on_request(proxy)
 
     def on_delivered(self, update: TableUpdate, by_program: bool = True) -> None:
-        """Take note that a proxy has an update; `by_program`: its program has, not its machine alone."""
+        """Take note that a proxy has an update.
+
+        `by_program`: its program has it, not its machine alone.
+        """
         if update.proxy not in self.pending_updates:
             return
         for number, requested_at in update.requested_acks:
--- a/indigodeck/planner/proxy_sessions.py
+++ b/indigodeck/planner/proxy_sessions.py
@@ -1,4 +1,4 @@
-"""The proxies that this planner serves: which frontend speaks to each, its zone, its message quota, and who may join now."""
+"""The proxies that this planner serves: their frontends, zones, quotas and joins."""
 
 import asyncio
 from typing import TYPE_CHECKING, Any, Protocol
@@ -74,7 +74,7 @@
     def on_proxy_joined(
         self, frontend: Frontend, proxy: int, proxy_id: str, zone_name: str | None = None
     ) -> None:
-        """Serve a proxy over a frontend; its zone is what it says itself, or what the settings state.
+        """Serve a proxy over a frontend, in the zone that it says itself or the settings state.
 
         The newest connection under an id speaks for it, over whichever frontend.
         """
@@ -123,7 +123,7 @@
         )
 
     def message_quota(self, proxy_id: Any) -> MessageQuota:
-        """Return a proxy's quota, kept over its connections for as long as what was written counts."""
+        """Return a proxy's quota, kept over its connections while what was written counts."""
         found = self.message_quotas.get(proxy_id)
         if found is None:
             self._drop_idle_quotas()
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -1,8 +1,8 @@
-"""The planner as a program: puts its parts together, and feeds the assigner what happens, on Tornado.
+"""The planner as a program: puts its parts together and runs them on Tornado.
 
-What the assigner orders and what waits for whom is in `planner_host`; which endpoint list counts is in `endpoint_list`,
-and where it comes from in `endpoint_list_source`; what hosts' reports mean is in `health_inference`. The clock, the
-timers and the parts' lives are here.
+What the assigner orders and what waits for whom is in `planner_host`; which endpoint list counts is
+in `endpoint_list`, and where it comes from in `endpoint_list_source`; what hosts' reports mean is
+in `health_inference`. The clock, the timers and the parts' lives are here.
 """
 
 import logging
--- a/indigodeck/planner/version_hooks.py
+++ b/indigodeck/planner/version_hooks.py
@@ -1,4 +1,4 @@
-"""Where the versions of what is published meet the planner: the store, the publisher, replication and operators' requests."""
+"""Where versions meet the planner: store, publisher, replication, operators' requests."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -18,10 +18,12 @@
     from .service import PlannerService
 
 START_COUNT_KEY = "starts"  # in the store
-# A store that lost something may have lost its last starts: numbers go on far ahead of any that were given.
+# A store that lost something may have lost its last starts: numbers go on far ahead of any that
+# were given.
 START_COUNT_MARGIN = 1 << 16
 START_COUNT_RETRY = 5 * SECOND  # until a start is tried to be written down again
-# An operator is answered once a majority of the controllers has the request, or after so many looks.
+# An operator is answered once a majority of the controllers has the request, or after so many
+# looks.
 MAJORITY_LOOKS = 40
 MAJORITY_LOOK_INTERVAL_S = 0.05
 
@@ -52,8 +54,9 @@
 
 
 class VersionHooks:
-    """Versions of one planner: `publisher`, `admin_api` and `replicator` are None where no store is stated.
+    """The versions of one planner.
 
+    `store`, `publisher`, `admin_api` and `replicator` are None where no store is stated;
     `replicator` is None as well where there are no other controllers.
     """
 
@@ -114,7 +117,7 @@
             self.publisher.resume_tables()
 
     def on_leadership_acquired(self, epoch: int) -> None:
-        """Number versions under this epoch from now on."""
+        """Give versions numbers of this epoch from now on."""
         if self.publisher is None:
             return
         self.publisher.become_leader(epoch, after_another=True)
@@ -162,11 +165,11 @@
             if replicator.replica_count(serial) > controller_count // 2:
                 return answer
             await sleep(MAJORITY_LOOK_INTERVAL_S)
-        return {
-            **answer,
-            "why_not": f"carried out, but only {replicator.replica_count(serial)} of {controller_count} "
-            "controllers have it: a takeover now may forget it",
-        }
+        why_not = (
+            f"carried out, but only {replicator.replica_count(serial)} of {controller_count} "
+            "controllers have it: a takeover now may forget it"
+        )
+        return {**answer, "why_not": why_not}
 
     def _trust(self) -> dict[str, Any]:
         """Return how far the list stored by an earlier run is proved, while it is gone by."""
@@ -180,13 +183,14 @@
     # Starts: they number the versions where nobody grants epochs.
 
     def _store_start_count(self, count: int) -> None:
-        """Write a start down, again and again until it is; no version is numbered before it is."""
+        """Write a start down, and try again until it is; no version is numbered before."""
 
         def on_stored(result: Any) -> None:
             if result.exception() is None:
                 assert self.publisher is not None
                 self.publisher.become_leader(count)
-                # A proxy may have been served before this was written down: what it holds is published now.
+                # A proxy may have been served before this was written down: what it holds is
+                # published now.
                 self._service.planner_host.has_changes = True
             elif not self._service.is_closing:
                 self._service.later(START_COUNT_RETRY, lambda: self._store_start_count(count))
--- a/indigodeck/planner/version_source.py
+++ b/indigodeck/planner/version_source.py
@@ -1,4 +1,4 @@
-"""What the publisher of versions may ask, answered by the planner's host, the endpoint list and the store: plain look-ups."""
+"""The planner as the table publisher sees it: plain look-ups."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -19,9 +19,9 @@
 class VersionSource:
     """Implements `versions.publisher.PublisherHost`.
 
-    `stored` is what the store held at the start, by keys, until `forget_stored`. `clock_gap` is from
-    the planner's own clock to the wall clock (microseconds). The callbacks hear of each version and
-    of each change of what operators want.
+    `stored` is what the store held at the start, by keys, until `forget_stored`. `clock_gap` is
+    from the planner's own clock to the wall clock (microseconds). The callbacks hear of each
+    version and of each change of what operators want.
     """
 
     def __init__(
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -12,14 +12,14 @@
 from .clock import SECOND
 from .json_documents import InvalidDocumentError
 from .planner.host_client import HostClient
-from .planner.planner_settings import (
+from .planner.planner_settings import PlannerSettings
+from .planner.service import PlannerService
+from .planner.settings_sections import (
     HostTransport,
     LeadershipSettings,
     OperatorSettings,
-    PlannerSettings,
     StoreSettings,
 )
-from .planner.service import PlannerService
 
 SHORTEST_KEY_BYTES = 16
 INCARNATIONS_PER_SECOND = 10  # a controller that starts again within this is not told apart
