--- a/benchmarks/wire_bytes.py
+++ b/benchmarks/wire_bytes.py
@@ -20,6 +20,7 @@
 
 from indigodeck.frontends.sasp.conversation import Conversation  # noqa: E402
 from indigodeck.frontends.xds import codec  # noqa: E402
+from indigodeck.frontends.xds.streams import Stream  # noqa: E402
 from indigodeck.planner.planner_settings import PlannerSettings  # noqa: E402
 from indigodeck.serve import assemble  # noqa: E402
 from indigodeck.testbed.discovery_server import EndpointListFile  # noqa: E402
@@ -33,43 +34,43 @@
 
     def __init__(self, front, uid, delta, names):
         self.delta, self.bytes, self.messages = delta, 0, 0
-        self.relay = front.introduced(
+        self.relay = front.proxy_of(
             base_pb2.Node(id=uid, locality=base_pb2.Locality(zone="hall-a"))
         )
-        self.stream = self.relay.opened(self, delta)
+        self.stream = Stream.open(self.relay, self, delta)
         self.names = names
-        for kind in codec.KINDS:
+        for kind in codec.RESOURCE_TYPES:
             if delta:
-                self.stream.asked_changes(kind, names, (), {}, "", None)
+                self.stream.on_delta_request(kind, names, (), {}, "", None)
             else:
-                self.stream.asked_whole(kind, names, "", None)
+                self.stream.on_full_request(kind, names, "", None)
 
-    def due(self):
+    def request_write(self):
         pass
 
     def send(self, kind, version, nonce, resources, removed):
         made = (
-            codec.changes(kind, version, nonce, resources, removed)
+            codec.delta_response(kind, version, nonce, resources, removed)
             if self.delta
-            else codec.whole(kind, version, nonce, resources)
+            else codec.full_response(kind, version, nonce, resources)
         )
         self.bytes, self.messages = self.bytes + made.ByteSize(), self.messages + 1
         self.answer = kind, nonce
 
     def pull(self):
-        self.relay.take()
-        while self.stream.news():
+        self.relay.take_updates()
+        while self.stream.send_next():
             kind, nonce = self.answer
             if self.delta:
-                self.stream.asked_changes(kind, (), (), {}, nonce, None)
+                self.stream.on_delta_request(kind, (), (), {}, nonce, None)
             else:
-                self.stream.asked_whole(kind, self.names, nonce, None)
+                self.stream.on_full_request(kind, self.names, nonce, None)
 
 
 class SaspMeter:
     def __init__(self, front, names):
         self.bytes, self.messages = 0, 0
-        self.talk = Conversation(front.office, self)
+        self.talk = Conversation(front.registry, self)
         self.talk.set_balancer(1, b"hall-a/sasp", 127, True, True, True)
         self.talk.register(2, True, [((b"hall-a/sasp", name.encode()), []) for name in names])
         self.bytes = 0
@@ -77,7 +78,7 @@
     def send(self, data):
         self.bytes += len(data)
 
-    def due(self):
+    def request_write(self):
         pass
 
     def close(self, why):
@@ -85,7 +86,7 @@
 
     def pull(self):
         self.talk.planner_host.take_updates(self.talk.proxy)
-        data = self.talk.news()
+        data = self.talk.next_message()
         if data:
             self.bytes, self.messages = self.bytes + len(data), self.messages + 1
 
--- a/indigodeck/frontends/__init__.py
+++ b/indigodeck/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts: each speaks one protocol to relays and hands what they say to the planner's host."""
+"""Frontends: each speaks one protocol to proxies, and hands what they say to the planner."""
--- a/indigodeck/frontends/sasp/codec.py
+++ b/indigodeck/frontends/sasp/codec.py
@@ -410,7 +410,7 @@
     getattr(handler, method_name)(message_id, *arguments)
 
 
-def reply_id(data: bytes) -> int:
+def message_id_of(data: bytes) -> int:
     """Return the id of a whole message, which its reply repeats."""
     return int.from_bytes(data[HEADER.size - 4 : HEADER.size], "big")
 
--- a/indigodeck/frontends/sasp/conversation.py
+++ b/indigodeck/frontends/sasp/conversation.py
@@ -1,20 +1,19 @@
-"""What is said on SASP connections, free of I/O: who is registered for what, and what each is told.
+"""What is said on one SASP connection, free of I/O: who registers what, and what it is told.
 
-A load balancer is a proxy, a group is a class, a member is a server; the weights of a group are the class's
-table as the planner_host holds it for that proxy. Nothing is weighed here: what can't be told by a weight is said by
-a flag, and where there is no table yet, that there is no opinion (docs/sasp.md).
+A load balancer is a proxy, a group is a class, a member is a server; the weights of a group are the
+class's table as the planner's host holds it for that proxy (docs/sasp.md).
 """
 
-from ...planner.weights import scaled
+from collections.abc import Callable, Sequence
+from typing import NamedTuple, NoReturn, Protocol
+
+from ...errors import RejectedError
 from . import codec
 from .codec import (
     ALREADY_REGISTERED,
     BALANCER_ABSENT,
     BALANCER_SET,
     BALANCER_SIZE,
-    BY_BALANCER,
-    CONFIDENT,
-    CONTACT,
     DEREGISTERED,
     DONE,
     DUPLICATE_GROUP,
@@ -24,365 +23,402 @@
     MEMBERS_SET,
     NOT_ACCEPTED,
     NOT_REGISTERED,
-    QUIESCED,
     REGISTERED,
     UNKNOWN_BALANCER,
     UNKNOWN_GROUP,
+    Address,
     Entry,
+    GroupName,
     MalformedSaspMessageError,
     Member,
+    MemberGroup,
+    StatedMember,
+    StateGroup,
+    WeightGroup,
 )
+from .group_weights import GroupWeights
+from .registration import Group, RegistrationRegistry, SentEntry
 
-QUARREL = 3  # times that one id may be taken over within the span that messages are counted in
-NEUTRAL = 1  # the weight of a member of which nothing is known: the same for all
+# The weights of a group must fit one component, whose length is 16 bits: long labels fill that
+# with few members.
+ENTRY_BYTES = 44  # of an entry without its label, rounded up
+GROUP_BYTES = 1024  # what a component of weights holds beside its entries, rounded up
 
 
-class Group:
-    """One group of one load balancer: members by (address, port), who registered each, what they say."""
+class ConnectionPort(Protocol):
+    """What a conversation may do with its connection."""
 
-    def __init__(self):
-        self.members, self.by_balancer, self.quiet, self.states = {}, set(), set(), {}
-        self.told = {}  # (address, port): (weight, flags, state), as last written
+    def send(self, data: bytes) -> None:
+        """Send an answer."""
 
+    def request_write(self) -> None:
+        """Ask to be called for `next_message` as soon as the peer may be written to."""
 
-class RegistrationRegistry:
-    """All conversations of one planner's SASP front. `planner_host` holds the tables; `clerk` is the program around:
-    `proxy(uid)` a number for it or None, `joined(proxy, uid)`, `left(proxy)`, `server_at(place)` an index or
-    None, `address(server)` (address, port), `in_contact(server)`, `quiesced(place, on)`, `note(event, **facts)`.
-    """
+    def close(self, reason: str) -> None:
+        """Close the connection after what was answered has left."""
 
-    def __init__(self, planner_host, clerk, classes, bounds, interval, span):
-        self.planner_host, self.clerk, self.bounds = planner_host, clerk, bounds
-        self.interval, self.span = interval, span
-        self.places = {name.encode(): place for place, name in enumerate(classes)}
-        self.names = {place: name.encode() for place, name in enumerate(classes)}
-        self.balancers, self.taken, self.number = {}, {}, 0
 
-    def claim(self, uid, conversation):
-        """The newest connection speaks for an id: the older is most often a broken one that nobody noticed.
-        Two that take it from each other by turns are told apart from that by their pace, and the newest waits.
-        """
-        older, now = self.balancers.get(uid), self.planner_host.now()
-        if older is conversation:
-            return True
-        lately = [at for at in self.taken.get(uid, ()) if now - at < self.span]
-        if older is not None:
-            if len(lately) >= QUARREL:
-                self.taken[uid] = lately
-                return False
-            self.taken[uid] = lately + [now]
-            older.replaced()
-        self.balancers[uid] = conversation
-        for other in [other for other, times in self.taken.items() if now - times[-1] >= self.span]:
-            del self.taken[other]
-        return True
-
-    def release(self, uid, conversation):
-        if self.balancers.get(uid) is conversation:
-            del self.balancers[uid]
-
-    def next_number(self):
-        # Unsolicited messages count downwards from the top: a relay's own requests count upwards.
-        self.number = (self.number - 1) & 0xFFFFFFFF
-        return self.number
+class _RequestRejectedError(RejectedError):
+    """A request that can't be carried out; `return_code` says why."""
+
+    def __init__(self, return_code: int) -> None:
+        super().__init__(codec.MEANINGS[return_code])
+        self.return_code = return_code
+
+
+class _Deregistration(NamedTuple):
+    """What leaves a group; no addresses: the whole group."""
+
+    owner: "Conversation"
+    class_index: int
+    addresses: list[Address]
 
 
 class Conversation:
-    """One connection. `line`: `send(bytes)` answers, `due()` says that weights wait, `close(why)`."""
+    """One connection, of a load balancer or of members. Each request is answered once.
 
-    def __init__(self, office, line):
-        self.office, self.planner_host, self.line = office, office.planner_host, line
-        self.uid = self.proxy = None
-        self.push = self.trust = self.no_change = False
-        self.groups = {}  # class's place: Group
+    A request is checked as a whole before anything is changed: a rejected one changes nothing.
+    """
 
-    # What comes in. Each request is answered once.
+    def __init__(self, registry: RegistrationRegistry, connection: ConnectionPort) -> None:
+        self.registry = registry
+        self.connection = connection
+        self.planner_host = registry.planner_host
+        self.load_balancer_id: bytes | None = None
+        self.proxy: int | None = None
+        self.push = False
+        self.trust = False
+        self.no_change = False
+        self.groups: dict[int, Group] = {}  # by class
+        self._weights = GroupWeights(registry.planner_host, registry.environment)
+
+    def name(self) -> str | None:
+        """Return the load balancer's id for the log, or None if it has not said who it is."""
+        if not self.load_balancer_id:
+            return None
+        return self.load_balancer_id.decode("utf-8", "replace")
 
-    def read(self, message):
+    def read(self, message: bytes) -> None:
+        """Take one whole message in, and answer it or close the connection."""
         if self.proxy is not None:
             self.planner_host.on_proxy_request(self.proxy)
         try:
-            codec.dispatch(message, self, self.office.bounds)
+            codec.dispatch(message, self, self.registry.bounds)
         except MalformedSaspMessageError as error:
-            self.office.clerk.note(
-                "malformed", peer=self.name(), why=str(error), code=error.return_code
+            self.registry.environment.note(
+                "message_malformed", peer=self.name(), reason=str(error), code=error.return_code
             )
             if error.reply_type is None:
-                return self.line.close(str(error))
-            number = int.from_bytes(message[9:13], "big")
-            self.line.send(codec.answer(number, error.reply_type, error.return_code))
-
-    def name(self):
-        return self.uid.decode("utf-8", "replace") if self.uid else None
-
-    def set_balancer(self, number, uid, health, push, trust, no_change):
-        self.line.send(codec.answer(number, BALANCER_SET, self._introduced(uid)))
-        if self.uid == uid and self.proxy is not None:
-            turned_on = push and not self.push
-            self.push, self.trust, self.no_change = push, trust, no_change
-            if turned_on and self.groups:
-                self.line.due()
-
-    def _introduced(self, uid):
-        if not uid:
-            return BALANCER_SIZE
-        if self.uid not in (None, uid):
-            return NOT_ACCEPTED
-        if self.uid == uid:
-            return DONE
-        proxy = self.office.clerk.proxy(uid)
-        if proxy is None or not self.office.claim(uid, self):
-            self.office.clerk.note(
-                "refused",
-                peer=uid.decode("utf-8", "replace"),
-                why="not in charge of it, or too many relays"
-                if proxy is None
-                else "its id is taken over by turns",
-            )
-            return NOT_ACCEPTED
-        self.uid, self.proxy = uid, proxy
-        self.office.clerk.joined(proxy, uid)
-        return DONE
-
-    def register(self, number, by_balancer, groups):
-        code, target = self._registered(by_balancer, groups)
-        self.line.send(codec.answer(number, REGISTERED, code))
-        if code == DONE and target.push:
-            target.line.due()
+                self.connection.close(str(error))
+                return
+            message_id = codec.message_id_of(message)
+            self.connection.send(codec.answer(message_id, error.reply_type, error.return_code))
+
+    # The messages of load balancers and members, as `codec.dispatch` names them.
+
+    def set_balancer(
+        self,
+        message_id: int,
+        load_balancer_id: bytes,
+        health: int,
+        push: bool,
+        trust: bool,
+        no_change: bool,
+    ) -> None:
+        """Take who this load balancer is, and how it wants weights."""
+        self._answer(message_id, BALANCER_SET, lambda: self._introduce(load_balancer_id))
+        if self.load_balancer_id != load_balancer_id or self.proxy is None:
+            return
+        turned_on = push and not self.push
+        self.push = push
+        self.trust = trust
+        self.no_change = no_change
+        if turned_on and self.groups:
+            self.connection.request_write()
+
+    def _introduce(self, load_balancer_id: bytes) -> None:
+        if not load_balancer_id:
+            raise _RequestRejectedError(BALANCER_SIZE)
+        if self.load_balancer_id not in (None, load_balancer_id):
+            raise _RequestRejectedError(NOT_ACCEPTED)
+        if self.load_balancer_id == load_balancer_id:
+            return
+        environment = self.registry.environment
+        proxy = environment.proxy_index(load_balancer_id)
+        if proxy is None:
+            self._reject_proxy(load_balancer_id, "not in charge of it, or too many relays")
+        if not self.registry.claim(load_balancer_id, self):
+            self._reject_proxy(load_balancer_id, "its id is taken over by turns")
+        self.load_balancer_id = load_balancer_id
+        self.proxy = proxy
+        environment.on_proxy_joined(proxy, load_balancer_id)
+
+    def _reject_proxy(self, load_balancer_id: bytes, reason: str) -> NoReturn:
+        self.registry.environment.note(
+            "proxy_rejected", peer=load_balancer_id.decode("utf-8", "replace"), reason=reason
+        )
+        raise _RequestRejectedError(NOT_ACCEPTED)
 
-    def _speaker(self, by_balancer, named):
-        """The conversation whose groups are spoken of, or a code: members speak on connections of their own."""
-        uid, name = named
-        if not uid:
-            return BALANCER_SIZE
-        if not name:
-            return GROUP_NAME_SIZE
-        if by_balancer:
-            return self if uid == self.uid and self.proxy is not None else UNKNOWN_BALANCER
-        return self.office.balancers.get(uid, BALANCER_ABSENT)
-
-    def _registered(self, by_balancer, groups):
-        """Checked as a whole before anything is changed: a refused request leaves nothing behind."""
-        adding, target = [], self
-        for named, members in groups:
-            speaker = self._speaker(by_balancer, named)
-            if not isinstance(speaker, Conversation):
-                return speaker, self
-            target, place = speaker, self.office.places.get(named[1])
-            if place is None:
-                return INVALID_GROUP, self
-            held = speaker.groups.get(place, Group()).members
-            places = [member.endpoint() for member in members]
-            if len(set(places)) < len(places) or any(place == other for other, _ in adding):
-                return DUPLICATE_MEMBER, self
-            if any(where in held for where in places):
-                return ALREADY_REGISTERED, self
-            # Its weights must fit a component, whose length is 16 bits: long labels can fill that with few.
-            room = sum(44 + len(member.label) for member in [*held.values(), *members])
-            if (
-                len(held) + len(places) > self.office.bounds.members
-                or room > codec.LONGEST_COMPONENT - 1024
-            ):
-                return NOT_ACCEPTED, self
-            adding.append((place, members))
-        for place, members in adding:
-            group = target.groups.setdefault(place, Group())
-            for member in members:
+    def register(self, message_id: int, by_balancer: bool, groups: Sequence[MemberGroup]) -> None:
+        """Add members to groups."""
+        owners: list[Conversation] = []
+        self._answer(
+            message_id, REGISTERED, lambda: owners.append(self._register(by_balancer, groups))
+        )
+        for owner in owners:
+            if owner.push:
+                owner.connection.request_write()
+
+    def _register(self, by_balancer: bool, groups: Sequence[MemberGroup]) -> "Conversation":
+        """Add members, and return the conversation whose groups they are in."""
+        additions: dict[int, Sequence[Member]] = {}
+        owner = self
+        for name, members in groups:
+            owner = self._owner_of(by_balancer, name)
+            class_index = self.registry.class_indices.get(name[1])
+            if class_index is None:
+                raise _RequestRejectedError(INVALID_GROUP)
+            if class_index in additions:
+                raise _RequestRejectedError(DUPLICATE_MEMBER)
+            self._check_addition(owner.groups.get(class_index, Group()), members)
+            additions[class_index] = members
+        for class_index, added in additions.items():
+            group = owner.groups.setdefault(class_index, Group())
+            for member in added:
                 group.members[member.endpoint()] = member
                 if by_balancer:
-                    group.by_balancer.add(member.endpoint())
-        return DONE, target
-
-    def deregister(self, number, by_balancer, reason, groups):
-        self.line.send(codec.answer(number, DEREGISTERED, self._deregistered(by_balancer, groups)))
-
-    def _deregistered(self, by_balancer, groups):
+                    group.registered_by_balancer.add(member.endpoint())
+        return owner
+
+    def _check_addition(self, group: Group, members: Sequence[Member]) -> None:
+        addresses = [member.endpoint() for member in members]
+        if len(set(addresses)) < len(addresses):
+            raise _RequestRejectedError(DUPLICATE_MEMBER)
+        if any(address in group.members for address in addresses):
+            raise _RequestRejectedError(ALREADY_REGISTERED)
+        all_members = [*group.members.values(), *members]
+        needed_bytes = sum(ENTRY_BYTES + len(member.label) for member in all_members)
+        if (
+            len(all_members) > self.registry.bounds.members
+            or needed_bytes > codec.LONGEST_COMPONENT - GROUP_BYTES
+        ):
+            raise _RequestRejectedError(NOT_ACCEPTED)
+
+    def deregister(
+        self, message_id: int, by_balancer: bool, reason: int, groups: Sequence[MemberGroup]
+    ) -> None:
+        """Remove members from groups, whole groups where no member is named, or all groups."""
+        self._answer(message_id, DEREGISTERED, lambda: self._deregister(by_balancer, groups))
+
+    def _deregister(self, by_balancer: bool, groups: Sequence[MemberGroup]) -> None:
         if not groups:
-            # No group named: all of them.
             if not by_balancer or self.proxy is None:
-                return UNKNOWN_BALANCER
+                raise _RequestRejectedError(UNKNOWN_BALANCER)
             self.groups.clear()
-            return DONE
-        leaving = []
-        for named, members in groups:
-            speaker = self._speaker(by_balancer, named)
-            if not isinstance(speaker, Conversation):
-                return speaker
-            place = self.office.places.get(named[1])
-            group = speaker.groups.get(place)
-            if group is None:
-                return UNKNOWN_GROUP
-            places = [member.endpoint() for member in members]
-            if len(set(places)) < len(places):
-                return DUPLICATE_MEMBER
-            if any(other == place for _, other, _ in leaving):
-                return DUPLICATE_GROUP
-            if any(where not in group.members for where in places):
-                return NOT_REGISTERED
-            leaving.append((speaker, place, places))
-        for speaker, place, places in leaving:
-            group = speaker.groups[place]
-            for where in places:
-                del group.members[where]
-                group.by_balancer.discard(where)
-                group.quiet.discard(where)
-                group.told.pop(where, None)
-            if not places:
-                del speaker.groups[place]
-            elif speaker.push:
-                speaker.line.due()
-        return DONE
+            return
+        leaving: list[_Deregistration] = []
+        for name, members in groups:
+            deregistration = self._check_deregistration(by_balancer, name, members)
+            if any(deregistration.class_index == other.class_index for other in leaving):
+                raise _RequestRejectedError(DUPLICATE_GROUP)
+            group = deregistration.owner.groups[deregistration.class_index]
+            if any(address not in group.members for address in deregistration.addresses):
+                raise _RequestRejectedError(NOT_REGISTERED)
+            leaving.append(deregistration)
+        for owner, class_index, addresses in leaving:
+            for address in addresses:
+                owner.groups[class_index].remove(address)
+            if not addresses:
+                del owner.groups[class_index]
+            elif owner.push:
+                owner.connection.request_write()
+
+    def _check_deregistration(
+        self, by_balancer: bool, name: GroupName, members: Sequence[Member]
+    ) -> _Deregistration:
+        owner = self._owner_of(by_balancer, name)
+        class_index = self.registry.class_indices.get(name[1])
+        if class_index is None or class_index not in owner.groups:
+            raise _RequestRejectedError(UNKNOWN_GROUP)
+        addresses = [member.endpoint() for member in members]
+        if len(set(addresses)) < len(addresses):
+            raise _RequestRejectedError(DUPLICATE_MEMBER)
+        return _Deregistration(owner, class_index, addresses)
+
+    def get_weights(self, message_id: int, names: Sequence[GroupName]) -> None:
+        """Answer with the weights of groups; none named means all."""
+        if not names:
+            own_id = self.load_balancer_id or b""
+            names = [(own_id, self.registry.group_names[index]) for index in sorted(self.groups)]
+        return_code = DONE
+        class_indices: list[int | None] = []
+        for name in names:
+            class_index = self.registry.class_indices.get(name[1])
+            found = self._polled_group_code(name, class_index, class_indices)
+            if found != DONE:
+                return_code = found  # the last of several is told
+            class_indices.append(class_index)
+        if return_code != DONE:
+            self.connection.send(codec.answer(message_id, codec.WEIGHTS, return_code))
+            return
+        groups = [
+            self._weight_group(class_index)
+            for class_index in class_indices
+            if class_index is not None
+        ]
+        self.connection.send(codec.weights(message_id, DONE, self.registry.poll_interval, groups))
 
-    def get_weights(self, number, names):
-        code, places = DONE, []
-        for uid, name in names or [
-            (self.uid, self.office.names[place]) for place in sorted(self.groups)
-        ]:
-            place = self.office.places.get(name)
-            if not uid or uid != self.uid or self.proxy is None:
-                code = UNKNOWN_BALANCER if uid else BALANCER_SIZE
-            elif place not in self.groups:
-                code = UNKNOWN_GROUP
-            elif place in places:
-                code = DUPLICATE_GROUP
-            places.append(place)
-        if code != DONE:
-            return self.line.send(codec.answer(number, codec.WEIGHTS, code))
-        groups = [self._whole(place) for place in places]
-        self.line.send(codec.weights(number, DONE, self.office.interval, groups))
-
-    def set_members(self, number, by_balancer, groups):
-        self.line.send(codec.answer(number, MEMBERS_SET, self._stated(by_balancer, groups)))
-
-    def _stated(self, by_balancer, groups):
-        changes = []
-        for named, states in groups:
-            speaker = self._speaker(by_balancer, named)
-            if not isinstance(speaker, Conversation):
-                return speaker
-            group = speaker.groups.get(self.office.places.get(named[1]))
-            if group is None:
-                return UNKNOWN_GROUP
-            known = (
-                group.members.keys()
-                if not speaker.trust
-                else group.members.keys()
-                | {self.office.clerk.address(server) for server in self._lines(named[1], speaker)}
-            )
-            if any(member.endpoint() not in known for member, _, _ in states):
-                return NOT_REGISTERED
-            changes.append((speaker, group, states))
-        for speaker, group, states in changes:
-            for member, state, quiesce in states:
-                where = member.endpoint()
-                group.states[where] = state
-                if by_balancer:
-                    # A relay's own wish, for its own exchanges; what a member says of itself holds for all.
-                    (group.quiet.add if quiesce else group.quiet.discard)(where)
-                else:
-                    self.office.clerk.quiesced(where, quiesce)
-            if speaker.push:
-                speaker.line.due()
+    def _polled_group_code(
+        self, name: GroupName, class_index: int | None, earlier: Sequence[int | None]
+    ) -> int:
+        load_balancer_id = name[0]
+        if not load_balancer_id:
+            return BALANCER_SIZE
+        if load_balancer_id != self.load_balancer_id or self.proxy is None:
+            return UNKNOWN_BALANCER
+        if class_index not in self.groups:
+            return UNKNOWN_GROUP
+        if class_index in earlier:
+            return DUPLICATE_GROUP
         return DONE
 
-    def _lines(self, name, speaker):
-        return self.planner_host.table_for(speaker.proxy, self.office.places[name]) or {}
-
-    def answered(self, number, kind, code):
-        raise MalformedSaspMessageError(f"a reply ({kind:#06x}) to nothing that was asked")
-
-    def weights(self, number, code, interval, groups):
+    def set_members(self, message_id: int, by_balancer: bool, groups: Sequence[StateGroup]) -> None:
+        """Take states of members, told by their load balancer or by themselves."""
+        self._answer(message_id, MEMBERS_SET, lambda: self._set_states(by_balancer, groups))
+
+    def _set_states(self, by_balancer: bool, groups: Sequence[StateGroup]) -> None:
+        changes: list[tuple[Conversation, Group, Sequence[StatedMember]]] = []
+        for name, states in groups:
+            owner = self._owner_of(by_balancer, name)
+            class_index = self.registry.class_indices.get(name[1])
+            if class_index is None or class_index not in owner.groups:
+                raise _RequestRejectedError(UNKNOWN_GROUP)
+            group = owner.groups[class_index]
+            known = owner.known_addresses(class_index)
+            if any(stated.member.endpoint() not in known for stated in states):
+                raise _RequestRejectedError(NOT_REGISTERED)
+            changes.append((owner, group, states))
+        for owner, group, stated_members in changes:
+            for stated in stated_members:
+                self._set_state(group, stated, by_balancer)
+            if owner.push:
+                owner.connection.request_write()
+
+    def known_addresses(self, class_index: int) -> set[Address | None]:
+        """Return the addresses of a group's members, and of its table where that is trusted."""
+        known: set[Address | None] = set(self.groups[class_index].members)
+        if self.trust and self.proxy is not None:
+            table = self.planner_host.table_for(self.proxy, class_index) or {}
+            known.update(self.registry.environment.address_of(server) for server in table)
+        return known
+
+    def _set_state(self, group: Group, stated: StatedMember, by_balancer: bool) -> None:
+        address = stated.member.endpoint()
+        group.states[address] = stated.state
+        if not by_balancer:
+            # What a member says of itself holds for all load balancers.
+            self.registry.environment.on_host_quiesced(address, stated.quiesce)
+        elif stated.quiesce:
+            group.quiesced.add(address)
+        else:
+            group.quiesced.discard(address)
+
+    def answered(self, message_id: int, reply_type: int, return_code: int) -> None:
+        """Reject a reply."""
+        raise MalformedSaspMessageError(f"a reply ({reply_type:#06x}) to nothing that was asked")
+
+    def weights(
+        self, message_id: int, return_code: int, interval: int, groups: Sequence[WeightGroup]
+    ) -> None:
+        """Reject weights."""
         raise MalformedSaspMessageError("weights are sent to relays, not by them")
 
-    def sent_weights(self, number, groups):
+    def sent_weights(self, message_id: int, groups: Sequence[WeightGroup]) -> None:
+        """Reject weights."""
         raise MalformedSaspMessageError("weights are sent to relays, not by them")
 
+    def _owner_of(self, by_balancer: bool, name: GroupName) -> "Conversation":
+        """Return whose groups are spoken of: members have connections of their own."""
+        load_balancer_id, group_name = name
+        if not load_balancer_id:
+            raise _RequestRejectedError(BALANCER_SIZE)
+        if not group_name:
+            raise _RequestRejectedError(GROUP_NAME_SIZE)
+        if by_balancer:
+            if load_balancer_id != self.load_balancer_id or self.proxy is None:
+                raise _RequestRejectedError(UNKNOWN_BALANCER)
+            return self
+        owner = self.registry.conversations.get(load_balancer_id)
+        if owner is None:
+            raise _RequestRejectedError(BALANCER_ABSENT)
+        return owner
+
+    def _answer(self, message_id: int, reply_type: int, carry_out: Callable[[], object]) -> None:
+        """Carry a request out, and answer how that ended."""
+        return_code = DONE
+        try:
+            carry_out()
+        except _RequestRejectedError as error:
+            return_code = error.return_code
+        self.connection.send(codec.answer(message_id, reply_type, return_code))
+
     # What goes out.
 
-    def news(self):
-        """The message that brings a relay up to date, or None where it wants none or nothing has changed."""
+    def next_message(self) -> bytes | None:
+        """Return the message that brings a load balancer up to date.
+
+        None where it wants no pushed weights, or nothing has changed.
+        """
         if not self.push or self.proxy is None:
             return None
-        groups = []
-        for place in sorted(self.groups):
-            told = dict(self.groups[place].told)
-            named, entries = self._whole(place)
+        groups: list[WeightGroup] = []
+        for class_index in sorted(self.groups):
+            sent_before = dict(self.groups[class_index].sent)
+            name, entries = self._weight_group(class_index)
             if self.no_change:
                 entries = [
                     entry
                     for entry in entries
-                    if told.get(entry.member.endpoint()) != (entry.weight, entry.flags, entry.state)
+                    if sent_before.get(entry.member.endpoint()) != _sent_entry(entry)
                 ]
             if entries:
-                groups.append((named, entries))
-        return codec.send_weights(self.office.next_number(), groups) if groups else None
-
-    def _whole(self, place):
-        """All that a group's members are told, and kept as told."""
-        group, lines = self.groups[place], self.planner_host.table_for(self.proxy, place)
-        entries = self._no_table(group) if lines is None else self._table(group, lines)
+                groups.append((name, entries))
+        return codec.send_weights(self.registry.next_message_id(), groups) if groups else None
+
+    def _weight_group(self, class_index: int) -> WeightGroup:
+        """Return all that a group's members are told, and keep it as sent."""
+        assert self.proxy is not None and self.load_balancer_id is not None  # groups are a proxy's
+        group = self.groups[class_index]
+        table = self.planner_host.table_for(self.proxy, class_index)
+        entries = self._weights.entries(group, table, self.trust)
         for entry in entries:
-            group.told[entry.member.endpoint()] = entry.weight, entry.flags, entry.state
-        for where in [
-            where
-            for where, told in group.told.items()
-            if told and told[0] == 0 and where not in group.members
-        ]:
-            del group.told[where]  # said once that it is out; it was never registered
-        return (self.uid, self.office.names[place]), entries
-
-    def _entry(self, group, where, weight, server):
-        # By what is withdrawn, never by the list: a host that is wrongly listed as gone may be kept on purpose.
-        out = server in self.planner_host.ejected_servers or where in group.quiet
-        flags = (QUIESCED if out else 0) | (BY_BALANCER if where in group.by_balancer else 0)
-        if server is not None:
-            flags |= CONFIDENT | (CONTACT if self.office.clerk.in_contact(server) else 0)
-        weight = 0 if flags & QUIESCED else weight
-        return Entry(
-            group.members.get(where) or Member.at(*where), weight, flags, group.states.get(where, 0)
-        )
-
-    def _table(self, group, lines):
-        clerk, weights = self.office.clerk, scaled(lines)
-        at = {clerk.address(server): server for server in lines}
-        if not self.trust:
-            at = {where: server for where, server in at.items() if where in group.members}
-            if lines and not at:
-                # None that it may use is in the table: that says nothing of those that it has.
-                return self._no_table(group)
-        entries = [
-            self._entry(group, where, weights[server], server)
-            for where, server in sorted(at.items())
+            group.sent[entry.member.endpoint()] = _sent_entry(entry)
+        # A server that was never registered is told once to be out.
+        told_out = [
+            address
+            for address, sent in group.sent.items()
+            if sent.weight == 0 and address not in group.members
         ]
-        rest = (group.members.keys() | group.told.keys()) - at.keys()
-        return entries + [
-            self._entry(group, where, 0, clerk.server_at(where)) for where in sorted(rest)
-        ]
-
-    def _no_table(self, group):
-        """No opinion: all alike and not confident, but for those that drain or are gone."""
-        entries = []
-        for where in sorted(group.members):
-            entries.append(self._entry(group, where, NEUTRAL, self.office.clerk.server_at(where)))
-        held = {entry.member.endpoint() for entry in entries}
-        for server in sorted(self.planner_host.ejected_servers):
-            # It may hold such a host from an earlier connection, and never have registered it.
-            where = self.office.clerk.address(server)
-            if self.trust and where and where not in held:
-                entries.append(self._entry(group, where, 0, server))
-        # None of it is from a table: a relay that took the first confident word for a whole one was left bare.
-        return [entry._replace(flags=entry.flags & ~CONFIDENT) for entry in entries]
+        for address in told_out:
+            del group.sent[address]
+        return (self.load_balancer_id, self.registry.group_names[class_index]), entries
 
     # How it ends.
 
-    def replaced(self):
-        """Another connection speaks for this id now, or another planner; the proxy itself goes on."""
+    def on_replaced(self) -> None:
+        """Stop: another connection, or another planner, speaks for this id; its proxy goes on."""
         self.proxy = None
-        self.line.close("its relay is spoken to elsewhere now")
+        self.connection.close("its relay is spoken to elsewhere now")
 
-    def ended(self):
-        if self.uid is not None:
-            self.office.release(self.uid, self)
+    def on_closed(self) -> None:
+        """Take note that the connection has ended."""
+        if self.load_balancer_id is not None:
+            self.registry.release(self.load_balancer_id, self)
         if self.proxy is not None:
-            proxy, self.proxy = self.proxy, None
-            self.office.clerk.left(proxy)
+            proxy = self.proxy
+            self.proxy = None
+            self.registry.environment.on_proxy_left(proxy)
+
+
+def _sent_entry(entry: Entry) -> SentEntry:
+    return SentEntry(entry.weight, entry.flags, entry.state)
--- a/indigodeck/frontends/sasp/server.py
+++ b/indigodeck/frontends/sasp/server.py
@@ -1,271 +1,349 @@
-"""The sockets of the SASP front, on Tornado's streams: one coroutine reads, one writes, each message whole."""
+"""The sockets of the SASP frontend, on Tornado's streams: one coroutine reads, one writes."""
 
+import asyncio
 import fcntl
+import socket
 import struct
 import termios
+from collections.abc import Awaitable
+from typing import Any, TypeVar
 
 from tornado.gen import sleep, with_timeout
 from tornado.ioloop import IOLoop
-from tornado.iostream import StreamClosedError
+from tornado.iostream import IOStream, StreamClosedError
 from tornado.locks import Event
 from tornado.netutil import bind_sockets
 from tornado.tcpserver import TCPServer
 from tornado.util import TimeoutError as DeadlineExceededError
 
+from ...clock import SECOND
+from ...planner.message_quota import MessageQuota
+from ...planner.planner_settings import PlannerSettings, SaspFrontendSettings
+from ...planner.service import PlannerService
 from . import codec
-from .conversation import Conversation, RegistrationRegistry
+from .codec import Address
+from .conversation import Conversation
+from .registration import RegistrationRegistry
 
-SECOND = 1_000_000
+# How often a socket is looked at until its peer has acknowledged all bytes; doubled from the first
+# to the last.
+FIRST_ACK_POLL_S = 0.001
+LONGEST_ACK_POLL_S = 0.05
+FRONTEND_NAME = "sasp"
 
+_T = TypeVar("_T")
 
-class Connection:
-    """One connection: reads requests one at a time and answers them, writes weights when some wait."""
 
-    def __init__(self, front, stream, address):
-        self.front, self.stream, self.address = front, stream, address
-        self.conversation = Conversation(front.office, self)
-        self.wanted, self.answers, self.closing = Event(), [], None
+class Connection:
+    """One connection: answers requests one at a time, and writes weights when some wait."""
+
+    def __init__(self, frontend: "SaspFrontend", stream: IOStream, address: tuple) -> None:
+        self.frontend = frontend
+        self.stream = stream
+        self.address = address
+        self.conversation = Conversation(frontend.registry, self)
+        self._write_requested = Event()
+        self._answers: list[bytes] = []
+        self._close_reason: str | None = None
         stream.set_nodelay(True)
 
-    # What the conversation may do.
+    # What the conversation may do (`conversation.ConnectionPort`).
+
+    def send(self, data: bytes) -> None:
+        """Send an answer."""
+        self._answers.append(data)
 
-    def send(self, data):
-        self.answers.append(data)
+    def request_write(self) -> None:
+        """Have `next_message` written as soon as that is allowed."""
+        self._write_requested.set()
 
-    def due(self):
-        self.wanted.set()
+    def close(self, reason: str) -> None:
+        """Close the connection, after what was answered has left.
 
-    def close(self, why):
-        if not self.stream.closed() and self.closing is None:
-            self.closing = why
+        A rejection is worth nothing if it never arrives.
+        """
+        if not self.stream.closed() and self._close_reason is None:
+            self._close_reason = reason
             IOLoop.current().add_callback(self._close)
 
-    def _close(self):
-        # After what was answered has left: a refusal is worth nothing if it never arrives.
+    def _close(self) -> None:
         if not self.stream.closed():
-            self.front.note(
-                "cut off", peer=self.conversation.name() or self.address[0], why=self.closing
+            self.frontend.note(
+                "connection_closed",
+                peer=self.conversation.name() or self.address[0],
+                reason=self._close_reason,
             )
             self.stream.close()
 
-    # The two coroutines.
+    # Reading.
 
-    async def run(self):
-        writer = IOLoop.current().asyncio_loop.create_task(self._write())
+    async def run(self) -> None:
+        """Serve the peer until either side closes the connection."""
+        writer = asyncio.get_running_loop().create_task(self._write_updates())
         try:
-            while self.closing is None:
-                message = await self._message()
-                await self._allowed()
-                if codec.introduces(message) and self.conversation.proxy is None:
-                    await self._admitted()
-                self.conversation.read(message)
-                await self._answer()
+            while self._close_reason is None:
+                await self._serve_request()
         except StreamClosedError:
-            pass
+            pass  # the peer has left
         except DeadlineExceededError:
             self.close("a message was begun and not ended in time")
         except codec.MalformedSaspMessageError as error:
-            self.front.note(
-                "malformed", peer=self.conversation.name(), why=str(error), code=error.return_code
+            self.frontend.note(
+                "message_malformed",
+                peer=self.conversation.name(),
+                reason=str(error),
+                code=error.return_code,
             )
             self.close(str(error))
         finally:
             writer.cancel()
-            self.conversation.ended()
+            self.conversation.on_closed()
             self._close()
 
-    async def _message(self):
-        """One whole message. It may be long in coming; once begun, it must end in time."""
-        first = await self.stream.read_bytes(1)
-        deadline = IOLoop.current().time() + self.front.message_time
-        rest = await with_timeout(
-            deadline, self.stream.read_bytes(codec.HEADER.size - 1), StreamClosedError
-        )
-        whole, _ = codec.read_header(first + rest, self.front.office.bounds)
-        body = await with_timeout(
-            deadline, self.stream.read_bytes(whole - codec.HEADER.size), StreamClosedError
-        )
-        return first + rest + body
-
-    async def _allowed(self):
-        """A relay that asks too often waits; what it sends meanwhile stays in its own socket."""
-        while wait := self._allowance().answer_wait(self.front.now()):
+    async def _serve_request(self) -> None:
+        message = await self._read_message()
+        # A peer that asks too often waits; what it sends meanwhile stays in its own socket.
+        while wait := self._quota().answer_wait(self.frontend.now()):
             await sleep(wait / SECOND)
-
-    async def _admitted(self):
-        if not await self.front.service.proxies.wait_for_admission():
-            self.close("too many relays wait to join")
-        if self.stream.closed() or self.closing is not None:
-            raise StreamClosedError  # it did not wait for its turn, and would be told all for nothing
-
-    def _allowance(self):
-        return self.front.allowance(self.conversation.uid or self.address)
-
-    async def _answer(self):
-        answers, self.answers = self.answers, []
+        if codec.introduces(message) and self.conversation.proxy is None:
+            await self._wait_for_admission()
+        self.conversation.read(message)
+        answers = self._answers
+        self._answers = []
         for data in answers:
-            self._allowance().on_written(self.front.now(), is_answer=True)
-            await self._sent(data)
+            self._quota().on_written(self.frontend.now(), is_answer=True)
+            await self._write(data)
+
+    async def _read_message(self) -> bytes:
+        """Read one whole message. It may be long in coming; once begun, it must end in time."""
+        first_byte = await self.stream.read_bytes(1)
+        deadline = IOLoop.current().time() + self.frontend.message_timeout_s
+        header = first_byte + await self._by(
+            deadline, self.stream.read_bytes(codec.HEADER.size - 1)
+        )
+        length, _ = codec.read_header(header, self.frontend.registry.bounds)
+        return header + await self._by(deadline, self.stream.read_bytes(length - codec.HEADER.size))
 
-    async def _sent(self, data):
-        proxy = self.conversation.proxy
-        if proxy is not None and not self.front.service.leadership.may_write(proxy):
-            # Another may be in charge by now: asked here and not before, for much may have passed since it was queued.
+    async def _wait_for_admission(self) -> None:
+        if not await self.frontend.service.proxies.wait_for_admission():
+            self.close("too many relays wait to join")
+        if self.stream.closed() or self._close_reason is not None:
+            # It did not wait for its turn, and would be told all for nothing.
             raise StreamClosedError
-        # A peer that reads nothing holds up its own connection, and not for ever.
-        await with_timeout(
-            IOLoop.current().time() + self.front.deaf_time,
-            self.stream.write(data),
-            StreamClosedError,
-        )
 
-    async def _write(self):
+    # Writing.
+
+    async def _write_updates(self) -> None:
         try:
             while True:
-                await self.wanted.wait()
-                self.wanted.clear()
-                # Registered or not, what is withdrawn waits until it can be told; one message at a time.
-                while wait := self._allowance().order_wait(self.front.now()):
-                    await sleep(wait / SECOND)
-                proxy = self.conversation.proxy
-                parcel = self.front.planner_host.take_updates(proxy) if proxy is not None else None
-                data = self.conversation.news()
-                if data is not None:
-                    self._allowance().on_written(self.front.now())
-                    await self._sent(data)
-                    await self._taken()
-                if parcel is not None and (data is not None or self.conversation.groups):
-                    self.front.planner_host.on_delivered(parcel, by_program=False)
+                await self._write_requested.wait()
+                self._write_requested.clear()
+                await self._write_next_message()
         except StreamClosedError:
-            pass
+            pass  # the reader meets the same
         except DeadlineExceededError:
             self.close("it reads nothing")
 
-    async def _taken(self):
-        """Until the peer's side has acknowledged every byte: the next state is made only then, so that what
-        was ordered meanwhile is one message and not many. No acknowledgement is known to this protocol.
+    async def _write_next_message(self) -> None:
+        # Registered or not, ejections wait until they can be told; one message at a time.
+        while wait := self._quota().order_wait(self.frontend.now()):
+            await sleep(wait / SECOND)
+        planner_host = self.frontend.planner_host
+        proxy = self.conversation.proxy
+        update = planner_host.take_updates(proxy) if proxy is not None else None
+        data = self.conversation.next_message()
+        if data is not None:
+            self._quota().on_written(self.frontend.now())
+            await self._write(data)
+            await self._wait_for_tcp_ack()
+        if update is not None and (data is not None or self.conversation.groups):
+            planner_host.on_delivered(update, by_program=False)
+
+    async def _write(self, data: bytes) -> None:
+        proxy = self.conversation.proxy
+        if proxy is not None and not self.frontend.service.leadership.may_write(proxy):
+            # Another may lead by now: asked here, for much may have passed since it was queued.
+            raise StreamClosedError
+        # A peer that reads nothing holds up its own connection, and not for ever.
+        deadline = IOLoop.current().time() + self.frontend.stalled_timeout_s
+        await self._by(deadline, self.stream.write(data))
+
+    async def _wait_for_tcp_ack(self) -> None:
+        """Wait until the peer's machine has acknowledged every byte.
+
+        The next state is made only then, so that what was ordered meanwhile is one message and not
+        many. This protocol knows no acknowledgement of its own.
         """
-        rest, tick = self.front.deaf_time, 0.001
-        while not self.stream.closed() and unread(self.stream.socket):
-            if rest <= 0:
+        remaining = self.frontend.stalled_timeout_s
+        pause = FIRST_ACK_POLL_S
+        while not self.stream.closed() and unacknowledged_bytes(self.stream.socket):
+            if remaining <= 0:
                 raise DeadlineExceededError
-            await sleep(tick)
-            rest -= tick
-            tick = min(2 * tick, 0.05)
+            await sleep(pause)
+            remaining -= pause
+            pause = min(2 * pause, LONGEST_ACK_POLL_S)
         if self.stream.closed():
             raise StreamClosedError
 
+    def _quota(self) -> MessageQuota:
+        """Return the proxy's quota, or its address's until it has said who it is."""
+        return self.frontend.service.proxies.message_quota(
+            self.conversation.load_balancer_id or self.address
+        )
 
-def unread(sock):
-    """Bytes written to a socket that the other side has not acknowledged."""
-    return struct.unpack("i", fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, bytes(4)))[0]
-
+    @staticmethod
+    async def _by(deadline: float, awaited: Awaitable[_T]) -> _T:
+        return await with_timeout(deadline, awaited, StreamClosedError)
 
-class SaspFront(TCPServer):
-    """Listens for load balancers and members. `service`: the program around (planner/service.py)."""
 
-    def __init__(self, service, settings):
-        super().__init__(max_buffer_size=2 * settings.frontends["sasp"].max_message_bytes)
-        stated = settings.frontends["sasp"]
-        self.service, self.planner_host = service, service.planner_host
-        bounds = codec.Bounds(
-            stated.max_message_bytes,
-            stated.max_groups,
-            stated.max_members,
-        )
-        self.span = settings.deployment.channel.message_window
-        self.office = RegistrationRegistry(
-            self.planner_host, self, settings.class_names, bounds, stated.poll_interval_s, self.span
-        )
-        self.connections = stated.max_connections
-        self.message_time = stated.message_timeout / SECOND
-        self.deaf_time = stated.stalled_timeout / SECOND
-        self.lines, self.uids = set(), {}
+def unacknowledged_bytes(sock: socket.socket) -> int:
+    """Return how many bytes were written to a socket that the other side has not acknowledged."""
+    return struct.unpack("i", fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, bytes(4)))[0]
 
-    def now(self):
-        return self.service.now()
 
-    def listen(self, port, address):
-        # All relays of a fleet may dial at once. What doesn't fit here the kernel drops unheard, and it comes again a second
-        # later: of 303 relays 87 did.
-        sockets = bind_sockets(port, address, backlog=self.connections)
+class SaspFrontend(TCPServer):
+    """Listens for load balancers and members (`planner.proxy_sessions.Frontend`).
+
+    It is also what their conversations ask (`registration.SaspEnvironment`).
+    """
+
+    def __init__(self, service: PlannerService, settings: PlannerSettings) -> None:
+        own_settings = settings.frontends[FRONTEND_NAME]
+        assert isinstance(own_settings, SaspFrontendSettings)
+        super().__init__(max_buffer_size=2 * own_settings.max_message_bytes)
+        self.service = service
+        self.planner_host = service.planner_host
+        self.registry = RegistrationRegistry(
+            self.planner_host,
+            self,
+            settings.class_names,
+            codec.Bounds(
+                own_settings.max_message_bytes, own_settings.max_groups, own_settings.max_members
+            ),
+            own_settings.poll_interval_s,
+            settings.deployment.channel.message_window,
+        )
+        self.max_connections = own_settings.max_connections
+        self.message_timeout_s = own_settings.message_timeout / SECOND
+        self.stalled_timeout_s = own_settings.stalled_timeout / SECOND
+        self._connections: set[Connection] = set()
+        self._ids: dict[int, bytes] = {}  # load balancers' ids, by proxy
+        self._bound_port = 0
+
+    # What the service calls (`planner.proxy_sessions.Frontend`).
+
+    def listen(self, port: int, address: str) -> None:  # type: ignore[override]
+        """Open the socket."""
+        # All proxies of a fleet may connect at once. What doesn't fit here the kernel drops, and
+        # it comes again a second later: of 303 proxies 87 did.
+        sockets = bind_sockets(port, address, backlog=self.max_connections)
         self.add_sockets(sockets)
-        self.bound = sockets[0].getsockname()[1]
-
-    def port(self):
-        return self.bound
+        self._bound_port = sockets[0].getsockname()[1]
 
-    async def handle_stream(self, stream, address):
-        if len(self.lines) >= self.connections:
-            self.note("refused", peer=address[0], why=f"{self.connections} connections are open")
-            return stream.close()
-        line = Connection(self, stream, address)
-        self.lines.add(line)
-        try:
-            await line.run()
-        finally:
-            self.lines.discard(line)
+    def port(self) -> int:
+        """Return the port that was opened."""
+        return self._bound_port
 
-    def allowance(self, who):
-        return self.service.proxies.message_quota(who)
+    def set_accepting(self, accepting: bool) -> None:
+        """Go on to take connections while another controller leads.
 
-    def doors(self, open):
-        """Open while another controller is in charge, too: who dials is refused with a code, and goes on to the next."""
+        Whoever connects is rejected with a code, and goes on to the next controller.
+        """
 
-    def replaced(self, proxy):
-        """The relay speaks through another front now."""
-        conversation = self.office.balancers.get(self.uids.get(proxy))
+    def request_write(self, proxy: int) -> None:
+        """Write to this proxy: something waits for it."""
+        conversation = self._conversation_of(proxy)
         if conversation is not None:
-            conversation.replaced()
+            conversation.connection.request_write()
 
-    def due(self, proxy):
-        conversation = self.office.balancers.get(self.uids.get(proxy))
+    def disconnect_proxy(self, proxy: int) -> None:
+        """End the connection of a proxy that is not served over it any more."""
+        conversation = self._conversation_of(proxy)
         if conversation is not None:
-            conversation.line.due()
+            conversation.on_replaced()
 
-    def standing_of(self, places):
-        """Something about these servers changed that no table tells: flags, or who may be told of them."""
-        for conversation in self.office.balancers.values():
+    def _conversation_of(self, proxy: int) -> Conversation | None:
+        load_balancer_id = self._ids.get(proxy)
+        if load_balancer_id is None:
+            return None
+        return self.registry.conversations.get(load_balancer_id)
+
+    def on_servers_changed(self, addresses: list[Address]) -> None:
+        """Write to those who know these servers.
+
+        Something about them changed that no table tells: flags, or who may be told of them.
+        """
+        for conversation in self.registry.conversations.values():
             if conversation.push and any(
-                where in group.members or where in group.told
+                address in group.members or address in group.sent
                 for group in conversation.groups.values()
-                for where in places
+                for address in addresses
             ):
-                conversation.line.due()
+                conversation.connection.request_write()
 
-    def cease(self):
+    def close(self) -> None:
+        """Close the socket and all connections."""
         self.stop()
-        for line in list(self.lines):
-            line.close("the planner ends")
-
-    # What the office asks of the program.
+        for connection in list(self._connections):
+            connection.close("the planner ends")
+
+    async def handle_stream(self, stream: IOStream, address: tuple) -> None:
+        """Serve one connection."""
+        if len(self._connections) >= self.max_connections:
+            self.note(
+                "connection_rejected",
+                peer=address[0],
+                reason=f"{self.max_connections} connections are open",
+            )
+            stream.close()
+            return
+        connection = Connection(self, stream, address)
+        self._connections.add(connection)
+        try:
+            await connection.run()
+        finally:
+            self._connections.discard(connection)
 
-    def proxy(self, uid):
-        if not self.service.leadership.may_serve(uid.decode("utf-8", "replace")):
-            return None
-        number = self.service.proxies.proxy_index(uid)
-        if number is not None:
-            self.uids[number] = uid
-        return number
+    # What conversations ask (`registration.SaspEnvironment`).
 
-    def joined(self, proxy, uid):
-        # What an earlier connection wrote before its id was known here counts as well.
-        self.service.proxies.on_proxy_joined(self, proxy, uid.decode("utf-8", "replace"))
+    def now(self) -> int:
+        """Return the time on a clock that never goes back."""
+        return self.service.now()
 
-    def left(self, proxy):
+    def proxy_index(self, load_balancer_id: bytes) -> int | None:
+        """Return the index of a proxy that may be served here, or None."""
+        if not self.service.leadership.may_serve(load_balancer_id.decode("utf-8", "replace")):
+            return None
+        proxy = self.service.proxies.proxy_index(load_balancer_id)
+        if proxy is not None:
+            self._ids[proxy] = load_balancer_id
+        return proxy
+
+    def on_proxy_joined(self, proxy: int, load_balancer_id: bytes) -> None:
+        """Begin to serve a proxy."""
+        name = load_balancer_id.decode("utf-8", "replace")
+        self.service.proxies.on_proxy_joined(self, proxy, name)
+
+    def on_proxy_left(self, proxy: int) -> None:
+        """Serve a proxy no more."""
         self.service.proxies.on_proxy_left(self, proxy)
 
-    def server_at(self, where):
-        return self.service.endpoints.server_at(where)
+    def server_at(self, address: Address) -> int | None:
+        """Return the index of the server at an address, or None."""
+        return self.service.endpoints.server_at(address)
 
-    def address(self, server):
+    def address_of(self, server: int) -> Address | None:
+        """Return a server's address, or None."""
         return self.service.endpoints.address_of(server)
 
-    def in_contact(self, server):
+    def answered_recently(self, server: int) -> bool:
+        """Return whether a server has answered of late."""
         return self.service.health_checker.answered_recently(server)
 
-    def quiesced(self, where, on):
-        return self.service.endpoints.on_host_quiesced(where, on)
+    def on_host_quiesced(self, address: Address, quiesced: bool) -> bool:
+        """Take in what a server says of itself: whether it wants no new work."""
+        return self.service.endpoints.on_host_quiesced(address, quiesced)
 
-    def note(self, event, **facts):
-        self.service.note(event, front="sasp", **facts)
+    def note(self, event: str, **facts: Any) -> None:
+        """Write a line to the log."""
+        self.service.note(event, frontend=FRONTEND_NAME, **facts)
--- a/indigodeck/frontends/xds/codec.py
+++ b/indigodeck/frontends/xds/codec.py
@@ -1,14 +1,18 @@
-"""Resources of the xDS protocol as bytes, and what relays send as plain values.
+"""Resources of the xDS protocol as bytes, and what proxies send as plain values.
 
-Messages are the generated ones of xds-protos. A class is a listener, a route, a cluster and its endpoints, all named
-after it; docs/xds.md says what each carries. Bytes are deterministic: the version of a resource is the hash of its
-content, so that two planners, or one before and after a restart, give the same table the same version.
+Messages are the generated ones of xds-protos. A class is a listener, a route, a cluster and its
+endpoints, all named after it; docs/xds.md says what each carries. Bytes are deterministic: the
+version of a resource is the hash of its content, so that two planners, or one before and after a
+restart, give the same table the same version.
 """
 
+from collections.abc import Collection, Iterable, Iterator, Sequence
+from typing import NamedTuple
+
 import xxhash
 from envoy.config.cluster.v3 import cluster_pb2
 from envoy.config.core.v3 import address_pb2, base_pb2, config_source_pb2, health_check_pb2
-from envoy.config.endpoint.v3 import endpoint_components_pb2, endpoint_pb2
+from envoy.config.endpoint.v3 import endpoint_components_pb2, endpoint_pb2, load_report_pb2
 from envoy.config.listener.v3 import api_listener_pb2, listener_pb2
 from envoy.config.route.v3 import route_components_pb2, route_pb2
 from envoy.extensions.filters.http.router.v3 import router_pb2
@@ -17,39 +21,92 @@
 )
 from envoy.service.discovery.v3 import discovery_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
-from google.protobuf import any_pb2, duration_pb2, wrappers_pb2
-
-PREFIX = "type.googleapis.com/"
-CLUSTER = PREFIX + "envoy.config.cluster.v3.Cluster"
-ENDPOINTS = PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment"
-LISTENER = PREFIX + "envoy.config.listener.v3.Listener"
-ROUTE = PREFIX + "envoy.config.route.v3.RouteConfiguration"
-# What is used comes before what uses it: clusters and their endpoints, then listeners and routes that lead there.
-KINDS = (CLUSTER, ENDPOINTS, LISTENER, ROUTE)
-MILLION = 1_000_000
-HEALTHY, DRAINING = health_check_pb2.HEALTHY, health_check_pb2.DRAINING
-LEVEL = "level"  # the category of what a class's level turns away
-
-ADS = config_source_pb2.ConfigSource(
+from envoy.type.v3 import percent_pb2
+from google.protobuf import any_pb2, duration_pb2, message, wrappers_pb2
+
+from ...clock import SECOND
+
+TYPE_URL_PREFIX = "type.googleapis.com/"
+CLUSTER = TYPE_URL_PREFIX + "envoy.config.cluster.v3.Cluster"
+ENDPOINTS = TYPE_URL_PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment"
+LISTENER = TYPE_URL_PREFIX + "envoy.config.listener.v3.Listener"
+ROUTE = TYPE_URL_PREFIX + "envoy.config.route.v3.RouteConfiguration"
+# What is used comes before what uses it: clusters and endpoints, then what leads there.
+RESOURCE_TYPES = (CLUSTER, ENDPOINTS, LISTENER, ROUTE)
+
+PARTS_OF_ALL = 1_000_000  # the parts that a drop percentage counts in
+DROP_CATEGORY = "level"  # of the requests that a class's admission turns away
+LATENCY_METRIC = "took_ms"
+LONGEST_LATENCY_US = 1e12  # a longer one is no time that a request took
+MICROSECONDS_PER_MILLISECOND = 1000
+NANOSECONDS_PER_MICROSECOND = 1000
+
+_AGGREGATED = config_source_pb2.ConfigSource(
     ads=config_source_pb2.AggregatedConfigSource(), resource_api_version=config_source_pb2.V3
 )
-SELF = config_source_pb2.ConfigSource(self=config_source_pb2.SelfConfigSource())
+_SAME_SERVER = config_source_pb2.ConfigSource(self=config_source_pb2.SelfConfigSource())
+
+
+class Resource(NamedTuple):
+    """One resource: the hash of its content, and the bytes of its Any."""
+
+    version: str
+    data: bytes
+
+
+class NamedResource(NamedTuple):
+    """A resource with its name, as a response carries it."""
+
+    name: str
+    version: str
+    data: bytes
+
+
+class Endpoint(NamedTuple):
+    """A server in a class's endpoints; weight 0 for one that drains."""
 
+    zone: str
+    host_id: str
+    address: str
+    port: int
+    weight: int
 
-def packed(kind, message):
-    """(version, bytes of the Any) of one resource."""
-    wrapped = any_pb2.Any(type_url=kind, value=message.SerializeToString(deterministic=True))
-    return xxhash.xxh3_64_hexdigest(wrapped.value), wrapped.SerializeToString()
 
+class NodeIdentity(NamedTuple):
+    """Who a proxy says it is; its zone, or None if that is none of the deployment's."""
 
-def listener(name):
+    proxy_id: str
+    zone: str | None
+
+
+class ServerCounts(NamedTuple):
+    """What a proxy met at one server; `mean_latency`, in us, is of the requests that succeeded."""
+
+    host_id: str
+    issued: int
+    succeeded: int
+    failed: int
+    mean_latency: int
+
+
+class ClassReport(NamedTuple):
+    """A proxy's load report on one class over `span` us; `rejected` requests it shed itself."""
+
+    name: str
+    span: int
+    rejected: int
+    servers: list[ServerCounts]
+
+
+def listener(name: str) -> Resource:
+    """Return the listener of a class."""
     manager = manager_pb2.HttpConnectionManager(
-        rds=manager_pb2.Rds(config_source=ADS, route_config_name=name),
+        rds=manager_pb2.Rds(config_source=_AGGREGATED, route_config_name=name),
         http_filters=[
             manager_pb2.HttpFilter(name="router", typed_config=_any(router_pb2.Router()))
         ],
     )
-    return packed(
+    return _resource(
         LISTENER,
         listener_pb2.Listener(
             name=name, api_listener=api_listener_pb2.ApiListener(api_listener=_any(manager))
@@ -57,152 +114,167 @@
     )
 
 
-def _any(message):
-    wrapped = any_pb2.Any()
-    wrapped.Pack(message, deterministic=True)
-    return wrapped
-
+def route(name: str, retries: int) -> Resource:
+    """Return the route of a class with the retries after any failure that the assigner allows.
 
-def route(name, tries):
-    """`tries`: further tries after any failure that the assigner allows: 0, or as many as its way states. One after
-    proof that the first never ran is what relays of this protocol do by themselves.
+    One retry after proof that the first attempt never ran is what clients do by themselves.
     """
     action = route_components_pb2.RouteAction(cluster=name)
-    if tries:
+    if retries:
         action.retry_policy.CopyFrom(
             route_components_pb2.RetryPolicy(
-                retry_on="unavailable", num_retries=wrappers_pb2.UInt32Value(value=tries)
+                retry_on="unavailable", num_retries=wrappers_pb2.UInt32Value(value=retries)
             )
         )
-    return packed(
-        ROUTE,
-        route_pb2.RouteConfiguration(
-            name=name,
-            virtual_hosts=[
-                route_components_pb2.VirtualHost(
-                    name=name,
-                    domains=["*"],
-                    routes=[
-                        route_components_pb2.Route(
-                            match=route_components_pb2.RouteMatch(prefix=""), route=action
-                        )
-                    ],
-                )
-            ],
-        ),
+    every_request = route_components_pb2.RouteMatch(prefix="")
+    virtual_host = route_components_pb2.VirtualHost(
+        name=name,
+        domains=["*"],
+        routes=[route_components_pb2.Route(match=every_request, route=action)],
     )
+    return _resource(ROUTE, route_pb2.RouteConfiguration(name=name, virtual_hosts=[virtual_host]))
 
 
-def cluster(name):
-    return packed(
+def cluster(name: str) -> Resource:
+    """Return the cluster of a class."""
+    return _resource(
         CLUSTER,
         cluster_pb2.Cluster(
             name=name,
             type=cluster_pb2.Cluster.EDS,
             lb_policy=cluster_pb2.Cluster.ROUND_ROBIN,
-            lrs_server=SELF,
-            lrs_report_endpoint_metrics=["named_metrics.took_ms"],
-            eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=ADS),
+            lrs_server=_SAME_SERVER,
+            lrs_report_endpoint_metrics=[f"named_metrics.{LATENCY_METRIC}"],
+            eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=_AGGREGATED),
         ),
     )
 
 
-def endpoints(name, lines, out, level):
-    """`lines`, `out`: (hall, host's id, address, port, weight), those in the table and those that drain.
+def endpoints(
+    name: str,
+    serving: Iterable[Endpoint],
+    draining: Iterable[Endpoint],
+    admitted_share: float,
+) -> Resource:
+    """Return the endpoints of a class: those in its table and those that drain.
 
-    Each host is a locality of its own within its hall: relays weigh localities, and many of them not the endpoints
-    within one. A locality without a weight gets nothing.
+    Each server is a locality of its own within its zone: clients weigh localities, and many of them
+    not the endpoints within one. A locality without a weight gets nothing.
     """
-    groups = []
-    for hall, host, address, port, weight in sorted(lines) + sorted(out):
-        point = endpoint_components_pb2.LbEndpoint(
-            health_status=HEALTHY if weight else DRAINING,
-            endpoint=endpoint_components_pb2.Endpoint(
-                address=address_pb2.Address(
-                    socket_address=address_pb2.SocketAddress(address=address, port_value=port)
-                )
-            ),
-        )
-        group = endpoint_components_pb2.LocalityLbEndpoints(
-            locality=base_pb2.Locality(zone=hall, sub_zone=host), lb_endpoints=[point]
-        )
-        if weight:
-            point.load_balancing_weight.value = weight
-            group.load_balancing_weight.value = weight
-            group.lb_endpoints[0].CopyFrom(point)
-        groups.append(group)
+    groups = [_locality(*endpoint) for endpoint in [*sorted(serving), *sorted(draining)]]
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name, endpoints=groups)
-    if level < 1:
-        dropped = assignment.policy.drop_overloads.add(category=LEVEL)
-        dropped.drop_percentage.numerator = round((1 - level) * MILLION)
-        dropped.drop_percentage.denominator = 2  # of a million
-    return packed(ENDPOINTS, assignment)
+    if admitted_share < 1:
+        overload = assignment.policy.drop_overloads.add(category=DROP_CATEGORY)
+        overload.drop_percentage.numerator = round((1 - admitted_share) * PARTS_OF_ALL)
+        overload.drop_percentage.denominator = percent_pb2.FractionalPercent.MILLION
+    return _resource(ENDPOINTS, assignment)
+
+
+def _locality(
+    zone: str, host_id: str, address: str, port: int, weight: int
+) -> endpoint_components_pb2.LocalityLbEndpoints:
+    socket_address = address_pb2.SocketAddress(address=address, port_value=port)
+    endpoint = endpoint_components_pb2.LbEndpoint(
+        health_status=health_check_pb2.HEALTHY if weight else health_check_pb2.DRAINING,
+        endpoint=endpoint_components_pb2.Endpoint(
+            address=address_pb2.Address(socket_address=socket_address)
+        ),
+    )
+    if weight:
+        endpoint.load_balancing_weight.value = weight
+    group = endpoint_components_pb2.LocalityLbEndpoints(
+        locality=base_pb2.Locality(zone=zone, sub_zone=host_id), lb_endpoints=[endpoint]
+    )
+    if weight:
+        group.load_balancing_weight.value = weight
+    return group
+
 
+def _resource(type_url: str, content: message.Message) -> Resource:
+    wrapped = any_pb2.Any(type_url=type_url, value=content.SerializeToString(deterministic=True))
+    return Resource(xxhash.xxh3_64_hexdigest(wrapped.value), wrapped.SerializeToString())
 
-# What relays send.
+
+def _any(content: message.Message) -> any_pb2.Any:
+    wrapped = any_pb2.Any()
+    wrapped.Pack(content, deterministic=True)
+    return wrapped
 
 
-def place_of(node, halls):
-    """(id, hall or None) of a relay, by its node message."""
-    return node.id, node.locality.zone if node.locality.zone in halls else None
+# Responses.
 
 
-def whole(kind, version, nonce, resources):
-    """A state-of-the-world response; `resources`: [(name, version, bytes)]."""
-    answer = discovery_pb2.DiscoveryResponse(type_url=kind, version_info=version, nonce=nonce)
+def full_response(
+    type_url: str, version: str, nonce: str, resources: Iterable[NamedResource]
+) -> discovery_pb2.DiscoveryResponse:
+    """Return a state-of-the-world response."""
+    response = discovery_pb2.DiscoveryResponse(type_url=type_url, version_info=version, nonce=nonce)
     for _, _, data in resources:
-        answer.resources.add().MergeFromString(data)
-    return answer
+        response.resources.add().MergeFromString(data)
+    return response
 
 
-def changes(kind, version, nonce, resources, removed):
-    """A delta response."""
-    answer = discovery_pb2.DeltaDiscoveryResponse(
-        type_url=kind, system_version_info=version, nonce=nonce, removed_resources=removed
+def delta_response(
+    type_url: str,
+    version: str,
+    nonce: str,
+    resources: Iterable[NamedResource],
+    removed: Sequence[str],
+) -> discovery_pb2.DeltaDiscoveryResponse:
+    """Return an incremental response."""
+    response = discovery_pb2.DeltaDiscoveryResponse(
+        type_url=type_url, system_version_info=version, nonce=nonce, removed_resources=removed
     )
-    for name, held, data in resources:
-        answer.resources.add(name=name, version=held).resource.MergeFromString(data)
-    return answer
+    for name, resource_version, data in resources:
+        response.resources.add(name=name, version=resource_version).resource.MergeFromString(data)
+    return response
 
 
-def asking_reports(period):
-    """The answer that asks a relay for its load reports, each `period` microseconds."""
+def load_report_request(period: int) -> lrs_pb2.LoadStatsResponse:
+    """Return what asks a proxy for a load report each `period` microseconds."""
     return lrs_pb2.LoadStatsResponse(
         send_all_clusters=True,
         report_endpoint_granularity=True,
         load_reporting_interval=duration_pb2.Duration(
-            seconds=period // MILLION, nanos=period % MILLION * 1000
+            seconds=period // SECOND, nanos=period % SECOND * NANOSECONDS_PER_MICROSECOND
         ),
     )
 
 
-def reports_in(request):
-    """What a load report says: (class, span in microseconds, dropped, [(host's id, place, issued, succeeded, failed, mean time
-    of succeeded in microseconds)]) for each cluster. Hosts are localities of their own; where a relay tells of endpoints
-    by address, these stand in place of them.
-    """
+# What proxies send.
+
+
+def node_identity(node: base_pb2.Node, zone_names: Collection[str]) -> NodeIdentity:
+    """Return who a proxy is by its node message."""
+    zone = node.locality.zone
+    return NodeIdentity(node.id, zone if zone in zone_names else None)
+
+
+def read_load_report(request: lrs_pb2.LoadStatsRequest) -> Iterator[ClassReport]:
+    """Yield what a load report says of each class. Servers are localities of their own."""
     for stats in request.cluster_stats:
-        span = (
-            stats.load_report_interval.seconds * MILLION + stats.load_report_interval.nanos // 1000
-        )
-        met = []
-        for group in stats.upstream_locality_stats:
-            met.append(
-                (
+        interval = stats.load_report_interval
+        yield ClassReport(
+            stats.cluster_name,
+            interval.seconds * SECOND + interval.nanos // NANOSECONDS_PER_MICROSECOND,
+            stats.total_dropped_requests,
+            [
+                ServerCounts(
                     group.locality.sub_zone,
-                    None,
                     group.total_issued_requests,
                     group.total_successful_requests,
                     group.total_error_requests,
-                    _mean(group.load_metric_stats),
+                    _mean_latency(group.load_metric_stats),
                 )
-            )
-        yield stats.cluster_name, span, stats.total_dropped_requests, met
+                for group in stats.upstream_locality_stats
+            ],
+        )
 
 
-def _mean(metrics):
+def _mean_latency(metrics: Iterable[load_report_pb2.EndpointLoadMetricStats]) -> int:
     for metric in metrics:
-        if metric.metric_name == "took_ms" and metric.num_requests_finished_with_metric:
-            value = metric.total_metric_value / metric.num_requests_finished_with_metric * 1000
-            return round(value) if 0 <= value < 1e12 else 0
+        count = metric.num_requests_finished_with_metric
+        if metric.metric_name == LATENCY_METRIC and count:
+            mean = metric.total_metric_value / count * MICROSECONDS_PER_MILLISECOND
+            return round(mean) if 0 <= mean < LONGEST_LATENCY_US else 0
     return 0
--- a/indigodeck/frontends/xds/health_checks.py
+++ b/indigodeck/frontends/xds/health_checks.py
@@ -1,104 +1,140 @@
-"""How a planner reaches hosts that serve gRPC: a real exchange as a probe, and ORCA reports out of band.
+"""How a planner reaches hosts over gRPC: a real request as a check, ORCA reports out of band.
 
-Reports come over the OpenRcaService's stream, at the period that is asked for; the last one is what `report` gives.
+Reports come over the OpenRcaService's stream, at the period that is asked for; the newest one is
+what `fetch_report` gives.
 """
 
 import asyncio
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import Any
 
 import grpc
 from xds.data.orca.v3 import orca_load_report_pb2
 from xds.service.orca.v3 import orca_pb2
 
 from ...assignment.interface import HealthCheckOutcome
-from ...planner.host_client import CheckResult
-from ...planner.host_reports import read_host_report
+from ...clock import SECOND
+from ...planner.host_client import Address, CheckResult, authority
+from ...planner.host_reports import HostReport, read_host_report
 
 OUTCOMES = {
     grpc.StatusCode.DEADLINE_EXCEEDED: HealthCheckOutcome.SILENT,
     grpc.StatusCode.UNAVAILABLE: HealthCheckOutcome.UNREACHABLE,
     grpc.StatusCode.RESOURCE_EXHAUSTED: HealthCheckOutcome.FULL,
 }
-STREAM = "/xds.service.orca.v3.OpenRcaService/StreamCoreMetrics"
-PAUSE = 1.0  # between two calls for reports of a host that does not give them
+REPORT_METHOD = "/xds.service.orca.v3.OpenRcaService/StreamCoreMetrics"
+REPORT_TRAILER = "endpoint-load-metrics-bin"
+PLANNER_METADATA = [("relay", "planner")]
+RETRY_PAUSE_S = 1.0  # between two calls for reports of a host that does not give them
+# A host is followed until nobody has asked for it for so long.
+SHORTEST_IDLE_TIME_S = 30.0
+IDLE_TIME_PERIODS = 10
+
+
+@dataclass(slots=True)
+class _HostConnection:
+    """The channel to one host, the newest report from it, and when it was last asked for."""
+
+    channel: grpc.aio.Channel
+    used_at: float  # on the loop's clock, in seconds
+    last_report: HostReport | None = None
+    follower: asyncio.Task[None] | None = None
 
 
 class GrpcHostClient:
-    """`method`: the path of an exchange that may be done twice; `period`: microseconds between reports."""
+    """Reaches hosts over gRPC (`planner.host_client.HostClient`).
 
-    def __init__(self, method, period):
-        self.method, self.period, self.hosts = method, period, {}
+    `check_method` is the path of a request that may be executed twice; `report_period` is in
+    microseconds.
+    """
 
-    def _host(self, where):
-        held = self.hosts.get(where)
-        if held is None:
-            address = f"[{where[0]}]" if ":" in where[0] else where[0]
-            channel = grpc.aio.insecure_channel(
-                f"{address}:{where[1]}", options=[("grpc.enable_retries", 0)]
-            )
-            held = self.hosts[where] = {"channel": channel, "last": None, "used": 0, "task": None}
-            held["task"] = asyncio.get_running_loop().create_task(self._follow(held))
-        held["used"] = asyncio.get_running_loop().time()
-        return held
-
-    async def _follow(self, held):
-        """Keeps the newest report, until nobody has asked for it for a while."""
-        loop, rest = asyncio.get_running_loop(), max(30.0, 10 * self.period / 1e6)
-        request = orca_pb2.OrcaLoadReportRequest()
-        request.report_interval.FromMicroseconds(self.period)
-        while loop.time() - held["used"] < rest:
-            try:
-                call = held["channel"].unary_stream(
-                    STREAM,
-                    orca_pb2.OrcaLoadReportRequest.SerializeToString,
-                    orca_load_report_pb2.OrcaLoadReport.FromString,
-                )
-                async for message in call(request):
-                    held["last"] = self._read(message)
-                    if loop.time() - held["used"] >= rest:
-                        break
-            except grpc.aio.AioRpcError:
-                held["last"] = None
-            await asyncio.sleep(PAUSE)
-        await held["channel"].close()
-        self.hosts = {where: other for where, other in self.hosts.items() if other is not held}
-
-    @staticmethod
-    def _read(message):
-        given = {"cpu_utilization": message.cpu_utilization, "eps": message.eps}
-        if message.rps_fractional:
-            given["rps_fractional"] = message.rps_fractional
-        try:
-            return read_host_report(given, dict(message.named_metrics))
-        except (TypeError, ValueError, OverflowError):
-            return None
-
-    async def check(self, where, patience):
-        held = self._host(where)
-        call = held["channel"].unary_unary(self.method)(
-            b"", timeout=patience, metadata=[("relay", "planner")]
+    def __init__(self, check_method: str, report_period: int) -> None:
+        self.check_method = check_method
+        self.report_period = report_period
+        self._connections: dict[Address, _HostConnection] = {}
+
+    async def check(self, address: Address, timeout: float) -> CheckResult:
+        """Send a host one real request; `timeout` in seconds."""
+        connection = self._connection_to(address)
+        call = connection.channel.unary_unary(self.check_method)(
+            b"", timeout=timeout, metadata=PLANNER_METADATA
         )
         try:
             await call
             outcome = HealthCheckOutcome.OK
         except grpc.aio.AioRpcError as error:
             outcome = OUTCOMES.get(error.code(), HealthCheckOutcome.ERROR)
-        return CheckResult(outcome, self._trailing(await call.trailing_metadata()))
-
-    def _trailing(self, metadata):
-        for key, value in metadata or ():
-            if key == "endpoint-load-metrics-bin":
-                message = orca_load_report_pb2.OrcaLoadReport()
-                try:
-                    message.ParseFromString(value)
-                except Exception:  # a host's own bytes: unreadable ones say nothing
-                    return None
-                return self._read(message) if message.rps_fractional else None
-        return None
+        return CheckResult(outcome, _report_in_trailer(await call.trailing_metadata()))
+
+    async def fetch_report(self, address: Address, timeout: float) -> HostReport | None:
+        """Return the newest report of a host, or None if there is none yet."""
+        return self._connection_to(address).last_report
 
-    async def fetch_report(self, where, patience):
-        last = self._host(where)["last"]
-        return last
+    def close(self) -> None:
+        """Follow no host any more."""
+        for connection in self._connections.values():
+            if connection.follower is not None:
+                connection.follower.cancel()
 
-    def close(self):
-        for held in self.hosts.values():
-            held["task"].cancel()
+    def _connection_to(self, address: Address) -> _HostConnection:
+        loop = asyncio.get_running_loop()
+        connection = self._connections.get(address)
+        if connection is None:
+            channel = grpc.aio.insecure_channel(
+                authority(address), options=[("grpc.enable_retries", 0)]
+            )
+            connection = _HostConnection(channel, loop.time())
+            self._connections[address] = connection
+            connection.follower = loop.create_task(self._follow(connection))
+        connection.used_at = loop.time()
+        return connection
+
+    async def _follow(self, connection: _HostConnection) -> None:
+        """Keep the newest report, until nobody has asked for it for a while."""
+        loop = asyncio.get_running_loop()
+        idle_time = max(SHORTEST_IDLE_TIME_S, IDLE_TIME_PERIODS * self.report_period / SECOND)
+        request = orca_pb2.OrcaLoadReportRequest()
+        request.report_interval.FromMicroseconds(self.report_period)
+        stream = connection.channel.unary_stream(
+            REPORT_METHOD,
+            orca_pb2.OrcaLoadReportRequest.SerializeToString,
+            orca_load_report_pb2.OrcaLoadReport.FromString,
+        )
+        while loop.time() - connection.used_at < idle_time:
+            try:
+                async for message in stream(request):
+                    connection.last_report = _host_report(message)
+                    if loop.time() - connection.used_at >= idle_time:
+                        break
+            except grpc.aio.AioRpcError:
+                connection.last_report = None
+            await asyncio.sleep(RETRY_PAUSE_S)
+        await connection.channel.close()
+        self._connections = {
+            address: other
+            for address, other in self._connections.items()
+            if other is not connection
+        }
+
+
+def _report_in_trailer(metadata: Iterable[tuple[str, Any]] | None) -> HostReport | None:
+    for key, value in metadata or ():
+        if key == REPORT_TRAILER:
+            message = orca_load_report_pb2.OrcaLoadReport()
+            try:
+                message.ParseFromString(value)
+            except Exception:  # a host's own bytes: unreadable ones say nothing
+                return None
+            return _host_report(message) if message.rps_fractional else None
+    return None
+
+
+def _host_report(message: orca_load_report_pb2.OrcaLoadReport) -> HostReport | None:
+    fields = {"cpu_utilization": message.cpu_utilization, "eps": message.eps}
+    if message.rps_fractional:
+        fields["rps_fractional"] = message.rps_fractional
+    try:
+        return read_host_report(fields, dict(message.named_metrics))
+    except (TypeError, ValueError, OverflowError):
+        return None
--- a/indigodeck/frontends/xds/server.py
+++ b/indigodeck/frontends/xds/server.py
@@ -1,298 +1,418 @@
-"""The xDS front's server, on grpcio's asyncio loop: aggregated discovery in both forms, and load reports."""
+"""The xDS frontend's server on grpcio's asyncio loop: aggregated discovery and load reports."""
 
 import asyncio
+from collections.abc import Callable, Sequence
+from typing import Any
 
 import grpc
+from envoy.config.core.v3 import base_pb2
 from envoy.service.discovery.v3 import ads_pb2_grpc
 from envoy.service.load_stats.v3 import lrs_pb2_grpc
 
+from ...clock import SECOND
+from ...errors import LimitExceededError
+from ...planner.planner_settings import PlannerSettings, XdsFrontendSettings
+from ...planner.service import PlannerService
 from ...planner.weights import scaled
-from . import codec, streams
+from . import codec
+from .codec import ENDPOINTS, RESOURCE_TYPES, NamedResource
+from .proxies import Bounds, NotLeaderError, XdsProxy
+from .resources import ResourceCache
+from .streams import Stream
 
-SECOND = 1_000_000
+FRONTEND_NAME = "xds"
+LONGEST_PROXY_ID = 255  # characters
+SHORTEST_PING_INTERVAL_MS = 300  # clients that ping more often are disconnected
+STOP_GRACE_S = 0.05  # for streams to end when another controller takes over
+LISTEN_RETRY_S = 0.1
 
 
 class Connection:
-    """One discovery stream: reads requests as they come, writes responses one at a time as they may be written."""
-
-    def __init__(self, front, context, delta):
-        self.front, self.context, self.delta = front, context, delta
-        self.relay = self.stream = None
-        self.wanted, self.outbox, self.task, self.writer = asyncio.Event(), None, None, None
-
-    # What the stream may do.
-
-    def send(self, kind, version, nonce, resources, removed):
-        self.outbox = (
-            codec.changes(kind, version, nonce, resources, removed)
-            if self.delta
-            else codec.whole(kind, version, nonce, resources)
-        )
-
-    def due(self):
-        self.wanted.set()
-
-    def later(self, after, call, *given):
-        asyncio.get_running_loop().call_later(after / SECOND, call, *given)
-
-    async def run(self):
-        """Until the relay ends the stream, or the planner does."""
-        self.task = asyncio.get_running_loop().create_task(self._read())
-        ended, why = grpc.StatusCode.UNAVAILABLE, "this relay is spoken to elsewhere now"
+    """One discovery stream: reads requests as they come, writes responses one at a time."""
+
+    def __init__(self, frontend: "XdsFrontend", context: Any, is_delta: bool) -> None:
+        self.frontend = frontend
+        self.context = context  # grpcio's own
+        self.is_delta = is_delta
+        self.proxy: XdsProxy | None = None
+        self.stream: Stream | None = None
+        self._write_requested = asyncio.Event()
+        self._response: Any = None
+        self._reader: asyncio.Task[None] | None = None
+        self._writer: asyncio.Task[None] | None = None
+
+    # What the stream may do (`streams.StreamConnection`).
+
+    def send(
+        self,
+        type_url: str,
+        version: str,
+        nonce: str,
+        resources: Sequence[NamedResource],
+        removed: Sequence[str],
+    ) -> None:
+        """Make the response that is written next."""
+        if self.is_delta:
+            self._response = codec.delta_response(type_url, version, nonce, resources, removed)
+        else:
+            self._response = codec.full_response(type_url, version, nonce, resources)
+
+    def request_write(self) -> None:
+        """Have `send_next` called as soon as the proxy may be written to."""
+        self._write_requested.set()
+
+    def later(self, after: int, call: Callable[..., None], *arguments: Any) -> None:
+        """Call back after this time, in microseconds."""
+        asyncio.get_running_loop().call_later(after / SECOND, call, *arguments)
+
+    def end(self) -> None:
+        """End the stream."""
+        if self._reader is not None:
+            self._reader.cancel()
+
+    async def run(self) -> None:
+        """Serve the stream until the proxy ends it, or the planner does."""
+        reader = asyncio.get_running_loop().create_task(self._read_requests())
+        self._reader = reader
+        status = grpc.StatusCode.UNAVAILABLE
+        reason = "this relay is spoken to elsewhere now"
         try:
-            await asyncio.wait([self.task])
-            error = None if self.task.cancelled() else self.task.exception()
-            if error is None and not self.task.cancelled():
+            await asyncio.wait([reader])
+            error = None if reader.cancelled() else reader.exception()
+            if error is None and not reader.cancelled():
                 return
-            if isinstance(error, streams.LimitExceededError):
-                ended, why = grpc.StatusCode.RESOURCE_EXHAUSTED, str(error)
-                self.front.note("refused", peer=self.relay.uid if self.relay else None, why=why)
-            elif error is not None and not isinstance(error, streams.NotLeaderError):
+            if isinstance(error, LimitExceededError):
+                status = grpc.StatusCode.RESOURCE_EXHAUSTED
+                reason = str(error)
+                peer = self.proxy.proxy_id if self.proxy else None
+                self.frontend.note("proxy_rejected", peer=peer, reason=reason)
+            elif error is not None and not isinstance(error, NotLeaderError):
                 raise error
         finally:
-            self.task.cancel()
-            if self.writer is not None:
-                self.writer.cancel()
-            if self.stream is not None:
-                self.front.closed(self.relay, self.stream)
-        # Said with a status of its own: a handler that is merely cancelled leaves the relay's stream hanging.
-        await self.context.abort(ended, why)
-
-    def end(self):
-        self.task.cancel()
-
-    async def _read(self):
+            self._close()
+        # With a status of its own: a handler that is merely cancelled leaves the stream hanging.
+        await self.context.abort(status, reason)
+
+    def _close(self) -> None:
+        self.end()
+        if self._writer is not None:
+            self._writer.cancel()
+        if self.stream is not None and self.proxy is not None:
+            self.frontend.on_stream_closed(self.proxy, self.stream)
+
+    async def _read_requests(self) -> None:
         while (request := await self.context.read()) is not grpc.aio.EOF:
             if self.stream is None:
-                if (
-                    not self.front.joined(request.node)
-                    and not await self.front.service.proxies.wait_for_admission()
-                ):
-                    raise streams.LimitExceededError("too many relays wait to join")
-                self.relay = self.front.introduced(request.node)
-                self.stream = self.relay.opened(self, self.delta)
-                self.writer = asyncio.get_running_loop().create_task(self._write())
-            error = (
-                request.error_detail.message or "refused without a reason"
-                if request.HasField("error_detail")
-                else None
-            )
-            if self.delta:
-                self.stream.asked_changes(
-                    request.type_url,
-                    request.resource_names_subscribe,
-                    request.resource_names_unsubscribe,
-                    dict(request.initial_resource_versions),
-                    request.response_nonce,
-                    error,
-                )
-            else:
-                self.stream.asked_whole(
-                    request.type_url, request.resource_names, request.response_nonce, error
-                )
-            # A flood of requests from one relay gives way to the others after each.
+                self.stream = await self._open_stream(request.node)
+            self._take_request(self.stream, request)
+            # A flood of requests from one proxy gives way to the others after each.
             await asyncio.sleep(0)
 
-    async def _write(self):
-        while True:
-            await self.wanted.wait()
-            self.wanted.clear()
-            self.relay.take()
+    async def _open_stream(self, node: base_pb2.Node) -> Stream:
+        frontend = self.frontend
+        if (
+            not frontend.is_connected(node)
+            and not await frontend.service.proxies.wait_for_admission()
+        ):
+            raise LimitExceededError("too many relays wait to join")
+        self.proxy = frontend.proxy_of(node)
+        stream = Stream.open(self.proxy, self, self.is_delta)
+        self._writer = asyncio.get_running_loop().create_task(
+            self._write_responses(self.proxy, stream)
+        )
+        return stream
+
+    def _take_request(self, stream: Stream, request: Any) -> None:
+        error = None
+        if request.HasField("error_detail"):
+            error = request.error_detail.message or "refused without a reason"
+        if self.is_delta:
+            stream.on_delta_request(
+                request.type_url,
+                request.resource_names_subscribe,
+                request.resource_names_unsubscribe,
+                dict(request.initial_resource_versions),
+                request.response_nonce,
+                error,
+            )
+        else:
+            stream.on_full_request(
+                request.type_url, request.resource_names, request.response_nonce, error
+            )
+
+    async def _write_responses(self, proxy: XdsProxy, stream: Stream) -> None:
+        try:
             while True:
-                allowance = self.front.service.proxies.message_quota(self.relay.uid)
-                while wait := allowance.order_wait(self.front.service.now()):
-                    await asyncio.sleep(wait / SECOND)
-                self.relay.take()  # the newest, after whatever it waited for
-                # Answers to subscriptions have a part of the limit: a relay that asks for ever delays no order to it.
-                wait = allowance.answer_wait(self.front.service.now())
-                kind = self.stream.news(only=(codec.ENDPOINTS,) if wait else codec.KINDS)
-                if kind is None:
-                    if wait:
-                        asyncio.get_running_loop().call_later(wait / SECOND, self.wanted.set)
-                    break
-                # What answers a subscription is told apart from orders: only endpoints change by themselves.
-                allowance.on_written(self.front.service.now(), is_is_answer=kind != codec.ENDPOINTS)
-                answer, self.outbox = self.outbox, None
-                if not self.front.service.leadership.may_write(self.relay.proxy):
-                    # Another may be in charge by now: asked here, for much may have passed since it was made.
-                    return self.end()
-                await self.context.write(answer)
-
-
-class XdsFront(
+                await self._write_requested.wait()
+                self._write_requested.clear()
+                proxy.take_updates()
+                while await self._write_next(proxy, stream):
+                    pass
+        except NotLeaderError:
+            self.end()
+
+    async def _write_next(self, proxy: XdsProxy, stream: Stream) -> bool:
+        """Write the response that is due, and return whether there was one.
+
+        Raises
+        ------
+        NotLeaderError
+            If another controller leads the proxy's group by now.
+        """
+        service = self.frontend.service
+        quota = service.proxies.message_quota(proxy.proxy_id)
+        while wait := quota.order_wait(service.now()):
+            await asyncio.sleep(wait / SECOND)
+        proxy.take_updates()  # the newest, after whatever it waited for
+        # Answers to subscriptions have a part of the limit: a proxy that asks for ever delays no
+        # order to itself.
+        answer_wait = quota.answer_wait(service.now())
+        type_url = stream.send_next((ENDPOINTS,) if answer_wait else RESOURCE_TYPES)
+        if type_url is None:
+            if answer_wait:
+                self.later(answer_wait, self._write_requested.set)
+            return False
+        # An answer to a subscription counts apart from orders: only endpoints change by themselves.
+        quota.on_written(service.now(), is_answer=type_url != ENDPOINTS)
+        response = self._response
+        self._response = None
+        if not service.leadership.may_write(proxy.index):
+            # Asked here, for much may have passed since it was made.
+            raise NotLeaderError("another controller is in charge")
+        await self.context.write(response)
+        return True
+
+
+class XdsFrontend(
     ads_pb2_grpc.AggregatedDiscoveryServiceServicer, lrs_pb2_grpc.LoadReportingServiceServicer
 ):
-    """`service`: the program around (planner/service.py)."""
-
-    def __init__(self, service, settings):
-        stated = settings.frontends["xds"]
-        self.service, self.planner_host, self.settings = service, service.planner_host, settings
-        self.bounds = streams.Bounds(stated.max_resource_names, stated.max_streams)
-        self.most = stated.max_proxies
-        self.shelf = streams.ResourceCache(
+    """Serves proxies over xDS (`planner.proxy_sessions.Frontend`).
+
+    It is also what their streams ask (`proxies.XdsEnvironment`, `resources.EndpointLookup`).
+    """
+
+    def __init__(self, service: PlannerService, settings: PlannerSettings) -> None:
+        own_settings = settings.frontends[FRONTEND_NAME]
+        assert isinstance(own_settings, XdsFrontendSettings)
+        self.service = service
+        self.planner_host = service.planner_host
+        self.settings = settings
+        self.bounds = Bounds(own_settings.max_resource_names, own_settings.max_streams)
+        self.max_proxies = own_settings.max_proxies
+        self.cache = ResourceCache(
             self.planner_host,
             self,
-            {name: place for place, name in enumerate(settings.class_names)},
+            {name: index for index, name in enumerate(settings.class_names)},
             scaled,
         )
-        self.known, self.relays = {}, {}  # by id; by proxy
-        keep = stated.keepalive_ms
-        self.options = [
-            ("grpc.max_receive_message_length", stated.max_message_bytes),
-            ("grpc.keepalive_time_ms", keep),
-            ("grpc.keepalive_timeout_ms", keep),
+        self.reports_counted = 0
+        self._proxies_by_id: dict[str, XdsProxy] = {}
+        self._proxies: dict[int, XdsProxy] = {}
+        self._options = [
+            ("grpc.max_receive_message_length", own_settings.max_message_bytes),
+            ("grpc.keepalive_time_ms", own_settings.keepalive_ms),
+            ("grpc.keepalive_timeout_ms", own_settings.keepalive_ms),
             ("grpc.so_reuseport", 0),
-            ("grpc.http2.min_ping_interval_without_data_ms", 300),
+            ("grpc.http2.min_ping_interval_without_data_ms", SHORTEST_PING_INTERVAL_MS),
             ("grpc.keepalive_permit_without_calls", 1),
         ]
-        self.server, self.bound, self.address, self.reports_read = None, None, None, 0
-        self.open, self.turning = True, asyncio.Lock()
-
-    def _serve(self, port):
-        self.server = grpc.aio.server(options=self.options)
-        ads_pb2_grpc.add_AggregatedDiscoveryServiceServicer_to_server(self, self.server)
-        lrs_pb2_grpc.add_LoadReportingServiceServicer_to_server(self, self.server)
-        return self.server.add_insecure_port(f"{self.address}:{port}")
-
-    def listen(self, port, address):
-        self.address = address
-        self.bound = self._serve(port)
-        asyncio.get_running_loop().create_task(self._begin())
-
-    async def _begin(self):
-        # One turn after the other: grpcio falls over a server that is stopped while it starts.
-        async with self.turning:
-            await self.server.start()
-
-    def doors(self, open):
-        """While another controller is in charge nothing listens here. The stock client stays with an address for as long as
-        it accepts connections, however often its streams are ended there; refused, it goes on to the next that it knows.
+        self._server: grpc.aio.Server | None = None
+        self._address = ""
+        self._bound_port = 0
+        self._accepting = True
+        # One start or stop at a time: grpcio falls over a server that is stopped while it starts.
+        self._switching = asyncio.Lock()
+
+    # What the service calls (`planner.proxy_sessions.Frontend`).
+
+    def listen(self, port: int, address: str) -> None:
+        """Open the socket."""
+        self._address = address
+        self._server, self._bound_port = self._make_server(port)
+        asyncio.get_running_loop().create_task(self._start(self._server))
+
+    def _make_server(self, port: int) -> tuple[grpc.aio.Server, int]:
+        server = grpc.aio.server(options=self._options)
+        ads_pb2_grpc.add_AggregatedDiscoveryServiceServicer_to_server(self, server)
+        lrs_pb2_grpc.add_LoadReportingServiceServicer_to_server(self, server)
+        return server, server.add_insecure_port(f"{self._address}:{port}")
+
+    async def _start(self, server: grpc.aio.Server) -> None:
+        async with self._switching:
+            await server.start()
+
+    def port(self) -> int:
+        """Return the port that was opened."""
+        return self._bound_port
+
+    def set_accepting(self, accepting: bool) -> None:
+        """Listen, or do not while another controller leads.
+
+        The stock client stays with an address for as long as it accepts connections, however often
+        its streams are ended there; refused, it goes on to the next that it knows.
         """
-        self.open = open
-        asyncio.get_running_loop().create_task(self._turn())
-
-    async def _turn(self):
-        async with self.turning:
-            while self.open != (self.server is not None):
-                if self.open:
-                    try:
-                        self._serve(self.bound)
-                        await self.server.start()
-                    except RuntimeError as error:
-                        # Whoever had the socket before may not have let go of it.
-                        self.server = None
-                        self.note("not listening", front="xds", why=str(error))
-                        await asyncio.sleep(0.1)
+        self._accepting = accepting
+        asyncio.get_running_loop().create_task(self._switch())
+
+    async def _switch(self) -> None:
+        async with self._switching:
+            while self._accepting != (self._server is not None):
+                if self._accepting:
+                    await self._listen_again()
                 else:
-                    server, self.server = self.server, None
-                    await server.stop(0.05)
+                    await self._stop_listening()
 
-    def port(self):
-        return self.bound
-
-    def cease(self):
-        if self.server is not None:
-            asyncio.get_running_loop().create_task(self.server.stop(0))
-
-    # Discovery.
-
-    async def StreamAggregatedResources(self, requests, context):
+    async def _listen_again(self) -> None:
+        try:
+            self._server, _ = self._make_server(self._bound_port)
+            await self._server.start()
+        except RuntimeError as error:
+            # Whoever had the socket before may not have let go of it.
+            self._server = None
+            # A fault kept as it is (docs/ROADMAP.md): `note` states the frontend as well, so that
+            # this call raises TypeError and ends the attempts.
+            self.note("listen_failed", frontend=FRONTEND_NAME, reason=str(error))
+            await asyncio.sleep(LISTEN_RETRY_S)
+
+    async def _stop_listening(self) -> None:
+        server = self._server
+        self._server = None
+        if server is not None:
+            await server.stop(STOP_GRACE_S)
+
+    def request_write(self, proxy: int) -> None:
+        """Write to this proxy: something waits for it."""
+        connected = self._proxies.get(proxy)
+        if connected is not None:
+            connected.request_write()
+
+    def disconnect_proxy(self, proxy: int) -> None:
+        """End the streams of a proxy that is not served over them any more."""
+        connected = self._proxies.pop(proxy, None)
+        if connected is not None:
+            self._proxies_by_id.pop(connected.proxy_id, None)
+            for stream in connected.streams:
+                stream.connection.end()
+
+    def on_servers_changed(self, addresses: list[tuple[str, int]]) -> None:
+        """Do nothing: what is told are tables and ejections, which the planner's host tells of."""
+
+    def close(self) -> None:
+        """Close the socket and all streams."""
+        if self._server is not None:
+            asyncio.get_running_loop().create_task(self._server.stop(0))
+
+    # Discovery; the methods are named as the services of xDS name them.
+
+    async def StreamAggregatedResources(self, requests: Any, context: Any) -> None:  # noqa: N802 as in xDS
+        """Serve one state-of-the-world stream."""
         await Connection(self, context, False).run()
 
-    async def DeltaAggregatedResources(self, requests, context):
+    async def DeltaAggregatedResources(self, requests: Any, context: Any) -> None:  # noqa: N802 as in xDS
+        """Serve one incremental stream."""
         await Connection(self, context, True).run()
 
-    def joined(self, node):
-        """Whether this relay has other streams here already."""
-        return codec.place_of(node, self.settings.zone_names)[0] in self.known
-
-    def introduced(self, node):
-        uid, hall = codec.place_of(node, self.settings.zone_names)
-        relay = self.known.get(uid)
-        if relay is not None and self.relays.get(relay.proxy) is relay:
-            return relay
-        if not uid or len(uid) > 255:
-            raise streams.LimitExceededError("a node needs an id of 1 to 255 characters")
-        if not self.service.leadership.may_serve(uid, hall):
-            raise streams.NotLeaderError("another controller is in charge")
-        proxy = (
-            self.service.proxies.proxy_index(uid.encode()) if len(self.known) < self.most else None
-        )
-        if proxy is None:
-            raise streams.LimitExceededError("too many relays")
-        relay = self.known[uid] = self.relays[proxy] = streams.Relay(
-            uid, proxy, self.shelf, self.planner_host, self, self.bounds
-        )
-        self.service.proxies.on_proxy_joined(self, proxy, uid, hall)
-        return relay
-
-    def closed(self, relay, stream):
-        relay.closed(stream)
-        if not relay.streams and self.relays.get(relay.proxy) is relay:
-            del self.relays[relay.proxy], self.known[relay.uid]
-            self.service.proxies.on_proxy_left(self, relay.proxy)
-
-    def replaced(self, proxy):
-        """The relay speaks through another front now: its streams here are told nothing more."""
-        relay = self.relays.pop(proxy, None)
-        if relay is not None:
-            self.known.pop(relay.uid, None)
-            for stream in relay.streams:
-                stream.line.end()
+    def is_connected(self, node: base_pb2.Node) -> bool:
+        """Return whether a proxy has other streams here already."""
+        return node.id in self._proxies_by_id
+
+    def proxy_of(self, node: base_pb2.Node) -> XdsProxy:
+        """Return the proxy of a node, which has joined with its first stream.
+
+        Raises
+        ------
+        LimitExceededError
+            If its id is none, or there are too many proxies.
+        NotLeaderError
+            If another controller leads its group.
+        """
+        proxy_id, zone = codec.node_identity(node, self.settings.zone_names)
+        connected = self._proxies_by_id.get(proxy_id)
+        if connected is not None and self._proxies.get(connected.index) is connected:
+            return connected
+        if not proxy_id or len(proxy_id) > LONGEST_PROXY_ID:
+            raise LimitExceededError(f"a node needs an id of 1 to {LONGEST_PROXY_ID} characters")
+        if not self.service.leadership.may_serve(proxy_id, zone):
+            raise NotLeaderError("another controller is in charge")
+        index = None
+        if len(self._proxies_by_id) < self.max_proxies:
+            index = self.service.proxies.proxy_index(proxy_id.encode())
+        if index is None:
+            raise LimitExceededError("too many relays")
+        proxy = XdsProxy(proxy_id, index, self.cache, self.planner_host, self, self.bounds)
+        self._proxies_by_id[proxy_id] = proxy
+        self._proxies[index] = proxy
+        self.service.proxies.on_proxy_joined(self, index, proxy_id, zone)
+        return proxy
+
+    def on_stream_closed(self, proxy: XdsProxy, stream: Stream) -> None:
+        """Take note that a stream has ended; a proxy leaves with its last."""
+        proxy.streams.remove(stream)
+        if not proxy.streams and self._proxies.get(proxy.index) is proxy:
+            del self._proxies[proxy.index]
+            del self._proxies_by_id[proxy.proxy_id]
+            self.service.proxies.on_proxy_left(self, proxy.index)
 
     # Load reports.
 
-    async def StreamLoadStats(self, requests, context):
-        mine, relay, places = object(), None, self.shelf.classes
+    async def StreamLoadStats(self, requests: Any, context: Any) -> None:  # noqa: N802 as in xDS
+        """Take a proxy's load reports.
+
+        It may open this before any discovery stream; reports count from when it has joined.
+        """
+        stream_key = object()
+        proxy_id: str | None = None
         try:
             while (request := await context.read()) is not grpc.aio.EOF:
-                if relay is None:
-                    # A relay may open this before any discovery stream; its reports count from when it has joined.
-                    uid = request.node.id
-                    await context.write(
-                        codec.asking_reports(self.settings.deployment.report_period)
-                    )
-                    relay = uid
-                known = self.known.get(relay)
-                for name, span, refused, met in codec.reports_in(request):
-                    if known is not None and name in places:
-                        self.reports_read += self.service.proxies.on_proxy_report(
-                            known.proxy,
-                            places[name],
-                            span,
-                            # What was issued and has not ended is neither good nor bad yet: a hung host would look well.
-                            [
-                                (host, good + failed, failed, took)
-                                for host, _, _, good, failed, took in met
-                            ],
-                            refused,
-                            mine,
-                        )
+                if proxy_id is None:
+                    proxy_id = request.node.id
+                    period = self.settings.deployment.report_period
+                    await context.write(codec.load_report_request(period))
+                proxy = self._proxies_by_id.get(proxy_id)
+                if proxy is not None:
+                    self._take_report(proxy, request, stream_key)
                 await asyncio.sleep(0)
         finally:
-            self.service.demand_aggregator.on_stream_ended(mine)
-
-    # What the service and streams ask.
-
-    def due(self, proxy):
-        relay = self.relays.get(proxy)
-        if relay is not None:
-            relay.due()
+            self.service.demand_aggregator.on_stream_ended(stream_key)
+
+    def _take_report(self, proxy: XdsProxy, request: Any, stream_key: object) -> None:
+        for report in codec.read_load_report(request):
+            class_index = self.cache.class_indices.get(report.name)
+            if class_index is None:
+                continue
+            # What was issued and has not ended is neither yet: a hung host would look well.
+            figures = [
+                (
+                    server.host_id,
+                    server.succeeded + server.failed,
+                    server.failed,
+                    server.mean_latency,
+                )
+                for server in report.servers
+            ]
+            self.reports_counted += self.service.proxies.on_proxy_report(
+                proxy.index, class_index, report.span, figures, report.rejected, stream_key
+            )
 
-    def standing_of(self, places):
-        """Nothing is told but by tables and withdrawals, which the planner_host tells of."""
+    # What streams ask (`proxies.XdsEnvironment`, `resources.EndpointLookup`).
 
-    def host(self, server):
+    def endpoint_of(self, server: int) -> tuple[str, str, str, int] | None:
+        """Return a server's zone, id, address and port, or None if it was never listed."""
         return self.service.endpoints.endpoint_of(server)
 
-    def refused(self, uid, name, version):
-        self.service.leadership.on_content_rejected(uid, name, version)
+    def on_content_rejected(self, proxy_id: str, class_name: str, version: str) -> None:
+        """Take note that a proxy rejected a class's endpoints."""
+        self.service.leadership.on_content_rejected(proxy_id, class_name, version)
 
-    def refusals(self, uid):
-        return self.service.leadership.rejected_content(uid)
+    def rejected_content(self, proxy_id: str) -> dict[str, str]:
+        """Return the versions by class that a proxy has rejected, here or elsewhere."""
+        return self.service.leadership.rejected_content(proxy_id)
 
-    def epoch(self, proxy):
-        return self.service.leadership.lease_epoch(self.service.proxies.zone_of.get(proxy, 0)) or 0
+    def lease_epoch(self, proxy: int) -> int:
+        """Return the epoch under which orders leave; 0 where controllers share nothing."""
+        zone = self.service.proxies.zone_of.get(proxy, 0)
+        return self.service.leadership.lease_epoch(zone) or 0
 
-    def note(self, event, **facts):
-        self.service.note(event, front="xds", **facts)
+    def note(self, event: str, **facts: Any) -> None:
+        """Write a line to the log."""
+        self.service.note(event, frontend=FRONTEND_NAME, **facts)
--- a/indigodeck/leadership/operator_server.py
+++ b/indigodeck/leadership/operator_server.py
@@ -64,7 +64,7 @@
         sockets = bind_sockets(port, address)
         self.add_sockets(sockets)
         self.port = sockets[0].getsockname()[1]
-        self._service.note("listening", front="operators", port=self.port)
+        self._service.note("listening", frontend="operators", port=self.port)
 
     async def handle_stream(self, stream: IOStream, address: tuple) -> None:
         """Answer requests on one connection until it ends or one is rejected."""
--- a/indigodeck/planner/endpoint_directory.py
+++ b/indigodeck/planner/endpoint_directory.py
@@ -159,7 +159,7 @@
             self._addresses[server.index] for server in servers if server.index in self._addresses
         ]
         for frontend in self._service.frontends:
-            frontend.standing_of(changed)
+            frontend.on_servers_changed(changed)
 
     # What the cached list asks (`cached_endpoint_list.Environment`).
 
--- a/indigodeck/planner/leadership_hooks.py
+++ b/indigodeck/planner/leadership_hooks.py
@@ -78,7 +78,7 @@
         self.note("lease_acquired", relay_group=relay_group, epoch=epoch)
         self._service.versions.on_leadership_acquired(epoch)
         for frontend in self._service.frontends:
-            frontend.doors(True)
+            frontend.set_accepting(True)
 
     def on_leadership_lost(self, relay_group: str, epoch: int, reason: str) -> None:
         """Write nothing more to a group's proxies: their connections end at once."""
@@ -90,7 +90,7 @@
         if not self.holds_any_lease():
             self._service.versions.on_leadership_lost()
             for frontend in self._service.frontends:
-                frontend.doors(False)
+                frontend.set_accepting(False)
 
     def on_replication_message(self, member: str, kind: str, fields: dict[str, Any]) -> None:
         """Take in another controller's message on versions and operators' requests."""
--- a/indigodeck/planner/proxy_sessions.py
+++ b/indigodeck/planner/proxy_sessions.py
@@ -24,19 +24,19 @@
     def port(self) -> int:
         """Return the port that was opened."""
 
-    def doors(self, open: bool) -> None:
+    def set_accepting(self, accepting: bool) -> None:
         """Take proxies' connections, or none at all."""
 
-    def due(self, proxy: int) -> None:
+    def request_write(self, proxy: int) -> None:
         """Write to this proxy: something waits for it."""
 
-    def replaced(self, proxy: int) -> None:
+    def disconnect_proxy(self, proxy: int) -> None:
         """End the connections of a proxy that is not served over them any more."""
 
-    def standing_of(self, addresses: list[tuple[str, int]]) -> None:
+    def on_servers_changed(self, addresses: list[tuple[str, int]]) -> None:
         """Take note that the list says something new of the servers at these addresses."""
 
-    def cease(self) -> None:
+    def close(self) -> None:
         """Close all connections."""
 
 
@@ -82,7 +82,7 @@
         if older is not None:
             self._leave(proxy)
             if older is not frontend:
-                older.replaced(proxy)
+                older.disconnect_proxy(proxy)
         self.frontend_of[proxy] = frontend
         rule = self._settings.proxy_defaults.of(proxy_id)
         zone_names = self._settings.zone_names
@@ -152,12 +152,12 @@
         """Have a proxy's frontend write to it."""
         frontend = self.frontend_of.get(proxy)
         if frontend is not None:
-            frontend.due(proxy)
+            frontend.request_write(proxy)
 
     def disconnect(self, proxy: int) -> None:
         """End a proxy's connections at once; what waited for it is dropped with them."""
         frontend = self.frontend_of[proxy]
-        frontend.replaced(proxy)
+        frontend.disconnect_proxy(proxy)
         self.on_proxy_left(frontend, proxy)
 
     def _leave(self, proxy: int) -> None:
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -122,9 +122,9 @@
         """Open a frontend's sockets, and return the port; one line of the log says where."""
         frontend.listen(port, address)
         self.frontends.append(frontend)
-        self.log.info("listening", front=name, port=frontend.port())
+        self.log.info("listening", frontend=name, port=frontend.port())
         if not self.leadership.holds_any_lease():
-            frontend.doors(False)
+            frontend.set_accepting(False)
         return frontend.port()
 
     def close(self) -> None:
@@ -138,7 +138,7 @@
             self.leadership.members.close()
         self.versions.close()
         for frontend in self.frontends:
-            frontend.cease()
+            frontend.close()
         self.list_source.close()
         self.health_checker.close()
 
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -103,12 +103,12 @@
 
 def _make_frontend(name: str, service: PlannerService, settings: PlannerSettings) -> Any:
     if name == "xds":
-        from .frontends.xds.server import XdsFront
+        from .frontends.xds.server import XdsFrontend
 
-        return XdsFront(service, settings)
-    from .frontends.sasp.server import SaspFront
+        return XdsFrontend(service, settings)
+    from .frontends.sasp.server import SaspFrontend
 
-    return SaspFront(service, settings)
+    return SaspFrontend(service, settings)
 
 
 def _grpc_client(settings: PlannerSettings) -> HostClient | None:
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -67,7 +67,7 @@
             try:
                 lines = iter(serve.stdout.readline, "")
                 told = next(line for line in map(json.loads, lines) if line["event"] == "listening")
-                self.assertEqual(told["front"], "sasp")
+                self.assertEqual(told["frontend"], "sasp")
                 asked = self.run_command(
                     "weights", f"127.0.0.1:{told['port']}", "--class", "reading", "--format", "json"
                 )
--- a/tests/frontends/test_sasp_sockets.py
+++ b/tests/frontends/test_sasp_sockets.py
@@ -36,7 +36,9 @@
                     async with peer(planner.port) as (reader, writer):
                         writer.write(data)
                         self.assertEqual(await asyncio.wait_for(reader.read(), 5), b"")
-                        await until(lambda count=nth + 1: len(planner.said("cut off")) == count)
+                        await until(
+                            lambda count=nth + 1: len(planner.said("connection_closed")) == count
+                        )
             # Wrong lengths within a whole message are answered with the protocol's code, and the
             # peer goes on.
             async with peer(planner.port) as (reader, writer):
@@ -107,7 +109,9 @@
             held, data = Tables(["reading"], now), b""
             deaf.setblocking(False)
             idle = 0
-            while idle < 50 or planner.service.planner_host.has_pending(planner.service.proxies.proxy_ids.index(b"raw")):
+            while idle < 50 or planner.service.planner_host.has_pending(
+                planner.service.proxies.proxy_ids.index(b"raw")
+            ):
                 await asyncio.sleep(0.01)
                 try:
                     data, idle = data + deaf.recv(65536), 0
@@ -128,7 +132,7 @@
         async with Planner(channel={"messages_most": 30, "answers_most": 10}) as planner:
             tables, client, task = planner.client()
             await until(lambda: ports(tables) == set(range(6)))
-            wrote = planner.service.frontends[0].allowance(b"hall-a/r1").written
+            wrote = planner.service.proxies.message_quota(b"hall-a/r1").written
             before = len(wrote)
             time.sleep(2)  # the whole loop stands still
             planner.keep(host_0="draining")
--- a/tests/leadership/test_relay_client.py
+++ b/tests/leadership/test_relay_client.py
@@ -29,7 +29,7 @@
 
         def response(epoch, port):
             made = codec.endpoints("read", [("a", "h", "127.0.0.1", port, 5)], [], 1.0)
-            return codec.changes(codec.ENDPOINTS, f"{epoch}.1", "n", [("read", *made)], [])
+            return codec.delta_response(codec.ENDPOINTS, f"{epoch}.1", "n", [("read", *made)], [])
 
         session.read(response(7, 80))
         with self.assertRaises(RequestRejectedError):
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -19,9 +19,9 @@
 from indigodeck.planner.endpoint_list import EndpointList, parse_endpoint_list
 from indigodeck.planner.health_inference import HealthInference
 from indigodeck.planner.host_reports import HostReport
+from indigodeck.planner.id_registry import IdRegistry
 from indigodeck.planner.join_admission import JoinAdmission
 from indigodeck.planner.message_quota import MessageQuota
-from indigodeck.planner.id_registry import IdRegistry
 from indigodeck.planner.planner_host import PlannerHost
 from indigodeck.planner.planner_settings import PlannerSettings
 from indigodeck.planner.weights import scaled
@@ -36,7 +36,7 @@
         super().__init__()
         self.relays, self.quiet, self.fleet = IdRegistry(), [], {}
         self.planner_host = PlannerHost(self, deployment_settings(**stated), 3)
-        self.office = RegistrationRegistry(
+        self.registry = RegistrationRegistry(
             self.planner_host, self, ["read", "write"], Bounds(members=64), 5, 10 * SECOND
         )
         self.change(*[server(index) for index in range(servers)])
@@ -45,29 +45,29 @@
         self.fleet.update((one.index, one) for one in servers)
         self.planner_host.on_endpoint_update("changes", servers)
 
-    def proxy(self, uid):
+    def proxy_index(self, uid):
         return self.relays.index(uid)
 
-    def joined(self, proxy, uid):
+    def on_proxy_joined(self, proxy, uid):
         if proxy in self.planner_host.pending_updates:
             self.planner_host.on_proxy_left(proxy)
         self.note(f"relay {uid.decode()} joined")
         self.planner_host.on_proxy_joined(proxy, 0, 10.0, True)
 
-    def left(self, proxy):
+    def on_proxy_left(self, proxy):
         self.note(f"relay {proxy} left")
         self.planner_host.on_proxy_left(proxy)
 
     def server_at(self, where):
         return where[1] - PORT if where[1] - PORT in self.fleet else None
 
-    def address(self, index):
+    def address_of(self, index):
         return ("127.0.0.1", PORT + index) if index in self.fleet else None
 
-    def in_contact(self, index):
+    def answered_recently(self, index):
         return True
 
-    def quiesced(self, where, on):
+    def on_host_quiesced(self, where, on):
         self.quiet.append((where[1] - PORT, on))
 
 
@@ -76,18 +76,18 @@
 
     def __init__(self, clerk):
         self.clerk, self.closed, self.wants = clerk, None, False
-        self.talk = Conversation(clerk.office, self)
+        self.talk = Conversation(clerk.registry, self)
 
     def send(self, data):
         codec.dispatch(data, self)
 
-    def due(self):
+    def request_write(self):
         self.wants = True
 
     def close(self, why):
         self.closed = why
         self.clerk.note(f"closed: {why}")
-        self.talk.ended()
+        self.talk.on_closed()
 
     def answered(self, number, kind, code):
         self.clerk.note(f"answer to {number}: {codec.MEANINGS[code]}")
@@ -116,7 +116,7 @@
             if self.talk.proxy is not None
             else None
         )
-        data, self.wants = self.talk.news(), False
+        data, self.wants = self.talk.next_message(), False
         if data:
             self.send(data)
         if parcel:
@@ -233,12 +233,12 @@
         wire.ask(*hello())
         clerk.run(1)
         wire.push()
-        held = dict(wire.talk.groups[0].told)
+        held = dict(wire.talk.groups[0].sent)
         clerk.change(*[server(index, ServerState.GONE) for index in range(3)])
         for index in range(3):
             clerk.planner_host.on_health_check(index, "ok", 1000, None)
         wire.ask(codec.get_weights(4, [(b"r1", b"read")]))
-        self.assertEqual(wire.talk.groups[0].told, held)
+        self.assertEqual(wire.talk.groups[0].sent, held)
 
     def test_two_relays_with_one_id_and_those_that_quarrel(self):
         clerk = Clerk()
@@ -287,19 +287,19 @@
         self.assertTrue(deaf.push())
         self.assertFalse(deaf.push())
         self.assertEqual(
-            [group.told for group in deaf.talk.groups.values()][0].keys()
+            [group.sent for group in deaf.talk.groups.values()][0].keys()
             & {("127.0.0.1", PORT + 4)},
             set(),
         )
         for place in (0, 1):
             told = {
-                where: entry[0] for where, entry in deaf.talk.groups[place].told.items() if entry[0]
+                where: entry[0] for where, entry in deaf.talk.groups[place].sent.items() if entry[0]
             }
             self.assertEqual(
                 told,
                 {
                     where: entry[0]
-                    for where, entry in other.talk.groups[place].told.items()
+                    for where, entry in other.talk.groups[place].sent.items()
                     if entry[0]
                 },
             )
@@ -376,12 +376,12 @@
             elif step == "run":
                 clerk.run(nth / 2)
             elif step == "other" and wire.closed is None:
-                wire.talk.ended()
+                wire.talk.on_closed()
                 wire = Wire(clerk)
         if wire.talk.proxy is not None and 0 in wire.talk.groups:
             clerk.run(1)
             wire.ask(codec.get_weights(9, [read]))
-            told = wire.talk.groups[0].told
+            told = wire.talk.groups[0].sent
             for index in clerk.planner_host.ejected_servers:
                 weight, flags, _ = told.get(("127.0.0.1", PORT + index), (0, codec.QUIESCED, 0))
                 self.assertEqual((weight, flags & codec.QUIESCED), (0, codec.QUIESCED))
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -16,13 +16,15 @@
 from indigodeck.client import Tables  # noqa: E402
 from indigodeck.client.xds import RequestRejectedError, XdsSession  # noqa: E402
 from indigodeck.frontends.xds import codec  # noqa: E402
-from indigodeck.frontends.xds.streams import Bounds, Relay, ResourceCache, Stream  # noqa: E402
+from indigodeck.frontends.xds.proxies import Bounds, XdsProxy  # noqa: E402
+from indigodeck.frontends.xds.resources import ResourceCache  # noqa: E402
+from indigodeck.frontends.xds.streams import Stream  # noqa: E402
 from indigodeck.planner.id_registry import IdRegistry  # noqa: E402
 from indigodeck.planner.planner_host import PlannerHost  # noqa: E402
 from indigodeck.planner.version_source import VersionSource  # noqa: E402
 from indigodeck.planner.weights import scaled  # noqa: E402
-from indigodeck.versions.publisher import TablePublisher  # noqa: E402
 from indigodeck.versions.operator_commands import OperatorCommands  # noqa: E402
+from indigodeck.versions.publisher import TablePublisher  # noqa: E402
 from indigodeck.versions.version_log import DAY  # noqa: E402
 
 CLASSES = ["read", "write"]
@@ -116,7 +118,7 @@
             }
             _, data = codec.endpoints(
                 CLASSES[table % 2],
-                [self.host(one) + (weight,) for one, weight in scaled(lines).items()],
+                [self.endpoint_of(one) + (weight,) for one, weight in scaled(lines).items()],
                 [],
                 1.0,
             )
@@ -143,7 +145,7 @@
         self.planner_host.flush_orders("a turn")
         self.note_published()
 
-    def host(self, server):
+    def endpoint_of(self, server):
         return "hall", f"h{server}", "127.0.0.1", 9000 + server
 
     def put(self, changes):
@@ -151,7 +153,7 @@
 
     def due(self, proxy):
         if proxy in self.known:
-            self.known[proxy].due()
+            self.known[proxy].request_write()
 
     def epoch_of(self, proxy):
         return self.epoch
@@ -177,7 +179,7 @@
 
 class Clerk:
     def __init__(self, day):
-        self.note, self.refused, self.refusals, self.epoch = (
+        self.note, self.on_content_rejected, self.rejected_content, self.lease_epoch = (
             lambda event, **facts: None,
             day.refused,
             day.refusals,
@@ -204,15 +206,15 @@
 
     def dial(self):
         self.proxy = self.day.relays.index(self.uid.encode())
-        self.relay = Relay(
+        self.relay = XdsProxy(
             self.uid, self.proxy, self.day.shelf, self.day.planner_host, Clerk(self.day), Bounds()
         )
-        self.stream, self.session = self.relay.opened(self, True), XdsSession(self.tables, {})
+        self.stream, self.session = Stream.open(self.relay, self, True), XdsSession(self.tables, {})
         self.day.known[self.proxy] = self
         self.day.planner_host.on_proxy_joined(self.proxy, 0, 1.0, False)
         opening = self.session.opening_request(base_pb2.Node(id=self.uid))
         # The first message opens the connection: without it there is none.
-        self.stream.asked_changes(
+        self.stream.on_delta_request(
             opening.type_url,
             opening.resource_names_subscribe,
             [],
@@ -223,7 +225,7 @@
 
     # What the front's side of a stream does.
 
-    def due(self):
+    def request_write(self):
         self.day.later(0, self.write)
 
     def later(self, after, call, *given):
@@ -235,13 +237,13 @@
 
     def write(self):
         if self.stream is not None:
-            self.relay.take()
-            self.stream.news()
+            self.relay.take_updates()
+            self.stream.send_next()
 
     def send(self, kind, version, nonce, resources, removed):
-        data = codec.changes(kind, version, nonce, resources, removed).SerializeToString()
+        data = codec.delta_response(kind, version, nonce, resources, removed).SerializeToString()
         self.day.pipe(self, self.life, self.read, data)
-        self.due()
+        self.request_write()
 
     # The relay's own.
 
@@ -258,7 +260,7 @@
 
     def answered(self, kind, nonce, error):
         if self.stream is not None:
-            self.stream.asked_changes(kind, [], [], {}, nonce, error)
+            self.stream.on_delta_request(kind, [], [], {}, nonce, error)
 
     def wanted(self):
         return {
@@ -342,9 +344,9 @@
             return False
 
         self.assertFalse(caught())
-        with unittest.mock.patch.object(Stream, "_lost", lambda *given: []):
+        with unittest.mock.patch.object(Stream, "_on_skipped", lambda *given: []):
             self.assertTrue(caught())
-        with unittest.mock.patch.object(Stream, "_unanswered", lambda *given: None):
+        with unittest.mock.patch.object(Stream, "_on_answer_timeout", lambda *given: None):
             self.assertTrue(caught())
 
     def test_what_comes_after_a_later_one_or_twice_says_nothing(self):
@@ -353,7 +355,9 @@
 
         def response(serial, port):
             made = codec.endpoints("read", [("a", "h", "127.0.0.1", port, 5)], [], 1.0)
-            return codec.changes(codec.ENDPOINTS, f"7.{serial}", str(serial), [("read", *made)], [])
+            return codec.delta_response(
+                codec.ENDPOINTS, f"7.{serial}", str(serial), [("read", *made)], []
+            )
 
         self.assertEqual(
             [session.read(response(serial, serial)) is None for serial in (1, 3, 2, 3, 4)],
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -28,9 +28,11 @@
     XdsClient,  # noqa: E402
     read_assignment,
 )
+from indigodeck.errors import LimitExceededError  # noqa: E402
 from indigodeck.frontends.xds import codec  # noqa: E402
-from indigodeck.frontends.xds.codec import CLUSTER, ENDPOINTS, KINDS, LISTENER, ROUTE  # noqa: E402
-from indigodeck.frontends.xds.streams import UNDERWAY_MOST, Bounds, LimitExceededError, Relay  # noqa: E402
+from indigodeck.frontends.xds.codec import CLUSTER, ENDPOINTS, LISTENER, RESOURCE_TYPES, ROUTE  # noqa: E402
+from indigodeck.frontends.xds.proxies import Bounds, XdsProxy  # noqa: E402
+from indigodeck.frontends.xds.streams import MAX_UNANSWERED, Stream  # noqa: E402
 from indigodeck.planner.demand_aggregation import (  # noqa: E402
     DemandAggregator,
     ProxyReport,
@@ -50,28 +52,28 @@
 
     def __init__(self, *names):
         super().__init__()
-        self.made = {(kind, name): "1" for kind in KINDS for name in names}
+        self.made = {(kind, name): "1" for kind in RESOURCE_TYPES for name in names}
         self.taken, self.parcels, self.known = [], [], {}
-        self.classes = {name: place for place, name in enumerate(names)}
-        self.relay = Relay("r1", 0, self, self, self, Bounds(names=16, streams=2))
+        self.class_indices = {name: place for place, name in enumerate(names)}
+        self.proxy = XdsProxy("r1", 0, self, self, self, Bounds(names=16, streams=2))
 
     def names(self):
         return {name for _, name in self.made}
 
     def resource(self, kind, name, proxy):
         version = self.made.get((kind, name))
-        return None if version is None else (version, b"")
+        return None if version is None else codec.Resource(version, b"")
 
     def take_updates(self, proxy):
         return self.parcels.pop() if self.parcels else None
 
-    def epoch(self, proxy):
+    def lease_epoch(self, proxy):
         return 3
 
-    def refused(self, uid, name, version):
+    def on_content_rejected(self, proxy_id, name, version):
         self.known[name] = version
 
-    def refusals(self, uid):
+    def rejected_content(self, proxy_id):
         return dict(self.known)
 
     def on_delivered(self, parcel):
@@ -89,9 +91,9 @@
 
     def __init__(self, fleet, delta=False):
         self.fleet, self.nonces, self.names = fleet, {}, {}
-        self.stream = fleet.relay.opened(self, delta)
+        self.stream = Stream.open(fleet.proxy, self, delta)
 
-    def due(self):
+    def request_write(self):
         pass
 
     def later(self, after, call, *given):
@@ -107,21 +109,23 @@
     def ask(self, kind, *names, nonce="", error=None):
         kind = NAMED[kind]
         self.names[kind] = names
-        self.stream.asked_whole(kind, names, nonce, error)
+        self.stream.on_full_request(kind, names, nonce, error)
 
     def change(self, kind, subscribe=(), unsubscribe=(), holding=None, nonce="", error=None):
-        self.stream.asked_changes(NAMED[kind], subscribe, unsubscribe, holding or {}, nonce, error)
+        self.stream.on_delta_request(
+            NAMED[kind], subscribe, unsubscribe, holding or {}, nonce, error
+        )
 
     def drain(self):
-        while self.stream.news():
-            self.fleet.relay.take()
+        while self.stream.send_next():
+            self.fleet.proxy.take_updates()
 
     def answer(self, kind, which=-1, error=None):
         nonce, kind = self.nonces[NAMED[kind]][which], NAMED[kind]
-        if self.stream.delta:
-            self.stream.asked_changes(kind, (), (), {}, nonce, error)
+        if self.stream.is_delta:
+            self.stream.on_delta_request(kind, (), (), {}, nonce, error)
         else:
-            self.stream.asked_whole(kind, self.names.get(kind, ()), nonce, error)
+            self.stream.on_full_request(kind, self.names.get(kind, ()), nonce, error)
 
 
 class Streams(TraceCase):
@@ -137,7 +141,7 @@
         for version in ("4", "5", "6", "7"):
             fleet.set(version)
             fleet.parcels.append(version)
-            fleet.relay.take()
+            fleet.proxy.take_updates()
             peer.drain()
         fleet.note("the one before the newest is acknowledged, then the newest")
         peer.answer("endpoints", -2)
@@ -210,7 +214,7 @@
             Peer(fleet)
         with self.assertRaises(LimitExceededError):
             peer.ask("endpoints", *[f"n{nth}" for nth in range(17)])
-        peer.stream.asked_whole("type.googleapis.com/unknown", ["x"] * 1000, "", None)
+        peer.stream.on_full_request("type.googleapis.com/unknown", ["x"] * 1000, "", None)
         peer.drain()
 
     @settings(max_examples=300, deadline=None)
@@ -235,7 +239,7 @@
             peer.change(kind, ("read", "write")) if delta else peer.ask(kind, "read", "write")
         for step, kind, name, number in steps:
             if step == "ask" and not delta:
-                peer.stream.asked_whole(
+                peer.stream.on_full_request(
                     NAMED[kind], peer.names.get(NAMED[kind], ()), f"{number}", None
                 )
             elif step == "set" and (NAMED[kind], name) in fleet.made:
@@ -249,21 +253,25 @@
             elif step == "drop" and name != "read":
                 fleet.drop(name)
             elif step == "add" and name == "write":
-                for each in KINDS:
+                for each in RESOURCE_TYPES:
                     fleet.made.setdefault((each, name), "1")
             elif step == "drain":
                 peer.drain()
-            for each in KINDS:
-                self.assertLessEqual(len(peer.stream.types[each].underway), UNDERWAY_MOST)
+            for each in RESOURCE_TYPES:
+                self.assertLessEqual(
+                    len(peer.stream.subscriptions[each].unanswered), MAX_UNANSWERED
+                )
         for nth in range(20):
             peer.drain()
             for kind in SHORT.values():
                 for which in range(len(peer.nonces.get(NAMED[kind], ()))):
                     peer.answer(kind, which)
         for (kind, name), version in fleet.made.items():
-            held = peer.stream.types[kind]
+            held = peer.stream.subscriptions[kind]
             self.assertIn(
-                version, (held.held.get(name), held.refused.get(name)), f"{SHORT[kind]} {name}"
+                version,
+                (held.acknowledged.get(name), held.rejected.get(name)),
+                f"{SHORT[kind]} {name}",
             )
 
 
@@ -282,7 +290,7 @@
             0.25,
         )
         self.assertEqual(version, again)
-        response = codec.changes(ENDPOINTS, "1", "n", [("read", version, data)], [])
+        response = codec.delta_response(ENDPOINTS, "1", "n", [("read", version, data)], [])
         name, entries, level, names = read_assignment(response.resources[0].resource.value)
         self.assertEqual((name, level), ("read", 0.25))
         self.assertEqual(
@@ -441,7 +449,7 @@
             ]
             self.assertLess(max(late, default=0), planner.service.settings.deployment.drain_grace)
             # What they met and what came to them reached the assigner: it is told of nothing else here.
-            self.assertGreater(planner.service.frontends[0].reports_read, 4)
+            self.assertGreater(planner.service.frontends[0].reports_counted, 4)
             self.assertTrue(planner.service.planner_host.assigner.admission.fleet.completion_rates)
             # Marks of the last orders were answered by acknowledgements.
             self.assertLessEqual(
