--- a/tests/test_outlasting.py
+++ b/tests/test_outlasting.py
@@ -12,123 +12,15 @@
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
 from leadership.controllers import ControllersTestCase as Controllers  # noqa: E402
-from rig import SECOND, Loop, TraceCase  # noqa: E402
+from rig import SECOND, Loop  # noqa: E402
 from support import ROOT, Planner, ports, until  # noqa: E402
 from versions.support import StubPlanner, StubStore  # noqa: E402
 
 from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
 from indigodeck.leadership import messages  # noqa: E402
-from indigodeck.planner.cached_endpoint_list import CachedEndpointList  # noqa: E402
 from indigodeck.versions.model import VersionNumber  # noqa: E402
 from indigodeck.versions.replication import VersionReplicator  # noqa: E402
 from indigodeck.versions.snapshots import snapshot_hash  # noqa: E402
-from indigodeck.versions.version_log import DAY  # noqa: E402
-
-
-class Kept(Loop):
-    """Hosts that answer or not, for a belief; prints what it goes by."""
-
-    def __init__(self, hosts, there, age=3600, tries=True, **states):
-        super().__init__()
-        self.there, self.tried, self.by = set(there), [], {}
-        entries = [
-            {
-                "id": name,
-                "state": states.get(name, "ready"),
-                "weight": 1.0,
-                "address": "h",
-                "port": 1,
-            }
-            for name in hosts
-        ]
-        self.cached_list = CachedEndpointList(
-            self,
-            {
-                "hosts": entries,
-                "at": self.wall() - age * SECOND,
-                "version": 7,
-                "epoch": 0,
-                "quiet": [],
-            },
-            tries,
-        )
-
-    def wall(self):
-        return self.clock + DAY
-
-    def check_cached_host(self, host):
-        self.tried.append(host["id"])
-        there = host["id"] in self.there
-        self.later(
-            50_000 if there else SECOND,
-            lambda: (self.cached_list.on_answer if there else self.cached_list.on_no_answer)(
-                host["id"]
-            ),
-        )
-
-    def use_cached_entries(self, hosts, fresh):
-        self.by = {**({} if fresh else self.by), **{host["id"]: host for host in hosts}}
-        self.note(
-            "goes by" if fresh else "and",
-            hosts=",".join(
-                f"{host['id']}{'' if host['state'] == 'ready' else ' ' + host['state']}"
-                for host in hosts
-            ),
-        )
-
-
-class Beliefs(TraceCase):
-    def test_hosts_that_are_gone_are_left_out_by_proof_and_drains_stay_drains(self):
-        kept = Kept("abcdefgh", "abcefg", h="draining")
-        kept.run(4)
-        self.assertEqual(sorted(kept.by), list("abcefgh"))
-        self.assertEqual(kept.by["h"]["state"], "draining")
-        self.assertNotIn("h", kept.tried)
-        kept.there.add("d")
-        kept.run(8)
-        self.assertIn("d", kept.by)
-        self.assertGreater(kept.by["d"]["started_ms"], 0)  # not there a moment ago: cold
-        self.assertNotIn("started_ms", kept.by["a"])
-        self.compare("belief", kept)
-
-    def test_the_first_few_to_answer_are_not_brought_what_all_should_do(self):
-        kept = Kept([f"h{nth:02}" for nth in range(80)], [f"h{nth:02}" for nth in range(30, 80)])
-        kept.run(1.1)
-        self.assertEqual(kept.by, {})
-        kept.run(6)
-        self.assertGreaterEqual(len(kept.by), 40)
-        self.assertLessEqual(max(kept.tried.count(name) for name in set(kept.tried)), 2)
-
-    def test_a_list_that_comes_in_time_is_all_that_counts_and_a_late_one_ends_it(self):
-        early, late = Kept("abc", "abc"), Kept("abc", "abc")
-        early.cached_list.on_list({"a": {}})
-        early.run(20)
-        self.assertEqual((early.tried, early.printed), ([], []))
-        late.run(3)
-        late.cached_list.on_list({"a": {}, "z": {}})
-        late.run(20)
-        self.assertEqual((len(late.tried), late.cached_list.superseded), (3, True))
-        self.assertIn("more=1 fewer=2", late.printed[-1])
-
-    def test_an_older_list_adds_who_answers_and_takes_nobody_away(self):
-        kept = Kept("abc", "abcz")
-        kept.run(2)
-        kept.cached_list.on_stale_list(
-            {
-                name: {"id": name, "state": "ready", "address": "h", "port": 2}
-                for name in ("a", "y", "z")
-            }
-        )
-        kept.run(4)
-        self.assertEqual(sorted(kept.by), list("abcz"))
-
-    def test_where_nobody_may_be_tried_age_is_all_there_is_to_tell(self):
-        young, old = Kept("ab", "", 60, False), Kept("ab", "", 7 * 24 * 3600, False)
-        for kept in (young, old):
-            kept.run(2)
-            self.assertEqual((sorted(kept.by), kept.tried), (list("ab"), []))
-        self.assertGreater(young.cached_list.trust(), 0.99)
-        self.assertLess(old.cached_list.trust(), 0.01)
 
 
 class Net:
