--- a/indigodeck/planner/cached_endpoint_list.py
+++ b/indigodeck/planner/cached_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Start without an endpoint list: how far the stored one may be gone by; free of I/O.
+"""Start without an endpoint list: how far the stored one may be used; free of I/O.
 
 An entry of the cached list counts once its host has answered a health check of the planner's own. A
 host that does not answer is left out, however young the list, and checked again; one that answers
@@ -18,12 +18,12 @@
 from ..clock import SECOND
 from .endpoint_list import Entry
 
-LIST_TIMEOUT = 1 * SECOND  # for the list itself, before the cached one is gone by
+LIST_TIMEOUT = 1 * SECOND  # for the list itself, before the cached one is used
 MAX_CHECKS_AT_ONCE = 32
 CHECK_INTERVAL = SECOND // 4
 RECHECK_AFTER = 5 * SECOND  # until a host that did not answer is checked again
 QUORUM = 0.5  # of the cached weight, before anything is published
-# Of trust by age alone: what operators are told, and for hosts that can't be checked.
+# Of trust by age alone: what operators see, and for hosts that can't be checked.
 TRUST_HALF_LIFE = 24 * 3600 * SECOND
 MAX_LOGGED_HOSTS = 20
 
@@ -34,7 +34,7 @@
     def now(self) -> int:
         """Return the time on a clock that never goes back."""
 
-    def wall(self) -> int:
+    def wall_clock(self) -> int:
         """Return the time of day, in microseconds since 1970."""
 
     def later(self, after: int, call: Callable[[], None]) -> None:
@@ -44,7 +44,7 @@
         """Check a host's health; `on_answer` or `on_no_answer` is called with its id."""
 
     def use_cached_entries(self, entries: list[Entry], is_first: bool) -> None:
-        """Go by these entries: all there are (`is_first`), or more of them."""
+        """Use these entries: all there are (`is_first`), or more of them."""
 
     def note(self, event: str, **facts: Any) -> None:
         """Write a line to the log."""
@@ -54,7 +54,7 @@
     """Checks the hosts of a stored list, and has those that answer used until a newer list comes.
 
     `record` is {"hosts": [entry], "at": wall clock in microseconds, ..} as it was stored.
-    `checks_enabled`: whether hosts may be checked; otherwise all are taken at the list's word.
+    `checks_enabled`: whether hosts may be checked; otherwise the list alone counts.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self._answering: set[str] = set()
         self._silent_since: dict[str, int] = {}
         self._in_progress: set[str] = set()
-        self._published: set[str] | None = None  # None: the cached list is not gone by yet
+        self._published: set[str] | None = None  # None: the cached list is not used yet
         environment.later(LIST_TIMEOUT, self._begin)
 
     def on_answer(self, host_id: str) -> None:
@@ -81,7 +81,7 @@
         if host_id in self._silent_since:
             del self._silent_since[host_id]
             # It was not there a moment ago: whatever the list says of its start, this is a new one.
-            self._entries[host_id]["started_ms"] = self.environment.wall() // 1000
+            self._entries[host_id]["started_ms"] = self.environment.wall_clock() // 1000
         self._answering.add(host_id)
         self._publish(without_quorum=False)
         self._check_next()
@@ -101,7 +101,7 @@
             return
         self.superseded = True
         if self._published is None:
-            return  # in time: the cached list was never gone by
+            return  # in time: the cached list was never used
         self.environment.note(
             "cached_list_superseded",
             more=len(entries.keys() - self._entries.keys()),
@@ -133,7 +133,7 @@
         return round(self._weight(self._answering) / ready_weight, 3) if ready_weight else 0.0
 
     def figures(self) -> dict[str, Any]:
-        """Return what operators and the log are told."""
+        """Return the figures for operators and the log."""
         return {
             "age_s": self._age() // SECOND,
             "named": len(self._entries),
@@ -143,7 +143,7 @@
         }
 
     def _age(self) -> int:
-        return max(0, self.environment.wall() - self._stored_at)
+        return max(0, self.environment.wall_clock() - self._stored_at)
 
     def _begin(self) -> None:
         if self.superseded:
--- a/indigodeck/planner/endpoint_directory.py
+++ b/indigodeck/planner/endpoint_directory.py
@@ -37,19 +37,19 @@
             settings.machine_type_names,
             service.clock_gap,
         )
-        # A list stored by an earlier run, gone by for as long as nothing newer has come.
+        # A list stored by an earlier run, used for as long as nothing newer has come.
         self.cached_list: CachedEndpointList | None = None
         self._service = service
         self._stored_record: dict[str, Any] | None = None
         self._addresses: dict[int, Address] = {}
         self._server_at: dict[Address, int] = {}
-        # Servers that the assigner has not been told of yet, in the order they came.
+        # Servers that were not handed on to the assigner yet, in the order they came.
         self._pending_changes: list[Server] = []
         self._is_store_scheduled = False
         self._is_from_source = True
 
     def start(self, stored_record: dict[str, Any] | None) -> None:
-        """Go by the list that an earlier run stored, if any, until its source gives a newer one."""
+        """Use the list that an earlier run stored, if any, until its source gives a newer one."""
         self._stored_record = stored_record
         if stored_record is None:
             return
@@ -102,12 +102,13 @@
                 self.cached_list.on_list(self.endpoint_list.entries)
             self._schedule_store()
         if kind != UpdateKind.CHANGES:
-            self._pending_changes.clear()  # it stands for all that was about to be told
+            self._pending_changes.clear()  # it stands for all that was about to be handed on
             self._hand_on(kind, servers)
             return
         if not self._pending_changes:
             IOLoop.current().add_callback(self._hand_on_changes)
-        # None is left out for a newer one: that it drains must be heard, though it is gone by now.
+        # None is left out for a newer one: that it drains must be known, though it may have gone
+        # since.
         self._pending_changes += servers
 
     def on_stale_list(self, entries: dict[str, Entry]) -> None:
@@ -167,9 +168,9 @@
         """Return the time on a clock that never goes back."""
         return now()
 
-    def wall(self) -> int:
+    def wall_clock(self) -> int:
         """Return the time of day, in microseconds since 1970."""
-        return self._service.wall()
+        return self._service.wall_clock()
 
     def later(self, after: int, call: Callable[[], None]) -> None:
         """Call back after this time."""
@@ -180,7 +181,7 @@
         IOLoop.current().add_callback(self._check_cached_host, entry)
 
     def use_cached_entries(self, entries: list[Entry], is_first: bool) -> None:
-        """Go by these entries of the stored list."""
+        """Use these entries of the stored list."""
         assert self._stored_record is not None
         with self._not_from_source():
             self.endpoint_list.restore(self._stored_record, entries, is_first)
@@ -213,5 +214,5 @@
         self._is_store_scheduled = False
         store = self._service.versions.store
         if store is not None and not self._service.is_closing:
-            record = {**self.endpoint_list.to_record(), "at": self._service.wall()}
+            record = {**self.endpoint_list.to_record(), "at": self._service.wall_clock()}
             store.put([(LIST_KEY, record)])
--- a/indigodeck/planner/health_inference.py
+++ b/indigodeck/planner/health_inference.py
@@ -186,7 +186,7 @@
             :CONTROL_COUNT
         ]
 
-    # What the assigner hears.
+    # What the assigner is handed.
 
     def usual_latency(self, server: int) -> int:
         """Return how long requests lately took at a host; 0 if nothing tells."""
@@ -219,8 +219,8 @@
             return
         for server, host in sorted(self.hosts.items()):
             met = host.met(since, span, host.fresh_report(now, self.settings.report_period))
-            # Proxies hear of a hung host only at their own deadline; failed checks are told beside
-            # that.
+            # Proxies notice a hung host only at their own deadline; failed checks are reported
+            # beside that.
             has_failed_checks = host.is_suspect and met.failures
             if met.attempts and (server not in reported_servers or has_failed_checks):
                 self.sink.on_load_report(
--- a/indigodeck/planner/pending_updates.py
+++ b/indigodeck/planner/pending_updates.py
@@ -1,6 +1,6 @@
 """What one joined proxy is bound to, and what waits for it until it can be written to.
 
-Only the classes and servers that changed are remembered, not their values: a proxy is told the
+Only the classes and servers that changed are remembered, not their values: a proxy is sent the
 newest state at the time of writing, and what was ordered in between is never sent.
 """
 
--- a/indigodeck/planner/planner_host.py
+++ b/indigodeck/planner/planner_host.py
@@ -32,8 +32,8 @@
     def later(self, after: int, call: Callable[[], None]) -> None:
         """Call back after this time."""
 
-    def due(self, proxy: int) -> None:
-        """Take note that something waits for this proxy."""
+    def request_write(self, proxy: int) -> None:
+        """Have this proxy written to: something waits for it."""
 
     def check_health(self, server: int) -> None:
         """Send the server a request, and report its end with the host's `on_health_check`."""
@@ -59,7 +59,7 @@
     """Implements `assignment.interface.AssignerHost`, and keeps its orders for the proxies.
 
     Each `on_...` method ends with the orders of that call laid out for the proxies concerned: the
-    environment hears of each proxy once. `publisher` numbers the versions of what is published,
+    environment is asked once for each proxy. `publisher` numbers the versions of what is published,
     where they are kept (`versions.publisher`). `make` builds another policy in the assigner's
     place.
     """
@@ -96,7 +96,7 @@
     def on_endpoint_update(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
         """Take in the endpoint list, or changes of it."""
         self.endpoints.update((server.index, server) for server in servers)
-        self._ejection_revision += 1  # what is told of an ejected server goes by the list
+        self._ejection_revision += 1  # what proxies see of an ejected server follows the list
         self.has_changes = True
         self.assigner.on_endpoint_update(kind, servers)
         self.flush_orders("a list")
@@ -173,7 +173,7 @@
             # The queue grows only by what is laid out for somebody; most calls order nothing.
             self.most_waiting_lines = max(self.most_waiting_lines, self.waiting_lines())
         for proxy in reached:
-            self.environment.due(proxy)
+            self.environment.request_write(proxy)
 
     def _publish(self, event: str) -> None:
         if self.publisher is not None and (
--- a/indigodeck/planner/proxy_sessions.py
+++ b/indigodeck/planner/proxy_sessions.py
@@ -148,7 +148,7 @@
 
     # What the planner asks.
 
-    def due(self, proxy: int) -> None:
+    def request_write(self, proxy: int) -> None:
         """Have a proxy's frontend write to it."""
         frontend = self.frontend_of.get(proxy)
         if frontend is not None:
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -89,9 +89,9 @@
         """Call back after this time."""
         IOLoop.current().call_later(after / SECOND, call)
 
-    def due(self, proxy: int) -> None:
+    def request_write(self, proxy: int) -> None:
         """Have a proxy's frontend write to it."""
-        self.proxies.due(proxy)
+        self.proxies.request_write(proxy)
 
     def check_health(self, server: int) -> None:
         """Check a host for the assigner."""
@@ -105,7 +105,7 @@
         """Write a line to the log."""
         self.log.info(event, **facts)
 
-    def wall(self) -> int:
+    def wall_clock(self) -> int:
         """Return the time of day, in microseconds since 1970."""
         return now() + self.clock_gap
 
--- a/indigodeck/planner/weights.py
+++ b/indigodeck/planner/weights.py
@@ -9,7 +9,7 @@
     """Return weights of 1 to 65535 by server.
 
     Each is a power of two times what it was, so that one change leaves the others as they were
-    told; none that is listed comes to 0.
+    sent; none that is listed comes to 0.
     """
     largest = max(weights.values(), default=0.0)
     factor = 1.0
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -22,7 +22,7 @@
 )
 
 SHORTEST_KEY_BYTES = 16
-INCARNATIONS_PER_SECOND = 10  # a controller that starts again within this is not told apart
+INCARNATIONS_PER_SECOND = 10  # a restart within a tenth of a second looks like the same run
 CLOSING_TIME_S = 0.05  # for what closes to say so
 FLEET_GROUP = "fleet"  # the one group of proxies where leases are not per zone
 
--- a/tests/planner/test_cached_endpoint_list.py
+++ b/tests/planner/test_cached_endpoint_list.py
@@ -29,7 +29,7 @@
             self,
             {
                 "hosts": entries,
-                "at": self.wall() - age * SECOND,
+                "at": self.wall_clock() - age * SECOND,
                 "version": 7,
                 "epoch": 0,
                 "quiet": [],
@@ -37,7 +37,7 @@
             checks_enabled,
         )
 
-    def wall(self):
+    def wall_clock(self):
         return self.clock + DAY
 
     def check_cached_host(self, host):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -208,7 +208,7 @@
             due[2]()
         self.clock = end
 
-    def due(self, proxy):
+    def request_write(self, proxy):
         self.wanting.append(proxy)
 
     def check_health(self, server):
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -151,7 +151,7 @@
     def put(self, changes):
         self.kept_store.save(changes)
 
-    def due(self, proxy):
+    def request_write(self, proxy):
         if proxy in self.known:
             self.known[proxy].request_write()
 
