--- a/tests/client/test_sasp_client.py
+++ b/tests/client/test_sasp_client.py
@@ -15,6 +15,7 @@
     """A client that reconnects, and a planner that answers by a script."""
 
     async def test_it_survives_planners_that_stall_lie_and_restart(self):
+        """Each loss has its error, and the table that was given once is kept."""
         table = [
             (
                 (b"r", b"reading"),
--- /dev/null
+++ b/tests/frontends/test_both_frontends.py
@@ -0,0 +1,158 @@
+"""SASP and xDS side by side on one planner."""
+
+import asyncio
+import unittest
+
+import grpc
+from envoy.config.core.v3 import base_pb2
+from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
+from support import Planner, now, until
+
+from indigodeck.client import Tables
+from indigodeck.client.sasp import SaspClient
+from indigodeck.client.xds import XdsClient
+from indigodeck.frontends.xds.codec import ENDPOINTS
+from indigodeck.planner.planner_settings import PlannerSettings
+from indigodeck.serve import assemble
+
+
+class BothFrontendsTest(unittest.IsolatedAsyncioTestCase):
+    """Both frontends on one planner."""
+
+    def planner(self, hosts=6, **more):
+        """Return a planner with both frontends."""
+        planner = Planner(hosts=hosts, **more)
+        planner.document["fronts"] = {
+            protocol: {"address": "127.0.0.1", "port": 0} for protocol in ("sasp", "xds")
+        }
+        planner.keep()
+        return planner
+
+    def relay(self, planner, protocol, uid):
+        """Run a client of one protocol: its tables, itself, its task and the errors it met."""
+        tables, errors = Tables(["reading", "setpoint"], now), []
+        frontends = dict(
+            zip(planner.service.settings.frontends, planner.service.frontends, strict=True)
+        )
+        client = {"sasp": SaspClient, "xds": XdsClient}[protocol](
+            uid,
+            lambda: [("127.0.0.1", frontends[protocol].port())],
+            tables,
+            connection_lost=errors.append,
+        )
+        client.backoff.first_delay, client.backoff.max_delay = 50_000, 400_000
+        return tables, client, asyncio.get_running_loop().create_task(client.run()), errors
+
+    async def test_one_name_over_both_protocols_is_one_proxy_and_the_newest_speaks_for_it(self):
+        """The older connection of the two is ended."""
+        async with self.planner() as planner:
+            sasp = self.relay(planner, "sasp", "hall-a/r1")
+            await until(lambda: len(sasp[0].lines["reading"]) == 6)
+            xds = self.relay(planner, "xds", "hall-a/r1")
+            await until(lambda: xds[0].versions and sasp[3])
+            self.assertEqual(len(planner.service.planner_host.pending_updates), 1)
+            sasp[1].stop()
+            planner.keep(host_3="draining")
+            await until(lambda: len(xds[0].lines["reading"]) == 5)
+            xds[1].stop()
+            await asyncio.gather(sasp[2], xds[2])
+
+    async def test_a_flood_of_requests_from_one_relay_costs_the_others_nothing(self):
+        """Its answers have a part of the message limit; others are told drains in time."""
+        async with self.planner() as planner:
+            tables, client, task, _ = self.relay(planner, "xds", "hall-b/r2")
+            await until(lambda: len(tables.lines["reading"]) == 6)
+            channel = grpc.aio.insecure_channel(f"127.0.0.1:{planner.service.frontends[1].port()}")
+            stream = ads_pb2_grpc.AggregatedDiscoveryServiceStub(
+                channel
+            ).StreamAggregatedResources()
+            flooding = True
+
+            async def flood():
+                nth = 0
+                while flooding:
+                    nth += 1
+                    await stream.write(
+                        discovery_pb2.DiscoveryRequest(
+                            node=base_pb2.Node(id="hall-a/flood"),
+                            type_url=ENDPOINTS,
+                            response_nonce="",
+                            resource_names=[("reading", "setpoint", f"n{nth}")[nth % 3]],
+                        )
+                    )
+
+            flooder = asyncio.get_running_loop().create_task(flood())
+            for nth in range(3):
+                planner.keep(**{f"host_{nth}": "draining"})
+                await until(lambda left=5 - nth: len(tables.lines["reading"]) == left)
+            flooding = False
+            await flooder
+            wrote = planner.service.proxies.message_quota("hall-a/flood").written
+            self.assertLessEqual(len(wrote), planner.service.settings.message_limits.max_messages)
+            # More names than are allowed end its stream, with the reason.
+            with self.assertRaises(grpc.aio.AioRpcError) as caught:
+                await stream.write(
+                    discovery_pb2.DiscoveryRequest(
+                        type_url=ENDPOINTS, resource_names=[f"n{nth}" for nth in range(999)]
+                    )
+                )
+                while await stream.read() is not grpc.aio.EOF:
+                    pass
+                raise _rpc_error(stream, await stream.code(), await stream.details())
+            self.assertEqual(caught.exception.code(), grpc.StatusCode.RESOURCE_EXHAUSTED)
+            await channel.close()
+            client.stop()
+            await task
+
+    async def test_a_planner_restarts_and_all_come_back_over_both_frontends_never_without_a_server(
+        self,
+    ):
+        """No table is empty at any time, and the limits of messages and lines hold."""
+        bare, many = [], 24
+        async with self.planner(hosts=12) as planner:
+            relays = [
+                self.relay(planner, ("sasp", "xds")[nth % 2], f"hall-{'abc'[nth % 3]}/r{nth}")
+                for nth in range(many)
+            ]
+            await until(
+                lambda: all(len(tables.lines["setpoint"]) >= 4 for tables, *_ in relays), 20
+            )
+            for tables, *_ in relays:
+                tables.changed = lambda name, tables=tables: tables.lines[name] or bare.append(name)
+            planner.service.close()
+            await asyncio.sleep(0.3)
+            planner.service = assemble(PlannerSettings(planner.document, planner.folder.name))
+            for _, client, *_ in relays:
+                frontend = planner.service.frontends[isinstance(client, XdsClient)]
+                client.planners = lambda frontend=frontend: [("127.0.0.1", frontend.port())]
+            await until(lambda: len(planner.service.proxies.frontend_of) == many, 20)
+            planner.keep(host_5="draining")
+            await until(
+                lambda: all(
+                    ("127.0.0.1", 9005) not in tables.lines["reading"] for tables, *_ in relays
+                ),
+                10,
+            )
+            service = planner.service
+            settings = service.settings
+            self.assertEqual(bare, [])
+            self.assertLess(
+                service.planner_host.most_waiting_lines,
+                settings.deployment.channel.max_waiting_lines,
+            )
+            self.assertLessEqual(
+                max(len(held.written) for held in service.proxies.message_quotas.values()),
+                settings.message_limits.max_messages,
+            )
+            for _, client, *_ in relays:
+                client.stop()
+            await asyncio.gather(*(task for _, _, task, _ in relays))
+
+
+def _rpc_error(call, code, details):
+    """Return the error that grpcio raises for a status."""
+    return grpc.aio.AioRpcError(code, None, None, details)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- a/tests/frontends/test_sasp_conversation.py
+++ b/tests/frontends/test_sasp_conversation.py
@@ -19,7 +19,7 @@
 
 
 class SaspPlanner(Loop):
-    """A planner around one registration registry: hosts host-0.. at 127.0.0.1:8000.., classes read and write."""
+    """A planner around one registry: servers at 127.0.0.1:8000.., classes read and write."""
 
     def __init__(self, servers=6, **stated):
         super().__init__()
@@ -31,32 +31,40 @@
         self.change(*[server(index) for index in range(servers)])
 
     def change(self, *servers):
+        """Change the endpoint list."""
         self.servers.update((one.index, one) for one in servers)
         self.planner_host.on_endpoint_update("changes", servers)
 
     def proxy_index(self, uid):
+        """Return the index of a proxy."""
         return self.proxy_ids.index(uid)
 
     def on_proxy_joined(self, proxy, uid):
+        """Print and serve a proxy."""
         if proxy in self.planner_host.pending_updates:
             self.planner_host.on_proxy_left(proxy)
         self.note(f"relay {uid.decode()} joined")
         self.planner_host.on_proxy_joined(proxy, 0, 10.0, True)
 
     def on_proxy_left(self, proxy):
+        """Print and drop a proxy."""
         self.note(f"relay {proxy} left")
         self.planner_host.on_proxy_left(proxy)
 
     def server_at(self, where):
+        """Return the server at an address."""
         return where[1] - PORT if where[1] - PORT in self.servers else None
 
     def address_of(self, index):
+        """Return the address of a listed server."""
         return ("127.0.0.1", PORT + index) if index in self.servers else None
 
     def answered_recently(self, index):
+        """Say that all have."""
         return True
 
     def on_host_quiesced(self, where, on):
+        """Keep what a host said of itself."""
         self.quiesced.append((where[1] - PORT, on))
 
 
@@ -68,38 +76,46 @@
         self.conversation = Conversation(planner.registry, self)
 
     def send(self, data):
+        """Read an answer."""
         codec.dispatch(data, self)
 
     def request_write(self):
+        """Keep that a write was asked for."""
         self.write_requested = True
 
     def close(self, why):
+        """Print why, and end the conversation."""
         self.closed = why
         self.planner.note(f"closed: {why}")
         self.conversation.on_closed()
 
-    def answered(self, number, kind, code):
-        self.planner.note(f"answer to {number}: {codec.MEANINGS[code]}")
+    def answered(self, message_id, reply_type, return_code):
+        """Print an answer."""
+        self.planner.note(f"answer to {message_id}: {codec.MEANINGS[return_code]}")
 
     def weights(self, number, code, interval, groups):
+        """Print an answer with weights."""
         self.answered(number, None, code)
         self.sent_weights(number, groups)
 
     def sent_weights(self, number, groups):
+        """Print weights: server, weight, q for quiesced, ? for not confident."""
         for (_, name), entries in groups:
             sent = " ".join(
-                f"{entry.member.endpoint()[1] - PORT}:{entry.weight}{'q' if entry.flags & codec.QUIESCED else ''}"
+                f"{entry.member.endpoint()[1] - PORT}:{entry.weight}"
+                f"{'q' if entry.flags & codec.QUIESCED else ''}"
                 f"{'' if entry.flags & codec.CONFIDENT else '?'}"
                 for entry in entries
             )
             self.planner.note(f"{name.decode()}: {sent}")
 
     def ask(self, *messages):
+        """Say messages."""
         for message in messages:
             self.conversation.read(message)
 
     def push(self):
-        """What the shell does when the relay can be written to."""
+        """Do what the server does when the relay can be written to."""
         update = (
             self.planner.planner_host.take_updates(self.conversation.proxy)
             if self.conversation.proxy is not None
@@ -114,10 +130,12 @@
 
 
 def member(index):
+    """Return a server as a member."""
     return Member.at("127.0.0.1", PORT + index)
 
 
 def hello(uid=b"r1", push=True, trust=True, names=(b"read", b"write"), members=(0, 1)):
+    """Return the first messages of a load balancer."""
     return (
         codec.set_balancer(1, uid, 127, push, trust, True),
         codec.register(
@@ -127,7 +145,10 @@
 
 
 class ConversationTest(TraceCase):
+    """Registrations, weights and answers on one connection or several."""
+
     def test_a_relay_joins_is_told_changes_only_and_keeps_drains(self):
+        """A push names what changed; a poll names all."""
         planner = SaspPlanner(servers=10)
         connection = RecordedConnection(planner)
         connection.ask(*hello())
@@ -143,6 +164,7 @@
         self.compare("sasp-relay", planner)
 
     def test_return_codes(self):
+        """Each rejection has its code."""
         planner = SaspPlanner()
         connection, agent = RecordedConnection(planner), RecordedConnection(planner)
         read, other = (b"r1", b"read"), (b"r1", b"nothing")
@@ -186,6 +208,7 @@
         self.compare("sasp-codes", planner)
 
     def test_a_rejected_request_leaves_nothing_behind(self):
+        """The groups before the wrong one are not registered either."""
         planner = SaspPlanner()
         connection = RecordedConnection(planner)
         connection.ask(*hello(names=(b"read",)))
@@ -197,6 +220,7 @@
         self.assertEqual(sorted(connection.conversation.groups), [0])
 
     def test_endpoint_lists_that_are_empty_or_name_none_of_a_relays_members(self):
+        """What can not be known is told as no opinion."""
         planner = SaspPlanner(servers=0)
         connection, strict = RecordedConnection(planner), RecordedConnection(planner)
         planner.note("no list yet: no opinion")
@@ -216,7 +240,9 @@
         self.compare("sasp-empty", planner)
 
     def test_a_server_wrongly_listed_as_gone_and_kept_by_the_assigner_keeps_its_weight(self):
-        # Found on the first bad day: the front read the list itself and sent weight 0 for half of the fleet.
+        """The list alone takes nobody out."""
+        # Found on the first bad day: the frontend read the list itself and sent weight 0 for half
+        # of the fleet.
         planner = SaspPlanner(removal_is_final=False, health_checks_allowed=True)
         connection = RecordedConnection(planner)
         connection.ask(*hello())
@@ -230,6 +256,7 @@
         self.assertEqual(connection.conversation.groups[0].sent, held)
 
     def test_two_relays_with_one_id_and_those_that_take_it_by_turns(self):
+        """The newest speaks for an id, until it was taken over too often."""
         planner = SaspPlanner()
         connections = [RecordedConnection(planner) for _ in range(6)]
         for connection in connections:
@@ -247,6 +274,7 @@
         self.compare("sasp-quarrel", planner)
 
     def test_a_group_deregistered_while_its_weights_wait(self):
+        """Nothing is told of it."""
         planner = SaspPlanner()
         connection = RecordedConnection(planner)
         connection.ask(*hello())
@@ -258,6 +286,7 @@
         self.assertFalse([line for line in planner.printed if " read:" in line])
 
     def test_a_relay_that_reads_nothing_gets_one_message_with_the_newest_state(self):
+        """What waits does not pile up."""
         planner = SaspPlanner(servers=12)
         stalled, other = RecordedConnection(planner), RecordedConnection(planner)
         stalled.ask(*hello())
@@ -296,6 +325,7 @@
             )
 
     def test_old_tables_are_bound_by_drains_before_a_table_is_given(self):
+        """Ejected servers are told at once."""
         planner = SaspPlanner(servers=0)
         planner.change(server(0), server(1), server(2, ServerState.DRAINING))
         first = RecordedConnection(planner)
@@ -304,8 +334,8 @@
         late = RecordedConnection(planner)
         late.ask(*hello(uid=b"r2", members=(1, 2)))
         late.push()  # before its tables are bound
-        # One that registered nobody hears of drains first, too. Found with controllers that all restarted: it took that
-        # for its whole table, and had nobody left until the next message.
+        # One that registered nobody hears of drains first, too. Found with controllers that all
+        # restarted: it took that for its whole table, and had nobody left until the next message.
         bare = RecordedConnection(planner)
         bare.ask(*hello(uid=b"r3", members=()))
         bare.push()
@@ -341,6 +371,7 @@
         )
     )
     def test_any_order_of_requests_is_answered_once_each_and_drains_are_told(self, steps):
+        """Any order of requests and changes."""
         planner = SaspPlanner(servers=8)
         connection, agent = RecordedConnection(planner), RecordedConnection(planner)
         read = (b"r1", b"read")
--- a/tests/frontends/test_sasp_sockets.py
+++ b/tests/frontends/test_sasp_sockets.py
@@ -1,4 +1,4 @@
-"""The SASP frontend over sockets: malformed, slow and impatient relays, and deaf ones."""
+"""The SASP frontend over sockets: relays that are malformed, slow, impatient or read nothing."""
 
 import asyncio
 import socket
@@ -20,18 +20,21 @@
 class SaspRelays(unittest.IsolatedAsyncioTestCase):
     """A planner in this process and relays that behave badly in some way."""
 
-    async def test_rude_peers_are_cut_off_with_one_line_and_the_others_do_not_notice(self):
+    async def test_malformed_peers_are_disconnected_with_one_line_and_the_others_do_not_notice(
+        self,
+    ):
+        """Wrong lengths inside a whole message are answered instead."""
         async with Planner(message_ms=200, message_bytes=4096) as planner:
             tables, client, task = planner.client()
             await until(lambda: ports(tables) == set(range(6)))
-            rude = {
+            malformed = {
                 "half a message": HELLO[:20],
                 "a huge length": codec.HEADER.pack(0x2010, 13, 1, 1 << 30, 1),
                 "version 2": codec.HEADER.pack(0x2010, 13, 2, 17, 1) + bytes(4),
                 "rubbish": b"GET / HTTP/1.1\r\n\r\n",
                 "an unknown type": codec.message(1, 0x7777),
             }
-            for nth, (what, data) in enumerate(rude.items()):
+            for nth, (what, data) in enumerate(malformed.items()):
                 with self.subTest(what):
                     async with peer(planner.port) as (reader, writer):
                         writer.write(data)
@@ -56,6 +59,7 @@
             await task
 
     async def test_one_byte_at_a_time_is_slow_and_fine(self):
+        """A message may arrive in pieces."""
         async with Planner() as planner, peer(planner.port) as (reader, writer):
             for byte in HELLO:
                 writer.write(bytes([byte]))
@@ -67,6 +71,7 @@
             self.assertEqual(pushed[:5], bytes.fromhex("2010000d01"))
 
     async def test_a_relay_that_asks_too_often_waits_and_delays_nobody(self):
+        """Its answers wait, and orders do not."""
         channel = {
             "messages_most": 8,
             "answers_most": 4,
@@ -93,12 +98,13 @@
             client.stop()
             await task
 
-    async def test_a_deaf_relay_holds_up_nobody_and_ends_on_the_newest_state(self):
+    async def test_a_relay_that_reads_nothing_holds_up_nobody_and_ends_on_the_newest_state(self):
+        """What waits for it is one message."""
         async with Planner(hosts=40, channel={"messages_most": 0}) as planner:
-            deaf = socket.socket()
-            deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-            deaf.connect(("127.0.0.1", planner.port))
-            deaf.sendall(HELLO)
+            stalled = socket.socket()
+            stalled.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+            stalled.connect(("127.0.0.1", planner.port))
+            stalled.sendall(HELLO)
             tables, client, task = planner.client()
             await until(lambda: len(ports(tables)) >= 4)
             for nth in range(30):
@@ -107,14 +113,14 @@
             limit = planner.service.planner_host.settings.channel.max_waiting_lines
             self.assertLess(planner.service.planner_host.most_waiting_lines, limit)
             held, data = Tables(["reading"], now), b""
-            deaf.setblocking(False)
+            stalled.setblocking(False)
             idle = 0
             while idle < 50 or planner.service.planner_host.has_pending(
                 planner.service.proxies.proxy_ids.index(b"raw")
             ):
                 await asyncio.sleep(0.01)
                 try:
-                    data, idle = data + deaf.recv(65536), 0
+                    data, idle = data + stalled.recv(65536), 0
                 except BlockingIOError:
                     idle += 1
             messages = 0
@@ -124,11 +130,12 @@
                 data, messages = data[whole:], messages + 1
             self.assertLess(messages, 30)
             self.assertEqual(set(held.lines["reading"]), set(tables.lines["reading"]))
-            deaf.close()
+            stalled.close()
             client.stop()
             await task
 
     async def test_a_stall_is_caught_up_without_a_burst(self):
+        """A planner that stood still stays within the message limit."""
         async with Planner(channel={"messages_most": 30, "answers_most": 10}) as planner:
             tables, client, task = planner.client()
             await until(lambda: ports(tables) == set(range(6)))
@@ -149,9 +156,11 @@
         self.tables = tables
 
     def answered(self, *_):
+        """Ignore an answer."""
         pass
 
     def sent_weights(self, number, groups):
+        """Apply pushed weights."""
         for (_, name), entries in groups:
             self.tables.update(name.decode(), [table_entry(entry) for entry in entries])
 
