--- a/benchmarks/lossy.py
+++ b/benchmarks/lossy.py
@@ -11,8 +11,8 @@
 ROOT = pathlib.Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-import test_outlasting  # noqa: E402
 import test_relays  # noqa: E402
+from versions import test_replication  # noqa: E402
 
 
 def played(play, seeds):
@@ -31,7 +31,7 @@
     with ProcessPoolExecutor(4) as pool:
         for name, play, most in (
             ("relays", test_relays.schedule, many),
-            ("controllers", test_outlasting.schedule, many // 4),
+            ("controllers", test_replication.play_schedule, many // 4),
         ):
             parts = list(
                 pool.map(
--- a/indigodeck/versions/codec.py
+++ b/indigodeck/versions/codec.py
@@ -48,22 +48,22 @@
 
 def encode_snapshot(snapshot: Snapshot) -> Document:
     """Return the JSON form of all tables of a version."""
-    return {table: encode_table(held) for table, held in snapshot.items()}
+    return {name: encode_table(table) for name, table in snapshot.items()}
 
 
 def decode_snapshot(document: Document) -> Snapshot:
     """Return the tables in their JSON form."""
-    return {table: decode_table(held) for table, held in document.items()}
+    return {name: decode_table(table) for name, table in document.items()}
 
 
 def encode_delta(delta: Mapping[str, TableSnapshot | TableDelta | None]) -> Document:
     """Return the JSON form of what turns one snapshot into another."""
-    return {table: _encode_change(change) for table, change in delta.items()}
+    return {name: _encode_change(change) for name, change in delta.items()}
 
 
 def decode_delta(document: Document) -> SnapshotDelta:
     """Return the delta in its JSON form."""
-    return {table: _decode_change(change) for table, change in document.items()}
+    return {name: _decode_change(change) for name, change in document.items()}
 
 
 def encode_version(version: Version) -> Document:
--- a/indigodeck/versions/publisher.py
+++ b/indigodeck/versions/publisher.py
@@ -141,7 +141,7 @@
         snapshot = self.version_log.snapshot
         if snapshot:
             self._host.resume_tables(
-                {int(table): self._known_servers(held.weights) for table, held in snapshot.items()}
+                {int(name): self._known_servers(table.weights) for name, table in snapshot.items()}
             )
 
     def lose_leadership(self) -> None:
@@ -228,9 +228,9 @@
         if self._host.now() >= self.retain_tables_until:
             return snapshot
         retained = {
-            table: held
-            for table, held in self.version_log.snapshot.items()
-            if held.class_name in self.class_names
+            name: table
+            for name, table in self.version_log.snapshot.items()
+            if table.class_name in self.class_names
         }
         return {**retained, **snapshot}
 
@@ -295,9 +295,9 @@
         """Return the weights of one class's tables in a version."""
         snapshot = self.version_log.snapshot_of(number) or {}
         return {
-            int(table): self._weights_by_index(held.weights)
-            for table, held in snapshot.items()
-            if held.class_name == class_name
+            int(name): self._weights_by_index(table.weights)
+            for name, table in snapshot.items()
+            if table.class_name == class_name
         }
 
     def _weights_by_index(self, weights: Mapping[str, float]) -> Weights:
--- a/indigodeck/versions/replication.py
+++ b/indigodeck/versions/replication.py
@@ -176,7 +176,7 @@
         if len(parts) < message.part_count:
             return
         del self._parts[number]
-        snapshot = {table: held for part in parts.values() for table, held in part.items()}
+        snapshot = {name: table for part in parts.values() for name, table in part.items()}
         # Else these are parts of two answers, perhaps: it is asked for again when it is announced.
         if snapshot_hash(snapshot) == message.version.content_hash:
             self._publisher.on_peer_version(message.version, snapshot)
@@ -216,12 +216,12 @@
     """Yield the tables in parts that each fit a message; one part where there are none."""
     part: Snapshot = {}
     size = 0
-    for table, held in sorted(snapshot.items()):
-        cost = len(json.dumps(codec.encode_table(held))) + len(table) + TABLE_OVERHEAD_BYTES
+    for name, table in sorted(snapshot.items()):
+        cost = len(json.dumps(codec.encode_table(table))) + len(name) + TABLE_OVERHEAD_BYTES
         if part and size + cost > MAX_PART_BYTES:
             yield part
             part = {}
             size = 0
-        part[table] = held
+        part[name] = table
         size += cost
     yield part
--- a/indigodeck/versions/snapshots.py
+++ b/indigodeck/versions/snapshots.py
@@ -45,15 +45,15 @@
 
 def snapshot_hash(snapshot: Snapshot) -> str:
     """Return the hash of a whole snapshot."""
-    return combined_hash({table: table_hash(held) for table, held in snapshot.items()})
+    return combined_hash({name: table_hash(table) for name, table in snapshot.items()})
 
 
 def snapshot_delta(old: Snapshot, new: Snapshot) -> SnapshotDelta:
     """Return what turns the snapshot `old` into `new`, by table."""
     return {
-        table: _table_change(old.get(table), new.get(table))
-        for table in sorted(old.keys() | new.keys())
-        if old.get(table) != new.get(table)
+        name: _table_change(old.get(name), new.get(name))
+        for name in sorted(old.keys() | new.keys())
+        if old.get(name) != new.get(name)
     }
 
 
@@ -66,13 +66,13 @@
         If a table's delta was made from another table than the one in `old`.
     """
     new = dict(old)
-    for table, change in delta.items():
+    for name, change in delta.items():
         if change is None:
-            new.pop(table, None)
+            new.pop(name, None)
         elif isinstance(change, TableSnapshot):
-            new[table] = change
+            new[name] = change
         else:
-            new[table] = _changed_table(table, old.get(table), change)
+            new[name] = _changed_table(name, old.get(name), change)
     return new
 
 
--- a/indigodeck/versions/version_log.py
+++ b/indigodeck/versions/version_log.py
@@ -120,10 +120,8 @@
         `always`; else, or while no epoch is started, None.
         """
         hashes = {
-            table: self.table_hashes[table]
-            if self.snapshot.get(table) is held
-            else table_hash(held)
-            for table, held in snapshot.items()
+            name: self.table_hashes[name] if self.snapshot.get(name) is table else table_hash(table)
+            for name, table in snapshot.items()
         }
         if self._epoch is None or (hashes == self.table_hashes and not always):
             return None
@@ -237,7 +235,7 @@
 
     def _set_snapshot(self, snapshot: Snapshot) -> None:
         self.snapshot = snapshot
-        self.table_hashes = {table: table_hash(held) for table, held in snapshot.items()}
+        self.table_hashes = {name: table_hash(table) for name, table in snapshot.items()}
 
     def _append(self, version: Version, before: Snapshot) -> Version:
         """Add the newest version, whose snapshot is `self.snapshot`, in its shorter form."""
--- a/tests/versions/support.py
+++ b/tests/versions/support.py
@@ -20,18 +20,22 @@
         self.broken = False
 
     def wall_clock(self):
+        """Return the stub's time of day."""
         return self.clock
 
     def save(self, changes):
+        """Store values by key; None removes a key."""
         for key, value in changes:
             # As it would come back from a disk.
             self.held[key] = None if value is None or self.broken else json.loads(json.dumps(value))
         self.held = {key: value for key, value in self.held.items() if value is not None}
 
     def load(self, key):
+        """Return the value under a key, or None."""
         return self.held.get(key)
 
     def keys(self):
+        """Return the keys of stored versions."""
         return [key for key in self.held if key.startswith("version/")]
 
 
@@ -58,73 +62,94 @@
         self.publisher.publish("start")
 
     def now(self):
+        """Return the stub's time."""
         return self.clock
 
     def wall_clock(self):
+        """Return the store's time of day, moved on by the stub's time."""
         return self.store.wall_clock() + self.clock
 
     def save(self, changes):
+        """Store values by key."""
         self.store.save(changes)
 
     def load(self, key):
+        """Return a stored value."""
         return self.store.load(key)
 
     def keys(self, prefix):
+        """Return the stored keys that begin with a prefix."""
         return [key for key in self.store.held if key.startswith(prefix)]
 
     def assigned_tables(self):
+        """Return the weights as the assigner's tables."""
         return {
             table: AssignedTable(table % 2, weights, 1.0, 1, self.revisions[table])
             for table, weights in self.weights.items()
         }
 
     def server_id(self, server):
+        """Return the id of a server."""
         return SERVER_IDS[server]
 
     def server_index(self, server_id):
+        """Return the index of a server, or None."""
         return SERVER_IDS.index(server_id) if server_id in SERVER_IDS else None
 
     def readiness(self, server):
+        """Return the state that a test gave a server; warm where it gave none."""
         if not 0 <= server < 12:
             return ServerReadiness.UNAVAILABLE
         return self.states.get(server, ServerReadiness.WARM)
 
     def ejected_servers(self):
+        """Return the servers that a test made unavailable."""
         return frozenset(
             server for server, state in self.states.items() if state is ServerReadiness.UNAVAILABLE
         )
 
     def assigned_proxy_count(self, table):
+        """Return the proxies on a table."""
         return 2
 
     def relay_id(self, proxy):
+        """Return the id of a relay."""
         return f"relay-{proxy}"
 
     def tables_of(self, proxy):
+        """Return a proxy's table of each class."""
         return {0: proxy % 3 * 2, 1: proxy % 3 * 2 + 1}
 
     def free_lines(self):
+        """Return the room that a test left."""
         return self.room
 
     def max_waiting_lines(self):
+        """Return the size of the queue."""
         return 10_000
 
     def message_overhead_lines(self):
+        """Return the lines of a message's head."""
         return 6
 
     def mark_changed(self, table, servers):
+        """Note a table that was sent."""
         self.changed_tables.append(table)
 
     def resume_tables(self, tables):
+        """Note the tables to resume."""
         self.resumed = tables
 
     def on_version_published(self, version, delta):
+        """Note the newest version."""
         self.last = version, delta
 
     def on_requests_changed(self, state):
+        """Note what operators want."""
         self.request_states.append(state)
 
     def log(self, event, **facts):
+        """Note a log event."""
         self.logged.append((event, facts))
 
     def change(self, table, why="", **weights):
--- a/tests/versions/test_operator_commands.py
+++ b/tests/versions/test_operator_commands.py
@@ -12,6 +12,7 @@
     """Rollbacks and releases on a stub of the planner."""
 
     def test_a_rollback_pins_one_class_until_released_and_rules_come_first(self):
+        """A pinned class keeps its old table, as far as the rules let it, until it is released."""
         planner = StubPlanner()
         first = planner.publisher.newest()
         planner.change(0, h8=1.0, h9=1.0, h10=1.0)
@@ -54,6 +55,7 @@
         self.assertEqual(planner.published()["0"], {"host-8": 2.0, "host-9": 1.0})
 
     def test_a_command_takes_effect_once_however_often_and_by_whomever_it_is_given(self):
+        """A repeated command changes nothing; another operator's replaces the pin."""
         planner = StubPlanner()
         publisher = planner.publisher
         first = publisher.newest()
@@ -82,6 +84,7 @@
         )
 
     def test_a_version_whose_servers_are_all_gone_is_said_to_change_nothing_yet(self):
+        """The answer names the tables that a rule keeps as they are."""
         planner = StubPlanner()
         first = planner.publisher.newest()
         planner.change(0, h8=1.0, h9=1.0)
--- a/tests/versions/test_operator_requests.py
+++ b/tests/versions/test_operator_requests.py
@@ -13,6 +13,7 @@
     """What is kept for requests, and its stored form."""
 
     def test_pinned_versions_and_rollbacks_are_what_must_be_kept(self):
+        """Their state comes back from its stored form; no more versions are pinned than allowed."""
         requests = OperatorRequests()
         self.assertTrue(requests.set_version_pinned(VersionNumber(1, 4), True, 1))
         self.assertFalse(requests.set_version_pinned(VersionNumber(1, 4), True, 1))
--- a/tests/versions/test_publisher.py
+++ b/tests/versions/test_publisher.py
@@ -14,6 +14,7 @@
     """A publisher on a stub of the planner."""
 
     def test_each_change_is_a_version_with_its_cause_and_an_unchanged_snapshot_is_none(self):
+        """Versions have the assigner's words as causes, or the event that led to them."""
         planner = StubPlanner()
         planner.change(0, "server 3 leaves classes [0]: slow", h0=1.0, h1=1.0)
         planner.publisher.publish("turn")
@@ -40,6 +41,7 @@
         )
 
     def test_requests_outlast_a_restart_and_a_takeover_and_are_not_carried_out_twice(self):
+        """A rollback holds on over a restart and on another controller."""
         planner = StubPlanner()
         first = planner.publisher.newest()
         planner.change(0, h8=1.0, h9=1.0)
--- a/tests/versions/test_relay_versions.py
+++ b/tests/versions/test_relay_versions.py
@@ -15,6 +15,7 @@
     """What transports report of relays, in order, late, or twice."""
 
     def test_what_relays_hold_is_known_by_version_and_stored(self):
+        """Statuses follow what was taken and confirmed, and are stored now and then."""
         planner = StubPlanner()
         first = planner.publisher.newest()
         relay_versions = planner.publisher.relay_versions
--- a/tests/versions/test_rollback_pins.py
+++ b/tests/versions/test_rollback_pins.py
@@ -25,6 +25,7 @@
         some.lists(some.sampled_from([UNAVAILABLE, COLD, WARM]), min_size=10, max_size=10),
     )
     def test_rules_come_before_an_old_table(self, old, drawn, states):
+        """Whatever the old table and today's servers, what is published keeps the rules."""
         assigned = {
             server: weight for server, weight in drawn.items() if states[server] != UNAVAILABLE
         }
@@ -45,6 +46,7 @@
                 self.assertEqual(weights[server], old[server])
 
     def test_what_is_left_of_an_old_table_must_be_enough(self):
+        """Too little weight, or no warm server, leaves the assigned table."""
         old = {0: 1.0, 1: 1.0, 2: 1.0, 3: 1.0}
         assigned = {4: 1.0, 5: 1.0}
         self.assertEqual(
@@ -69,6 +71,7 @@
     """A rollback fills a part of the channel's queue only."""
 
     def test_the_way_there_and_back_is_paced_by_the_channel(self):
+        """A rollback of all tables takes two updates where the queue has room for four."""
         planner = StubPlanner()
         first = planner.publisher.newest()
         for table in range(6):
--- a/tests/versions/test_stored_versions.py
+++ b/tests/versions/test_stored_versions.py
@@ -21,9 +21,11 @@
     """Versions, rollbacks and relays' versions in the store that bb80827 wrote."""
 
     def log(self, store):
+        """Return the version log of a store."""
         return VersionLog(store, store.keys())
 
     def test_numbers_causes_authors_and_times_are_those_that_were_published(self):
+        """All versions are found, with what is known of them."""
         log = self.log(self.opened())
         self.assertEqual([tuple(one) for one in sorted(log.versions)], NUMBERS)
         self.assertEqual(log.newest, VersionNumber(33, 3))
@@ -64,6 +66,7 @@
         )
 
     def test_the_snapshot_of_each_version_are_those_that_were_published(self):
+        """Each version's tables are those that were published then."""
         log = self.log(self.opened())
         for one in STORED["versions"]:
             with self.subTest(number=one["number"]):
@@ -86,6 +89,7 @@
         )
 
     def test_the_rollback_and_the_pinned_versions_are_kept(self):
+        """Operator requests are read, and written in the same form."""
         requests = OperatorRequests(decode_requests(self.opened().held["wishes"]))
         self.assertEqual((requests.serial, requests.pinned_versions), ((33, 2), {(3, 12), (17, 1)}))
         self.assertEqual(
@@ -103,6 +107,7 @@
         self.assertEqual(encode_requests(requests.state()), STORED["records"]["wishes"])
 
     def test_a_new_version_follows_under_a_higher_epoch_while_the_rollback_goes_on(self):
+        """The log goes on where the old program left it, in records that it can read."""
         store = self.opened()
         planner = StubPlanner(store, epoch=0)
         self.assertEqual(
@@ -139,6 +144,7 @@
         )
 
     def test_what_relays_hold_is_kept_in_the_same_form(self):
+        """Versions of relays are added to those that were stored."""
         store = self.opened()
         planner = StubPlanner(store, epoch=49)
         planner.publisher.relay_versions.on_taken(7, planner.publisher.newest())
@@ -151,6 +157,7 @@
         )
 
     def test_the_rollback_can_be_released(self):
+        """A stored rollback is released, and the pinned versions stay."""
         store = self.opened()
         planner = StubPlanner(store, epoch=49)
         self.assertEqual(planner.commands.release(["read"], "day shift", "mended"), "read released")
--- a/tests/versions/test_version_log.py
+++ b/tests/versions/test_version_log.py
@@ -16,15 +16,18 @@
     """A log on a store that outlasts it."""
 
     def setUp(self):
+        """Set up an empty store."""
         self.store = StubStore()
         self.random = SeededRandom(4)
 
     def started(self, epoch, **options):
+        """Return a log on the store, as a start under an epoch opens it."""
         log = VersionLog(self.store, self.store.keys(), **options)
         log.start_epoch(epoch)
         return log
 
     def test_any_kept_version_comes_back_as_it_was_over_restarts(self):
+        """200 versions over four restarts, each with the tables that it was published with."""
         published = {}
         log = self.started(1)
         for nth in range(200):
@@ -48,6 +51,7 @@
         self.assertLessEqual(len(published) / CHAIN_LENGTH, chain_starts)
 
     def test_a_restart_alone_makes_no_version_and_no_number_comes_twice(self):
+        """The same snapshot is no new version; a lost record's number is not used again."""
         log = self.started(3)
         snapshot = random_snapshot(self.random)
         first = log.publish(snapshot, "a")
@@ -70,6 +74,7 @@
         self.assertEqual(VersionNumber.parse("17.3"), VersionNumber(17, 3))
 
     def test_nothing_is_numbered_while_no_epoch_is_started(self):
+        """Without an epoch there is no version."""
         log = self.started(3)
         log.stop_epoch()
         self.assertIsNone(log.publish(random_snapshot(self.random), "a"))
@@ -77,6 +82,7 @@
         self.assertEqual(str(log.publish(random_snapshot(self.random), "b").number), "19.1")
 
     def test_a_chain_with_a_record_missing_or_damaged_is_not_served(self):
+        """Versions after a damaged record are not given out, those before it are."""
         log = self.started(1)
         numbers = []
         for nth in range(20):
@@ -92,6 +98,7 @@
         self.assertEqual(again.newest, numbers[9])
 
     def test_old_chains_are_pruned_by_count_and_age_unless_they_are_needed(self):
+        """Whole chains go, oldest first; a needed version keeps its chain."""
         log = self.started(1, max_versions=100, max_age=DAY)
         for _ in range(400):
             self.store.clock += DAY // 200
