--- /dev/null
+++ b/tests/planner/stored_planner.py
@@ -0,0 +1,88 @@
+"""A planner with a store, and its restart, for tests over sockets."""
+
+import asyncio
+import contextlib
+import json
+import pathlib
+import unittest
+from collections.abc import AsyncIterator
+from typing import Any, NamedTuple
+
+from support import Planner, ports, until
+
+from indigodeck.client import Tables
+
+CLIENT_STOP_SECONDS = 3
+
+
+def stored_planner() -> Planner:
+    """Return a planner, not started yet, that has a store."""
+    planner = Planner()
+    planner.document["store"] = {"folder": "store"}
+    return planner
+
+
+class ClosedService:
+    """Stands for a planner's service that was closed already."""
+
+    def close(self) -> None:
+        """Do nothing."""
+
+
+@contextlib.asynccontextmanager
+async def restarted(planner: Planner) -> AsyncIterator[None]:
+    """Start a planner whose service was closed once more, in its folder."""
+    await planner.__aenter__()
+    try:
+        yield
+    finally:
+        planner.service.close()
+        planner.service = ClosedService()
+
+
+class ConnectedClient(NamedTuple):
+    """A client that runs, its tables and its task."""
+
+    tables: Tables
+    client: Any
+    task: asyncio.Task
+
+    def ports(self) -> set[int]:
+        """Return the numbers of the hosts in the table of the class `reading`."""
+        return ports(self.tables)
+
+    async def until_ports(self, numbers: set[int]) -> None:
+        """Wait until the table holds just these hosts."""
+        await until(lambda: self.ports() == numbers)
+
+    async def until_without(self, *numbers: int) -> None:
+        """Wait until the table holds none of these hosts."""
+        await until(lambda: not self.ports() & set(numbers))
+
+
+@contextlib.asynccontextmanager
+async def connected_client(planner: Planner) -> AsyncIterator[ConnectedClient]:
+    """Connect a client that has its first table, and stop it at the end."""
+    connected = ConnectedClient(*planner.client())
+    await until(connected.ports)
+    yield connected
+    connected.client.stop()
+    await asyncio.wait([connected.task], timeout=CLIENT_STOP_SECONDS)
+
+
+def folder_of(planner: Planner) -> pathlib.Path:
+    """Return the planner's folder."""
+    return pathlib.Path(planner.folder.name)
+
+
+class StoredPlannerCase(unittest.IsolatedAsyncioTestCase):
+    """Tests of one planner with a store, in `planner`."""
+
+    async def asyncSetUp(self) -> None:
+        """Make the planner; the test starts it."""
+        self.planner = stored_planner()
+
+
+def document_copy(planner: Planner) -> dict[str, Any]:
+    """Return a copy of the planner's settings document, to change."""
+    return json.loads(json.dumps(planner.document))
--- /dev/null
+++ b/tests/planner/test_restart.py
@@ -0,0 +1,109 @@
+"""What outlasts a restart of a running planner with a store, and a store that stops."""
+
+import asyncio
+import errno
+import unittest.mock
+
+from support import until
+
+from .stored_planner import StoredPlannerCase, connected_client, folder_of, restarted
+
+LIST_STORED_SECONDS = 1.3  # the endpoint list is stored once a second
+
+
+class RestartTest(StoredPlannerCase):
+    """The same planner started twice in one folder."""
+
+    async def test_a_restart_goes_on_with_versions_tables_and_rollbacks(self):
+        """The epoch is a new one; the content is the same until something changes."""
+        planner = self.planner
+        async with planner:
+            async with connected_client(planner) as client:
+                publisher = planner.service.versions.publisher
+                await until(publisher.newest)
+                first = publisher.newest()
+                planner.keep(host_0="draining", host_1="draining")
+                await client.until_without(0, 1)
+                planner.keep(host_0="ready", host_1="ready")
+                await client.until_ports(set(range(6)))
+                answer = await planner.service.versions.on_operator_request(
+                    {
+                        "what": "rollback",
+                        "number": str(max(publisher.version_log.versions)),
+                        "classes": ["reading"],
+                        "author": "duty",
+                        "reason": "to see",
+                    }
+                )
+                self.assertIn("reading held at", answer["done"])
+                last = publisher.newest()
+                content_hash = publisher.version_log.content_hash()
+            planner.service.close()
+            async with restarted(planner), connected_client(planner) as client:
+                await asyncio.sleep(0.5)
+                publisher = planner.service.versions.publisher
+                self.assertEqual(
+                    (publisher.newest(), publisher.version_log.content_hash()),
+                    (last, content_hash),
+                )
+                self.assertEqual(publisher.requests.rollbacks["reading"].author, "duty")
+                planner.keep(host_2="draining")
+                await client.until_without(2)
+                newest = publisher.newest()
+                self.assertEqual((first.epoch, newest.epoch, newest.serial), (1, 2, 1))
+                await until(
+                    lambda: [
+                        status
+                        for status in publisher.relay_versions.statuses()
+                        if status[1:] == (publisher.newest(), True, True)
+                    ]
+                )
+
+    async def test_a_list_that_can_not_be_read_any_more_is_replaced_by_the_stored_one(self):
+        """A list older than the stored one is not used; a newer one is."""
+        planner = self.planner
+        async with planner:
+            async with connected_client(planner) as client:
+                planner.keep(host_3="draining")
+                await client.until_without(3)
+                await asyncio.sleep(LIST_STORED_SECONDS)
+            planner.service.close()
+            (folder_of(planner) / "roster.json").unlink()
+            async with restarted(planner), connected_client(planner) as client:
+                service = planner.service
+                self.assertEqual(client.ports(), {0, 1, 2, 4, 5})
+                index_of = service.endpoints.server_ids.index_of
+                self.assertEqual(
+                    sorted(service.planner_host.assigner.state.tables[0].members),
+                    [index_of[f"host-{number}"] for number in (0, 1, 2, 4, 5)],
+                )
+                trust = await self.trust()
+                self.assertEqual((trust["named"], service.endpoints.endpoint_list.version), (6, 2))
+                planner.version = 0
+                planner.keep(host_4="draining")
+                await until(lambda: planner.said("endpoint_list_stale"))
+                self.assertIn(4, client.ports())
+                planner.version = 5
+                planner.keep(host_4="draining")
+                await client.until_without(4)
+                self.assertIsNone(await self.trust())
+
+    async def trust(self):
+        """Return what operators are told of the stored list, or None if it isn't used."""
+        answer = await self.planner.service.versions.on_operator_request({"what": "trust"})
+        return answer["trust"]
+
+
+class StoppedStoreTest(StoredPlannerCase):
+    """A store that can't be written."""
+
+    async def test_a_store_that_stops_delays_no_decision(self):
+        """Tables change as ever, and the log says that the store has stopped."""
+        planner = self.planner
+        full = OSError(errno.ENOSPC, "no space left on device")
+        async with planner, connected_client(planner) as client:
+            files = planner.service.versions.store.files
+            with unittest.mock.patch.object(files, "append", side_effect=full):
+                planner.keep(host_0="draining")
+                await client.until_without(0)
+                await until(lambda: planner.said("store_stopped"))
