--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -20,7 +20,7 @@
 from indigodeck.client.sasp import SaspClient  # noqa: E402
 from indigodeck.client.xds import XdsClient  # noqa: E402
 from indigodeck.clock import now  # noqa: E402
-from indigodeck.leadership.transport import ask  # noqa: E402
+from indigodeck.leadership.operator_client import ask  # noqa: E402
 from indigodeck.store.files import StoreFolder  # noqa: E402
 from indigodeck.store.write_ahead_log import WriteAheadLog  # noqa: E402
 from indigodeck.testbed.discovery_server import EndpointListFile  # noqa: E402
--- a/indigodeck/cli/controller_group.py
+++ b/indigodeck/cli/controller_group.py
@@ -52,8 +52,8 @@
     from tornado.iostream import StreamClosedError
     from tornado.util import TimeoutError as DeadlineExceededError
 
-    from ..leadership.messages import MessageRejectedError
-    from ..leadership.transport import ask
+    from ..leadership.message_codec import MessageRejectedError
+    from ..leadership.operator_client import ask
 
     async def ask_one(address: Address) -> Answer:
         try:
@@ -67,7 +67,7 @@
 
 def read_controller_group(settings_path: str) -> ControllerGroup:
     """Ask the controllers of a settings file, and those that were added since, for their state."""
-    from ..leadership.transport import parse_address
+    from ..leadership.addresses import parse_address
     from ..planner.planner_settings import read_settings
     from ..serve import read_key
 
--- a/indigodeck/leadership/operator_server.py
+++ b/indigodeck/leadership/operator_server.py
@@ -13,13 +13,13 @@
 from tornado.tcpserver import TCPServer
 from tornado.util import TimeoutError as DeadlineExceededError
 
-from . import messages
+from . import message_codec, messages
 
 OPERATOR = "operator"  # what an operator's messages name as their source
 PLANNER = "planner"  # what a planner without other controllers names as its answers' source
 MAX_CONNECTIONS = 64
 MESSAGE_TIMEOUT = 5  # seconds from the first byte of a message to its last
-BUFFER_BYTES = 4 * messages.MAX_BODY_BYTES
+BUFFER_BYTES = 4 * message_codec.MAX_BODY_BYTES
 
 
 class OperatorService(Protocol):
@@ -37,9 +37,9 @@
 
     It may be long in coming; once begun, it must end in time.
     """
-    head = await stream.read_bytes(messages.LENGTH_BYTES)
+    head = await stream.read_bytes(message_codec.LENGTH_BYTES)
     deadline = IOLoop.current().time() + MESSAGE_TIMEOUT
-    rest = stream.read_bytes(messages.remaining_bytes(head))
+    rest = stream.read_bytes(message_codec.remaining_bytes(head))
     return await with_timeout(deadline, rest, StreamClosedError)
 
 
@@ -75,8 +75,8 @@
         try:
             while True:
                 await self._answer_next(stream)
-        except messages.MessageRejectedError as error:
-            self._service.note("operator_rejected", peer=address[0], reason=str(error))
+        except message_codec.MessageRejectedError as error:
+            self._service.note("operator_rejected", peer=address[0], why=str(error))
         except (StreamClosedError, DeadlineExceededError, OSError):
             pass
         finally:
@@ -85,12 +85,12 @@
 
     async def _answer_next(self, stream: IOStream) -> None:
         data = await read_message(stream)
-        received = messages.unpack(self._key, data, lambda name: name == OPERATOR)
-        message = messages.from_wire(received.kind, received.fields)
+        received = message_codec.unpack(self._key, data, lambda name: name == OPERATOR)
+        message = message_codec.from_wire(received.kind, received.fields)
         if not isinstance(message, messages.VersionRequest):
-            raise messages.MessageRejectedError(
+            raise message_codec.MessageRejectedError(
                 f"{received.kind!r} is for planners that share a fleet"
             )
         said = await self._service.on_operator_request(message.request)
-        kind, fields = messages.to_wire(messages.Answer(said))
-        await stream.write(messages.pack(self._key, PLANNER, kind, received.version, **fields))
+        kind, fields = message_codec.to_wire(messages.Answer(said))
+        await stream.write(message_codec.pack(self._key, PLANNER, kind, received.version, **fields))
--- a/indigodeck/leadership/transport.py
+++ b/indigodeck/leadership/transport.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple, Protocol
 
-from tornado.gen import sleep, with_timeout
+from tornado.gen import sleep
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.locks import Event
@@ -18,7 +18,8 @@
 
 from ..assignment.seeded_random import SeededRandom
 from ..clock import SECOND
-from . import messages
+from . import message_codec, messages
+from .addresses import Address, parse_address
 from .election import LeaderElection
 from .lease_record import RecordStore
 from .operator_server import BUFFER_BYTES, OPERATOR, read_message
@@ -30,15 +31,6 @@
 CONNECT_TIMEOUT = 1  # seconds, to another controller
 MIN_RECONNECT_BACKOFF = 0.05  # seconds
 MAX_RECONNECT_BACKOFF = 1.0  # seconds
-OPERATOR_CONNECT_TIMEOUT = 2  # seconds
-ANSWER_TIMEOUT = 3  # seconds, that an operator waits
-
-
-class Address(NamedTuple):
-    """Where a controller listens."""
-
-    host: str
-    port: int
 
 
 class Follower(NamedTuple):
@@ -84,7 +76,7 @@
         self.address = address
         self.queue: deque[tuple[int, bytes]] = deque(maxlen=MAX_QUEUED_MESSAGES)  # and since when
         self.has_messages = Event()
-        self.spoken = messages.SpokenVersion(newest_version)
+        self.spoken = message_codec.SpokenVersion(newest_version)
         self.is_closed = False
 
 
@@ -108,7 +100,7 @@
         lease_store: RecordStore[LeaseRecord],
         rejection_store: RecordStore[list[Rejection]],
         random: SeededRandom,
-        newest_version: int = messages.NEWEST_VERSION,
+        newest_version: int = message_codec.NEWEST_VERSION,
     ) -> None:
         super().__init__(max_buffer_size=BUFFER_BYTES)
         self._service = service
@@ -169,10 +161,10 @@
         peer = self._peers.get(member)
         if peer is None:
             return
-        kind, fields = messages.to_wire(message)
+        kind, fields = message_codec.to_wire(message)
         version = peer.spoken.version
-        if messages.can_say(kind, version, fields):
-            data = messages.pack(self._key, self._settings.me, kind, version, **fields)
+        if message_codec.can_say(kind, version, fields):
+            data = message_codec.pack(self._key, self._settings.me, kind, version, **fields)
             peer.queue.append((self.now(), data))
             peer.has_messages.set()
 
@@ -246,10 +238,10 @@
         try:
             while True:
                 await self._handle_next(stream, connection)
-        except messages.MessageRejectedError as error:
+        except message_codec.MessageRejectedError as error:
             # One line for each connection, which ends: who is not of this fleet can't fill the log
             # through one.
-            self._service.note("controller_rejected", peer=address[0], reason=str(error))
+            self._service.note("controller_rejected", peer=address[0], why=str(error))
         except (StreamClosedError, DeadlineExceededError, OSError):
             pass
         finally:
@@ -257,19 +249,19 @@
 
     async def _handle_next(self, stream: IOStream, connection: object) -> None:
         data = await read_message(stream)
-        received = messages.unpack(
+        received = message_codec.unpack(
             self._key, data, lambda name: name in self._peers or name == OPERATOR
         )
         if received.version > self._newest_version:
-            raise messages.MessageRejectedError(
+            raise message_codec.MessageRejectedError(
                 f"version {received.version}, {self._newest_version} is the newest spoken here"
             )
-        message = messages.from_wire(received.kind, received.fields)
+        message = message_codec.from_wire(received.kind, received.fields)
         if received.source == OPERATOR:
             answer = messages.Answer(await self._answer(received.kind, message))
-            kind, fields = messages.to_wire(answer)
+            kind, fields = message_codec.to_wire(answer)
             await stream.write(
-                messages.pack(self._key, self._settings.me, kind, received.version, **fields)
+                message_codec.pack(self._key, self._settings.me, kind, received.version, **fields)
             )
             return
         self._peers[received.source].spoken.on_message(connection, received.version)
@@ -301,7 +293,7 @@
                 return {"handed_over": transferred}
             case messages.VersionRequest(request):
                 return await self._service.on_operator_request(request)
-        raise messages.MessageRejectedError(f"an operator can't say {kind!r}")
+        raise message_codec.MessageRejectedError(f"an operator can't say {kind!r}")
 
     async def _status(self) -> dict[str, Any]:
         followers = await self._service.followers()
@@ -313,7 +305,7 @@
             member.message_version = (
                 self._newest_version if is_self else self._peers[name].spoken.version
             )
-        return status.document()
+        return message_codec.status_document(status)
 
     async def _followers(self, after: str) -> dict[str, Any]:
         found = sorted(
@@ -332,47 +324,3 @@
         ):
             return "a member speaks version 1, which knows no changes of members"
         return self.election.change_members(members)
-
-
-def parse_address(text: str) -> Address:
-    """Return the address that is written as "HOST:PORT"."""
-    host, _, port = text.rpartition(":")
-    return Address(host, int(port))
-
-
-async def ask(address: tuple[str, int], key: bytes, kind: str, **fields: Any) -> Any:
-    """Return one controller's answer to an operator, by the request's kind and fields on the wire.
-
-    One that speaks only an older version is asked in that.
-
-    Raises
-    ------
-    OSError, StreamClosedError, DeadlineExceededError
-        If the controller is not reached or does not answer in time.
-    MessageRejectedError
-        If its answer is none.
-    """
-    *newer, last = messages.versions_that_can_say(kind, fields)
-    for version in newer:
-        try:
-            return await _ask_in_version(address, key, version, kind, **fields)
-        except StreamClosedError:
-            continue
-    return await _ask_in_version(address, key, last, kind, **fields)
-
-
-async def _ask_in_version(
-    address: tuple[str, int], key: bytes, version: int, kind: str, **fields: Any
-) -> Any:
-    stream = await TCPClient().connect(*address, timeout=OPERATOR_CONNECT_TIMEOUT)
-    try:
-        await stream.write(messages.pack(key, OPERATOR, kind, version, **fields))
-        deadline = IOLoop.current().time() + ANSWER_TIMEOUT
-        head = await with_timeout(
-            deadline, stream.read_bytes(messages.LENGTH_BYTES), StreamClosedError
-        )
-        rest = stream.read_bytes(messages.remaining_bytes(head))
-        data = await with_timeout(deadline, rest, StreamClosedError)
-        return messages.unpack(key, data, lambda name: True).fields["said"]
-    finally:
-        stream.close()
--- a/tests/leadership/controllers.py
+++ b/tests/leadership/controllers.py
@@ -10,7 +10,7 @@
 
 from support import ROOT, until  # noqa: E402 - after the variable
 
-from indigodeck.leadership.transport import ask  # noqa: E402 - after the variable
+from indigodeck.leadership.operator_client import ask  # noqa: E402 - after the variable
 from indigodeck.testbed.controller_fleet import ControllerFleet  # noqa: E402 - after the variable
 
 
--- a/tests/leadership/test_messages.py
+++ b/tests/leadership/test_messages.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from indigodeck.leadership import messages
+from indigodeck.leadership import message_codec
 
 PLACES = {name: f"127.0.0.1:{nth}" for nth, name in enumerate("abc", 1)}
 
@@ -18,30 +18,31 @@
 
     def test_messages_are_rejected_with_a_reason(self):
         def said(data, key=self.KEY):
-            with self.assertRaises(messages.MessageRejectedError) as caught:
-                messages.unpack(key, data[messages.LENGTH_BYTES :], {"c1"}.__contains__)
+            with self.assertRaises(message_codec.MessageRejectedError) as caught:
+                message_codec.unpack(key, data[message_codec.LENGTH_BYTES :], {"c1"}.__contains__)
             return str(caught.exception)
 
-        good = messages.pack(self.KEY, "c1", "release", ward="fleet", epoch=3)
+        good = message_codec.pack(self.KEY, "c1", "release", ward="fleet", epoch=3)
         self.assertEqual(
-            messages.unpack(self.KEY, good[4:], {"c1"}.__contains__),
+            message_codec.unpack(self.KEY, good[4:], {"c1"}.__contains__),
             ("c1", 3, "release", {"ward": "fleet", "epoch": 3}),
         )
         self.assertEqual(said(good, b"another key"), "not sealed with the key of this fleet")
         self.assertEqual(
-            said(messages.pack(self.KEY, "c9", "release", ward="fleet", epoch=3)),
+            said(message_codec.pack(self.KEY, "c9", "release", ward="fleet", epoch=3)),
             "'c9' is none of this fleet",
         )
         self.assertEqual(
-            said(messages.pack(self.KEY, "c1", "release", ward="fleet")),
+            said(message_codec.pack(self.KEY, "c1", "release", ward="fleet")),
             "'release' with fields ['ward']",
         )
         self.assertEqual(
-            said(messages.pack(self.KEY, "c1", "release", ward="fleet", epoch=-1)), "epoch is -1"
+            said(message_codec.pack(self.KEY, "c1", "release", ward="fleet", epoch=-1)),
+            "epoch is -1",
         )
         self.assertEqual(
             said(
-                messages.pack(
+                message_codec.pack(
                     self.KEY,
                     "c1",
                     "tell",
@@ -56,29 +57,33 @@
             "epochs are not numbers by ward",
         )
         self.assertEqual(
-            said(messages.pack(self.KEY, "c1", "members", number=1, members={"c1": 5}, epochs={})),
+            said(
+                message_codec.pack(
+                    self.KEY, "c1", "members", number=1, members={"c1": 5}, epochs={}
+                )
+            ),
             "members are not places by id",
         )
         self.assertEqual(
             said(
-                messages.pack(self.KEY, "c1", "release", 3, ward="fleet", epoch=3).replace(
+                message_codec.pack(self.KEY, "c1", "release", 3, ward="fleet", epoch=3).replace(
                     b'"version": 3', b'"version": 4'
                 )
             ),
             "not sealed with the key of this fleet",
         )
         with unittest.mock.patch.dict(
-            messages.FIELDS_BY_VERSION, {4: messages.FIELDS_BY_VERSION[3]}
+            message_codec.FIELDS_BY_VERSION, {4: message_codec.FIELDS_BY_VERSION[3]}
         ):
-            newer = messages.pack(self.KEY, "c1", "release", 4, ward="fleet", epoch=3)
+            newer = message_codec.pack(self.KEY, "c1", "release", 4, ward="fleet", epoch=3)
         self.assertEqual(said(newer), "version 4; spoken here are 1, 2, 3")
         self.assertEqual(
-            said(messages.pack(self.KEY, "c1", "noted", serial=[3])),
+            said(message_codec.pack(self.KEY, "c1", "noted", serial=[3])),
             "'noted': serial is of no known shape",
         )
         self.assertEqual(
             said(
-                messages.pack(
+                message_codec.pack(
                     self.KEY,
                     "c1",
                     "wishes",
@@ -89,7 +94,7 @@
         )
         self.assertEqual(
             said(
-                messages.pack(
+                message_codec.pack(
                     self.KEY,
                     "c1",
                     "sheets",
@@ -103,21 +108,21 @@
             ),
             "'sheets': sheets is of no known shape",
         )
-        with self.assertRaises(messages.MessageRejectedError):
-            messages.remaining_bytes((1 << 30).to_bytes(4, "big"))
+        with self.assertRaises(message_codec.MessageRejectedError):
+            message_codec.remaining_bytes((1 << 30).to_bytes(4, "big"))
 
     def test_an_older_version_says_what_it_can_and_is_understood(self):
         told = dict(
             hello=1, epochs={"fleet": [7, "c2"]}, serial=0, number=0, members=PLACES, plan=None
         )
-        old = messages.pack(self.KEY, "c1", "tell", 1, **told)
+        old = message_codec.pack(self.KEY, "c1", "tell", 1, **told)
         self.assertEqual(
-            messages.unpack(self.KEY, old[4:], {"c1"}.__contains__),
+            message_codec.unpack(self.KEY, old[4:], {"c1"}.__contains__),
             ("c1", 1, "tell", dict(told, epochs={"fleet": [7, None]}, members=None)),
         )
-        self.assertFalse(messages.can_say("propose", 1, {}))
-        self.assertFalse(messages.can_say("ask", 1, {"number": 3}))
-        spoken = messages.SpokenVersion()
+        self.assertFalse(message_codec.can_say("propose", 1, {}))
+        self.assertFalse(message_codec.can_say("ask", 1, {"number": 3}))
+        spoken = message_codec.SpokenVersion()
         spoken.on_message("old", 1)
         self.assertEqual(spoken.version, 1)
         spoken.on_message("new", 2)  # replaced by a newer program
@@ -127,14 +132,14 @@
     @settings(max_examples=300, deadline=None)
     @given(some.integers(0, 200), some.binary(min_size=1, max_size=8))
     def test_damage_anywhere_is_rejected(self, at, put):
-        good = messages.pack(
+        good = message_codec.pack(
             self.KEY, "c1", "ask", ward="fleet", epoch=3, round=1 << 40, serial=2, number=0
         )[4:]
         at %= len(good)
         damaged = good[:at] + put + good[at + len(put) :]
         if damaged != good:
-            with self.assertRaises(messages.MessageRejectedError):
-                messages.unpack(self.KEY, damaged, {"c1"}.__contains__)
+            with self.assertRaises(message_codec.MessageRejectedError):
+                message_codec.unpack(self.KEY, damaged, {"c1"}.__contains__)
 
 
 if __name__ == "__main__":
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -9,7 +9,7 @@
 from versions.support import StubStore
 
 from indigodeck.assignment.seeded_random import SeededRandom
-from indigodeck.leadership import messages
+from indigodeck.leadership import message_codec
 from indigodeck.leadership.election import LeaderElection
 from indigodeck.leadership.lease_record import (
     RecordFile,
@@ -309,9 +309,9 @@
         for place, one in enumerate(MESSAGES["messages"]):
             with self.subTest(place=place, kind=one["kind"], version=one["version"]):
                 data = bytes.fromhex(one["bytes"])
-                head, rest = data[: messages.LENGTH_BYTES], data[messages.LENGTH_BYTES :]
-                self.assertEqual(messages.remaining_bytes(head), len(rest))
-                source, version, kind, fields = messages.unpack(
+                head, rest = data[: message_codec.LENGTH_BYTES], data[message_codec.LENGTH_BYTES :]
+                self.assertEqual(message_codec.remaining_bytes(head), len(rest))
+                source, version, kind, fields = message_codec.unpack(
                     self.KEY, rest, lambda name, who=one["from"]: name == who
                 )
                 self.assertEqual(
@@ -322,7 +322,7 @@
     def test_each_is_packed_as_the_same_bytes(self):
         for place, one in enumerate(MESSAGES["messages"]):
             with self.subTest(place=place, kind=one["kind"], version=one["version"]):
-                data = messages.pack(
+                data = message_codec.pack(
                     self.KEY, one["from"], one["kind"], one["version"], **one["fields"]
                 )
                 self.assertEqual(data.hex(), one["bytes"])
@@ -333,8 +333,10 @@
         ]
         self.assertEqual([one["version"] for one in grants], [2, 3])
         for one in grants:
-            fields = messages.unpack(
-                self.KEY, bytes.fromhex(one["bytes"])[messages.LENGTH_BYTES :], lambda name: True
+            fields = message_codec.unpack(
+                self.KEY,
+                bytes.fromhex(one["bytes"])[message_codec.LENGTH_BYTES :],
+                lambda name: True,
             )[3]
             self.assertEqual(
                 (fields["plan"], fields["ward"], fields["epoch"], fields["number"]),
--- a/tests/versions/test_replication.py
+++ b/tests/versions/test_replication.py
@@ -6,7 +6,7 @@
 from rig import SECOND, Loop
 
 from indigodeck.assignment.seeded_random import SeededRandom
-from indigodeck.leadership import messages
+from indigodeck.leadership import message_codec
 from indigodeck.versions.replication import VersionReplicator
 from indigodeck.versions.snapshots import snapshot_hash
 
@@ -51,9 +51,9 @@
         if self.random.below(100) < self.loss:
             return
         # As it travels: what a message can't carry must show here.
-        *_, fields = messages.unpack(
+        *_, fields = message_codec.unpack(
             b"a key",
-            messages.pack(b"a key", source, kind, **fields)[messages.LENGTH_BYTES :],
+            message_codec.pack(b"a key", source, kind, **fields)[message_codec.LENGTH_BYTES :],
             lambda name: True,
         )
         # To the start that it was meant for: the next one has another replicator.
--- a/tests/versions/test_replication_messages.py
+++ b/tests/versions/test_replication_messages.py
@@ -5,7 +5,7 @@
 
 from test_stored_data import MESSAGES
 
-from indigodeck.leadership import messages
+from indigodeck.leadership import message_codec
 from indigodeck.versions.replication_messages import MESSAGE_KINDS, decode, encode
 
 KEY = MESSAGES["key"].encode()
@@ -27,11 +27,13 @@
         for one in self.recorded:
             with self.subTest(kind=one["kind"]):
                 data = bytes.fromhex(one["bytes"])
-                fields = messages.unpack(KEY, data[messages.LENGTH_BYTES :], lambda name: True)[3]
+                fields = message_codec.unpack(
+                    KEY, data[message_codec.LENGTH_BYTES :], lambda name: True
+                )[3]
                 kind, sent = encode(decode(one["kind"], fields))
                 self.assertEqual(kind, one["kind"])
                 self.assertEqual(json.loads(json.dumps(sent)), one["fields"])
-                packed = messages.pack(KEY, one["from"], kind, one["version"], **sent)
+                packed = message_codec.pack(KEY, one["from"], kind, one["version"], **sent)
                 self.assertEqual(packed.hex(), one["bytes"])
 
 
