--- a/benchmarks/cuts.py
+++ b/benchmarks/cuts.py
@@ -28,7 +28,7 @@
 class CutsPlayed(NamedTuple):
     """How many scenarios were played, and what was wrong in the first that failed, or None."""
 
-    count: int
+    played: int
     problem: str | None
 
 
@@ -78,8 +78,8 @@
     result = {
         "what": "crash tests of the store",
         "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
-        "power_cuts": sum(played.count for played in cuts),
-        "broken": [played.problem for played in cuts if played.problem],
+        "power_cuts": sum(part.played for part in cuts),
+        "broken": [part.problem for part in cuts if part.problem],
         "files_cut_or_flipped": sum(damage),
         "seconds": round(time.monotonic() - began),
     }
--- a/tests/leadership/test_rollback_before_takeover.py
+++ b/tests/leadership/test_rollback_before_takeover.py
@@ -33,7 +33,7 @@
         }
         return next(number for number in numbers if f"{server} " not in shown[number])
 
-    async def test_a_rollback_just_before_a_takeover_takes_effect_once(self):
+    async def test_a_rollback_just_before_a_takeover_takes_effect_once(self) -> None:
         """The successor keeps the rollback, and does not publish it a second time."""
         await self.set_up(store=True)
         self.fleet.set_host_states(h0="draining")
--- a/tests/planner/test_restart.py
+++ b/tests/planner/test_restart.py
@@ -14,7 +14,7 @@
 class RestartTest(StoredPlannerCase):
     """The same planner started twice in one folder."""
 
-    async def test_a_restart_goes_on_with_versions_tables_and_rollbacks(self):
+    async def test_a_restart_goes_on_with_versions_tables_and_rollbacks(self) -> None:
         """The epoch is a new one; the content is the same until something changes."""
         planner = self.planner
         async with planner:
@@ -59,7 +59,7 @@
                     ]
                 )
 
-    async def test_a_list_that_can_not_be_read_any_more_is_replaced_by_the_stored_one(self):
+    async def test_a_list_that_can_not_be_read_any_more_is_replaced_by_the_stored_one(self) -> None:
         """A list older than the stored one is not used; a newer one is."""
         planner = self.planner
         async with planner:
@@ -97,7 +97,7 @@
 class StoppedStoreTest(StoredPlannerCase):
     """A store that can't be written."""
 
-    async def test_a_store_that_stops_delays_no_decision(self):
+    async def test_a_store_that_stops_delays_no_decision(self) -> None:
         """Tables change as ever, and the log says that the store has stopped."""
         planner = self.planner
         full = OSError(errno.ENOSPC, "no space left on device")
--- a/tests/store/test_damage.py
+++ b/tests/store/test_damage.py
@@ -2,6 +2,8 @@
 
 import errno
 import unittest
+import unittest.mock
+from collections.abc import Callable
 
 from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.store import segments
@@ -15,7 +17,7 @@
 class DamagedFileTest(SmallLimitsCase):
     """One file of a store is damaged after everything was synced."""
 
-    def setUp(self):
+    def setUp(self) -> None:
         """Fill a disk."""
         super().setUp()
         self.fill()
@@ -55,7 +57,7 @@
             self.assertTrue(log.data_lost, (name, case))
             self.assertIn(name, [damage.file_name for damage in log.damage], case)
 
-    def test_each_file_cut_at_every_byte(self):
+    def test_each_file_cut_at_every_byte(self) -> None:
         """A cut base costs nothing, a cut last segment only its end."""
         self.assert_undamaged()
         last_segment = max(name for name in self.files if name.endswith(FileType.SEGMENT))
@@ -69,7 +71,7 @@
                 elif name.endswith(FileType.BASE):
                     self.assertEqual(log.read_all(), self.states[-1], (name, size))
 
-    def test_each_file_with_a_bit_flipped_anywhere(self):
+    def test_each_file_with_a_bit_flipped_anywhere(self) -> None:
         """A flipped bit in a base costs nothing; elsewhere the damage is reported."""
         for name, data in self.files.items():
             for offset in range(len(data)):
@@ -80,29 +82,33 @@
                 if name.endswith(FileType.BASE):
                     self.assertEqual(log.read_all(), self.states[-1], (name, offset))
 
-    def test_an_unreadable_file_is_reported_and_the_rest_is_served(self):
+    def test_an_unreadable_file_is_reported_and_the_rest_is_served(self) -> None:
         """The store opens without the file, and can be written to."""
         for name in self.files:
             disk = self.filled_disk()
-            real_read = disk.read
-
-            def read(asked, name=name, real_read=real_read):
-                if asked == name:
-                    raise OSError(errno.EIO, "input/output error")
-                return real_read(asked)
-
-            disk.read = read
-            log = WriteAheadLog(disk)
-            self.assert_nothing_invented(log, name, "unreadable")
-            disk.read = real_read
+            with unittest.mock.patch.object(disk, "read", read_all_but(disk, name)):
+                log = WriteAheadLog(disk)
+                self.assert_nothing_invented(log, name, "unreadable")
             log.commit([[("key/0", {"nth": 10_000, "fill": ""})]])
             self.assertEqual(log.get("key/0")["nth"], 10_000)
 
 
+def read_all_but(disk: FaultyDisk, unreadable: str) -> Callable[[str], bytes]:
+    """Return a function that reads a disk's files, but fails for one of them."""
+    real_read = disk.read
+
+    def read(name: str) -> bytes:
+        if name == unreadable:
+            raise OSError(errno.EIO, "input/output error")
+        return real_read(name)
+
+    return read
+
+
 class DamagedRecordTest(SmallLimitsCase):
     """One record is damaged."""
 
-    def test_damage_within_a_segment_is_told_apart_from_a_torn_end(self):
+    def test_damage_within_a_segment_is_told_apart_from_a_torn_end(self) -> None:
         """A bad record that a later one vouches for is lost; a bad last one is no loss."""
         disk = FaultyDisk(SeededRandom(4))
         log = WriteAheadLog(disk)
@@ -123,7 +129,7 @@
             )
             self.assertEqual(recovered.get("b"), 2 if data_lost else 1)
 
-    def test_a_record_damaged_while_the_store_is_open_is_not_served(self):
+    def test_a_record_damaged_while_the_store_is_open_is_not_served(self) -> None:
         """Each reading checks the record again."""
         disk = FaultyDisk(SeededRandom(4))
         log = WriteAheadLog(disk)
--- a/tests/store/test_power_cuts.py
+++ b/tests/store/test_power_cuts.py
@@ -21,7 +21,7 @@
 class PowerCutTest(SmallLimitsCase):
     """What was acknowledged outlasts every power cut, and nothing else is held."""
 
-    def test_a_cut_at_every_operation_leaves_what_was_acknowledged(self):
+    def test_a_cut_at_every_operation_leaves_what_was_acknowledged(self) -> None:
         """Cut once in each operation of a run, by four seeds."""
         operation_count = CrashScenario(seed=1).run().operation_count
         self.assertGreater(operation_count, 100)
@@ -29,13 +29,13 @@
             for seed in range(1, 5):
                 self.assertIsNone(CrashScenario(seed, cut_at).run().problem)
 
-    def test_a_cut_during_the_recovery_from_a_cut(self):
+    def test_a_cut_during_the_recovery_from_a_cut(self) -> None:
         """Cut, and cut again in each of the first operations of the restart."""
         for cut_at in range(0, 120, 3):
             for restart_cut_at in range(6):
                 self.assertIsNone(CrashScenario(cut_at, cut_at, restart_cut_at).run().problem)
 
-    def test_a_process_that_ends_before_the_power_is_cut(self):
+    def test_a_process_that_ends_before_the_power_is_cut(self) -> None:
         """End the process, then cut the power with bytes read that were not synced."""
         for cut_at in range(0, 120, 2):
             scenario = CrashScenario(cut_at, cut_at, process_only=True)
@@ -43,7 +43,7 @@
             scenario = CrashScenario(cut_at, cut_at, restart_cut_at=2, process_only=True)
             self.assertIsNone(scenario.run().problem)
 
-    def test_disk_errors_stop_a_commit_and_lose_nothing_that_was_acknowledged(self):
+    def test_disk_errors_stop_a_commit_and_lose_nothing_that_was_acknowledged(self) -> None:
         """Fail operations with ENOSPC and EIO, without and with a power cut."""
         for seed in range(60):
             random = SeededRandom(seed)
@@ -70,7 +70,7 @@
         with unittest.mock.patch.object(owner, name, mutant):
             self.assertTrue(self.is_caught(), name)
 
-    def test_every_mutant_is_caught(self):
+    def test_every_mutant_is_caught(self) -> None:
         """Without a mutant nothing is found wrong; with each one something is."""
         self.assertFalse(self.is_caught())
         self.assert_caught(FaultyDisk, "sync", sync_bases_only)
--- a/tests/store/test_store_folder.py
+++ b/tests/store/test_store_folder.py
@@ -27,7 +27,7 @@
 class StoreFolderTest(unittest.TestCase):
     """Kills, locks and errors of a real file system."""
 
-    def setUp(self):
+    def setUp(self) -> None:
         """Make a temporary folder."""
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
@@ -39,24 +39,26 @@
         self.addCleanup(folder.close)
         return folder
 
-    def test_commits_outlast_a_process_that_is_killed_during_them(self):
+    def test_commits_outlast_a_process_that_is_killed_during_them(self) -> None:
         """Kill a process while it commits, and read what it printed as committed."""
         with subprocess.Popen(
             [sys.executable, "-c", COMMITTING_PROGRAM, str(self.path)],
             stdout=subprocess.PIPE,
             text=True,
         ) as process:
-            committed = [int(process.stdout.readline()) for _ in range(40)]
+            output = process.stdout
+            assert output is not None
+            committed = [int(output.readline()) for _ in range(40)]
             # One process at a time: a second one is rejected while the first holds the lock.
             with self.assertRaisesRegex(OSError, "another process holds it"):
                 StoreFolder(self.path)
             process.kill()
-            committed += [int(line) for line in process.stdout.read().split()]
+            committed += [int(line) for line in output.read().split()]
         log = WriteAheadLog(self.opened_folder())
         self.assertIn(log.get("number"), (committed[-1], committed[-1] + 1))
         self.assertEqual(log.get("twice"), 2 * log.get("number"))
 
-    def test_a_full_disk_is_reported_while_the_store_can_be_read(self):
+    def test_a_full_disk_is_reported_while_the_store_can_be_read(self) -> None:
         """Writing stops with the disk's reason and goes on once there is space."""
         folder = StoreFolder(self.path)
         log = WriteAheadLog(folder)
--- a/tests/store/test_write_ahead_log.py
+++ b/tests/store/test_write_ahead_log.py
@@ -2,6 +2,7 @@
 
 import os
 import unittest
+from typing import Any
 
 from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.store import framing
@@ -14,7 +15,7 @@
 class BoundsTest(SmallLimitsCase):
     """Records of newer programs, records that are too long, and a long history."""
 
-    def test_a_store_of_a_newer_program_is_read_and_never_written_to(self):
+    def test_a_store_of_a_newer_program_is_read_and_never_written_to(self) -> None:
         """An unknown body form forbids writing, and not reading."""
         disk = FaultyDisk(SeededRandom(4))
         log = WriteAheadLog(disk)
@@ -30,21 +31,22 @@
         with self.assertRaisesRegex(StoreStoppedError, "newer program"):
             reopened.commit([[("a", 2)]])
 
-    def test_what_is_too_long_is_rejected_and_nothing_is_written(self):
+    def test_what_is_too_long_is_rejected_and_nothing_is_written(self) -> None:
         """A key or record that is not allowed rejects the whole commit."""
         disk = FaultyDisk(SeededRandom(4))
         log = WriteAheadLog(disk)
         operation_count = disk.operation_count
-        for changes in (
+        rejected: list[Any] = [
             [("k" * 600, 1)],
             [("k", os.urandom(framing.MAX_BODY_BYTES))],
             [(7, 1)],
-        ):
+        ]
+        for changes in rejected:
             with self.assertRaises(ValueError):
                 log.commit([[("a", 1)], changes])
         self.assertEqual((disk.operation_count, log.keys()), (operation_count, []))
 
-    def test_what_a_start_reads_is_bounded_however_long_the_history(self):
+    def test_what_a_start_reads_is_bounded_however_long_the_history(self) -> None:
         """Ten times the commits leave less than twice the bytes."""
         sizes = []
         for commits in (300, 3000):
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -30,17 +30,17 @@
 class StoreWriterTest(unittest.TestCase):
     """The writer on a disk in memory that a test may delay."""
 
-    def setUp(self):
+    def setUp(self) -> None:
         """Open a writer."""
         self.disk = SlowDisk()
-        self.events = []
+        self.events: list[str] = []
         self.writer = StoreWriter(self.disk, lambda event, **facts: self.events.append(event))
 
     def durable_values(self) -> dict:
         """Return what a start after a power cut would find."""
         return WriteAheadLog(self.disk.after_power_cut()).read_all()
 
-    def test_all_changes_that_wait_for_one_sync_share_the_next(self):
+    def test_all_changes_that_wait_for_one_sync_share_the_next(self) -> None:
         """200 changes take three syncs at most, and a closed writer rejects more."""
         self.disk.syncs_allowed.clear()
         futures = [self.writer.put([(f"k{number}", number)]) for number in range(200)]
@@ -54,7 +54,7 @@
         with self.assertRaisesRegex(StoreStoppedError, "closed"):
             self.writer.put([("a", 1)]).result(1)
 
-    def test_a_change_that_can_not_be_written_does_not_affect_the_others(self):
+    def test_a_change_that_can_not_be_written_does_not_affect_the_others(self) -> None:
         """A key that is too long fails its own future alone."""
         self.disk.syncs_allowed.clear()
         futures = [self.writer.put([("a" * length, 1)]) for length in (3, 4, 600, 5)]
@@ -65,7 +65,7 @@
         )
         self.writer.close()
 
-    def test_a_full_disk_rejects_changes_and_writing_resumes_with_nothing_half_done(self):
+    def test_a_full_disk_rejects_changes_and_writing_resumes_with_nothing_half_done(self) -> None:
         """Both events are logged, and the failed change is not there."""
         next_operation = self.disk.operation_count
         self.disk.errors = {
@@ -79,7 +79,7 @@
         self.writer.close()
         self.assertEqual(self.durable_values(), {"a": 2})
 
-    def test_a_failed_compaction_is_given_up_and_writing_goes_on(self):
+    def test_a_failed_compaction_is_given_up_and_writing_goes_on(self) -> None:
         """It is logged once, and the values are there after a power cut."""
         with (
             unittest.mock.patch.object(WriteAheadLog, "compact", side_effect=IndexError),
@@ -93,7 +93,7 @@
         self.assertEqual(self.events, ["store_compaction_failed"])
         self.assertEqual(self.durable_values(), {"a": 2})
 
-    def test_the_number_of_waiting_changes_is_bounded(self):
+    def test_the_number_of_waiting_changes_is_bounded(self) -> None:
         """Further changes are rejected at once."""
         self.disk.syncs_allowed.clear()
         futures = [self.writer.put([("a", number)]) for number in range(5000)]
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -10,15 +10,15 @@
 class Sample(unittest.TestCase):
     """Run by the tests below alone: no method here is named as a test."""
 
-    def fails(self):
+    def fails(self) -> None:
         """Fail."""
         self.fail("as meant")
 
-    def errs(self):
+    def errs(self) -> None:
         """Raise an error that is no failure."""
         raise OSError("as meant")
 
-    def passes(self):
+    def passes(self) -> None:
         """Do nothing."""
 
 
@@ -33,7 +33,7 @@
         with unittest.mock.patch.dict(run.KNOWN_RED, known_red, clear=True):
             return runner.run(unittest.TestSuite([sample]))
 
-    def test_a_listed_test_that_fails_or_errs_lets_the_run_pass(self):
+    def test_a_listed_test_that_fails_or_errs_lets_the_run_pass(self) -> None:
         """A failure or an error of a listed test is expected, and counted."""
         for name in ("fails", "errs"):
             result = self.run_sample(name, listed=True)
@@ -42,11 +42,11 @@
                 (1, 1, True),
             )
 
-    def test_a_listed_test_that_passes_fails_the_run(self):
+    def test_a_listed_test_that_passes_fails_the_run(self) -> None:
         """A list that names a mended test is out of date."""
         self.assertFalse(self.run_sample("passes", listed=True).wasSuccessful())
 
-    def test_a_test_that_is_not_listed_counts_as_usual(self):
+    def test_a_test_that_is_not_listed_counts_as_usual(self) -> None:
         """The list changes nothing for the other tests."""
         self.assertTrue(self.run_sample("passes", listed=False).wasSuccessful())
         for name in ("fails", "errs"):
--- a/tests/versions/test_versions_command.py
+++ b/tests/versions/test_versions_command.py
@@ -41,7 +41,7 @@
         self.settings_path = folder_of(self.planner) / "operators.json"
         self.settings_path.write_text(json.dumps(document))
 
-    async def test_diff_rollback_release_pin_and_lists_over_a_port_of_their_own(self):
+    async def test_diff_rollback_release_pin_and_lists_over_a_port_of_their_own(self) -> None:
         """A rollback changes the tables at once, and a drain goes before it."""
         planner = self.planner
         planner.document["operators"] = {"port": 0, "key_file": "key"}
