--- a/indigodeck/planner/join_admission.py
+++ b/indigodeck/planner/join_admission.py
@@ -2,7 +2,7 @@
 
 After a change of leader every proxy of a fleet dials the successor within a second, and each has a
 whole table coming. Admitted as they came, 303 of them put 15,500 lines into a channel that may hold
-4,500 (docs/takeover.md). A proxy that waits here holds its tables and goes on; what it sends
+4,500 (docs/leadership.md). A proxy that waits here holds its tables and goes on; what it sends
 meanwhile stays in its own socket. First come, first served.
 """
 
