--- a/tests/leadership/controllers.py
+++ b/tests/leadership/controllers.py
@@ -18,6 +18,7 @@
     """Controllers that run, and relays that know them."""
 
     async def set_up(self, gated=False, known=None, **given):
+        """Start controllers and relays, and wait until the relays hold all servers."""
         folder = tempfile.TemporaryDirectory()
         self.fleet = ControllerFleet(
             folder.name, json.loads((ROOT / "examples/charter.json").read_text()), **given
@@ -63,16 +64,19 @@
         return found
 
     async def spoken_to_by_one(self, name):
+        """Assert that all relays are spoken to by this controller alone."""
         found = await self.followed()
         self.assertEqual(set(map(tuple, found.values())), {(name,)}, found)
         self.assertEqual(len(found), len(self.relays))
 
     async def asyncTearDown(self):
+        """Stop the relays."""
         for _, client, task in getattr(self, "relays", ()):
             client.stop()
             await asyncio.wait([task], timeout=3)
 
     def all_hold(self, hosts):
+        """Return whether all relays hold just these servers."""
         return all(
             {port - 9000 for _, port in lines} == set(hosts)
             for tables, *_ in self.relays
--- a/tests/leadership/test_controllers.py
+++ b/tests/leadership/test_controllers.py
@@ -29,6 +29,7 @@
     async def test_a_stopped_controller_is_replaced_and_nothing_of_it_takes_effect_when_it_wakes(
         self,
     ):
+        """A stopped leader is replaced; once it wakes, none of its orders reaches a relay."""
         await self.set_up()
         old = self.fleet.leader()
         self.fleet.signal(old, signal.SIGSTOP)
@@ -54,6 +55,7 @@
         self.assertEqual(set(epochs), {self.fleet.lease_changes(new)[-1].epoch})
 
     async def test_a_transfer_of_leadership_a_rolling_restart_and_all_at_once(self):
+        """Epochs go on and relays are never without servers, also over a restart of all."""
         await self.set_up()
         old = self.fleet.leader()
         self.assertEqual(await self.fleet.command("handover"), (0, f"{old} handed over fleet"))
@@ -84,6 +86,7 @@
         self.assertEqual(self.bare, [])
 
     async def test_a_day_of_stops_and_transfers_breaks_no_rule(self):
+        """A scenario of stops and transfers of leadership breaks no rule of the audit."""
         script = json.loads((ROOT / "examples/bad-day.json").read_text())
         script.update(
             seconds=18,
@@ -109,6 +112,7 @@
         self.assertGreater(result["service"]["whole"], 0.9)
 
     async def test_only_messages_between_controllers_are_lost(self):
+        """A leader that is cut off from its peers alone is replaced, and relays follow one."""
         await self.set_up(gated=True)
         old = self.fleet.leader()
         self.fleet.partition(old)  # all relays still reach all three
@@ -123,6 +127,7 @@
         self.assertEqual(self.bare, [])
 
     async def test_two_of_five_with_all_the_relays_and_a_majority_with_none(self):
+        """A minority with all relays orders nothing; members can be removed down to it."""
         await self.set_up(gated=True, members=5, known=("c0", "c1"))
         self.fleet.partition("c0", "c1")
         await until(lambda: self.fleet.leader() in ("c2", "c3", "c4"), 15)
@@ -152,6 +157,7 @@
         self.assertIn(self.fleet.leader(), ("c0", "c1"))
 
     async def test_a_controller_is_added_and_stands_in_for_two_that_are_gone(self):
+        """A controller is added, others end, and the last one is forced."""
         await self.set_up(spare=1)
         self.assertEqual(self.fleet.lease_changes("c3"), [])
         code, said = await self.fleet.command(
@@ -195,6 +201,7 @@
         self.assertEqual(self.bare, [])
 
     async def test_two_versions_side_by_side_while_a_fleet_is_upgraded(self):
+        """Members change only once all controllers speak version 2."""
         await self.set_up(spare=1, takeover={"speaks": 1})
         for nth, name in enumerate(("c2", "c1", "c0", "c3")):
             if nth == 1:
@@ -223,6 +230,7 @@
         self.assertEqual(self.bare, [])
 
     async def test_an_old_copy_of_a_disk_is_known(self):
+        """A controller with an old record learns from its peers what it had written."""
         await self.set_up()
         holder = self.fleet.leader()
         other = next(name for name in self.fleet.member_ports if name != holder)
@@ -250,6 +258,7 @@
         await until(lambda: self.all_hold({0, 1, 3, 4, 5, 6, 7}), 20)
 
     async def test_a_message_half_written_to_a_relay_has_no_effect(self):
+        """What a stopped leader wrote in part is not used by relays of either protocol."""
         await self.set_up()
         old, wires = self.fleet.leader(), self.fleet.frontend_ports
         gates = {wire: FaultyLink(wires[old][wire]) for wire in ("sasp", "xds")}
@@ -278,6 +287,7 @@
         self.assertTrue(self.all_hold({0, 1, 4, 5, 6, 7}))
 
     async def test_no_relay_is_pushed_a_table_that_it_rejected_after_all_start_anew(self):
+        """Rejected tables are remembered over a restart of all controllers."""
         await self.set_up()
         tables, client, _ = next(relay for relay in self.relays if isinstance(relay[1], XdsClient))
         pushed, read = [], XdsSession.read
@@ -317,6 +327,7 @@
         )  # goes on with what it held
 
     async def test_halls_are_relay_groups_of_their_own_and_spread(self):
+        """Each hall has a leader, and not all halls have the same one."""
         await self.set_up(takeover={"wards": "halls"}, known=())
         await until(lambda: self.all_hold(range(8)), 20)
         said = json.loads((await self.fleet.command("fleet", "--format", "json"))[1])
@@ -337,6 +348,7 @@
         await until(lambda: self.all_hold({0, 1, 3, 4, 5, 6, 7}), 20)
 
     async def test_the_stock_client_goes_on_to_whoever_leads(self):
+        """A stock gRPC client that names all controllers follows the new leader."""
         await self.set_up(known=("c0",))
         hosts = [GrpcHost(now, f"host-{nth}", 1000) for nth in range(2)]
         for host in hosts:
--- a/tests/leadership/test_election.py
+++ b/tests/leadership/test_election.py
@@ -35,39 +35,49 @@
         self.election = LeaderElection(self, settings, SeededRandom(1), record)
 
     def planner_idle_time(self):
+        """Return for how long the planner hangs."""
         return 0 if self.hung_since is None else self.clock - self.hung_since
 
     def start_timer(self, delay):
+        """Wake the election later."""
         self.later(delay, lambda: self.election.on_timer())
 
     def send(self, member, message):
+        """Keep a message."""
         self.sent.append((member, message))
 
     def save_record(self, record):
+        """Keep a record, and fail where the disk is broken."""
         self.kept.append(record)
         return not self.broken_disk
 
     def on_leadership_acquired(self, relay_group, epoch):
+        """Print it."""
         self.note(f"leads under {epoch}")
 
     def on_leadership_lost(self, relay_group, epoch, reason):
+        """Print it."""
         self.note(f"leads no longer: {reason}")
 
     def on_members_changed(self, number, members):
+        """Print it."""
         self.note(f"members by {number}")
 
     def log(self, event, **facts):
+        """Print an event."""
         self.note(event, **facts)
 
     def answered(
         self, member, epochs=None, serial=0, number=0, members=PLACES, proposal=None, nonce=None
     ):
+        """Let a peer answer what the member asked at its start."""
         answer = RecoveryAnswer(
             nonce or self.election.recovery.nonce, epochs or {}, serial, number, members, proposal
         )
         self.election.on_message(member, answer)
 
     def granted(self, member, proposal=None, number=0):
+        """Let a peer grant what was asked last."""
         asked = self.last(LeaseRequest)
         grant = LeaseGrant("fleet", asked.epoch, asked.round, 1, number, proposal)
         self.election.on_message(member, grant)
@@ -78,9 +88,11 @@
         return type(self.sent[-1][1])
 
     def last(self, message_type):
+        """Return the last message of a type."""
         return self.all(message_type)[-1]
 
     def all(self, message_type):
+        """Return all messages of a type."""
         return [message for _, message in self.sent if isinstance(message, message_type)]
 
 
@@ -88,6 +100,7 @@
     """Recovery, grants, leases and changes of members."""
 
     def recovered(self, asks=True, **given):
+        """Return a member that may grant; `asks`: whether it tries to lead, too."""
         lone = LoneMember(**given)
         if not asks:
             lone.election.candidate.wants = lambda relay_group: False
@@ -97,6 +110,7 @@
         return lone
 
     def test_answers_to_an_earlier_incarnation_or_question_do_not_count(self):
+        """Answers with a nonce of an earlier incarnation do not let a member grant."""
         lone = LoneMember(incarnation=2)
         early = LoneMember(incarnation=1)
         self.assertNotEqual(lone.election.recovery.nonce, early.election.recovery.nonce)
@@ -107,6 +121,7 @@
         self.assertEqual(lone.asked("b", 5), LeaseDenial)
 
     def test_a_disk_that_is_an_old_copy_or_lost_is_known_by_what_others_saw(self):
+        """The serial and the epochs that peers tell count above the record."""
         lone = LoneMember(record=LeaseRecord(3, {"fleet": KnownEpoch(4, "b")}))
         lone.election.candidate.wants = lambda relay_group: False
         lone.answered("b", {"fleet": KnownEpoch(11, "b")}, 9)
@@ -120,6 +135,7 @@
         self.assertEqual([record.serial for record in lone.kept], [10, 11])
 
     def test_nothing_is_granted_that_could_not_be_written_down(self):
+        """A grant is sent only once the record is saved."""
         lone = self.recovered(asks=False)
         lone.broken_disk = True
         before = len(lone.sent)
@@ -141,6 +157,7 @@
         return lone
 
     def test_members_change_one_at_a_time_and_by_a_majority_of_those_before(self):
+        """A change is proposed, accepted by a majority of the old members, and adopted."""
         lone = self.leader()
         more = dict(PLACES, d="127.0.0.1:4")
         self.assertEqual(
@@ -178,6 +195,7 @@
         self.assertFalse(lone.election.membership.accepts("a", Proposal(2, proposed.epoch, PLACES)))
 
     def test_who_asks_by_another_membership_is_informed_and_not_granted(self):
+        """Requests by another number are denied; a member that was removed grants nothing."""
         lone = self.recovered(asks=False)
         self.assertEqual(lone.asked("b", 40, number=3), LeaseDenial)
         lone.election.on_message("b", MembershipNotice(3, dict(PLACES, d="127.0.0.1:4"), {}))
@@ -199,6 +217,7 @@
         self.assertIsNone(lone.election.leading_epoch("fleet"))
 
     def test_a_change_that_may_have_been_decided_before_is_finished_first(self):
+        """A proposal that a grantor had accepted is proposed again, under the new epoch."""
         lone = self.recovered()
         lone.election.candidate.wants = lambda relay_group: True
         lone.run(3)
@@ -215,6 +234,7 @@
         )
 
     def test_a_forced_membership_waits_for_a_lease_and_is_ahead_of_all_that_was_granted(self):
+        """A forced member leads after a lease, under an epoch above all that it granted."""
         lone = self.recovered(asks=False)
         lone.asked("c", 200)
         self.assertIsNotNone(lone.election.force_members({"b": PLACES["b"]}))
@@ -227,6 +247,7 @@
         self.assertGreater(lone.election.membership_number, 1 << 20)
 
     def test_a_lease_counts_from_the_asking_and_ends_by_the_holders_own_clock(self):
+        """Writing ends with the lease, shortened by drift, before any timer fires."""
         lone = self.recovered()
         asked = lone.last(LeaseRequest)
         lone.granted("b")
@@ -244,6 +265,7 @@
         self.assertFalse(lone.election.may_write("fleet", epoch))
 
     def test_a_member_whose_planner_hangs_renews_nothing_and_one_that_is_busy_does(self):
+        """A lease is renewed only beside a planner that was seen within a lease."""
         lone = self.leader()
         for hung, kept in ((1, True), (20, False)):
             lone.hung_since = lone.clock
--- a/tests/leadership/test_member_thread.py
+++ b/tests/leadership/test_member_thread.py
@@ -20,21 +20,27 @@
     """A member alone on its thread; the test's loop is the planner's."""
 
     def now(self):
+        """Return the monotonic time."""
         return now()
 
     def note(self, event, **facts):
+        """Write nothing."""
         pass
 
     def on_leadership_acquired(self, relay_group, epoch):
+        """Keep the change."""
         self.changes.append(("in", epoch))
 
     def on_leadership_lost(self, relay_group, epoch, reason):
+        """Keep the change."""
         self.changes.append(("out", epoch))
 
     def followers(self):
+        """Return one relay."""
         return [("r1", "sasp", "fleet")]
 
     async def test_a_planner_that_is_busy_keeps_its_lease_and_one_that_hangs_does_not(self):
+        """A second of work costs no lease; seven seconds do, and then it leads anew."""
         self.changes = []
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
--- a/tests/leadership/test_messages.py
+++ b/tests/leadership/test_messages.py
@@ -17,6 +17,8 @@
     KEY = b"a key that all of them share"
 
     def test_messages_are_rejected_with_a_reason(self):
+        """Seal, source, version, kind, fields and their shapes are checked, and named."""
+
         def said(data, key=self.KEY):
             with self.assertRaises(message_codec.MessageRejectedError) as caught:
                 message_codec.unpack(key, data[message_codec.LENGTH_BYTES :], {"c1"}.__contains__)
@@ -112,6 +114,7 @@
             message_codec.remaining_bytes((1 << 30).to_bytes(4, "big"))
 
     def test_an_older_version_says_what_it_can_and_is_understood(self):
+        """Version 1 leaves fields out, and a member is spoken to in what it spoke."""
         told = dict(
             hello=1, epochs={"fleet": [7, "c2"]}, serial=0, number=0, members=PLACES, plan=None
         )
@@ -132,6 +135,7 @@
     @settings(max_examples=300, deadline=None)
     @given(some.integers(0, 200), some.binary(min_size=1, max_size=8))
     def test_damage_anywhere_is_rejected(self, at, put):
+        """No damaged byte passes the seal."""
         good = message_codec.pack(
             self.KEY, "c1", "ask", ward="fleet", epoch=3, round=1 << 40, serial=2, number=0
         )[4:]
--- a/tests/leadership/test_model.py
+++ b/tests/leadership/test_model.py
@@ -15,17 +15,20 @@
     """Schedules drawn from seeds, for the elections and for the mutants of them."""
 
     def test_some_hundreds_of_schedules_break_nothing(self):
+        """Five hundred schedules keep the invariants, with more takeovers than schedules."""
         played, takeovers, broken = model.explore(range(500))
         self.assertIsNone(broken)
         self.assertGreater(takeovers, played)
 
     def test_every_mutant_is_caught(self):
+        """Each rule that is left out is missed by some schedule."""
         seeds = [*range(600, 700), *range(220)]
         for mutant in MUTANTS:
             with self.subTest(mutant.__name__):
                 self.assertIsNotNone(model.explore(seeds, make=mutant)[2])
 
     def test_the_same_seed_plays_the_same_schedule(self):
+        """A seed gives the same takeovers again."""
         self.assertEqual(
             [model.World(seed).run() for seed in (3, 8)],
             [model.World(seed).run() for seed in (3, 8)],
@@ -37,6 +40,7 @@
 
     @initialize(members=some.sampled_from((1, 3, 5)), seed=some.integers(0, 99))
     def start(self, members, seed):
+        """Begin with some members and no faults of the model itself."""
         self.world = model.World(seed, members, 3600)
         self.world.cause_fault = lambda: None
         self.world.faults_until = 3600 * SECOND
@@ -44,25 +48,30 @@
 
     @rule(seconds=some.sampled_from((0.05, 0.4, 1.0, 2.5)))
     def play(self, seconds):
+        """Let time pass."""
         self.world.play(self.world.clock + round(seconds * SECOND))
 
     @rule(at=some.integers(0, 6))
     def stop(self, at):
+        """Pause a process."""
         member = self.member(at)
         member.is_paused = member.election is not None
 
     @rule(at=some.integers(0, 6))
     def wake(self, at):
+        """Resume a process."""
         self.member(at).resume()
 
     @rule(at=some.integers(0, 6))
     def start_anew(self, at):
+        """End a process and start it again."""
         member = self.member(at)
         member.election = None
         self.world.restart(member)
 
     @rule(side=some.sets(some.integers(0, 6)), one_way=some.booleans())
     def cut(self, side, one_way):
+        """Cut some members off, one way or both."""
         far = {self.member(at).name for at in side}
         names = self.world.names
         self.world.cut = {
@@ -74,19 +83,23 @@
 
     @rule(at=some.integers(0, 6))
     def change(self, at):
+        """Add or remove a member."""
         self.world.change(self.member(at).name)
 
     @rule()
     def transfer_leadership(self):
+        """Have all leaders give up."""
         for member in self.world.leaders():
             member.election.transfer_leadership("fleet")
 
     @invariant()
     def one_leader_at_most(self):
+        """Check the invariants."""
         if hasattr(self, "world"):
             self.world.check()
 
     def member(self, at):
+        """Return a member by a number that was drawn."""
         return self.world.members[self.world.names[at % len(self.world.names)]]
 
 
--- a/tests/leadership/test_records.py
+++ b/tests/leadership/test_records.py
@@ -21,6 +21,7 @@
     """The record of leases in a file."""
 
     def test_a_record_cut_or_flipped_anywhere_is_no_record(self):
+        """Neither a torn file nor one with a flipped bit is read."""
         data = pack_record(LeaseRecord(12, {"fleet": KnownEpoch(31, "c2")}))
         self.assertEqual(unpack_record(data), LeaseRecord(12, {"fleet": KnownEpoch(31, "c2")}))
         for at in range(len(data)):
@@ -31,6 +32,7 @@
                 )
 
     def test_a_record_is_put_in_place_whole_or_not_at_all(self):
+        """A torn new file leaves the old one; a missing folder is reported."""
         with tempfile.TemporaryDirectory() as folder:
             file = RecordFile(pathlib.Path(folder) / "c1")
             self.assertIsNone(file.read())
@@ -46,6 +48,7 @@
     """What relays rejected, in memory and in a file."""
 
     def test_rejections_last_are_told_and_bounded(self):
+        """Rejections are saved, sent once, read again, and limited in number."""
         loop = Loop()
         kept = []
         said = []
--- a/tests/leadership/test_relay_client.py
+++ b/tests/leadership/test_relay_client.py
@@ -16,6 +16,7 @@
     """What a relay of the client library does while leaders change."""
 
     def test_a_relay_tries_all_controllers_before_it_waits_longer(self):
+        """The pause grows only after a turn of all controllers."""
         backoff = ReconnectBackoff(SeededRandom(3))
         waits = [backoff.next_delay(3) for _ in range(15)]
         self.assertLess(max(waits[0], waits[1], waits[9], waits[10]), backoff.first_delay // 4)
@@ -24,6 +25,7 @@
         self.assertGreaterEqual(min(alone.next_delay() for _ in range(6)), alone.first_delay // 4)
 
     def test_a_relay_rejects_an_epoch_below_the_highest_it_has_seen(self):
+        """Orders of a former leader change nothing."""
         tables = Tables(["read"], lambda: 0)
         session = XdsSession(tables, {})
 
--- a/tests/leadership/test_stored_leases.py
+++ b/tests/leadership/test_stored_leases.py
@@ -43,6 +43,7 @@
     """The record of leases and what relays rejected, in a store and in files."""
 
     def test_leases_and_rejections_are_read_from_the_store(self):
+        """Both are found under their keys, and written back alike."""
         reader = self.opened()
         leases = StoredRecord(reader.store, reader.held, "charge", RecordFile(self.folder / "none"))
         rejections = StoredRecord(
@@ -59,6 +60,7 @@
         self.assertEqual(reader.held, STORED["records"])
 
     def test_leases_and_rejections_are_read_from_files_and_written_as_the_same_bytes(self):
+        """Each file is read as it was meant, and written byte for byte."""
         for name, record, form in (
             ("leases.record", LEASES, ()),
             ("leases-without-fleet.record", LEASES_WITHOUT_MEMBERSHIP, ()),
@@ -71,6 +73,7 @@
                 self.assertEqual((self.folder / name).read_bytes(), (DATA / name).read_bytes())
 
     def test_a_file_from_before_there_was_a_store_is_read_where_the_store_has_none(self):
+        """The file counts while the store holds no record."""
         reader = self.opened()
         before = StoredRecord(
             reader.store, {}, "charge", RecordFile(DATA / "leases-without-fleet.record")
@@ -78,16 +81,21 @@
         self.assertEqual(before.read(), LEASES_WITHOUT_MEMBERSHIP)
 
     def test_a_member_goes_on_from_the_epochs_holders_and_members_that_were_kept(self):
+        """Epochs and members of the record count above the settings."""
+
         class SilentHost:
             """An environment in which nothing happens."""
 
             def now(self):
+                """Return the start of time."""
                 return 0
 
             def start_timer(self, delay):
+                """Start nothing."""
                 pass
 
             def send(self, member, message):
+                """Send nothing."""
                 pass
 
         for record, number, members in (
--- a/tests/leadership/test_stored_messages.py
+++ b/tests/leadership/test_stored_messages.py
@@ -46,6 +46,7 @@
     KEY = MESSAGES["key"].encode()
 
     def test_each_kind_is_there_in_each_version_that_can_say_it(self):
+        """The data holds all kinds of each version."""
         found = {
             version: {one["kind"] for one in MESSAGES["messages"] if one["version"] == version}
             for version in (1, 2, 3)
@@ -55,6 +56,7 @@
         )
 
     def test_each_unpacks_to_the_fields_that_were_said(self):
+        """Source, version, kind and fields are read as they were said."""
         for place, one in enumerate(MESSAGES["messages"]):
             with self.subTest(place=place, kind=one["kind"], version=one["version"]):
                 data = bytes.fromhex(one["bytes"])
@@ -69,6 +71,7 @@
                 self.assertEqual(plain(fields), one["fields"])
 
     def test_each_is_packed_as_the_same_bytes(self):
+        """The same fields give the same bytes."""
         for place, one in enumerate(MESSAGES["messages"]):
             with self.subTest(place=place, kind=one["kind"], version=one["version"]):
                 data = message_codec.pack(
@@ -77,6 +80,7 @@
                 self.assertEqual(data.hex(), one["bytes"])
 
     def test_a_proposal_unpacks_as_number_epoch_and_members(self):
+        """A grant carries the proposal that was accepted last."""
         grants = [
             one for one in MESSAGES["messages"] if one["kind"] == "grant" and one["fields"]["plan"]
         ]
