--- a/indigodeck/planner/planner_host.py
+++ b/indigodeck/planner/planner_host.py
@@ -6,7 +6,7 @@
 whole microseconds.
 """
 
-from collections.abc import Callable, Iterable, Iterator, Sequence
+from collections.abc import Callable, Iterable, Sequence
 from typing import Any, NamedTuple, Protocol
 
 from ..assignment.assigner import Assigner
@@ -20,7 +20,7 @@
 )
 from ..settings import DeploymentSettings
 from ..versions.model import AssignedTable
-from .pending_updates import PendingUpdates, TableUpdate
+from .pending_updates import TableUpdate, UpdateQueue
 
 
 class Environment(Protocol):
@@ -78,13 +78,10 @@
         self.class_of_table: dict[int, int] = {}
         self.ejected_servers: set[int] = set()
         self.endpoints: dict[int, Server] = {}  # the list's last entry for each server
-        self.pending_updates: dict[int, PendingUpdates] = {}  # by proxy
-        self.most_waiting_lines: float = 0
+        self.updates = UpdateQueue(environment.now, settings.channel.message_overhead_lines)
         self.has_changes = True  # whether the publisher has something to look at
         self.publisher: Any = None
         self._admissions: dict[tuple[int, int], Admission] = {}  # by table and class
-        self._reached_proxies: set[int] = set()
-        self._requested_acks: list[int] = []
         self._table_revisions: dict[int, int] = {}
         self._ejection_revision = 0
         self.assigner: Any = None  # its constructor may give orders already
@@ -111,18 +108,17 @@
 
         It gets usually `rate` requests a second; `fresh`: it holds no table.
         """
-        pending = self.pending_updates[proxy] = PendingUpdates()
+        self.updates.on_proxy_joined(proxy)
         if self.ejected_servers:
             # It may come with tables of an earlier stream: ejections bind it before any table does.
             for class_index in self.class_indices:
-                pending.add(self.environment.now(), class_index, self.ejected_servers)
-            self._reached_proxies.add(proxy)
+                self.updates.add(proxy, class_index, self.ejected_servers)
         self.assigner.on_proxy_joined(proxy, zone, rate, fresh)
         self.flush_orders("a relay joined")
 
     def on_proxy_left(self, proxy: int) -> None:
         """Drop a proxy and what waits for it."""
-        if self.pending_updates.pop(proxy, None) is not None:
+        if self.updates.on_proxy_left(proxy):
             self.assigner.on_proxy_left(proxy)
             if self.publisher is not None:
                 self.publisher.relay_versions.on_left(proxy)
@@ -153,7 +149,7 @@
 
         `by_program`: its program has it, not its machine alone.
         """
-        if update.proxy not in self.pending_updates:
+        if update.proxy not in self.updates.by_proxy:
             return
         for number, requested_at in update.requested_acks:
             self.assigner.on_ack(update.proxy, number, self.environment.now() - requested_at)
@@ -164,15 +160,7 @@
     def flush_orders(self, event: str) -> None:
         """Publish what the orders of one call changed, and tell the environment whom they reach."""
         self._publish(event)
-        reached = sorted(self._reached_proxies & self.pending_updates.keys())
-        self._reached_proxies = set()
-        for proxy in reached:
-            self.pending_updates[proxy].request_acks(self.environment.now(), self._requested_acks)
-        self._requested_acks = []
-        if reached:
-            # The queue grows only by what is laid out for somebody; most calls order nothing.
-            self.most_waiting_lines = max(self.most_waiting_lines, self.waiting_lines())
-        for proxy in reached:
+        for proxy in self.updates.flush():
             self.environment.request_write(proxy)
 
     def _publish(self, event: str) -> None:
@@ -190,12 +178,7 @@
 
     def waiting_lines(self) -> float:
         """Return the lines that wait for all proxies, the overhead of messages included."""
-        overhead = self.settings.channel.message_overhead_lines
-        return sum(
-            pending.line_count() + overhead
-            for pending in self.pending_updates.values()
-            if pending.changed_servers
-        )
+        return self.updates.waiting_lines()
 
     def lines_of_one_join(self) -> float:
         """Return the lines that one more proxy may have waiting at once.
@@ -209,22 +192,21 @@
 
     def has_pending(self, proxy: int) -> bool:
         """Return whether something waits for a proxy."""
-        return proxy in self.pending_updates and bool(self.pending_updates[proxy].changed_servers)
+        return self.updates.has_pending(proxy)
 
     def take_updates(self, proxy: int) -> TableUpdate | None:
         """Hand over what waits for a proxy, or None; from then on it waits no more."""
-        pending = self.pending_updates.get(proxy)
-        if pending is None or not pending.changed_servers:
+        if not self.updates.has_pending(proxy):
             return None
         version = self.publisher.newest() if self.publisher is not None else None
-        return pending.take(proxy, version)
+        return self.updates.by_proxy[proxy].take(proxy, version)
 
     def table_for(self, proxy: int, class_index: int) -> dict[int, float] | None:
         """Return the weights by server that a proxy should hold for a class.
 
         None while it is bound to no table: it follows what it held before, ejected servers apart.
         """
-        table = self._bound_table(proxy, class_index)
+        table = self.updates.bound_table(proxy, class_index)
         if table is None:
             return None
         return {
@@ -246,22 +228,18 @@
         It is equal where these are, for proxies that share a table as well; None while the proxy is
         bound to no table.
         """
-        table = self._bound_table(proxy, class_index)
+        table = self.updates.bound_table(proxy, class_index)
         if table is None:
             return None
         return table, self._table_revisions.get(table, 0), self._ejection_revision
 
     def admission_for(self, proxy: int, class_index: int) -> Admission:
         """Return the admission of a proxy's table for a class; all where none is set."""
-        table = self._bound_table(proxy, class_index)
+        table = self.updates.bound_table(proxy, class_index)
         if table is None:
             return ADMIT_ALL
         return self._admissions.get((table, class_index), ADMIT_ALL)
 
-    def _bound_table(self, proxy: int, class_index: int) -> int | None:
-        pending = self.pending_updates.get(proxy)
-        return pending.tables.get(class_index) if pending else None
-
     # What the publisher of versions reads, and asks.
 
     def resume_tables(self, members: dict[int, list[int]]) -> None:
@@ -270,7 +248,7 @@
         Only while no proxy holds anything, for then nothing moves by it.
         """
         has_shards = hasattr(self.assigner, "resume_tables")  # baselines have none
-        if not self.pending_updates and has_shards:
+        if not self.updates.by_proxy and has_shards:
             self.assigner.resume_tables(members)
 
     def assigned_tables(self) -> dict[int, AssignedTable]:
@@ -289,13 +267,12 @@
 
     def proxy_count(self, table: int) -> int:
         """Return how many bindings of proxies to a table there are."""
-        return sum(1 for _ in self._bindings(table))
+        return sum(1 for _ in self.updates.bindings(table))
 
     def tables_of(self, proxy: int) -> dict[int, int]:
         """Return a proxy's tables by class."""
-        if proxy not in self.pending_updates:
-            return {}
-        return dict(self.pending_updates[proxy].tables)
+        pending = self.updates.by_proxy.get(proxy)
+        return dict(pending.tables) if pending else {}
 
     def endpoint(self, server: int) -> Server | None:
         """Return the list's last entry for a server, or None if it was never listed."""
@@ -303,17 +280,8 @@
 
     def mark_changed(self, table: int, servers: Iterable[int]) -> None:
         """Have these lines of a table told anew to all that are bound to it."""
-        now = self.environment.now()
         self._revise(table)
-        for proxy, pending, class_index in self._bindings(table):
-            pending.add(now, class_index, servers)
-            self._reached_proxies.add(proxy)
-
-    def _bindings(self, table: int) -> Iterator[tuple[int, PendingUpdates, int]]:
-        for proxy, pending in self.pending_updates.items():
-            for class_index, bound in pending.tables.items():
-                if bound == table:
-                    yield proxy, pending, class_index
+        self.updates.add_for_table(table, servers)
 
     def _revise(self, table: int) -> None:
         self._table_revisions[table] = self._table_revisions.get(table, 0) + 1
@@ -353,17 +321,14 @@
 
     def assign_table(self, proxy: int, table: int, classes: Sequence[int]) -> None:
         """Put a joined proxy on a table for these classes; none stands for all."""
-        pending = self.pending_updates.get(proxy)
-        if pending is None:
+        if proxy not in self.updates.by_proxy:
             return
         for class_index in classes or self.class_indices:
             if table not in self.class_of_table:
                 # It is published from now on, though no line of it changes.
                 self.class_of_table[table] = class_index
                 self.has_changes = True
-            pending.tables[class_index] = table
-            pending.add(self.environment.now(), class_index, self.published_weights(table))
-        self._reached_proxies.add(proxy)
+            self.updates.bind(proxy, class_index, table, self.published_weights(table))
 
     def eject_server(self, server: int) -> None:
         """Keep all joined proxies off a server, whatever their tables say."""
@@ -385,13 +350,11 @@
     def _ejection_changed(self, server: int) -> None:
         self._ejection_revision += 1
         self.has_changes = True
-        now = self.environment.now()
-        for proxy, pending in self.pending_updates.items():
+        for proxy, pending in self.updates.by_proxy.items():
             for class_index in self.class_indices:
                 table = pending.tables.get(class_index)
                 if table is None or server in self.published_weights(table):
-                    pending.add(now, class_index, (server,))
-                    self._reached_proxies.add(proxy)
+                    self.updates.add(proxy, class_index, (server,))
 
     def set_admission(
         self, table: int, classes: Sequence[int], level: float, retry_policy: RetryPolicy
@@ -403,9 +366,7 @@
 
     def request_ack(self, number: int, everyone: bool) -> None:
         """Ask each proxy that the orders of this call reach, or everyone, to acknowledge them."""
-        self._requested_acks.append(number)
-        if everyone:
-            self._reached_proxies.update(self.pending_updates)
+        self.updates.request_ack(number, everyone)
 
     def check_health(self, server: int) -> None:
         """Send the server a request, and report its end with `on_health_check`."""
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -40,7 +40,7 @@
         service.note(
             "planner_stopping",
             proxies=len(service.proxies.frontend_of),
-            most_waiting_lines=service.planner_host.most_waiting_lines,
+            most_waiting_lines=service.planner_host.updates.most_waiting_lines,
         )
         service.close()
         await asyncio.sleep(CLOSING_TIME_S)
--- a/tests/frontends/test_both_frontends.py
+++ b/tests/frontends/test_both_frontends.py
@@ -50,7 +50,7 @@
             await until(lambda: len(sasp[0].lines["reading"]) == 6)
             xds = self.relay(planner, "xds", "hall-a/r1")
             await until(lambda: xds[0].versions and sasp[3])
-            self.assertEqual(len(planner.service.planner_host.pending_updates), 1)
+            self.assertEqual(len(planner.service.planner_host.updates.by_proxy), 1)
             sasp[1].stop()
             planner.keep(host_3="draining")
             await until(lambda: len(xds[0].lines["reading"]) == 5)
@@ -137,7 +137,7 @@
             settings = service.settings
             self.assertEqual(bare, [])
             self.assertLess(
-                service.planner_host.most_waiting_lines,
+                service.planner_host.updates.most_waiting_lines,
                 settings.deployment.channel.max_waiting_lines,
             )
             self.assertLessEqual(
--- a/tests/frontends/test_sasp_conversation.py
+++ b/tests/frontends/test_sasp_conversation.py
@@ -41,7 +41,7 @@
 
     def on_proxy_joined(self, proxy, uid):
         """Print and serve a proxy."""
-        if proxy in self.planner_host.pending_updates:
+        if proxy in self.planner_host.updates.by_proxy:
             self.planner_host.on_proxy_left(proxy)
         self.note(f"relay {uid.decode()} joined")
         self.planner_host.on_proxy_joined(proxy, 0, 10.0, True)
@@ -263,7 +263,7 @@
             connection.ask(*hello())
             planner.run(0.5)
         self.assertEqual(sum(connection.closed is None for connection in connections), 3)
-        self.assertEqual(len(planner.planner_host.pending_updates), 1)
+        self.assertEqual(len(planner.planner_host.updates.by_proxy), 1)
         planner.note("what a replaced connection still asks is not answered for the relay")
         connections[0].ask(codec.get_weights(9, [(b"r1", b"read")]))
         planner.run(11)
