--- a/benchmarks/amid.py
+++ b/benchmarks/amid.py
@@ -1,148 +1,133 @@
-"""A takeover amid a release, and one back 5 s later: python benchmarks/amid.py [RELAYS] [SASP|XDS]
+"""A change of leader amid a release, and one back: python benchmarks/amid.py [RELAYS] [SASP|XDS].
 
-Three controllers (lease 0.6 s), 48 hosts, 303 relays unless said, 120 exchanges a second; a release replaces 84% of the hosts over 36 s. The same
-day is played without a takeover beside it, in the same run. Then what controllers cost that have nobody to serve: 3, 5 and 9 of them.
+Three controllers (lease 0.6 s), 48 hosts, 303 relays unless said, 120 requests a second; a release
+replaces 84% of the hosts over 36 s. The same scenario is played without a change of leader in the
+same run. Then what controllers cost that have nobody to serve: 3, 5 and 9 of them.
 """
 
 import asyncio
 import json
 import os
 import pathlib
-import platform
-import sys
 import tempfile
+from typing import Any
 
-os.environ.setdefault("GRPC_VERBOSITY", "NONE")
-sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
+from common import argument, example, machine, write_result
 
-from indigodeck.testbed.controller_fleet import ControllerFleet  # noqa: E402
-from indigodeck.testbed.fleet_scenario import FleetScenarioRunner  # noqa: E402
-from indigodeck.testbed.recording_proxy import StreamEventType  # noqa: E402
-from indigodeck.testbed.scenario_result import printed  # noqa: E402
+from indigodeck.clock import SECOND
+from indigodeck.testbed.controller_fleet import ControllerFleet
+from indigodeck.testbed.fleet_scenario import FleetScenarioRunner
+from indigodeck.testbed.recording_proxy import StreamEventType
+from indigodeck.testbed.scenario_result import printed
 
-ROOT = pathlib.Path(__file__).parent.parent
-TICK = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+HOSTS = 48
+REQUESTS_PER_SECOND = 120
+RELEASE = {"at": 10, "kind": "deploy", "part": 0.84, "size": 0.25, "seconds": 36}
+LEADER_CHANGES = [
+    {"at": 24, "kind": "takeover", "seconds": 5},
+    {"at": 29, "kind": "takeover", "seconds": 5},
+]
+IDLE_LEASE_MS = 3000
+IDLE_SECONDS = 20
 
 
-async def day(relays, wire, taken):
-    script = json.loads((ROOT / "examples/bad-day.json").read_text())
-    troubles = [{"at": 10, "kind": "deploy", "part": 0.84, "size": 0.25, "seconds": 36}]
-    if taken:
-        troubles += [
-            {"at": 24, "kind": "takeover", "seconds": 5},
-            {"at": 29, "kind": "takeover", "seconds": 5},
-        ]
-    script.update(seconds=60, seed=11, troubles=troubles)
-    script["hosts"].update(many=48, processes=3)
-    script["relays"].update(rate=120, wire=wire, many=relays, processes=3)
+def scenario_script(relays: int, protocol: str, with_leader_changes: bool) -> dict[str, Any]:
+    """Return the script of one scenario."""
+    script = example("bad-day.json")
+    faults = [RELEASE, *LEADER_CHANGES] if with_leader_changes else [RELEASE]
+    script.update(seconds=60, seed=11, troubles=faults)
+    script["hosts"].update(many=HOSTS, processes=3)
+    script["relays"].update(rate=REQUESTS_PER_SECOND, wire=protocol, many=relays, processes=3)
     script["charter"]["fronts"]["sasp"]["interval_s"] = 2
-    script["charter"]["relays"]["rate"] = 120 / relays
-    script["charter"]["channel"].update(
-        messages_most=60, answers_most=30
-    )  # 4,500 lines a second, 4,500 may wait: as for 9 relays
+    script["charter"]["relays"]["rate"] = REQUESTS_PER_SECOND / relays
+    # The rest of the channel is as for 9 relays: 4,500 lines a second, 4,500 may wait.
+    script["charter"]["channel"].update(messages_most=60, answers_most=30)
+    return script
+
+
+async def play(relays: int, protocol: str, with_leader_changes: bool) -> dict[str, Any]:
+    """Play one scenario; return its result with what new leaders wrote first."""
+    script = scenario_script(relays, protocol, with_leader_changes)
     with tempfile.TemporaryDirectory() as folder:
-        play = FleetScenarioRunner(script, pathlib.Path(folder))
-        result = await play.play()
+        runner = FleetScenarioRunner(script, folder)
+        result = await runner.play()
+        evidence = runner.evidence
+        assert evidence is not None
+        events = evidence.stream_events
         result["laid"] = [
             {
-                "at_s": round(play.evidence.seconds_since_start(at), 2),
-                "relays": many,
-                "messages": messages,
-                "lines": lines,
+                "at_s": round(evidence.seconds_since_start(first.at), 2),
+                "relays": first.relays,
+                "messages": first.messages,
+                "lines": first.entries,
             }
-            for at, _, many, messages, lines in play.first_tables(play.evidence.stream_events)
+            for first in runner.first_tables(events)
         ]
-        result["first_s"] = round(
-            min(
-                event.at
-                for event in play.evidence.stream_events
-                if event.type == StreamEventType.MESSAGE
-            )
-            / 1e6,
-            2,
-        )
+        messages = (event.at for event in events if event.type == StreamEventType.MESSAGE)
+        result["first_s"] = round(min(messages) / SECOND, 2)
     return result
 
 
-async def at_rest(many):
+async def measure_idle(controllers: int) -> dict[str, Any]:
+    """Return what each controller costs while nobody is to be served."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = ControllerFleet(
-            folder,
-            json.loads((ROOT / "examples/charter.json").read_text()),
-            members=many,
-            lease=3000,
-        )
-
-        def spent():
-            return [
-                sum(
-                    map(
-                        int,
-                        pathlib.Path(f"/proc/{process.pid}/stat")
-                        .read_text()
-                        .rpartition(")")[2]
-                        .split()[11:13],
-                    )
-                )
-                / TICK
-                for process in fleet.processes.values()
-            ]
-
+        settings = example("charter.json")
+        fleet = ControllerFleet(folder, settings, members=controllers, lease_ms=IDLE_LEASE_MS)
         try:
             for name in fleet.member_ports:
                 await fleet.start(name)
             while not fleet.leader():
                 await asyncio.sleep(0.2)
             await asyncio.sleep(5)
-            before = spent()
-            await asyncio.sleep(20)
-            cores = [round((b - a) / 20, 4) for a, b in zip(before, spent())]
-            memory = [
-                int(
-                    next(
-                        line
-                        for line in pathlib.Path(f"/proc/{process.pid}/status")
-                        .read_text()
-                        .splitlines()
-                        if line.startswith("VmRSS")
-                    ).split()[1]
-                )
-                // 1024
-                for process in fleet.processes.values()
-            ]
+            before = [cpu_seconds(process.pid) for process in fleet.processes.values()]
+            await asyncio.sleep(IDLE_SECONDS)
+            after = [cpu_seconds(process.pid) for process in fleet.processes.values()]
+            memory = [resident_mb(process.pid) for process in fleet.processes.values()]
         finally:
             await fleet.stop()
+    cores = [
+        round((end - start) / IDLE_SECONDS, 4) for start, end in zip(before, after, strict=True)
+    ]
     return {
-        "controllers": many,
-        "lease_s": 3,
+        "controllers": controllers,
+        "lease_s": IDLE_LEASE_MS // 1000,
         "cores_most": max(cores),
         "cores_least": min(cores),
         "mb_most": max(memory),
     }
 
 
-async def main(relays, wire):
+def cpu_seconds(pid: int) -> float:
+    """Return the processor time that a process has used."""
+    fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return sum(map(int, fields[11:13])) / TICKS_PER_SECOND
+
+
+def resident_mb(pid: int) -> int:
+    """Return the memory that a process holds."""
+    lines = pathlib.Path(f"/proc/{pid}/status").read_text().splitlines()
+    line = next(line for line in lines if line.startswith("VmRSS"))
+    return int(line.split()[1]) // 1024
+
+
+async def main(relays: int, protocol: str) -> None:
+    """Play both scenarios, then measure idle controllers; keep the result after each part."""
     results = {}
-    for name, taken in (("taken_over", True), ("left_alone", False)):
-        results[name] = await day(relays, wire, taken)
+    for name, with_leader_changes in (("taken_over", True), ("left_alone", False)):
+        results[name] = await play(relays, protocol, with_leader_changes)
         print(name, printed(results[name]), json.dumps(results[name]["laid"]), flush=True)
     kept = {
         "what": "a takeover amid a release and back",
         "relays": relays,
-        "hosts": 48,
-        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "hosts": HOSTS,
+        "machine": machine(),
         **results,
     }
-    path = ROOT / f"benchmarks/results/amid-{wire}.json"
-    path.write_text(json.dumps(kept, indent=1) + "\n")
-    kept["at_rest"] = [await at_rest(many) for many in (3, 5, 9)]
-    path.write_text(json.dumps(kept, indent=1) + "\n")
+    write_result(f"amid-{protocol}", kept)
+    kept["at_rest"] = [await measure_idle(controllers) for controllers in (3, 5, 9)]
+    write_result(f"amid-{protocol}", kept)
 
 
 if __name__ == "__main__":
-    asyncio.run(
-        main(
-            int(sys.argv[1]) if len(sys.argv) > 1 else 303,
-            sys.argv[2] if len(sys.argv) > 2 else "sasp",
-        )
-    )
+    asyncio.run(main(argument(1, 303), argument(2, "sasp", str)))
--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -1,89 +1,97 @@
-"""Service on the scripted bad day beside two baselines in one run, and bytes on the wire: python benchmarks/bad_day.py
+"""Service in the scripted bad day beside two baselines, and bytes: python benchmarks/bad_day.py.
 
-Baselines: equal weights over the whole list, and the weights of the start. Each has a fleet of its own; all three
-play at the same time on this machine. Bytes: all that relays were sent, against entries that changed alone.
+Baselines: equal weights over the whole list, and the weights of the start. Each has a fleet of its
+own; all three play at the same time on this machine. Bytes: all that relays were sent, against
+entries that changed alone.
 """
 
 import asyncio
 import json
-import os
 import pathlib
-import platform
-import sys
 import tempfile
+from typing import Any
 
-sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
+from common import example, machine, rules_broken, write_result
 
-from indigodeck.frontends.sasp import codec  # noqa: E402
-from indigodeck.testbed.recording_proxy import StreamEventType  # noqa: E402
-from indigodeck.testbed.scenario import ScenarioRunner  # noqa: E402
+from indigodeck.frontends.sasp import codec
+from indigodeck.testbed.recording_proxy import StreamEventType
+from indigodeck.testbed.scenario import ScenarioRunner
 
+POLICIES = ("indigodeck", "equal", "frozen")
 
-class Changes:
-    """Counts the bytes of weight entries that differ from what the relay was told before."""
 
-    def __init__(self):
-        self.told, self.all, self.changed = {}, 0, 0
+class ChangeCounter:
+    """Counts the bytes of weight entries that differ from what the relay was sent before."""
 
-    def answered(self, *_):
-        pass
+    def __init__(self) -> None:
+        self.entry_bytes = 0
+        self.changed_bytes = 0
+        self._last_sent: dict[Any, tuple[int, int]] = {}
 
-    def weights(self, number, code, interval, groups):
+    def answered(self, *_: Any) -> None:
+        """Ignore an answer without weights (called by the codec)."""
+
+    def weights(self, number: int, code: int, interval: int, groups: Any) -> None:
+        """Count an answer with weights (called by the codec)."""
         self.sent_weights(number, groups)
 
-    def sent_weights(self, number, groups):
-        for named, entries in groups:
+    def sent_weights(self, number: int, groups: Any) -> None:
+        """Count weights that were pushed (called by the codec)."""
+        for group, entries in groups:
             for entry in entries:
-                size, key = len(codec.entry_bytes(entry)), (named, entry.member.endpoint())
-                self.all += size
-                if self.told.get(key) != (entry.weight, entry.flags):
-                    self.changed += size
-                self.told[key] = entry.weight, entry.flags
+                size = len(codec.entry_bytes(entry))
+                key = (group, entry.member.endpoint())
+                content = (entry.weight, entry.flags)
+                self.entry_bytes += size
+                if self._last_sent.get(key) != content:
+                    self.changed_bytes += size
+                self._last_sent[key] = content
+
 
+def policy_result(result: dict[str, Any], own_service: float) -> dict[str, Any]:
+    """Return what is kept of one policy's result."""
+    service = result["service"]
+    lost = 1 - service["whole"]
+    return {
+        "service": service["whole"],
+        "worst_10_s": service["worst_10_s"],
+        "worst_class": service["worst_class"],
+        "by_5_s": service["by_5_s"],
+        "rules_broken": rules_broken(result),
+        "lost_over_ours": round(lost / max(1e-9, 1 - own_service), 2),
+    }
 
-async def main():
-    script = json.loads(
-        (pathlib.Path(__file__).parent.parent / "examples/bad-day.json").read_text()
-    )
+
+async def main() -> None:
+    """Play all three at once, and keep the results."""
+    script = example("bad-day.json")
     with tempfile.TemporaryDirectory() as folder:
-        plays = [
-            ScenarioRunner(script, pathlib.Path(folder) / policy, policy)
-            for policy in ("indigodeck", "equal", "frozen")
+        runners = [
+            ScenarioRunner(script, pathlib.Path(folder) / policy, policy) for policy in POLICIES
         ]
-        results = await asyncio.gather(*(play.play() for play in plays))
-    changes = Changes()
-    for event in plays[0].proxy.events:
+        results = await asyncio.gather(*(runner.play() for runner in runners))
+    counter = ChangeCounter()
+    proxy = runners[0].proxy
+    for event in proxy.events:
         if event.type == StreamEventType.MESSAGE:
-            codec.dispatch(event.data, changes)
-    ours = results[0]["service"]["whole"]
+            codec.dispatch(event.data, counter)
+    own_service = results[0]["service"]["whole"]
     kept = {
         "what": "the scripted bad day",
-        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "machine": machine(),
         "hosts": script["hosts"]["many"],
         "relays": script["relays"]["many"],
         "rate": script["relays"]["rate"],
-        "policies": {
-            result["policy"]: {
-                "service": result["service"]["whole"],
-                "worst_10_s": result["service"]["worst_10_s"],
-                "worst_class": result["service"]["worst_class"],
-                "by_5_s": result["service"]["by_5_s"],
-                "rules_broken": [rule["rule"] for rule in result["rules"] if not rule["kept"]],
-                "lost_over_ours": round((1 - result["service"]["whole"]) / max(1e-9, 1 - ours), 2),
-            }
-            for result in results
-        },
+        "policies": {result["policy"]: policy_result(result, own_service) for result in results},
         "bytes": {
-            "all": plays[0].proxy.bytes_sent,
-            "entries": changes.all,
-            "changed_entries": changes.changed,
-            "entries_over_changed": round(changes.all / changes.changed, 2),
+            "all": proxy.bytes_sent,
+            "entries": counter.entry_bytes,
+            "changed_entries": counter.changed_bytes,
+            "entries_over_changed": round(counter.entry_bytes / counter.changed_bytes, 2),
         },
     }
     print(json.dumps(kept, indent=1))
-    (pathlib.Path(__file__).parent / "results/bad-day.json").write_text(
-        json.dumps(kept, indent=1) + "\n"
-    )
+    write_result("bad-day", kept)
 
 
 if __name__ == "__main__":
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -1,63 +1,72 @@
-"""A start while the list can't be had, against one while it can: python benchmarks/discovery.py
+"""A start while the endpoint list cannot be had, against one while it can: benchmarks/discovery.py.
 
-Two days side by side in one run, 18 hosts, 9 relays over SASP, 120 exchanges a second, a store. Two hosts drain; the list's keeper then
-refuses connections until the end (or goes on); a host crashes, and the planner is killed and started anew 1 s later.
+Two scenarios side by side in one run, 18 hosts, 9 relays over SASP, 120 requests a second, a
+store. Two hosts drain; the list service then refuses connections until the end (or goes on); a
+host crashes, and the planner is killed and started anew 1 s later.
 """
 
 import asyncio
 import json
-import os
 import pathlib
-import platform
-import sys
 import tempfile
+from typing import Any
 
-sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
+from common import example, machine, write_result
 
-from indigodeck.testbed.scenario import ScenarioRunner  # noqa: E402
-from indigodeck.testbed.scenario_result import printed  # noqa: E402
+from indigodeck.testbed.scenario import ScenarioRunner
+from indigodeck.testbed.scenario_result import printed
 
-ROOT = pathlib.Path(__file__).parent.parent
+FAULTS = (
+    {"at": 4, "kind": "shrink", "part": 0.12, "size": 1.0, "seconds": 2},
+    {"at": 13, "kind": "crash", "part": 0.06, "seconds": 40},
+    {"at": 14, "kind": "planner_killed", "size": 1.0},
+)
+LIST_DOWN = {"at": 12, "kind": "roster_down", "seconds": 30}
+# What names the events of a planner that starts from its cached list.
+CACHED_LIST_EVENTS = ("cached_", "that was kept")
 
 
-def script(down):
-    document = json.loads((ROOT / "examples/bad-day.json").read_text())
-    document["charter"]["store"] = {"folder": "store"}
-    troubles = [
-        {"at": 4, "kind": "shrink", "part": 0.12, "size": 1.0, "seconds": 2},
-        {"at": 13, "kind": "crash", "part": 0.06, "seconds": 40},
-        {"at": 14, "kind": "planner_killed", "size": 1.0},
+def scenario_script(with_list_down: bool) -> dict[str, Any]:
+    """Return the script of one of the two."""
+    script = example("bad-day.json")
+    script["charter"]["store"] = {"folder": "store"}
+    faults = [*FAULTS, LIST_DOWN] if with_list_down else list(FAULTS)
+    script.update(seconds=40, seed=3, troubles=faults)
+    script["relays"].update(rate=120)
+    return script
+
+
+def cached_list_events(log: pathlib.Path) -> list[dict[str, Any]]:
+    """Return what a planner logged of its cached list."""
+    records = [json.loads(line) for line in log.read_text().splitlines() if line.startswith("{")]
+    return [
+        record
+        for record in records
+        if any(words in record["event"] for words in CACHED_LIST_EVENTS)
     ]
-    if down:
-        troubles.append({"at": 12, "kind": "roster_down", "seconds": 30})
-    document.update(seconds=40, seed=3, troubles=troubles)
-    document["relays"].update(rate=120)
-    return document
 
 
-async def main():
-    with tempfile.TemporaryDirectory() as folder:
-        plays = [
-            ScenarioRunner(script(down), pathlib.Path(folder) / name)
-            for name, down in (("down", True), ("up", False))
-        ]
-        results = await asyncio.gather(*(play.play() for play in plays))
-        said = [
-            json.loads(line)
-            for line in (pathlib.Path(folder) / "down" / "planner.log").read_text().splitlines()
-            if line.startswith("{")
-        ]
-    for name, result in zip(("down", "up"), results):
+async def main() -> None:
+    """Play both at once, and keep the results."""
+    with tempfile.TemporaryDirectory() as made:
+        folder = pathlib.Path(made)
+        runners = {
+            name: ScenarioRunner(scenario_script(with_list_down), folder / name)
+            for name, with_list_down in (("down", True), ("up", False))
+        }
+        played = await asyncio.gather(*(runner.play() for runner in runners.values()))
+        events = cached_list_events(folder / "down" / "planner.log")
+    results = dict(zip(runners, played, strict=True))
+    for name, result in results.items():
         print(name, printed(result))
-    belief = [line for line in said if "that was kept" in line["event"]]
-    print("\n".join(map(str, belief)))
+    print("\n".join(map(str, events)))
     kept = {
         "what": "a start without the list",
-        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
-        **dict(zip(("down", "up"), results)),
-        "belief": belief,
+        "machine": machine(),
+        **results,
+        "belief": events,
     }
-    (ROOT / "benchmarks/results/discovery.json").write_text(json.dumps(kept, indent=1) + "\n")
+    write_result("discovery", kept)
 
 
 if __name__ == "__main__":
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,77 +1,99 @@
-"""A planner's processor and memory at 303 relays and 1,100 exchanges a second: python benchmarks/load.py [RELAYS RATE SECONDS]
+"""What a planner costs under load: python benchmarks/load.py [RELAYS RATE SECONDS].
 
-All on this machine: 105 hosts, relays with their clients and the planner share its cores, so the figures are the
-planner process's own (utime and stime, resident set), from when all relays have joined to the end.
+303 relays and 1,100 requests a second unless stated. All on this machine: 105 hosts, relays with
+their clients and the planner share its cores, so the figures are the planner process's own (utime
+and stime, resident set), from when all relays have joined to the end.
 """
 
 import asyncio
 import json
 import os
 import pathlib
-import platform
 import sys
 import tempfile
+from itertools import pairwise
+from typing import Any, NamedTuple
 
-sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
+from common import example, machine, write_result
 
-from indigodeck.testbed.scenario import ScenarioRunner  # noqa: E402
+from indigodeck.testbed.scenario import ScenarioRunner
 
-TICK = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGESIZE")
+HOSTS = 105
+SETTLING_SECONDS = 4
+LAST_SAMPLES_IGNORED = 2  # in which the scenario may have ended
 
 
-def spent(pid):
-    """(processor seconds, resident MB) of a process."""
-    fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK, int(fields[21]) * os.sysconf(
-        "SC_PAGESIZE"
-    ) / 1e6
+class Sample(NamedTuple):
+    """What the planner had used by a moment."""
 
+    at_s: float
+    cpu_s: float
+    resident_mb: float
 
-async def main(relays, rate, seconds):
-    script = json.loads(
-        (pathlib.Path(__file__).parent.parent / "examples/bad-day.json").read_text()
-    )
-    script.update(
-        seconds=seconds,
-        troubles=[{"at": seconds / 2, "kind": "deploy", "part": 0.1, "size": 0.5, "seconds": 5}],
+
+def take_sample(pid: int) -> Sample:
+    """Return what a process has used by now."""
+    fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
+    return Sample(
+        asyncio.get_running_loop().time(),
+        (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND,
+        int(fields[21]) * PAGE_BYTES / 1e6,
     )
-    script["hosts"].update(many=105, processes=3)
+
+
+async def sample_planner(runner: ScenarioRunner, relays: int, samples: list[Sample]) -> None:
+    """Take a sample of the planner each second, once all relays have joined."""
+    while runner.planner is None or len(runner.relay_process_of) < relays:
+        await asyncio.sleep(0.5)
+    await asyncio.sleep(SETTLING_SECONDS)
+    while runner.planner.returncode is None:
+        samples.append(take_sample(runner.planner.pid))
+        await asyncio.sleep(1)
+
+
+def scenario_script(relays: int, rate: int, seconds: int) -> dict[str, Any]:
+    """Return the script that is played: a tenth of the hosts are replaced in its middle."""
+    script = example("bad-day.json")
+    release = {"at": seconds / 2, "kind": "deploy", "part": 0.1, "size": 0.5, "seconds": 5}
+    script.update(seconds=seconds, troubles=[release])
+    script["hosts"].update(many=HOSTS, processes=3)
     script["relays"].update(many=relays, rate=rate, processes=4)
     script["charter"]["relays"] = {"rate": rate / relays, "strikes": 3}
     script["charter"]["reports"].update(probes_per_s=60)
+    return script
+
+
+async def main(relays: int, rate: int, seconds: int) -> None:
+    """Play the scenario, and keep the result."""
+    samples: list[Sample] = []
     with tempfile.TemporaryDirectory() as folder:
-        play, samples = ScenarioRunner(script, folder), []
-
-        async def sample():
-            while play.planner is None or len(play.relay_process_of) < relays:
-                await asyncio.sleep(0.5)
-            await asyncio.sleep(4)
-            while play.planner.returncode is None:
-                samples.append((asyncio.get_running_loop().time(), *spent(play.planner.pid)))
-                await asyncio.sleep(1)
-
-        watch = asyncio.get_running_loop().create_task(sample())
-        result = await play.play()
-        watch.cancel()
-    samples = samples[:-2]
-    cores = [(b[1] - a[1]) / (b[0] - a[0]) for a, b in zip(samples, samples[1:])]
+        runner = ScenarioRunner(scenario_script(relays, rate, seconds), folder)
+        sampling = sample_planner(runner, relays, samples)
+        task = asyncio.get_running_loop().create_task(sampling)
+        result = await runner.play()
+        task.cancel()
+    samples = samples[:-LAST_SAMPLES_IGNORED]
+    cores = [
+        (after.cpu_s - before.cpu_s) / (after.at_s - before.at_s)
+        for before, after in pairwise(samples)
+    ]
     kept = {
         "what": "planner at load",
-        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "machine": machine(),
         "relays": relays,
-        "hosts": 105,
+        "hosts": HOSTS,
         "exchanges_a_second": round(result["service"]["asked"] / seconds),
         "cores_mean": round(sum(cores) / len(cores), 3),
         "cores_worst_second": round(max(cores), 3),
-        "resident_mb": round(max(line[2] for line in samples), 1),
+        "resident_mb": round(max(sample.resident_mb for sample in samples), 1),
         "service": result["service"]["whole"],
         "rules_kept": all(rule["kept"] for rule in result["rules"]),
         "wire_bytes": result["wire_bytes"],
     }
     print(json.dumps(kept))
-    (pathlib.Path(__file__).parent / f"results/load-{relays}.json").write_text(
-        json.dumps(kept, indent=1) + "\n"
-    )
+    write_result(f"load-{relays}", kept)
 
 
 if __name__ == "__main__":
--- a/benchmarks/lossy.py
+++ b/benchmarks/lossy.py
@@ -1,57 +1,65 @@
-"""Schedules of lost, late and repeated messages, far more than CI plays: python benchmarks/lossy.py [MANY]"""
+"""Schedules of lost, late and repeated messages: python benchmarks/lossy.py [COUNT].
+
+Far more than CI plays.
+"""
 
 import json
-import os
-import pathlib
-import platform
-import sys
 import time
+from collections.abc import Callable, Sequence
 from concurrent.futures import ProcessPoolExecutor
+from typing import NamedTuple
+
+from common import argument, machine, write_result
+
+# These follow the import above, which puts them on the path.
+import test_relays  # isort: skip
+from versions import test_replication  # isort: skip
+
+FIRST_SEED = 10_000
+PARTS = 16
+
 
-ROOT = pathlib.Path(__file__).parent.parent
-sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
+class Played(NamedTuple):
+    """How many schedules were played, what they proved, and the first problem, if any."""
 
-import test_relays  # noqa: E402
-from versions import test_replication  # noqa: E402
+    schedules: int
+    proved: int
+    problem: str | None
 
 
-def played(play, seeds):
-    """(schedules, what they count, the first that broke or None)"""
-    total = 0
-    for nth, seed in enumerate(seeds):
+def play(schedule: Callable[[int], int], seeds: Sequence[int]) -> Played:
+    """Play schedules up to the first that fails."""
+    proved = 0
+    for index, seed in enumerate(seeds):
         try:
-            total += play(seed)
+            proved += schedule(seed)
         except AssertionError as error:
-            return nth + 1, total, str(error)
-    return len(seeds), total, None
+            return Played(index + 1, proved, str(error))
+    return Played(len(seeds), proved, None)
 
 
-def main(many):
-    began, result = time.monotonic(), {}
+def main(count: int) -> None:
+    """Play schedules of relays, and a quarter as many of controllers; keep the result."""
+    started = time.monotonic()
+    result: dict[str, object] = {}
     with ProcessPoolExecutor(4) as pool:
-        for name, play, most in (
-            ("relays", test_relays.schedule, many),
-            ("controllers", test_replication.play_schedule, many // 4),
+        for name, schedule, schedules in (
+            ("relays", test_relays.schedule, count),
+            ("controllers", test_replication.play_schedule, count // 4),
         ):
-            parts = list(
-                pool.map(
-                    played,
-                    [play] * 16,
-                    [range(10_000 + nth, 10_000 + most, 16) for nth in range(16)],
-                )
-            )
+            seeds = [
+                range(FIRST_SEED + part, FIRST_SEED + schedules, PARTS) for part in range(PARTS)
+            ]
+            parts = list(pool.map(play, [schedule] * PARTS, seeds))
             result[name] = {
-                "schedules": sum(part[0] for part in parts),
-                "proved": sum(part[1] for part in parts),
-                "broken": [part[2] for part in parts if part[2]],
+                "schedules": sum(part.schedules for part in parts),
+                "proved": sum(part.proved for part in parts),
+                "broken": [part.problem for part in parts if part.problem],
             }
-    result.update(
-        machine=f"{os.cpu_count()} cores, {platform.python_version()}",
-        seconds=round(time.monotonic() - began),
-    )
-    (ROOT / "benchmarks/results/lossy.json").write_text(json.dumps(result, indent=1) + "\n")
+    result.update(machine=machine(), seconds=round(time.monotonic() - started))
+    write_result("lossy", result)
     print(json.dumps(result))
 
 
 if __name__ == "__main__":
-    main(int(sys.argv[1]) if len(sys.argv) > 1 else 8000)
+    main(argument(1, 8000))
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -1,75 +1,80 @@
-"""Controllers that are stopped and wake at random, audited from sockets: python benchmarks/pauses.py [SECONDS] [SEED] [SASP|XDS]
+"""Controllers stop and go on at random: python benchmarks/pauses.py [SECONDS] [SEED] [SASP|XDS].
 
-Three controllers with a lease of 0.6 s, 18 hosts, 9 relays, 120 exchanges a second. Every 2 to 7 s one of them, by chance, is stopped for
-0.1 to 6 s, so that two may stand at once; now and then one hands over. Hosts are replaced, slow down and come back meanwhile.
+Audited from sockets. Three controllers with a lease of 0.6 s, 18 hosts, 9 relays, 120 requests a
+second. Every 2 to 7 s one of them, drawn at random, is stopped for 0.1 to 6 s, so that two may
+run as leader at once; now and then one hands over. Hosts are replaced, slow down and recover
+meanwhile.
 """
 
 import asyncio
-import json
-import os
-import pathlib
-import platform
-import sys
 import tempfile
+from typing import Any
 
-os.environ.setdefault("GRPC_VERBOSITY", "NONE")
-sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
+from common import argument, example, machine, write_result
 
-from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
-from indigodeck.testbed.fleet_scenario import FleetScenarioRunner  # noqa: E402
-from indigodeck.testbed.scenario_result import printed  # noqa: E402
+from indigodeck.assignment.seeded_random import SeededRandom
+from indigodeck.testbed.fleet_scenario import FleetScenarioRunner
+from indigodeck.testbed.scenario_result import printed
 
-ROOT = pathlib.Path(__file__).parent.parent
+FIRST_FAULT_S = 5.0
+QUIET_END_S = 10
+HANDOVER_PERCENT = 12
 
 
-async def main(seconds, seed, wire):
-    script = json.loads((ROOT / "examples/bad-day.json").read_text())
-    chance, at, troubles = SeededRandom(seed), 5.0, []
-    while at < seconds - 10:
-        draw = chance.below(100)
-        if draw < 12:
-            troubles.append({"at": at, "kind": "handover"})
+def controller_faults(random: SeededRandom, seconds: float) -> list[dict[str, Any]]:
+    """Return stops and handovers, drawn over the whole time."""
+    faults: list[dict[str, Any]] = []
+    at = FIRST_FAULT_S
+    while at < seconds - QUIET_END_S:
+        if random.below(100) < HANDOVER_PERCENT:
+            faults.append({"at": at, "kind": "handover"})
         else:
-            troubles.append(
-                {"at": at, "kind": "stall", "seconds": (100 + chance.below(5900)) / 1000}
-            )
-        at += (2000 + chance.below(5000)) / 1000
-    for nth in range(int(seconds // 60)):
-        troubles += [
-            {"at": 60 * nth + 12, "kind": "deploy", "part": 0.4, "size": 0.3, "seconds": 20},
-            {"at": 60 * nth + 40, "kind": "slow", "part": 0.1, "size": 0.6, "seconds": 8},
+            pause_s = (100 + random.below(5900)) / 1000
+            faults.append({"at": at, "kind": "stall", "seconds": pause_s})
+        at += (2000 + random.below(5000)) / 1000
+    return faults
+
+
+def host_faults(seconds: float) -> list[dict[str, Any]]:
+    """Return a release and slow hosts in each minute."""
+    faults = []
+    for minute in range(int(seconds // 60)):
+        start = 60 * minute
+        faults += [
+            {"at": start + 12, "kind": "deploy", "part": 0.4, "size": 0.3, "seconds": 20},
+            {"at": start + 40, "kind": "slow", "part": 0.1, "size": 0.6, "seconds": 8},
         ]
-    script.update(seconds=seconds, seed=seed, troubles=troubles)
-    script["relays"].update(rate=120, wire=wire)
+    return faults
+
+
+async def main(seconds: float, seed: int, protocol: str) -> None:
+    """Play the scenario, and keep the result."""
+    faults = controller_faults(SeededRandom(seed), seconds) + host_faults(seconds)
+    script = example("bad-day.json")
+    script.update(seconds=seconds, seed=seed, troubles=faults)
+    script["relays"].update(rate=120, wire=protocol)
     script["charter"]["fronts"]["sasp"]["interval_s"] = 1
     script["charter"]["channel"].update(messages_most=60, answers_most=30)
     with tempfile.TemporaryDirectory() as folder:
-        play = FleetScenarioRunner(script, folder)
-        result = await play.play()
-        acquisitions = play.lease_acquisitions()
+        runner = FleetScenarioRunner(script, folder)
+        result = await runner.play()
+        acquisitions = runner.lease_acquisitions()
+    stops = sum(fault["kind"] == "stall" for fault in faults)
     print(printed(result))
-    print(
-        f"  {len(acquisitions)} times in charge, {sum(trouble['kind'] == 'stall' for trouble in troubles)} stops"
-    )
+    print(f"  {len(acquisitions)} leases acquired, {stops} stops")
     kept = {
         "what": "random stops of controllers, audited from sockets",
         "seed": seed,
         "seconds": seconds,
-        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "machine": machine(),
         "controllers": 3,
         "lease_s": 0.6,
-        "stops": sum(trouble["kind"] == "stall" for trouble in troubles),
+        "stops": stops,
         "charges": len(acquisitions),
         **result,
     }
-    (ROOT / f"benchmarks/results/pauses-{wire}.json").write_text(json.dumps(kept, indent=1) + "\n")
+    write_result(f"pauses-{protocol}", kept)
 
 
 if __name__ == "__main__":
-    asyncio.run(
-        main(
-            float(sys.argv[1]) if len(sys.argv) > 1 else 600.0,
-            int(sys.argv[2]) if len(sys.argv) > 2 else 1,
-            sys.argv[3] if len(sys.argv) > 3 else "sasp",
-        )
-    )
+    asyncio.run(main(argument(1, 600.0, float), argument(2, 1), argument(3, "sasp", str)))
--- a/benchmarks/plot.py
+++ b/benchmarks/plot.py
@@ -1,40 +1,36 @@
-"""Curves of what is kept in results/, into docs/img: python benchmarks/plot.py (needs benchmarks/requirements.txt)"""
+"""Curves of the kept results, into docs/img: python benchmarks/plot.py.
+
+Needs benchmarks/requirements.txt.
+"""
 
 import json
-import pathlib
 
 import matplotlib
+from common import RESULTS, ROOT
 
 matplotlib.use("Agg")
-from matplotlib import pyplot  # noqa: E402
-
-ROOT = pathlib.Path(__file__).parent.parent
+from matplotlib import pyplot  # noqa: E402 - after the choice of its output
 
 
-def orders():
+def plot_orders() -> None:
+    """Plot delivery times and their cost over the number of relays."""
     figure, (times, cost) = pyplot.subplots(1, 2, figsize=(10, 4))
-    for wire in ("sasp", "xds"):
-        results = json.loads((ROOT / f"benchmarks/results/orders-{wire}.json").read_text())[
-            "results"
-        ]
+    for protocol in ("sasp", "xds"):
+        results = json.loads((RESULTS / f"orders-{protocol}.json").read_text())["results"]
         sizes = [result["relays"] for result in results]
-        (line,) = times.plot(
-            sizes, [result["ack_p50_ms"] for result in results], marker="o", label=f"{wire}, median"
-        )
+        medians = [result["ack_p50_ms"] for result in results]
+        percentiles = [result["ack_p99_ms"] for result in results]
+        cpu_ms = [1000 * result["planner_cpu_s_per_drain"] for result in results]
+        (line,) = times.plot(sizes, medians, marker="o", label=f"{protocol}, median")
         times.plot(
             sizes,
-            [result["ack_p99_ms"] for result in results],
+            percentiles,
             marker="o",
             linestyle="--",
             color=line.get_color(),
-            label=f"{wire}, p99",
-        )
-        cost.plot(
-            sizes,
-            [1000 * result["planner_cpu_s_per_drain"] for result in results],
-            marker="o",
-            label=wire,
+            label=f"{protocol}, p99",
         )
+        cost.plot(sizes, cpu_ms, marker="o", label=protocol)
     for axes, title, unit in (
         (times, "from order to acknowledgement", "ms"),
         (cost, "planner's time for each drain", "ms of one core"),
@@ -48,4 +44,4 @@
 
 
 if __name__ == "__main__":
-    orders()
+    plot_orders()
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -1,46 +1,47 @@
-"""Schedules of takeovers explored on all cores: python benchmarks/schedules.py [HOW MANY]"""
+"""Schedules of lease elections explored on all cores: python benchmarks/schedules.py [COUNT]."""
 
 import json
 import multiprocessing
-import os
-import pathlib
-import platform
-import sys
 import time
+from typing import Any
 
-sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
+from common import argument, machine, write_result
 
-from indigodeck.leadership import model, mutants  # noqa: E402
+from indigodeck.leadership import model, mutants
 
-EACH = 250
+SEEDS_PER_PART = 250
+MUTANT_SEEDS = 20_000
+GROUP_SIZES = (3, 5, 2, 7)
 
 
-def some(first):
-    return model.explore(range(first, first + EACH), members=(3, 5, 2, 7))
+def explore_part(first_seed: int) -> Any:
+    """Explore the schedules of some seeds, on one core."""
+    seeds = range(first_seed, first_seed + SEEDS_PER_PART)
+    return model.explore(seeds, members=GROUP_SIZES)
 
 
-def main(many):
-    began = time.perf_counter()
+def main(count: int) -> None:
+    """Explore all schedules, then look after how many each mutant is caught; keep the result."""
+    started = time.perf_counter()
     with multiprocessing.Pool() as pool:
-        results = pool.map(some, range(0, many, EACH), chunksize=1)
-    took = time.perf_counter() - began
+        results = pool.map(explore_part, range(0, count, SEEDS_PER_PART), chunksize=1)
+    elapsed = time.perf_counter() - started
     caught = {
-        mutant.__name__: model.explore(range(20_000), make=mutant)[0] for mutant in mutants.MUTANTS
+        mutant.__name__: model.explore(range(MUTANT_SEEDS), make=mutant)[0]
+        for mutant in mutants.MUTANTS
     }
     kept = {
         "what": "schedules of takeovers, 60 s of simulated time each",
-        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "machine": machine(),
         "schedules": sum(played for played, _, _ in results),
         "takeovers": sum(seen for _, seen, _ in results),
-        "schedules_a_second": round(many / took, 1),
-        "broken": [what for _, _, what in results if what],
+        "schedules_a_second": round(count / elapsed, 1),
+        "broken": [problem for _, _, problem in results if problem],
         "mutants_caught_after": caught,
     }
     print(json.dumps(kept))
-    (pathlib.Path(__file__).parent / "results/schedules.json").write_text(
-        json.dumps(kept, indent=1) + "\n"
-    )
+    write_result("schedules", kept)
 
 
 if __name__ == "__main__":
-    main(int(sys.argv[1]) if len(sys.argv) > 1 else 100_000)
+    main(argument(1, 100_000))
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,113 +1,126 @@
-"""Time without a controller, on real processes: python benchmarks/takeover.py [TAKEOVERS] [RELAYS ..]
+"""Time without a leader, on real processes: python benchmarks/takeover.py [TAKEOVERS] [RELAYS ..].
 
-Three controllers with a lease of 0.6 s, half of the relays over SASP, half over xDS, all with the client library in this process. The
-one in charge is stopped (SIGSTOP), and goes on after another has taken over. Elected: until another says that it is in charge.
-Served: until a relay holds what the new one says (a host drains right after the stop).
+Three controllers with a lease of 0.6 s, half of the relays over SASP, half over xDS, all with the
+client library in this process. The leader is stopped (SIGSTOP), and goes on after another has
+taken over. Elected: until another acquired the lease. Served: until a relay holds what the new
+one says (a host drains right after the stop).
 """
 
 import asyncio
 import json
-import os
-import pathlib
-import platform
 import signal
 import sys
 import tempfile
-import time
+from typing import Any, NamedTuple
 
-os.environ.setdefault("GRPC_VERBOSITY", "NONE")
-sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
+from common import argument, example, machine, quantiles, wait_until, write_result
 
-from indigodeck.clock import now  # noqa: E402
-from indigodeck.testbed.controller_fleet import ControllerFleet  # noqa: E402
+from indigodeck.clock import SECOND, now
+from indigodeck.testbed.controller_fleet import FIRST_HOST_PORT, ControllerFleet, Relay
 
-ROOT = pathlib.Path(__file__).parent.parent
+PROTOCOLS = ("sasp", "xds")
+TIMEOUT_S = 40
 
 
-def quantile(values, part):
-    return round(sorted(values)[min(len(values) - 1, int(part * len(values)))], 3)
+class FleetRelay(NamedTuple):
+    """A relay and its protocol."""
 
+    protocol: str
+    relay: Relay
 
-async def until(true, seconds=40):
-    end = time.monotonic() + seconds
-    while not true():
-        if time.monotonic() > end:
-            raise RuntimeError("it did not come true")
-        await asyncio.sleep(0.01)
+    def has_tables_without(self, port: int) -> bool:
+        """Return whether its table for `reading` names hosts, and not this one."""
+        lines = self.relay.tables.lines["reading"]
+        return bool(lines) and ("127.0.0.1", port) not in lines
 
 
-async def measure(takeovers, many):
-    elected, served = [], {"sasp": [], "xds": []}
+class Takeovers:
+    """Stops leaders of one fleet, and measures how long relays are without one."""
+
+    def __init__(self, fleet: ControllerFleet, relays: list[FleetRelay]) -> None:
+        self.elected_s: list[float] = []
+        self.served_s: dict[str, list[float]] = {protocol: [] for protocol in PROTOCOLS}
+        self._fleet = fleet
+        self._relays = relays
+
+    async def measure(self, index: int) -> None:
+        """Stop the leader once; odd and even times drain different hosts."""
+        fleet = self._fleet
+        leader = fleet.leader()
+        assert leader is not None
+        started = now()
+        drained = index % 2
+        fleet.set_host_states(**{f"h{drained}": "draining", f"h{1 - drained}": "ready"})
+        fleet.signal(leader, signal.SIGSTOP)
+        await wait_until(lambda: fleet.leader() not in (None, leader), "another leader", TIMEOUT_S)
+        self.elected_s.append((now() - started) / SECOND)
+        await self._wait_for_relays(started, FIRST_HOST_PORT + drained)
+        fleet.signal(leader, signal.SIGCONT)
+        await asyncio.sleep(2)
+
+    async def _wait_for_relays(self, started: int, drained_port: int) -> None:
+        waiting = list(self._relays)
+        while waiting:
+            served = [relay for relay in waiting if relay.has_tables_without(drained_port)]
+            for relay in served:
+                self.served_s[relay.protocol].append((now() - started) / SECOND)
+                waiting.remove(relay)
+            if now() - started > TIMEOUT_S * SECOND:
+                raise RuntimeError(f"{len(waiting)} relays follow nobody")
+            await asyncio.sleep(0.01)
+
+
+async def measure(takeovers: int, relay_count: int) -> dict[str, Any]:
+    """Measure so many takeovers with so many relays."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = ControllerFleet(folder, json.loads((ROOT / "examples/charter.json").read_text()))
-        relays = []
+        fleet = ControllerFleet(folder, example("charter.json"))
+        relays: list[FleetRelay] = []
         try:
             for name in fleet.member_ports:
                 await fleet.start(name)
-            await until(fleet.leader)
-            for nth in range(many):
-                wire = ("sasp", "xds")[nth % 2]
-                relays.append((wire, *fleet.connect_relay(wire, f"hall-a/{wire}-{nth}")))
-            out = 9000
-            holds = lambda tables: (
-                ("127.0.0.1", out) not in tables.lines["reading"] and tables.lines["reading"]
-            )  # noqa: E731
-            await until(
-                lambda: all(tables.updated_at["reading"] is not None for _, tables, *_ in relays)
+            await wait_until(fleet.leader, "a leader", TIMEOUT_S)
+            for index in range(relay_count):
+                protocol = PROTOCOLS[index % 2]
+                relay = fleet.connect_relay(protocol, f"hall-a/{protocol}-{index}")
+                relays.append(FleetRelay(protocol, relay))
+            await wait_until(
+                lambda: all(one.relay.tables.updated_at["reading"] is not None for one in relays),
+                "tables at all relays",
+                TIMEOUT_S,
             )
-            for nth in range(takeovers):
-                old, began, out = fleet.leader(), now(), 9000 + nth % 2
-                fleet.set_host_states(**{f"h{nth % 2}": "draining", f"h{1 - nth % 2}": "ready"})
-                fleet.signal(old, signal.SIGSTOP)
-                await until(lambda: fleet.leader() not in (None, old))
-                elected.append((now() - began) / 1e6)
-                left = list(relays)
-                while left:
-                    for relay in [relay for relay in left if holds(relay[1])]:
-                        served[relay[0]].append((now() - began) / 1e6)
-                        left.remove(relay)
-                    if now() - began > 40e6:
-                        raise RuntimeError(f"{len(left)} relays follow nobody")
-                    await asyncio.sleep(0.01)
-                fleet.signal(old, signal.SIGCONT)
-                await asyncio.sleep(2)
+            measured = Takeovers(fleet, relays)
+            for index in range(takeovers):
+                await measured.measure(index)
         finally:
-            for _, _, client, _ in relays:
-                client.stop()
+            for one in relays:
+                one.relay.client.stop()
             await fleet.stop()
     return {
-        "relays": many,
+        "relays": relay_count,
         "takeovers": takeovers,
-        "elected_s": {"p50": quantile(elected, 0.5), "p99": quantile(elected, 0.99)},
+        "elected_s": quantiles(measured.elected_s),
         **{
-            f"served_{wire}_s": {"p50": quantile(times, 0.5), "p99": quantile(times, 0.99)}
-            for wire, times in served.items()
+            f"served_{protocol}_s": quantiles(times)
+            for protocol, times in measured.served_s.items()
             if times
         },
     }
 
 
-async def main(takeovers, sizes):
+async def main(takeovers: int, relay_counts: list[int]) -> None:
+    """Measure each number of relays, and keep the results."""
     results = []
-    for many in sizes:
-        results.append(await measure(takeovers, many))
+    for relay_count in relay_counts:
+        results.append(await measure(takeovers, relay_count))
         print(json.dumps(results[-1]), flush=True)
-    size = "-".join(map(str, sizes))
     kept = {
         "what": "takeovers of a stopped controller",
-        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "machine": machine(),
         "lease_s": 0.6,
         "results": results,
     }
-    (ROOT / f"benchmarks/results/takeover-{size}.json").write_text(
-        json.dumps(kept, indent=1) + "\n"
-    )
+    write_result(f"takeover-{'-'.join(map(str, relay_counts))}", kept)
 
 
 if __name__ == "__main__":
-    asyncio.run(
-        main(
-            int(sys.argv[1]) if len(sys.argv) > 1 else 200,
-            [int(word) for word in sys.argv[2:]] or [31, 103, 303],
-        )
-    )
+    asyncio.run(main(argument(1, 200), [int(word) for word in sys.argv[2:]] or [31, 103, 303]))
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,89 +1,128 @@
-"""An upgrade controller by controller from an earlier version of this program: python benchmarks/upgrade.py FOLDER
+"""An upgrade from an earlier version, one by one: python benchmarks/upgrade.py FOLDER.
 
-FOLDER holds the earlier version (a worktree of this project). All three start as it; each is replaced by the present one, those not in charge
-first, while relays of both wires follow; after each, a host drains and all relays must learn it. Then one of the new is stopped.
+FOLDER holds the earlier version (a worktree of this project). All three controllers start as it;
+each is replaced by the present one, those that do not lead first, while relays of both protocols
+follow; after each, a host drains and all relays must learn it. Then one of the new is stopped.
 """
 
 import asyncio
 import json
-import os
 import pathlib
 import signal
 import sys
 import tempfile
 import time
+from collections.abc import Callable
 
-os.environ.setdefault("GRPC_VERBOSITY", "NONE")
-sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
+from common import example, wait_until, write_result
 
-from indigodeck.testbed.controller_fleet import ControllerFleet  # noqa: E402
+from indigodeck.testbed.controller_fleet import (
+    FIRST_HOST_PORT,
+    HOST_COUNT,
+    ControllerFleet,
+    Relay,
+)
 
-ROOT = pathlib.Path(__file__).parent.parent
+TIMEOUT_S = 30
+PROTOCOLS = ("sasp", "xds")
 
 
-async def until(true, what, seconds=30):
-    end = time.monotonic() + seconds
-    while not true():
-        if time.monotonic() > end:
-            raise RuntimeError(f"it did not come true: {what}")
-        await asyncio.sleep(0.02)
+class Upgrade:
+    """One fleet that is upgraded, and the relays that follow it."""
 
+    def __init__(self, fleet: ControllerFleet, earlier: pathlib.Path) -> None:
+        self.drain_known_s: list[float] = []
+        self.empty_tables: list[str] = []  # the class of each table that was empty at some time
+        self._fleet = fleet
+        self._earlier = earlier
+        self._relays: list[Relay] = []
+        self._ready_hosts = set(range(HOST_COUNT))
 
-async def main(earlier):
-    bare, steps = [], []
+    async def start(self) -> None:
+        """Start all controllers as the earlier version, and the relays."""
+        fleet = self._fleet
+        for name in fleet.member_ports:
+            await fleet.start(name, self._earlier)
+        await self._wait(fleet.leader, "a leader")
+        self._relays = [
+            fleet.connect_relay(protocol, f"hall-a/{protocol}-{index}")
+            for index in range(3)
+            for protocol in PROTOCOLS
+        ]
+        await self._wait(self._all_relays_know, "relays hold tables")
+        for relay in self._relays:
+            relay.tables.changed = self._watch(relay)
+
+    async def upgrade_all(self) -> None:
+        """Replace the controllers, the leader of the beginning last."""
+        leader = self._fleet.leader()
+        names = sorted(self._fleet.member_ports, key=lambda name: name == leader)
+        for index, name in enumerate(names):
+            await self._fleet.kill(name)
+            await self._fleet.start(name)
+            await self._wait(self._is_led, "a leader that runs")
+            started = time.monotonic()
+            self._fleet.set_host_states(**{f"h{index}": "draining"})
+            self._ready_hosts -= {index}
+            await self._wait(self._all_relays_know, f"a drain after {name} was replaced")
+            self.drain_known_s.append(round(time.monotonic() - started, 2))
+
+    async def stop_leader(self) -> None:
+        """Stop the leader until another has taken over."""
+        fleet = self._fleet
+        leader = fleet.leader()
+        assert leader is not None
+        fleet.signal(leader, signal.SIGSTOP)
+        await self._wait(lambda: fleet.leader() not in (None, leader), "another leader")
+        fleet.signal(leader, signal.SIGCONT)
+
+    def stop_relays(self) -> None:
+        """Disconnect all relays."""
+        for relay in self._relays:
+            relay.client.stop()
+
+    async def _wait(self, condition: Callable[[], object], what: str) -> None:
+        await wait_until(condition, what, TIMEOUT_S, interval_s=0.02)
+
+    def _is_led(self) -> bool:
+        leader = self._fleet.leader()
+        return leader is not None and self._fleet.processes[leader].returncode is None
+
+    def _all_relays_know(self) -> bool:
+        return all(
+            {port - FIRST_HOST_PORT for _, port in lines} == self._ready_hosts
+            for relay in self._relays
+            for lines in relay.tables.lines.values()
+        )
+
+    def _watch(self, relay: Relay) -> Callable[[str], None]:
+        def on_change(class_name: str) -> None:
+            if not relay.tables.lines[class_name]:
+                self.empty_tables.append(class_name)
+
+        return on_change
+
+
+async def main(earlier: pathlib.Path) -> None:
+    """Upgrade a fleet, and keep the result."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = ControllerFleet(folder, json.loads((ROOT / "examples/charter.json").read_text()))
-        relays = []
+        fleet = ControllerFleet(folder, example("charter.json"))
+        upgrade = Upgrade(fleet, earlier)
         try:
-            for name in fleet.member_ports:
-                await fleet.start(name, earlier)
-            await until(fleet.leader, "somebody is in charge")
-            relays = [
-                fleet.connect_relay(wire, f"hall-a/{wire}-{nth}")
-                for nth in range(3)
-                for wire in ("sasp", "xds")
-            ]
-            hosts = set(range(8))
-
-            def learned():
-                return all(
-                    {port - 9000 for _, port in lines} == hosts
-                    for tables, *_ in relays
-                    for lines in tables.lines.values()
-                )
-
-            await until(learned, "relays hold tables")
-            for tables, *_ in relays:
-                tables.changed = lambda name, tables=tables: tables.lines[name] or bare.append(name)
-            first = fleet.leader()
-            for nth, name in enumerate(sorted(fleet.member_ports, key=lambda name: name == first)):
-                await fleet.kill(name)
-                await fleet.start(name)
-                await until(
-                    lambda: fleet.leader() and fleet.processes[fleet.leader()].returncode is None,
-                    "somebody in charge",
-                )
-                began = time.monotonic()
-                fleet.set_host_states(**{f"h{nth}": "draining"})
-                hosts -= {nth}
-                await until(learned, f"a drain after {name} was replaced")
-                steps.append(round(time.monotonic() - began, 2))
-            old = fleet.leader()
-            fleet.signal(old, signal.SIGSTOP)
-            await until(lambda: fleet.leader() not in (None, old), "another is in charge")
-            fleet.signal(old, signal.SIGCONT)
+            await upgrade.start()
+            await upgrade.upgrade_all()
+            await upgrade.stop_leader()
         finally:
-            for _, client, _ in relays:
-                client.stop()
+            upgrade.stop_relays()
             await fleet.stop()
     result = {
         "what": "an upgrade one by one from an earlier version",
-        "relays": 6,
-        "drain_known_s_after_each": steps,
-        "bare": len(bare),
+        "relays": 2 * 3,
+        "drain_known_s_after_each": upgrade.drain_known_s,
+        "bare": len(upgrade.empty_tables),
     }
     print(json.dumps(result))
-    (ROOT / "benchmarks/results/upgrade.json").write_text(json.dumps(result, indent=1) + "\n")
+    write_result("upgrade", result)
 
 
 if __name__ == "__main__":
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,255 +1,289 @@
-"""What versions cost and how fast the way back is: python benchmarks/versions.py [RELAYS] [ROLLBACKS]
+"""The cost of versions, the speed of rollbacks: python benchmarks/versions.py [RELAYS] [ROLLBACKS].
 
-A planner of its own, 48 hosts, relays half over each protocol with the client library in this process. Two versions are held by turns: from
-the operator's command to when a relay holds it. Then the bad day with a store: bytes and lines of what was kept and of whole sets.
+A planner of its own, 48 hosts, relays half over each protocol with the client library in this
+process. Two versions are pinned by turns: from the operator's command to when a relay holds it.
+Then the bad day with a store: bytes and lines of what was kept, and of whole snapshots.
 """
 
 import asyncio
+import contextlib
 import json
-import os
 import pathlib
-import platform
 import sys
 import tempfile
 import time
+from collections.abc import AsyncIterator, Iterable
+from typing import Any, NamedTuple
+
+from common import argument, example, machine, quantiles, wait_until, write_result
+
+from indigodeck.client import Tables
+from indigodeck.client.sasp import SaspClient
+from indigodeck.client.xds import XdsClient
+from indigodeck.clock import now
+from indigodeck.leadership.operator_client import ask
+from indigodeck.store.files import StoreFolder
+from indigodeck.store.write_ahead_log import WriteAheadLog
+from indigodeck.testbed.discovery_server import EndpointListFile
+from indigodeck.testbed.ports import ReservedPorts
+from indigodeck.testbed.scenario import ScenarioRunner
+from indigodeck.testbed.scenario_result import printed
+from indigodeck.versions.codec import decode_delta, encode_snapshot
+from indigodeck.versions.snapshots import line_count
+from indigodeck.versions.version_log import VersionLog
 
-os.environ.setdefault("GRPC_VERBOSITY", "NONE")
-sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
-
-from indigodeck.client import Tables  # noqa: E402
-from indigodeck.client.sasp import SaspClient  # noqa: E402
-from indigodeck.client.xds import XdsClient  # noqa: E402
-from indigodeck.clock import now  # noqa: E402
-from indigodeck.leadership.operator_client import ask  # noqa: E402
-from indigodeck.store.files import StoreFolder  # noqa: E402
-from indigodeck.store.write_ahead_log import WriteAheadLog  # noqa: E402
-from indigodeck.testbed.discovery_server import EndpointListFile  # noqa: E402
-from indigodeck.testbed.ports import ReservedPorts  # noqa: E402
-from indigodeck.testbed.scenario import ScenarioRunner  # noqa: E402
-from indigodeck.testbed.scenario_result import printed  # noqa: E402
-from indigodeck.versions.codec import decode_delta, encode_snapshot  # noqa: E402
-from indigodeck.versions.snapshots import line_count  # noqa: E402
-from indigodeck.versions.version_log import VersionLog  # noqa: E402
-
-ROOT = pathlib.Path(__file__).parent.parent
 KEY = b"a key for measurements, of sixteen bytes"
-HOSTS, LEAVES = 48, 12
-
-
-def quantile(values, part):
-    return round(sorted(values)[min(len(values) - 1, int(part * len(values)))], 3)
-
-
-async def until(true, seconds=60):
-    end = time.monotonic() + seconds
-    while not true():
-        if time.monotonic() > end:
-            raise RuntimeError("it did not come true")
-        await asyncio.sleep(0.005)
-
-
-async def back(relays, rollbacks):
-    with tempfile.TemporaryDirectory() as made:
-        folder = pathlib.Path(made)
-        reserved_ports = ReservedPorts(3)
-        ports = reserved_ports.numbers
-        (folder / "key").write_bytes(KEY)
-        listed = EndpointListFile(folder)
-
-        def keep(draining):
-            listed.write(
-                [
-                    {
-                        "id": f"host-{nth}",
-                        "address": "127.0.0.1",
-                        "port": 9000 + nth,
-                        "weight": 4,
-                        "hall": f"hall-{'abc'[nth % 3]}",
-                        "state": "draining" if nth in draining else "ready",
-                    }
-                    for nth in range(HOSTS)
-                ]
-            )
+HOSTS = 48
+DRAINED_HOSTS = frozenset(range(12))  # of which the two versions differ
+FIRST_HOST_PORT = 9000
+PROTOCOLS = ("sasp", "xds")
+TIMEOUT_S = 60
+ROLLBACK_TIMEOUT_S = 30
+SETTLING_SECONDS = 4
+
+
+class Relay(NamedTuple):
+    """A relay in this process."""
+
+    protocol: str
+    tables: Tables
+    client: SaspClient | XdsClient
+
+    def has_drained_hosts(self) -> bool:
+        """Return whether its table for `reading` names any host that drains in one version."""
+        ports = {port - FIRST_HOST_PORT for _, port in self.tables.lines["reading"]}
+        return bool(ports & DRAINED_HOSTS)
+
+    def has_tables(self) -> bool:
+        """Return whether a planner has given it a table."""
+        return self.tables.updated_at["reading"] is not None
+
+
+class Bench:
+    """A planner in a process of its own, with its endpoint list, its operator and relays."""
+
+    def __init__(self, folder: pathlib.Path, ports: list[int], relay_count: int) -> None:
+        self.relays: list[Relay] = []
+        self._folder = folder
+        self._frontend_ports = dict(zip(PROTOCOLS, ports, strict=False))
+        self._operator_port = ports[2]
+        self._relay_count = relay_count
+        self._endpoint_list = EndpointListFile(folder)
 
-        keep(())
-        settings = json.loads((ROOT / "examples/charter.json").read_text())
+    def write_list(self, draining: Iterable[int] = ()) -> None:
+        """Write the list, in which these hosts drain."""
+        self._endpoint_list.write(
+            [
+                {
+                    "id": f"host-{index}",
+                    "address": "127.0.0.1",
+                    "port": FIRST_HOST_PORT + index,
+                    "weight": 4,
+                    "hall": zone_of(index),
+                    "state": "draining" if index in draining else "ready",
+                }
+                for index in range(HOSTS)
+            ]
+        )
+
+    def write_settings(self) -> None:
+        """Write the planner's settings file and its key."""
+        (self._folder / "key").write_bytes(KEY)
+        settings = example("charter.json")
         settings.update(
             roster={"file": "roster.json", "look_every_ms": 50},
             store={"folder": "store"},
-            fronts={"sasp": {"port": ports[0], "interval_s": 5}, "xds": {"port": ports[1]}},
-            operators={"port": ports[2], "key_file": "key"},
+            fronts={
+                "sasp": {"port": self._frontend_ports["sasp"], "interval_s": 5},
+                "xds": {"port": self._frontend_ports["xds"]},
+            },
+            operators={"port": self._operator_port, "key_file": "key"},
             reports={"period_ms": 1000, "probes_per_s": 0},
         )
-        settings["relays"].update(most=relays, rate=120 / relays)
+        settings["relays"].update(most=self._relay_count, rate=120 / self._relay_count)
         settings["channel"].update(
             lines_per_s=20_000, waiting_most=20_000, messages_most=200, answers_most=60
         )
-        (folder / "charter.json").write_text(json.dumps(settings))
-        with open(folder / "log", "wb") as log:
+        (self._folder / "charter.json").write_text(json.dumps(settings))
+
+    @contextlib.asynccontextmanager
+    async def running_planner(self) -> AsyncIterator[None]:
+        """Run the planner within the context; relays are disconnected before it ends."""
+        with (self._folder / "log").open("wb") as log:
             planner = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "indigodeck",
                 "serve",
                 "--charter",
-                str(folder / "charter.json"),
+                str(self._folder / "charter.json"),
                 stdout=log,
                 stderr=log,
             )
-            clients, gone = [], set(range(LEAVES))
             try:
-
-                async def wish(**fields):
-                    return await ask(("127.0.0.1", ports[2]), KEY, "versions", wish=fields)
-
                 await asyncio.sleep(2)
-                for nth in range(relays):
-                    tables = Tables(["reading", "setpoint"], now)
-                    kind, port = ((SaspClient, ports[0]), (XdsClient, ports[1]))[nth % 2]
-                    clients.append(
-                        (
-                            tables,
-                            kind(
-                                f"hall-{'abc'[nth % 3]}/r{nth}",
-                                [("127.0.0.1", port)],
-                                tables,
-                                response_timeout=3.0,
-                            ),
-                            ("sasp", "xds")[nth % 2],
-                        )
-                    )
-                    asyncio.get_running_loop().create_task(clients[-1][1].run())
-
-                def holds(tables, without):
-                    lines = {port - 9000 for _, port in tables.lines["reading"]}
-                    return (
-                        tables.updated_at["reading"] is not None
-                        and lines
-                        and bool(lines & gone) != without
-                    )
-
-                def all_without():
-                    return not any(
-                        port - 9000 in gone
-                        for tables, *_ in clients
-                        for _, port in tables.lines["reading"]
-                    )
-
-                await until(
-                    lambda: all(tables.updated_at["reading"] is not None for tables, *_ in clients)
-                )
-                await asyncio.sleep(4)
-                full = (await wish(what="list"))["newest"]
-                # Only relays whose table holds one of them can tell the two versions apart.
-                telling = [one for one in clients if holds(one[0], False)]
-                keep(gone)
-                await until(all_without)
-                await asyncio.sleep(4)
-                fewer = (await wish(what="list"))["newest"]
-                keep(())
-                await asyncio.sleep(4)
-                last, each = [], {"sasp": [], "xds": []}
-                for nth in range(rollbacks):
-                    to, without = ((full, False), (fewer, True))[nth % 2]
-                    began = time.monotonic()
-                    answer = await wish(what="rollback", number=to, author="bench", reason=f"{nth}")
-                    if "done" not in answer:
-                        raise RuntimeError(answer)
-                    left = list(telling)
-                    while left:
-                        for one in [
-                            one
-                            for one in left
-                            if bool({port - 9000 for _, port in one[0].lines["reading"]} & gone)
-                            != without
-                        ]:
-                            each[one[2]].append(time.monotonic() - began)
-                            left.remove(one)
-                        if time.monotonic() - began > 30:
-                            raise RuntimeError(
-                                f"{len(left)} of {len(telling)} relays did not follow"
-                            )
-                        await asyncio.sleep(0.002)
-                    last.append(time.monotonic() - began)
-                    await asyncio.sleep(0.5)
-                listed_relays = await wish(what="relays")
+                yield
             finally:
-                for _, client, _ in clients:
-                    client.stop()
+                for relay in self.relays:
+                    relay.client.stop()
                 planner.terminate()
                 await planner.wait()
-                reserved_ports.close()
-    return {
-        "relays": relays,
-        "that_tell_them_apart": len(telling),
-        "rollbacks": rollbacks,
-        "last_relay_s": {"p50": quantile(last, 0.5), "p99": quantile(last, 0.99)},
-        **{
-            f"{wire}_s": {"p50": quantile(times, 0.5), "p99": quantile(times, 0.99)}
-            for wire, times in each.items()
-        },
-        "told_of_first": listed_relays["relays"][:2],
-    }
 
+    async def connect_relays(self) -> None:
+        """Connect all relays, over both protocols by turns, and wait for their tables."""
+        for index in range(self._relay_count):
+            protocol = PROTOCOLS[index % 2]
+            tables = Tables(["reading", "setpoint"], now)
+            client_type = {"sasp": SaspClient, "xds": XdsClient}[protocol]
+            address = ("127.0.0.1", self._frontend_ports[protocol])
+            uid = f"{zone_of(index)}/r{index}"
+            client = client_type(uid, [address], tables, response_timeout=3.0)
+            self.relays.append(Relay(protocol, tables, client))
+            asyncio.get_running_loop().create_task(client.run())
+        await wait_until(
+            lambda: all(relay.has_tables() for relay in self.relays), "tables", TIMEOUT_S, 0.005
+        )
 
-class Held:
+    async def request(self, **fields: Any) -> dict[str, Any]:
+        """Send an operator's request about versions; return its answer."""
+        return await ask(("127.0.0.1", self._operator_port), KEY, "versions", wish=fields)
+
+    async def newest_version(self) -> str:
+        """Return the newest version, once all has settled."""
+        await asyncio.sleep(SETTLING_SECONDS)
+        return (await self.request(what="list"))["newest"]
+
+
+class Rollbacks:
+    """Rolls back to one version and to another by turns, and measures when relays hold it."""
+
+    def __init__(self, bench: Bench, telling_relays: list[Relay]) -> None:
+        self.last_relay_s: list[float] = []
+        self.each_relay_s: dict[str, list[float]] = {protocol: [] for protocol in PROTOCOLS}
+        self._bench = bench
+        self._telling_relays = telling_relays
+
+    async def measure(self, version: str, has_drained_hosts: bool, reason: str) -> None:
+        """Roll back once, to a version with or without the hosts that drain."""
+        started = time.monotonic()
+        answer = await self._bench.request(
+            what="rollback", number=version, author="bench", reason=reason
+        )
+        if "done" not in answer:
+            raise RuntimeError(answer)
+        waiting = list(self._telling_relays)
+        while waiting:
+            for relay in list(waiting):
+                if relay.has_drained_hosts() == has_drained_hosts:
+                    self.each_relay_s[relay.protocol].append(time.monotonic() - started)
+                    waiting.remove(relay)
+            if time.monotonic() - started > ROLLBACK_TIMEOUT_S:
+                count = len(self._telling_relays)
+                raise RuntimeError(f"{len(waiting)} of {count} relays did not follow")
+            await asyncio.sleep(0.002)
+        self.last_relay_s.append(time.monotonic() - started)
+        await asyncio.sleep(0.5)
+
+
+class StoredVersions:
     """A store, opened to be read, as a version log sees it."""
 
-    def __init__(self, folder):
-        self.held = WriteAheadLog(StoreFolder(folder)).read_all()
+    def __init__(self, folder: pathlib.Path) -> None:
+        self.records = WriteAheadLog(StoreFolder(folder)).read_all()
 
-    def load(self, key):
-        return self.held[key]
+    def load(self, key: str) -> Any:
+        """Return a record."""
+        return self.records[key]
 
-    def wall_clock(self):
+    def wall_clock(self) -> int:
+        """Return no time: nothing is written."""
         return 0
 
 
-async def day():
-    script = json.loads((ROOT / "examples/bad-day.json").read_text())
+def zone_of(index: int) -> str:
+    """Return the zone of a host or relay."""
+    return f"hall-{'abc'[index % 3]}"
+
+
+async def measure_rollbacks(relay_count: int, rollbacks: int) -> dict[str, Any]:
+    """Return how long relays take to follow a rollback."""
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        contextlib.closing(ReservedPorts(3)) as ports,
+    ):
+        bench = Bench(pathlib.Path(folder), ports.numbers, relay_count)
+        bench.write_list()
+        bench.write_settings()
+        async with bench.running_planner():
+            await bench.connect_relays()
+            full = await bench.newest_version()
+            # Only relays whose table holds one of them can tell the two versions apart.
+            telling = [relay for relay in bench.relays if relay.has_drained_hosts()]
+            bench.write_list(draining=DRAINED_HOSTS)
+            await wait_until(
+                lambda: not any(relay.has_drained_hosts() for relay in bench.relays),
+                "all relays know of the drains",
+                TIMEOUT_S,
+                0.005,
+            )
+            fewer = await bench.newest_version()
+            bench.write_list()
+            await asyncio.sleep(SETTLING_SECONDS)
+            measured = Rollbacks(bench, telling)
+            for index in range(rollbacks):
+                version, has_drained = ((full, True), (fewer, False))[index % 2]
+                await measured.measure(version, has_drained, str(index))
+            of_relays = await bench.request(what="relays")
+    return {
+        "relays": relay_count,
+        "that_tell_them_apart": len(telling),
+        "rollbacks": rollbacks,
+        "last_relay_s": quantiles(measured.last_relay_s),
+        **{f"{protocol}_s": quantiles(times) for protocol, times in measured.each_relay_s.items()},
+        "told_of_first": of_relays["relays"][:2],
+    }
+
+
+async def measure_bad_day() -> dict[str, Any]:
+    """Return what versions of the bad day take in a store."""
+    script = example("bad-day.json")
     script["charter"]["store"] = {"folder": "store"}
     with tempfile.TemporaryDirectory() as folder:
-        play = ScenarioRunner(script, pathlib.Path(folder))
-        result = await play.play()
-        host = Held(pathlib.Path(folder) / "store")
-        log = VersionLog(host, [key for key in host.held if key.startswith("version/")])
-    kept = whole = lines = all_lines = 0
-    for number, version in log.versions.items():
-        held = log.snapshot_of(number)
-        changes = decode_delta(json.loads(log.records[number]))
-        kept, whole = (
-            kept + len(log.records[number]),
-            whole + len(json.dumps(encode_snapshot(held), separators=(",", ":"))),
-        )
-        lines, all_lines = (
-            lines + line_count(changes.values()),
-            all_lines + line_count(held.values()),
-        )
+        result = await ScenarioRunner(script, folder).play()
+        stored = StoredVersions(pathlib.Path(folder) / "store")
+        log = VersionLog(stored, [key for key in stored.records if key.startswith("version/")])
     print(printed(result))
+    kept_bytes = 0
+    snapshot_bytes = 0
+    kept_lines = 0
+    snapshot_lines = 0
+    for number in log.versions:
+        snapshot = log.snapshot_of(number)
+        delta = decode_delta(json.loads(log.records[number]))
+        kept_bytes += len(log.records[number])
+        snapshot_bytes += len(json.dumps(encode_snapshot(snapshot), separators=(",", ":")))
+        kept_lines += line_count(delta.values())
+        snapshot_lines += line_count(snapshot.values())
     return {
         "versions": len(log.versions),
-        "bytes_kept": kept,
-        "bytes_of_whole_sets": whole,
-        "lines_kept": lines,
-        "lines_of_whole_sets": all_lines,
+        "bytes_kept": kept_bytes,
+        "bytes_of_whole_sets": snapshot_bytes,
+        "lines_kept": kept_lines,
+        "lines_of_whole_sets": snapshot_lines,
         "rules_kept": all(rule["kept"] for rule in result["rules"]),
         "service": result["service"]["whole"],
     }
 
 
-async def main(relays, rollbacks):
-    kept = {"what": "versions", "machine": f"{os.cpu_count()} cores, {platform.python_version()}"}
-    kept["bad_day"] = await day()
+async def main(relay_count: int, rollbacks: int) -> None:
+    """Measure both, and keep the results."""
+    kept: dict[str, Any] = {"what": "versions", "machine": machine()}
+    kept["bad_day"] = await measure_bad_day()
     print(json.dumps(kept["bad_day"]))
-    kept["back"] = await back(relays, rollbacks)
+    kept["back"] = await measure_rollbacks(relay_count, rollbacks)
     print(json.dumps(kept["back"]))
-    (ROOT / "benchmarks/results/versions.json").write_text(json.dumps(kept, indent=1) + "\n")
+    write_result("versions", kept)
 
 
 if __name__ == "__main__":
-    asyncio.run(
-        main(
-            int(sys.argv[1]) if len(sys.argv) > 1 else 303,
-            int(sys.argv[2]) if len(sys.argv) > 2 else 60,
-        )
-    )
+    asyncio.run(main(argument(1, 303), argument(2, 60)))
