--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -22,8 +22,8 @@
     {"at": 14, "kind": "planner_killed", "size": 1.0},
 )
 LIST_DOWN = {"at": 12, "kind": "roster_down", "seconds": 30}
-# What names the events of a planner that starts from its cached list.
-CACHED_LIST_EVENTS = ("cached_", "that was kept")
+# How the events begin of a planner that starts from its cached list.
+CACHED_LIST_EVENTS = ("cached_list_", "stale_list_names_more")
 
 
 def scenario_script(with_list_down: bool) -> dict[str, Any]:
@@ -42,7 +42,7 @@
     return [
         record
         for record in records
-        if any(words in record["event"] for words in CACHED_LIST_EVENTS)
+        if record["event"].startswith(CACHED_LIST_EVENTS)
     ]
 
 
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -1,162 +1,194 @@
-"""From the module's order to the relay that applied it, on loopback: python benchmarks/orders.py WIRE [RELAYS ..]
+"""From an order to the relay that applied it: python benchmarks/orders.py WIRE [RELAYS ..].
 
-WIRE: sasp or xds. One planner in this process, relays with the client library in four others, 105 hosts listed and none
-running. Hosts drain one by one. Applied: from the order to withdraw a host to each holder's table without it.
-Acknowledged: from an order to the acknowledgement that the assigner hears (SASP: the relay's TCP; xDS: its ACK).
+On loopback. WIRE: sasp or xds. One planner in this process, relays with the client library in four
+others, 105 hosts listed and none running. Hosts drain one by one. Applied: from the order to eject
+a host to each holder's table without it. Acknowledged: from an order to the acknowledgement that
+the assigner receives (SASP: the relay's TCP; xDS: its ACK).
 """
 
 import asyncio
 import json
 import os
 import pathlib
-import platform
 import sys
 import tempfile
 import time
+from collections.abc import Callable
+from typing import Any
 
 import structlog
-
-sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
-
-from indigodeck.clock import now  # noqa: E402
-from indigodeck.planner.planner_settings import PlannerSettings  # noqa: E402
-from indigodeck.serve import assemble  # noqa: E402
-from indigodeck.testbed.discovery_server import EndpointListFile  # noqa: E402
-from indigodeck.testbed.worker_process import WorkerProcess  # noqa: E402
-
-HOSTS, DRAINS = 105, 40
-
-
-def quantile(values, part):
-    return sorted(values)[min(len(values) - 1, int(part * len(values)))]
-
-
-async def measure(wire, many):
-    document = json.loads(
-        (pathlib.Path(__file__).parent.parent / "examples/charter.json").read_text()
-    )
+from common import example, machine, quantile, write_result
+
+from indigodeck.clock import now
+from indigodeck.planner.planner_settings import PlannerSettings
+from indigodeck.serve import assemble
+from indigodeck.testbed.discovery_server import EndpointListFile
+from indigodeck.testbed.worker_process import WorkerProcess
+
+HOSTS = 105
+DRAINS = 40
+DRAIN_INTERVAL_S = 0.25
+FIRST_HOST_PORT = 20_000
+RELAY_PROCESSES = 4
+
+
+class OrderTimes:
+    """Notes when a planner ejects servers, and how long acknowledgements take."""
+
+    def __init__(self, service: Any) -> None:
+        self.ejected_at: dict[int, int] = {}  # by port
+        self.acknowledged_after: list[int] = []
+        self._service = service
+        host = service.planner_host
+        host.eject_server = self._noting(host.eject_server)
+        host.uneject_server = self._noting(host.uneject_server)
+        self._on_ack = host.assigner.on_ack
+        host.assigner.on_ack = self._note_ack
+
+    def _noting(self, order: Callable[[int], None]) -> Callable[[int], None]:
+        def noted(server: int) -> None:
+            _, port = self._service.endpoints.address_of(server)
+            self.ejected_at[port] = now()
+            order(server)
+
+        return noted
+
+    def _note_ack(self, proxy: int, number: int, delay: int) -> None:
+        self.acknowledged_after.append(delay)
+        self._on_ack(proxy, number, delay)
+
+
+def settings_document(protocol: str, relay_count: int) -> dict[str, Any]:
+    """Return the planner's settings: no reports, no limit on messages, a fast channel."""
+    document = example("charter.json")
     document["relays"] = {
-        "most": many,
+        "most": relay_count,
         "halls": [{"prefix": hall + "/", "hall": hall} for hall in document["halls"]],
     }
     document["reports"] = {"period_ms": 3_600_000, "probes_per_s": 0}
-    document["channel"].update(messages_most=0)
-    document["fronts"] = {wire: {"address": "127.0.0.1", "port": 0}}
-    document["channel"].update(lines_per_s=20_000, waiting_most=40_000)
-    hosts = [
+    document["channel"].update(messages_most=0, lines_per_s=20_000, waiting_most=40_000)
+    document["fronts"] = {protocol: {"address": "127.0.0.1", "port": 0}}
+    document["roster"] = {"file": "roster.json", "look_every_ms": 20}
+    return document
+
+
+def host_entries(zones: list[str]) -> list[dict[str, Any]]:
+    """Return the entries of all hosts, over all zones by turns."""
+    return [
         {
-            "id": f"host-{nth}",
+            "id": f"host-{index}",
             "address": "127.0.0.1",
-            "port": 20_000 + nth,
-            "hall": document["halls"][nth % 3],
+            "port": FIRST_HOST_PORT + index,
+            "hall": zones[index % 3],
             "kind": "std-4",
             "weight": 4,
             "state": "ready",
         }
-        for nth in range(HOSTS)
+        for index in range(HOSTS)
     ]
+
+
+async def start_relays(
+    document: dict[str, Any], protocol: str, relay_count: int, port: int
+) -> list[WorkerProcess]:
+    """Start relays without clients, spread over some processes."""
+    processes = [
+        await WorkerProcess.start("standin", "relay", "--outcomes", os.devnull)
+        for _ in range(RELAY_PROCESSES)
+    ]
+    classes = [dict(stated, share=0.5, work_ms=200) for stated in document["classes"]]
+    for index in range(relay_count):
+        zone = document["halls"][index % 3]
+        relay = {
+            "uid": f"{zone}/relay-{index}",
+            "planners": [["127.0.0.1", port]],
+            "classes": classes,
+            "rate": 0,
+            "wire": protocol,
+            "hall": zone,
+            "planner_patience": 30,
+        }
+        await processes[index % RELAY_PROCESSES].execute(do="start", until=0, relay=relay)
+    return processes
+
+
+async def measure(protocol: str, relay_count: int) -> dict[str, Any]:
+    """Drain hosts one by one; return how long orders took."""
+    document = settings_document(protocol, relay_count)
+    hosts = host_entries(document["halls"])
     with tempfile.TemporaryDirectory() as folder:
-        listed = EndpointListFile(folder)
-        document["roster"] = {"file": "roster.json", "look_every_ms": 20}
-        listed.write(hosts)
-        service = assemble(PlannerSettings(document, folder))
-        ordered = {}
-        eject = service.planner_host.eject_server
-        uneject = service.planner_host.uneject_server
-
-        def note_time(order):
-            def noted(server):
-                ordered[service.endpoints.address_of(server)[1]] = now()
-                order(server)
-
-            return noted
-
-        service.planner_host.eject_server = note_time(eject)
-        service.planner_host.uneject_server = note_time(uneject)
-        acknowledged, applied = [], service.planner_host.assigner.on_ack
-
-        def heard(proxy, number, took):
-            acknowledged.append(took)
-            applied(proxy, number, took)
-
-        service.planner_host.assigner.on_ack = heard
-        crews = [
-            await WorkerProcess.start("standin", "relay", "--outcomes", os.devnull)
-            for _ in range(4)
-        ]
-        classes = [dict(kind, share=0.5, work_ms=200) for kind in document["classes"]]
-        for nth in range(many):
-            uid = f"{document['halls'][nth % 3]}/relay-{nth}"
-            await crews[nth % 4].execute(
-                do="start",
-                until=0,
-                relay={
-                    "uid": uid,
-                    "planners": [["127.0.0.1", service.frontends[0].port()]],
-                    "classes": classes,
-                    "rate": 0,
-                    "wire": wire,
-                    "hall": document["halls"][nth % 3],
-                    "planner_patience": 30,
-                },
-            )
-        while len(service.proxies.frontend_of) < many or service.planner_host.waiting_lines():
+        endpoint_list = EndpointListFile(folder)
+        endpoint_list.write(hosts)
+        service = assemble(PlannerSettings(document, pathlib.Path(folder)))
+        times = OrderTimes(service)
+        port = service.frontends[0].port()
+        processes = await start_relays(document, protocol, relay_count, port)
+        while (
+            len(service.proxies.frontend_of) < relay_count or service.planner_host.waiting_lines()
+        ):
             await asyncio.sleep(0.1)
         await asyncio.sleep(2)
-        for crew in crews:
-            await crew.execute(do="changes")
-        acknowledged.clear()
-        cpu = time.process_time()
-        for nth in range(DRAINS):
-            hosts[nth]["state"] = "draining"
-            listed.write(hosts)
-            await asyncio.sleep(0.25)
-        cpu = time.process_time() - cpu
+        for process in processes:
+            await process.execute(do="changes")
+        times.acknowledged_after.clear()
+        cpu_before = time.process_time()
+        for host in hosts[:DRAINS]:
+            host["state"] = "draining"
+            endpoint_list.write(hosts)
+            await asyncio.sleep(DRAIN_INTERVAL_S)
+        cpu_s = time.process_time() - cpu_before
         await asyncio.sleep(1)
-        took = []
-        for crew in crews:
-            for at, port in (await crew.execute(do="changes"))["lost"]:
-                if port in ordered:
-                    took.append(at - ordered[port])
-            await crew.end()
+        applied_after = []
+        for process in processes:
+            for at, port in (await process.execute(do="changes"))["lost"]:
+                if port in times.ejected_at:
+                    applied_after.append(at - times.ejected_at[port])
+            await process.end()
         service.close()
         await asyncio.sleep(0.1)
-    memory = (
-        int(pathlib.Path("/proc/self/statm").read_text().split()[1])
-        * os.sysconf("SC_PAGESIZE")
-        / 1e6
-    )
     return {
-        "wire": wire,
-        "relays": many,
+        "wire": protocol,
+        "relays": relay_count,
         "hosts": HOSTS,
         "drains": DRAINS,
-        "applied": len(took),
-        "p50_ms": quantile(took, 0.5) / 1000,
-        "p99_ms": quantile(took, 0.99) / 1000,
-        "ack_p50_ms": quantile(acknowledged, 0.5) / 1000,
-        "ack_p99_ms": quantile(acknowledged, 0.99) / 1000,
-        "planner_cpu_s_per_drain": round(cpu / DRAINS, 4),
-        "planner_mb": round(memory, 1),
+        "applied": len(applied_after),
+        "p50_ms": quantile(applied_after, 0.5) / 1000,
+        "p99_ms": quantile(applied_after, 0.99) / 1000,
+        "ack_p50_ms": quantile(times.acknowledged_after, 0.5) / 1000,
+        "ack_p99_ms": quantile(times.acknowledged_after, 0.99) / 1000,
+        "planner_cpu_s_per_drain": round(cpu_s / DRAINS, 4),
+        "planner_mb": round(resident_mb(), 1),
     }
 
 
-async def main(wire, sizes):
-    structlog.configure(processors=[lambda *_: (_ for _ in ()).throw(structlog.DropEvent)])
-    results = []
-    for many in sizes:
-        results.append(await measure(wire, many))
-        results[-1]["p99_over_first"] = round(results[-1]["p99_ms"] / results[0]["p99_ms"], 2)
-        print(json.dumps(results[-1]), flush=True)
+def resident_mb() -> float:
+    """Return the memory that this process holds."""
+    pages = int(pathlib.Path("/proc/self/statm").read_text().split()[1])
+    return pages * os.sysconf("SC_PAGESIZE") / 1e6
+
+
+def drop_event(*_: Any) -> Any:
+    """Log nothing."""
+    raise structlog.DropEvent
+
+
+async def main(protocol: str, relay_counts: list[int]) -> None:
+    """Measure each number of relays, and keep the results."""
+    structlog.configure(processors=[drop_event])
+    results: list[dict[str, Any]] = []
+    for relay_count in relay_counts:
+        result = await measure(protocol, relay_count)
+        results.append(result)
+        result["p99_over_first"] = round(result["p99_ms"] / results[0]["p99_ms"], 2)
+        print(json.dumps(result), flush=True)
     kept = {
-        "what": f"order to applied over {wire}",
-        "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
+        "what": f"order to applied over {protocol}",
+        "machine": machine(),
         "results": results,
     }
-    (pathlib.Path(__file__).parent / f"results/orders-{wire}.json").write_text(
-        json.dumps(kept, indent=1) + "\n"
-    )
+    write_result(f"orders-{protocol}", kept)
 
 
 if __name__ == "__main__":
-    asyncio.run(main(sys.argv[1], [int(word) for word in sys.argv[2:]] or [31, 103, 303, 1000]))
+    sizes = [int(word) for word in sys.argv[2:]]
+    asyncio.run(main(sys.argv[1], sizes or [31, 103, 303, 1000]))
--- a/indigodeck/cli/controller_group.py
+++ b/indigodeck/cli/controller_group.py
@@ -5,6 +5,7 @@
 """
 
 import asyncio
+from collections.abc import Mapping
 from dataclasses import dataclass
 from typing import Any
 
@@ -19,7 +20,7 @@
 class OperatorTargets:
     """The programs that answer operators' requests, by name, and the key that they share."""
 
-    addresses: dict[str, Address]
+    addresses: Mapping[str, Address]
     key: bytes
 
     def ask(self, request: str, only: str | None = None, **fields: Any) -> dict[str, Answer]:
@@ -46,7 +47,7 @@
 
 
 async def ask_all(
-    addresses: dict[str, Address], key: bytes, request: str, **fields: Any
+    addresses: Mapping[str, Address], key: bytes, request: str, **fields: Any
 ) -> dict[str, Answer]:
     """Send one request to several controllers at once; return the answer of each."""
     from tornado.iostream import StreamClosedError
--- a/indigodeck/testbed/controller_fleet.py
+++ b/indigodeck/testbed/controller_fleet.py
@@ -27,7 +27,7 @@
 # The names of two log events: of the present program, and of programs before its renaming, which
 # benchmarks/upgrade.py runs beside it.
 LEASE_ACQUIRED_EVENTS = frozenset({"lease_acquired", "in charge"})
-LEASE_LOST_EVENTS = frozenset({"lease_lost", "lease_released", "out of charge"})
+LEASE_LOST_EVENTS = frozenset({"lease_lost", "out of charge"})
 
 Address = tuple[str, int]
 
--- a/indigodeck/testbed/scenario_result.py
+++ b/indigodeck/testbed/scenario_result.py
@@ -12,6 +12,8 @@
 from .recording_proxy import StreamEvent, StreamEventType
 from .verdict import Verdict
 
+MOST_WAITING_KEY = "most_waiting_lines"  # of the event planner_stopping
+
 Result = dict[str, Any]
 
 
@@ -22,7 +24,9 @@
     channel = dataclasses.replace(
         deployment.channel, max_messages=settings.message_limits.max_messages
     )
-    return Evidence(dataclasses.replace(deployment, channel=channel), settings.class_names, started_at)
+    return Evidence(
+        dataclasses.replace(deployment, channel=channel), settings.class_names, started_at
+    )
 
 
 def read_files(evidence: Evidence, folder: pathlib.Path, controllers: list[str]) -> None:
@@ -41,10 +45,10 @@
 def most_waiting_lines(folder: pathlib.Path) -> int:
     """Return the longest queue that any planner in a folder logged, in table lines."""
     logged = [
-        json.loads(line).get("most_waiting", 0)
+        json.loads(line).get(MOST_WAITING_KEY, 0)
         for path in sorted(folder.glob("*.log"))
         for line in path.read_text().splitlines()
-        if line.startswith("{") and "most_waiting" in line
+        if line.startswith("{") and MOST_WAITING_KEY in line
     ]
     return max(logged, default=0)
 
--- a/indigodeck/testbed/scenario_script.py
+++ b/indigodeck/testbed/scenario_script.py
@@ -97,9 +97,10 @@
     if names != sorted(settings.class_names):
         mistakes.append(f"classes: {names}, the charter has {sorted(settings.class_names)}")
     for index, fault in enumerate(script.get("troubles", [])):
-        if fault.get("hall") not in (None, *settings.zone_names):
+        zone = fault.get("hall")
+        if zone not in (None, *settings.zone_names):
             mistakes.append(
-                f"troubles/{index}/hall: {fault['hall']!r} is none of the halls {settings.zone_names}"
+                f"troubles/{index}/hall: {zone!r} is none of the halls {settings.zone_names}"
             )
     return mistakes
 
