--- a/benchmarks/lossy.py
+++ b/benchmarks/lossy.py
@@ -44,7 +44,7 @@
     result: dict[str, object] = {}
     with ProcessPoolExecutor(4) as pool:
         for name, schedule, schedules in (
-            ("relays", test_relays.schedule, count),
+            ("relays", lossy_network.play_schedule, count),
             ("controllers", test_replication.play_schedule, count // 4),
         ):
             seeds = [
--- /dev/null
+++ b/tests/client/test_xds_session.py
@@ -0,0 +1,38 @@
+"""The client's side of an xDS stream, without sockets."""
+
+import unittest
+
+from indigodeck.client import Tables
+from indigodeck.client.xds import XdsSession
+from indigodeck.frontends.xds import codec
+
+CLASSES = ["read", "write"]
+
+
+class XdsSessionTest(unittest.TestCase):
+    """What a proxy does with responses."""
+
+    def test_what_comes_after_a_later_one_or_twice_says_nothing(self):
+        """A response whose content is not what its version says is rejected."""
+        tables = Tables(CLASSES, lambda: 0)
+        session = XdsSession(tables, {})
+
+        def response(serial, port):
+            made = codec.endpoints("read", [("a", "h", "127.0.0.1", port, 5)], [], 1.0)
+            return codec.delta_response(
+                codec.ENDPOINTS, f"7.{serial}", str(serial), [("read", *made)], []
+            )
+
+        self.assertEqual(
+            [session.read(response(serial, serial)) is None for serial in (1, 3, 2, 3, 4)],
+            [False, False, True, True, False],
+        )
+        self.assertEqual(tables.lines["read"], {("127.0.0.1", 4): 5})
+        wrong = response(5, 80)
+        wrong.resources[0].version = "0" * 16
+        self.assertIn("is not what its version says", session.read(wrong).error_detail.message)
+        self.assertEqual(tables.lines["read"], {("127.0.0.1", 4): 5})
+
+
+if __name__ == "__main__":
+    unittest.main()
