--- a/benchmarks/lossy.py
+++ b/benchmarks/lossy.py
@@ -12,7 +12,7 @@
 from common import argument, machine, write_result
 
 # These follow the import above, which puts them on the path.
-import test_relays  # isort: skip
+from frontends import lossy_network  # isort: skip
 from versions import test_replication  # isort: skip
 
 FIRST_SEED = 10_000
