--- a/tests/planner/test_cached_endpoint_list.py
+++ b/tests/planner/test_cached_endpoint_list.py
@@ -38,9 +38,11 @@
         )
 
     def wall_clock(self):
+        """Return a time of day, a day ahead of the loop's clock."""
         return self.clock + DAY
 
     def check_cached_host(self, host):
+        """Answer after 50 ms, or let a second pass without an answer."""
         self.checked.append(host["id"])
         there = host["id"] in self.answering
         self.later(
@@ -51,6 +53,7 @@
         )
 
     def use_cached_entries(self, hosts, fresh):
+        """Keep what is used by id."""
         self.used = {**({} if fresh else self.used), **{host["id"]: host for host in hosts}}
         self.note(
             "goes by" if fresh else "and",
@@ -65,6 +68,7 @@
     """The cached list against hosts that answer, are silent, or come back."""
 
     def test_hosts_that_do_not_answer_are_left_out_and_drains_stay_drains(self):
+        """A host that answers later counts as one that has just started."""
         stub = StubEnvironment("abcdefgh", "abcefg", h="draining")
         stub.run(4)
         self.assertEqual(sorted(stub.used), list("abcefgh"))
@@ -78,6 +82,7 @@
         self.compare("cached-list", stub)
 
     def test_the_first_few_to_answer_do_not_get_the_load_of_all(self):
+        """Nothing is used before half of the weight has answered."""
         stub = StubEnvironment(
             [f"h{nth:02}" for nth in range(80)], [f"h{nth:02}" for nth in range(30, 80)]
         )
@@ -88,6 +93,7 @@
         self.assertLessEqual(max(stub.checked.count(name) for name in set(stub.checked)), 2)
 
     def test_a_list_in_time_is_all_that_counts_and_a_late_one_supersedes(self):
+        """Within the first second no host is checked at all."""
         early, late = StubEnvironment("abc", "abc"), StubEnvironment("abc", "abc")
         early.cached_list.on_list({"a": {}})
         early.run(20)
@@ -99,6 +105,7 @@
         self.assertIn("more=1 fewer=2", late.printed[-1])
 
     def test_a_stale_list_adds_who_answers_and_takes_nobody_away(self):
+        """What it names beyond the cached list is checked."""
         stub = StubEnvironment("abc", "abcz")
         stub.run(2)
         stub.cached_list.on_stale_list(
@@ -111,6 +118,7 @@
         self.assertEqual(sorted(stub.used), list("abcz"))
 
     def test_without_health_checks_trust_goes_by_age(self):
+        """All hosts are used; trust halves in a day."""
         young, old = (
             StubEnvironment("ab", "", 60, False),
             StubEnvironment("ab", "", 7 * 24 * 3600, False),
--- a/tests/planner/test_endpoint_list.py
+++ b/tests/planner/test_endpoint_list.py
@@ -14,24 +14,30 @@
     """What a list says, late, twice and out of order; the test is its listener."""
 
     def setUp(self):
+        """Start at time 0."""
         self.calls = []
         self.endpoint_list = EndpointList(self, IdRegistry(), ["a", "b"], ["std"], 5 * SECOND)
 
     def on_endpoint_update(self, kind, servers):
+        """Keep what is listed."""
         self.calls.append(
             (kind, [(one.stable_id.decode(), one.state, one.started) for one in servers])
         )
 
     def on_stale_list(self, hosts):
+        """Keep what was left aside."""
         self.left_aside = hosts
 
     def fetch_endpoint_list(self):
+        """Keep that the whole list was asked for."""
         self.calls.append("ask")
 
     def note(self, event, **facts):
+        """Keep a log event."""
         self.calls.append((event, facts))
 
     def document(self, version, *hosts, **more):
+        """Return a list of hosts in zone b."""
         return dict(
             {
                 "version": version,
@@ -44,6 +50,7 @@
         )
 
     def test_lists_late_twice_and_out_of_order(self):
+        """Stale lists are left aside, gaps are fetched, a new epoch counts anew."""
         self.endpoint_list.apply_changes(self.document(3, ("x", "ready")))
         self.endpoint_list.apply_whole(self.document(4, ("x", "ready"), ("y", "ready")))
         self.endpoint_list.apply_changes(self.document(4, ("x", "gone")))
@@ -64,6 +71,7 @@
         )
 
     def test_a_quiesced_host_drains_at_once_and_until_it_says_otherwise(self):
+        """Its own word outlasts a list that calls it ready."""
         self.endpoint_list.apply_whole(self.document(1, ("x", "ready")))
         self.assertTrue(self.endpoint_list.set_quiesced("127.0.0.1", 9000, True))
         self.endpoint_list.apply_whole(self.document(2, ("x", "ready")))
@@ -74,6 +82,7 @@
         )
 
     def test_bad_documents_say_the_place(self):
+        """An error names the entry and the key."""
         for text, said in (
             ('{"version": 1}', "roster: 'hosts' is a required property"),
             ("{", "roster: no JSON"),
--- a/tests/planner/test_health_inference.py
+++ b/tests/planner/test_health_inference.py
@@ -12,6 +12,7 @@
     """Six hosts, of which host 3 may hang; the test takes in the reports."""
 
     def setUp(self):
+        """Start at time 0."""
         self.clock = 0
         self.met = {}
         self.requests = {}
@@ -20,12 +21,15 @@
         self.inference.on_endpoint_update([server(index) for index in range(6)])
 
     def now(self):
+        """Return the test's time."""
         return self.clock
 
     def on_load_report(self, report):
+        """Keep what is reported of a server."""
         self.met[report.server] = report.attempts, report.failures, report.mean_latency
 
     def on_demand_report(self, report):
+        """Keep what is reported of a proxy."""
         self.requests[report.proxy, report.class_index] = report.requests
 
     def second(self, reports=()):
@@ -53,6 +57,7 @@
         self.inference.report()
 
     def test_a_hung_host_with_the_least_load_fails_what_it_holds(self):
+        """Unanswered checks beside an idle report count as failures."""
         self.second()
         self.second()
         attempts, failures, mean_latency = self.met[3]
@@ -61,12 +66,14 @@
         self.assertTrue(all(self.met[index][1] == 0 for index in (0, 1, 2, 4, 5)))
 
     def test_latency_at_a_host_counts_waiting(self):
+        """Little's law gives three seconds for 30 in flight at 10 a second."""
         self.inference.on_host_report(0, HostReport(1.0, 30, 200_000, 10.0), 1)
         self.clock = SECOND
         self.inference.report()
         self.assertEqual(self.met[0], (10, 0, 3 * SECOND))
 
     def test_demand_is_what_hosts_complete_and_its_sum_is_kept(self):
+        """Parted over seven proxies, each class adds up to what hosts report."""
         for proxy in range(7):
             self.inference.on_proxy_joined(proxy)
         self.second()
@@ -80,6 +87,7 @@
         )
 
     def test_suspects_are_checked_more_closely_and_all_within_the_budget(self):
+        """Everybody is checked, a suspect more often, at 8 checks a second."""
         self.inference.checks_per_second = 8
         sent = []
         for _ in range(40):
@@ -93,6 +101,7 @@
         self.assertEqual(set(sent), set(range(6)))
 
     def test_checks_that_waited_for_a_stalled_planner_say_nothing_of_hosts(self):
+        """What was in flight over a stall neither fails nor slows a host."""
         self.second()
         asked = self.inference.due(self.clock + SECOND // 10)
         self.clock += 3 * SECOND  # stopped, with probes under way
@@ -108,6 +117,7 @@
         self.assertLess(self.met[0][2], SECOND // 2)
 
     def test_late_reports_and_old_ones_say_nothing(self):
+        """A report counts for three periods, and an older one not after it."""
         self.inference.on_host_report(0, HostReport(0, 1, 1, 5.0), 10 * SECOND)
         self.inference.on_host_report(0, HostReport(0, 1, 1, 99.0), 9 * SECOND)
         self.clock = 20 * SECOND
--- a/tests/planner/test_join_admission.py
+++ b/tests/planner/test_join_admission.py
@@ -11,6 +11,7 @@
     """Each proxy that joins has 50 lines waiting; the channel may hold 1000."""
 
     def setUp(self):
+        """Start at time 0."""
         self.loop = Loop()
         self.now = self.loop.now
         self.later = self.loop.later
@@ -20,19 +21,24 @@
         self.join_admission = JoinAdmission(self, 1000)
 
     def waiting_lines(self):
+        """Return what waits, as the test sets it."""
         return self.waiting
 
     def lines_of_one_join(self):
+        """Return what a proxy that joins has waiting."""
         return 50
 
     def admit(self, proxy):
+        """Keep who joined; its tables wait from now on."""
         self.admitted.append(proxy)
         self.waiting += 50
 
     def reject(self, proxy):
+        """Keep who was rejected."""
         self.rejected.append(proxy)
 
     def test_a_crowd_is_admitted_as_the_channel_empties_first_come_first(self):
+        """The queue stays within the share of joins; who left is passed over."""
         for proxy in range(100):
             self.join_admission.on_arrival(proxy)
         self.join_admission.on_departure(5)
@@ -45,6 +51,7 @@
         self.assertLessEqual(most, 400)
 
     def test_a_queue_that_never_empties_admits_one_now_and_then_and_is_never_overfilled(self):
+        """One in 0.2 s joins, until the channel is full."""
         self.waiting = 700  # of proxys that read nothing
         for proxy in range(20):
             self.join_admission.on_arrival(proxy)
@@ -52,6 +59,7 @@
         self.assertEqual((self.admitted, self.waiting), (list(range(6)), 1000))
 
     def test_no_more_wait_than_there_is_room_for(self):
+        """Two too many are rejected at once."""
         self.waiting = 1000
         for proxy in range(MAX_WAITING_PROXIES + 2):
             self.join_admission.on_arrival(proxy)
--- a/tests/planner/test_message_quota.py
+++ b/tests/planner/test_message_quota.py
@@ -15,6 +15,7 @@
     @settings(max_examples=200, deadline=None)
     @given(some.lists(some.tuples(some.integers(0, 3000), some.booleans()), max_size=80))
     def test_no_window_holds_more_than_is_allowed(self, messages):
+        """Whatever the order, and each wait that is stated is enough."""
         quota = MessageQuota(7, 1000, 3)
         clock = 0
         written = []
--- a/tests/planner/test_planner_settings.py
+++ b/tests/planner/test_planner_settings.py
@@ -14,6 +14,7 @@
     """Mistakes in a settings file."""
 
     def test_errors_name_the_place_of_what_is_wrong(self):
+        """Schema faults and contradictions alike."""
         text = EXAMPLE.read_text()
         self.assertEqual(PlannerSettings(json.loads(text)).deployment.channel.max_messages, 20)
         for place, value, said in (
--- a/tests/planner/test_planner_sockets.py
+++ b/tests/planner/test_planner_sockets.py
@@ -16,6 +16,7 @@
     """A planner in this process that learns of its hosts over HTTP."""
 
     async def test_a_hung_host_loses_its_share_within_three_periods_and_comes_back_by_ramp(self):
+        """It takes no share while it hangs, and a smaller one at first after."""
         with open(os.devnull, "w") as nowhere:
             settings = HostSettings(cores=4, slots=8, queue_limit=16)
             pool = HostPool(now, nowhere, {"reading": 20_000, "setpoint": 20_000})
@@ -54,6 +55,7 @@
                     await host.stop()
 
     async def test_the_list_from_a_service_that_pushes_or_is_asked_and_fails_for_a_while(self):
+        """The planner follows the list again after each failure."""
         for asked in (False, True):
             with self.subTest(asked=asked):
                 await self.follow_failing_service(asked)
--- a/tests/planner/test_weights.py
+++ b/tests/planner/test_weights.py
@@ -14,6 +14,7 @@
     @settings(max_examples=200, deadline=None)
     @given(some.dictionaries(some.integers(0, 30), some.floats(1e-4, 1e4), min_size=1))
     def test_weights_of_16_bits_keep_proportions_and_lose_nobody(self, weights):
+        """Shares stay within a hundredth, and no server comes to 0."""
         told = scaled(weights)
         total = sum(weights.values())
         self.assertTrue(all(0 < weight <= 65535 for weight in told.values()))
