--- a/tests/planner/test_health_inference.py
+++ b/tests/planner/test_health_inference.py
@@ -32,7 +32,8 @@
         """Keep what is reported of a proxy."""
         self.requests[report.proxy, report.class_index] = report.requests
 
-    def second(self, reports=()):
+    def second(self):
+        """Play a second, in which host 3 hangs, and report."""
         for _ in range(20):
             self.clock += SECOND // 20
             for index in self.inference.due(self.clock):
