--- /dev/null
+++ b/tests/versions/test_admin_api.py
@@ -0,0 +1,147 @@
+"""The admin API: operators' requests as JSON, and the answers to them."""
+
+import unittest
+
+from indigodeck.versions.admin_api import PAGE_LENGTH, AdminApi
+
+from .support import SERVER_IDS, StubPlanner
+
+
+class AdminApiTest(unittest.TestCase):
+    """Requests to a stub of the planner that has published two versions."""
+
+    def setUp(self):
+        """Publish version 1.1, and 1.2 with another table 0."""
+        self.planner = StubPlanner()
+        self.api = AdminApi(self.planner.publisher, self.planner)
+        self.planner.change(0, "server 3 is slow", h0=2.0, h1=1.0, h2=1.0, h8=1.0)
+
+    def test_versions_are_listed_newest_first_with_what_is_rolled_back(self):
+        """The list says of each version what it is, and of each rollback who asked for it."""
+        self.api.answer(
+            {
+                "what": "rollback",
+                "number": "1.1",
+                "author": "duty",
+                "reason": "faults",
+                "classes": ["read"],
+            }
+        )
+        answer = self.api.answer({"what": "list"})
+        self.assertEqual([one["number"] for one in answer["versions"]], ["1.3", "1.2", "1.1"])
+        self.assertEqual(
+            [(one["parent"], one["cause"], one["author"]) for one in answer["versions"]],
+            [
+                ("1.2", "rollback of read to 1.1: faults", "duty"),
+                ("1.1", "server 3 is slow", ""),
+                (None, "in charge under epoch 1", ""),
+            ],
+        )
+        self.assertEqual(
+            (answer["newest"], answer["more"], answer["in_charge"]), ("1.3", False, True)
+        )
+        hold = answer["holds"]["read"]
+        self.assertEqual(
+            (hold["number"], hold["author"], hold["reason"]), ("1.1", "duty", "faults")
+        )
+        older = self.api.answer({"what": "list", "before": "1.3"})
+        self.assertEqual([one["number"] for one in older["versions"]], ["1.2", "1.1"])
+
+    def test_a_long_list_comes_in_pages(self):
+        """One answer has a page of versions, and says that there are more."""
+        for nth in range(PAGE_LENGTH):
+            self.planner.change(0, h0=3.0 + nth)
+        answer = self.api.answer({"what": "list"})
+        self.assertEqual((len(answer["versions"]), answer["more"]), (PAGE_LENGTH, True))
+        rest = self.api.answer({"what": "list", "before": answer["versions"][-1]["number"]})
+        self.assertEqual((len(rest["versions"]), rest["more"]), (2, False))
+
+    def test_a_difference_says_of_each_line_what_it_was_and_is(self):
+        """Lines of a table that changed, from the old version to the new one and back."""
+        answer = self.api.answer({"what": "diff", "old": "1.1", "new": "1.2"})
+        lines = {"host-0": [1.0, 2.0], "host-3": [1.0, None], "host-8": [None, 1.0]}
+        self.assertEqual(
+            answer,
+            {
+                "tables": {"0": {"class": "read", "level": [[1.0, 1], [1.0, 1]], "lines": lines}},
+                "more": False,
+            },
+        )
+        back = self.api.answer({"what": "diff", "old": "1.2", "new": "1.1"})
+        self.assertEqual(
+            back["tables"]["0"]["lines"], {name: line[::-1] for name, line in lines.items()}
+        )
+
+    def test_tables_are_shown_in_pages_that_each_fit_a_message(self):
+        """All tables of a version come in several answers, each asked for by the last name."""
+        self.planner.weights = {table: dict.fromkeys(range(12), 1.0) for table in range(400)}
+        self.planner.revisions = dict.fromkeys(range(400), 0)
+        self.planner.publisher.publish("turn")
+        found = {}
+        answers = 0
+        after = {}
+        more = True
+        while more:
+            answer = self.api.answer({"what": "show", "number": "1.3", **after})
+            self.assertEqual(answer["version"]["number"], "1.3")
+            found.update(answer["tables"])
+            after = {"after": max(answer["tables"])}
+            more = answer["more"]
+            answers += 1
+        self.assertGreater(answers, 3)
+        self.assertEqual(len(found), 400)
+        self.assertEqual(
+            found["7"],
+            {"class": "write", "level": [1.0, 1], "lines": dict.fromkeys(SERVER_IDS, 1.0)},
+        )
+
+    def test_relays_are_listed_with_what_they_hold(self):
+        """A relay that is behind is said to be."""
+        relay_versions = self.planner.publisher.relay_versions
+        first = min(self.planner.publisher.version_log.versions)
+        relay_versions.on_taken(0, first)
+        relay_versions.on_taken(1, self.planner.publisher.newest(), by_program=False)
+        answer = self.api.answer({"what": "relays"})
+        self.assertEqual(
+            [list(one) for one in answer["relays"]],
+            [["relay-0", "1.1", False, True], ["relay-1", "1.2", True, False]],
+        )
+        rest = self.api.answer({"what": "relays", "after": "relay-0"})
+        self.assertEqual(([one[0] for one in rest["relays"]], rest["more"]), (["relay-1"], False))
+
+    def test_a_change_is_answered_with_its_serial(self):
+        """Pinning twice changes nothing the second time, so the serial stays."""
+        pin = {"what": "pin", "number": "1.1", "on": True}
+        self.assertEqual(self.api.answer(pin), {"done": "1.1 is pinned", "serial": [1, 1]})
+        self.assertEqual(self.api.answer(pin), {"done": "1.1 is pinned", "serial": [1, 1]})
+        versions = self.api.answer({"what": "list"})["versions"]
+        self.assertEqual([one["pinned"] for one in versions], [False, True])
+        self.assertEqual(
+            self.api.answer({"what": "release", "author": "duty", "reason": ""}),
+            {"done": "nothing was held: nothing changes", "serial": [1, 1]},
+        )
+
+    def test_a_request_that_can_not_be_carried_out_is_answered_with_the_reason(self):
+        """Unknown requests, versions and classes, and requests to one that does not lead."""
+        rollback = {"what": "rollback", "number": "1.1", "author": "duty", "reason": ""}
+        for request, reason in (
+            ({"what": "pin", "number": "9.9", "on": True}, "version 9.9 is not kept"),
+            ({"what": "show", "number": "9.9"}, "version 9.9 is not kept"),
+            ({"what": "diff", "old": "1.1", "new": "9.9"}, "1.1 or 9.9 is not kept"),
+            ({**rollback, "author": ""}, "a rollback needs an author"),
+            (
+                {**rollback, "classes": ["none"]},
+                "'none' is none of the classes ['read', 'write']",
+            ),
+        ):
+            with self.subTest(request=request):
+                self.assertEqual(self.api.answer(request), {"why_not": reason})
+        for request in ({"what": "nonsense"}, {**rollback, "number": "1"}):
+            with self.subTest(request=request):
+                self.assertEqual(self.api.answer(request).keys(), {"why_not"})
+        self.planner.publisher.lose_leadership()
+        self.assertIn("another controller is in charge", self.api.answer(rollback)["why_not"])
+
+
+if __name__ == "__main__":
+    unittest.main()
