--- a/benchmarks/full_size.py
+++ b/benchmarks/full_size.py
@@ -21,7 +21,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 # These follow the change of the path above.
-from rig import Loop  # noqa: E402
+from harness import SimulatedLoop  # noqa: E402
 
 from indigodeck.assignment.interface import DemandReport  # noqa: E402
 from indigodeck.clock import SECOND  # noqa: E402
@@ -87,10 +87,10 @@
     }
 
 
-class QuietEnvironment(Loop):
+class QuietEnvironment(SimulatedLoop):
     """A host's environment: time and timers, and nobody to notify."""
 
-    call_later = Loop.later
+    call_later = SimulatedLoop.later
 
     def ignore(self, *_given: object, **_facts: object) -> None:
         """Do nothing."""
--- a/tests/assignment/scenarios.py
+++ b/tests/assignment/scenarios.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from rig import Rig, deployment_settings, server
+from harness import RecordingHost, deployment_settings, server
 
 from indigodeck.assignment.interface import UpdateKind
 from indigodeck.clock import SECOND
@@ -13,21 +13,21 @@
     return [server(index, **stated) for index in range(count)]
 
 
-def zone_bound_rig():
+def zone_bound_host():
     """Return two zones, the second class zone-bound; odd servers and proxy 1 are in zone 1."""
     read, write = deployment_settings().classes
-    rig = Rig(
+    host = RecordingHost(
         deployment_settings(
             zone_count=2, classes=(read, dataclasses.replace(write, zone_bound=True))
         )
     )
-    rig.start([server(index, zone=index % 2) for index in range(12)], zones=2)
-    return rig
+    host.start([server(index, zone=index % 2) for index in range(12)], zones=2)
+    return host
 
 
 def large_deployment(joined=270, **stated):
     """Return many proxies and servers in three zones, where groups of proxies have tables."""
-    rig = Rig(
+    host = RecordingHost(
         deployment_settings(
             zone_count=3,
             proxy_count=270,
@@ -36,10 +36,10 @@
             **stated,
         )
     )
-    rig.assigner.on_endpoint_update(
+    host.assigner.on_endpoint_update(
         UpdateKind.CHANGES, [server(index, zone=index % 3) for index in range(90)]
     )
     for proxy in range(joined):
-        rig.assigner.on_proxy_joined(proxy, proxy % 3, 4.0, True)
-    rig.run(1 / SECOND)
-    return rig
+        host.assigner.on_proxy_joined(proxy, proxy % 3, 4.0, True)
+    host.run(1 / SECOND)
+    return host
--- a/tests/assignment/test_admission.py
+++ b/tests/assignment/test_admission.py
@@ -2,57 +2,59 @@
 
 import itertools
 
-from rig import Rig, TraceCase
+from harness import RecordingHost, TraceTestCase
 
-from assignment.scenarios import fleet, zone_bound_rig
+from assignment.scenarios import fleet, zone_bound_host
 from indigodeck.assignment.interface import LoadReport
 from indigodeck.clock import SECOND
 
 
-class AdmissionTest(TraceCase):
+class AdmissionTest(TraceTestCase):
     """The fleet's admission controller."""
 
     def test_overload_is_shed_by_priority_weight_and_admitted_again(self):
         """The class of the lowest priority weight is cut; later all is admitted."""
-        rig = Rig()
-        rig.start(fleet())
-        rig.run(6, lambda rig: rig.report())
-        rig.printed.clear()
-        rig.run(4, lambda rig: rig.report(lambda index: 900_000, lambda index: 6, 30, (80, 40)))
-        rig.run(20, lambda rig: rig.report(tries=14))
-        self.compare("flood", rig)
+        host = RecordingHost()
+        host.start(fleet())
+        host.run(6, lambda host: host.report())
+        host.printed.clear()
+        host.run(4, lambda host: host.report(lambda index: 900_000, lambda index: 6, 30, (80, 40)))
+        host.run(20, lambda host: host.report(tries=14))
+        self.compare("flood", host)
 
     def test_planner_without_proxies_cuts_no_level(self):
         """What other planners' proxies bring does not cut the levels of who joins later."""
-        rig = Rig()
-        rig.start(fleet())
+        host = RecordingHost()
+        host.start(fleet())
         for proxy in range(2):
-            rig.assigner.on_proxy_left(proxy)
-        rig.run(12, lambda rig: rig.report(lambda index: 900_000, lambda index: 6, 30))
-        self.assertEqual(rig.assigner.admission.fleet.admitted_share, 1.0)
+            host.assigner.on_proxy_left(proxy)
+        host.run(12, lambda host: host.report(lambda index: 900_000, lambda index: 6, 30))
+        self.assertEqual(host.assigner.admission.fleet.admitted_share, 1.0)
         for proxy in range(2):
-            rig.assigner.on_proxy_joined(proxy, 0, 50.0, False)
-        rig.run(6, lambda rig: rig.report(lambda index: 900_000, lambda index: 6, 30, (80, 40)))
-        self.assertLess(rig.assigner.admission.fleet.admitted_share, 1.0)
+            host.assigner.on_proxy_joined(proxy, 0, 50.0, False)
+        host.run(6, lambda host: host.report(lambda index: 900_000, lambda index: 6, 30, (80, 40)))
+        self.assertLess(host.assigner.admission.fleet.admitted_share, 1.0)
 
     def test_overload_without_any_answer_cuts_admission(self):
         """No answer at all counts as the deepest overload."""
-        rig = Rig()
-        rig.start(fleet())
-        rig.run(8, lambda rig: rig.report(failed=lambda index: 40, tries=40))
-        levels = [line for line in rig.printed if "level" in line and "level 1.00" not in line]
+        host = RecordingHost()
+        host.start(fleet())
+        host.run(8, lambda host: host.report(failed=lambda index: 40, tries=40))
+        levels = [line for line in host.printed if "level" in line and "level 1.00" not in line]
         self.assertTrue(levels)
 
     def test_admitted_share_rises_by_half_at_most_in_a_step(self):
         """Steps upwards are bounded."""
-        rig = Rig()
-        rig.start(fleet())
-        rig.run(6, lambda rig: rig.report())
-        rig.run(8, lambda rig: rig.report(lambda index: 900_000, lambda index: 15, 30, (160, 80)))
-        rig.run(16, lambda rig: rig.report(tries=6, demand=(12, 8)))
+        host = RecordingHost()
+        host.start(fleet())
+        host.run(6, lambda host: host.report())
+        host.run(
+            8, lambda host: host.report(lambda index: 900_000, lambda index: 15, 30, (160, 80))
+        )
+        host.run(16, lambda host: host.report(tries=6, demand=(12, 8)))
         shares = [
             float(line.split("admitted_share=")[1].split()[0])
-            for line in rig.printed
+            for line in host.printed
             if "admission_changed" in line
         ]
         self.assertLess(shares[0], 0.6)
@@ -63,86 +65,94 @@
 
     def test_a_level_is_cut_again_only_by_reports_begun_after_the_last_cut(self):
         """Reports of the time before a cut do not cut twice."""
-        rig = Rig()
+        host = RecordingHost()
         span = 5 * SECOND
         cuts = []
 
-        def reports(rig):
+        def reports(host):
             # A few servers each second, as where more reports come than are let in; far worse
             # from the first cut on.
             cuts[:] = [
                 float(line.split()[0])
-                for line in rig.printed
+                for line in host.printed
                 if "admission_changed zone=None" in line
             ]
             latency = 200_000
             failed = 0
-            if rig.clock > 10 * SECOND:
+            if host.clock > 10 * SECOND:
                 latency = 900_000
                 failed = 45 if cuts else 6
-            for index in range(rig.clock // SECOND % 5, 12, 5):
-                rig.assigner.on_load_report(LoadReport(0, index, 60, failed, latency, span))
+            for index in range(host.clock // SECOND % 5, 12, 5):
+                host.assigner.on_load_report(LoadReport(0, index, 60, failed, latency, span))
 
-        rig.start(fleet())
-        rig.run(40, reports)
+        host.start(fleet())
+        host.run(40, reports)
         self.assertGreater(len(cuts), 1)
         self.assertGreater(cuts[1] - cuts[0], span / SECOND)
 
     def test_failures_with_low_latencies_cut_nothing(self):
         """They are no sign of overload."""
-        rig = Rig()
-        rig.start(fleet())
-        rig.run(12, lambda rig: rig.report(failed=lambda index: 6 if rig.clock > 6 * SECOND else 0))
-        self.assertFalse([line for line in rig.printed if "admission_changed" in line])
+        host = RecordingHost()
+        host.start(fleet())
+        host.run(
+            12, lambda host: host.report(failed=lambda index: 6 if host.clock > 6 * SECOND else 0)
+        )
+        self.assertFalse([line for line in host.printed if "admission_changed" in line])
 
     def test_long_requests_are_not_taken_for_overload(self):
         """Latencies that are always high do not cut admission."""
-        rig = Rig()
-        rig.start(fleet())
-        rig.run(3, lambda rig: rig.report(lambda index: 380_000))
-        rig.run(8, lambda rig: rig.report(lambda index: 455_000))
-        self.assertFalse([line for line in rig.printed if "admitted_share=0" in line])
+        host = RecordingHost()
+        host.start(fleet())
+        host.run(3, lambda host: host.report(lambda index: 380_000))
+        host.run(8, lambda host: host.report(lambda index: 455_000))
+        self.assertFalse([line for line in host.printed if "admitted_share=0" in line])
 
     def test_rising_latencies_are_extrapolated(self):
         """A rise cuts admission one period ahead."""
-        rig = Rig()
-        rig.start(fleet())
+        host = RecordingHost()
+        host.start(fleet())
         for latency in (200_000, 330_000, 460_000):
-            rig.run(2, lambda rig, latency=latency: rig.report(lambda index: latency))
-        self.assertTrue([line for line in rig.printed if "admitted_share=0" in line])
+            host.run(2, lambda host, latency=latency: host.report(lambda index: latency))
+        self.assertTrue([line for line in host.printed if "admitted_share=0" in line])
 
 
-class ZoneAdmissionTest(TraceCase):
+class ZoneAdmissionTest(TraceTestCase):
     """The controllers of zones with zone-bound classes."""
 
     def test_overload_of_one_zone_does_not_cut_the_other(self):
         """Only the levels of the overloaded zone go down."""
-        rig = zone_bound_rig()
-        rig.run(6, lambda rig: rig.report())
-        rig.printed.clear()
-        rig.run(
+        host = zone_bound_host()
+        host.run(6, lambda host: host.report())
+        host.printed.clear()
+        host.run(
             5,
-            lambda rig: rig.report(
+            lambda host: host.report(
                 lambda index: 900_000 if index % 2 else 200_000, lambda index: 8 if index % 2 else 0
             ),
         )
-        rig.printed = [line for line in rig.printed if "level" in line]
-        self.compare("one-zone", rig)
+        host.printed = [line for line in host.printed if "level" in line]
+        self.compare("one-zone", host)
 
     def test_reports_of_few_servers_do_not_cut_a_zone(self):
         """Half of a zone's servers must have reports."""
-        rig = zone_bound_rig()
+        host = zone_bound_host()
 
-        def reports(rig):
-            rig.report(tries=40)
+        def reports(host):
+            host.report(tries=40)
             for index in (1, 3):
-                rig.assigner.on_load_report(
+                host.assigner.on_load_report(
                     LoadReport(
-                        1, index, 9, 0, 900_000 if rig.clock > 6 * SECOND else 200_000, SECOND, None
+                        1,
+                        index,
+                        9,
+                        0,
+                        900_000 if host.clock > 6 * SECOND else 200_000,
+                        SECOND,
+                        None,
                     )
                 )
             for index in (5, 7, 9, 11):
-                rig.assigner.state.health[index].reports.clear()
+                host.assigner.state.health[index].reports.clear()
 
-        rig.run(12, reports)
-        self.assertFalse([line for line in rig.printed if "admission_changed zone=1" in line])
+        host.run(12, reports)
+        self.assertFalse([line for line in host.printed if "admission_changed zone=1" in line])
--- a/tests/assignment/test_assigner.py
+++ b/tests/assignment/test_assigner.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rig import Rig, server
+from harness import RecordingHost, server
 
 from indigodeck.assignment.interface import DemandReport, LoadReport, UpdateKind
 from indigodeck.clock import SECOND
@@ -13,16 +13,16 @@
 
     def test_zero_and_unknown_values_are_harmless(self):
         """Zeros, unknown indices and odd numbers are passed over."""
-        rig = Rig()
-        rig.assigner.on_endpoint_update(
+        host = RecordingHost()
+        host.assigner.on_endpoint_update(
             UpdateKind.CHANGES, [server(0, weight=0.0), server(1, weight=float("nan"))]
         )
-        rig.start([])
-        rig.assigner.on_load_report(LoadReport(0, 7, 0, 0, 0, 0))
-        rig.assigner.on_load_report(LoadReport(3, 7, 5, 9, 0, SECOND, {}))
-        rig.assigner.on_demand_report(DemandReport(99, 0, 5, 0, 0))
-        rig.assigner.on_ack(99, 12, 0)
-        rig.assigner.on_health_check(7, "silent", 0, None)
-        rig.assigner.on_proxy_left(42)
-        rig.assigner.on_peer_message(3, b"?")
-        rig.run(5)
+        host.start([])
+        host.assigner.on_load_report(LoadReport(0, 7, 0, 0, 0, 0))
+        host.assigner.on_load_report(LoadReport(3, 7, 5, 9, 0, SECOND, {}))
+        host.assigner.on_demand_report(DemandReport(99, 0, 5, 0, 0))
+        host.assigner.on_ack(99, 12, 0)
+        host.assigner.on_health_check(7, "silent", 0, None)
+        host.assigner.on_proxy_left(42)
+        host.assigner.on_peer_message(3, b"?")
+        host.run(5)
--- a/tests/assignment/test_channel_account.py
+++ b/tests/assignment/test_channel_account.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rig import Rig, deployment_settings, server
+from harness import RecordingHost, deployment_settings, server
 
 from assignment.scenarios import fleet
 from indigodeck.assignment.channel_account import ChannelAccount
@@ -52,14 +52,14 @@
 
     def test_feedback_delay_grows_with_lateness(self):
         """Reports are waited for as long as orders take."""
-        rig = Rig()
-        rig.start(fleet())
-        rig.run(4)
-        before = rig.assigner.state.feedback_delay()
-        rig.answers = None
-        rig.change(server(3, ServerState.DRAINING))
-        rig.run(4)
-        self.assertGreater(rig.assigner.state.feedback_delay(), before + 2 * SECOND)
+        host = RecordingHost()
+        host.start(fleet())
+        host.run(4)
+        before = host.assigner.state.feedback_delay()
+        host.ack_delay = None
+        host.change(server(3, ServerState.DRAINING))
+        host.run(4)
+        self.assertGreater(host.assigner.state.feedback_delay(), before + 2 * SECOND)
 
 
 class SlowChannelTest(unittest.TestCase):
@@ -67,15 +67,15 @@
 
     def lines_written(self, took):
         """Return how many lines are written after an acknowledgement that took so long."""
-        rig = Rig(deployment_settings(lines_per_second=60, max_waiting_lines=400))
-        rig.start(fleet())
-        rig.run(8)
-        rig.change(server(0, ServerState.DRAINING))
-        rig.assigner.on_ack(0, rig.assigner.state.channel.last_ack_number, took)
-        rig.printed.clear()
-        rig.change(*[server(index, started=rig.clock) for index in range(12, 24)])
-        rig.run(2)
-        return len([line for line in rig.printed if "table" in line])
+        host = RecordingHost(deployment_settings(lines_per_second=60, max_waiting_lines=400))
+        host.start(fleet())
+        host.run(8)
+        host.change(server(0, ServerState.DRAINING))
+        host.assigner.on_ack(0, host.assigner.state.channel.last_ack_number, took)
+        host.printed.clear()
+        host.change(*[server(index, started=host.clock) for index in range(12, 24)])
+        host.run(2)
+        return len([line for line in host.printed if "table" in line])
 
     def test_slower_channel_gets_fewer_lines(self):
         """Ordinary lines follow the pace shown."""
--- a/tests/assignment/test_key_ranges.py
+++ b/tests/assignment/test_key_ranges.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rig import Rig, deployment_settings, server
+from harness import RecordingHost, deployment_settings, server
 
 from assignment.scenarios import fleet
 from indigodeck.assignment.interface import LoadReport, ServerState, UpdateKind
@@ -14,29 +14,29 @@
 
     def test_key_ranges_keep_their_server_until_it_goes(self):
         """Load moves nothing."""
-        rig = Rig(deployment_settings(key_range_count=8))
-        rig.assigner.on_endpoint_update(UpdateKind.CHANGES, fleet(4))
-        rig.assigner.on_key_range_assigned(2, True)
-        rig.assigner.on_key_range_server(2, 1, 1.0)
-        rig.assigner.on_key_range_demand(2, 0, 9, 1, SECOND)
-        rig.run(
+        host = RecordingHost(deployment_settings(key_range_count=8))
+        host.assigner.on_endpoint_update(UpdateKind.CHANGES, fleet(4))
+        host.assigner.on_key_range_assigned(2, True)
+        host.assigner.on_key_range_server(2, 1, 1.0)
+        host.assigner.on_key_range_demand(2, 0, 9, 1, SECOND)
+        host.run(
             4,
-            lambda rig: [
-                rig.assigner.on_load_report(LoadReport(0, index, 20, 19, 900_000, SECOND))
+            lambda host: [
+                host.assigner.on_load_report(LoadReport(0, index, 20, 19, 900_000, SECOND))
                 for index in range(4)
             ],
         )
-        self.assertFalse(rig.tables)
-        rig.change(server(1, ServerState.GONE))
-        self.assertEqual(len(rig.tables[2]), 2)
+        self.assertFalse(host.tables)
+        host.change(server(1, ServerState.GONE))
+        self.assertEqual(len(host.tables[2]), 2)
 
     def test_single_owner_hands_over_after_a_delay(self):
         """No write may be on its way to the old owner any more."""
-        rig = Rig(deployment_settings(key_range_count=8, exclusive_ownership=True))
-        rig.assigner.on_endpoint_update(UpdateKind.CHANGES, fleet(4))
-        rig.assigner.on_key_range_assigned(2, True)
-        rig.assigner.on_key_range_server(2, 1, 1.0)
-        rig.change(server(1, ServerState.DRAINING))
-        self.assertFalse(rig.tables)
-        rig.run(2)
-        self.assertEqual(len(rig.tables[2]), 1)
+        host = RecordingHost(deployment_settings(key_range_count=8, exclusive_ownership=True))
+        host.assigner.on_endpoint_update(UpdateKind.CHANGES, fleet(4))
+        host.assigner.on_key_range_assigned(2, True)
+        host.assigner.on_key_range_server(2, 1, 1.0)
+        host.change(server(1, ServerState.DRAINING))
+        self.assertFalse(host.tables)
+        host.run(2)
+        self.assertEqual(len(host.tables[2]), 1)
--- a/tests/edge/stand_ins.py
+++ b/tests/edge/stand_ins.py
@@ -3,7 +3,7 @@
 import json
 from enum import Enum
 
-from rig import Loop
+from harness import SimulatedLoop
 from simulator.test_adapter import SETTINGS as SIMULATOR_SETTINGS
 from tornado.iostream import StreamClosedError
 from tornado.locks import Event
@@ -96,11 +96,11 @@
         self.lines.append(format_event(event, facts))
 
 
-class FakeEnvironment(Loop):
+class FakeEnvironment(SimulatedLoop):
     """A host's environment, which prints what it is asked."""
 
-    call_later = Loop.later
-    log = Loop.note
+    call_later = SimulatedLoop.later
+    log = SimulatedLoop.note
 
     def notify_orders_pending(self):
         """Do nothing: the tests take the orders themselves."""
--- a/tests/edge/test_assigner_host.py
+++ b/tests/edge/test_assigner_host.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from rig import SECOND
+from harness import SECOND
 
 from edge.stand_ins import (
     PLATFORM_SETTINGS,
--- a/tests/edge/test_codec.py
+++ b/tests/edge/test_codec.py
@@ -3,9 +3,9 @@
 import contextlib
 import unittest
 
+from harness import SECOND
 from hypothesis import given
 from hypothesis import strategies as st
-from rig import SECOND
 
 from edge.stand_ins import ACK, CODEC, DEMAND, OUTCOMES, PROXY_JOINED, endpoint_list, list_entry
 from indigodeck.edge.json_fields import pack, read_object
--- a/tests/edge/test_listener.py
+++ b/tests/edge/test_listener.py
@@ -1,6 +1,6 @@
 """The planner's own address, with real connections on loopback."""
 
-from rig import SECOND
+from harness import SECOND
 from support import until
 from tornado.iostream import StreamClosedError
 from tornado.netutil import bind_sockets
--- a/tests/edge/test_membership.py
+++ b/tests/edge/test_membership.py
@@ -2,9 +2,9 @@
 
 import unittest
 
+from harness import SECOND
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from rig import SECOND
 
 from indigodeck.edge.membership import ProxyMembership
 from indigodeck.edge.messages import ProxyJoined
--- a/tests/edge/test_outbox.py
+++ b/tests/edge/test_outbox.py
@@ -4,9 +4,9 @@
 import unittest
 from enum import Enum
 
+from harness import SECOND
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from rig import SECOND
 
 from edge.stand_ins import EventRecorder, RelayState
 from indigodeck.assignment.interface import RetryPolicy
--- a/tests/edge/test_program.py
+++ b/tests/edge/test_program.py
@@ -10,7 +10,7 @@
 import sys
 import tempfile
 
-from rig import SECOND
+from harness import SECOND
 from support import until
 from tornado.httpserver import HTTPServer
 from tornado.locks import Event
--- a/tests/edge/test_relay_client.py
+++ b/tests/edge/test_relay_client.py
@@ -5,7 +5,7 @@
 import time
 import unittest.mock
 
-from rig import SECOND
+from harness import SECOND
 from support import until
 from tornado.ioloop import IOLoop, PeriodicCallback
 from tornado.iostream import StreamClosedError
--- a/tests/frontends/lossy_network.py
+++ b/tests/frontends/lossy_network.py
@@ -3,7 +3,7 @@
 import xxhash
 from envoy.config.core.v3 import base_pb2
 from envoy.service.discovery.v3 import discovery_pb2
-from rig import Loop, deployment_settings, server
+from harness import SimulatedLoop, deployment_settings, server
 from versions.support import StubStore
 
 from indigodeck.assignment.seeded_random import SeededRandom
@@ -49,7 +49,7 @@
         pass
 
 
-class LossyNetwork(Loop):
+class LossyNetwork(SimulatedLoop):
     """A planner and four proxies; messages are lost, delayed, repeated and reordered.
 
     Either side may restart. `loss_percent` of the messages are lost.
--- a/tests/frontends/test_sasp_conversation.py
+++ b/tests/frontends/test_sasp_conversation.py
@@ -2,9 +2,9 @@
 
 import unittest
 
+from harness import SECOND, SimulatedLoop, TraceTestCase, deployment_settings, server
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from rig import SECOND, Loop, TraceCase, deployment_settings, server
 
 from indigodeck.assignment.interface import ServerState
 from indigodeck.client import Tables
@@ -18,7 +18,7 @@
 PORT = 8000
 
 
-class SaspPlanner(Loop):
+class SaspPlanner(SimulatedLoop):
     """A planner around one registry: servers at 127.0.0.1:8000.., classes read and write."""
 
     def __init__(self, servers=6, **stated):
@@ -144,7 +144,7 @@
     )
 
 
-class ConversationTest(TraceCase):
+class ConversationTest(TraceTestCase):
     """Registrations, weights and answers on one connection or several."""
 
     def test_a_relay_joins_is_told_changes_only_and_keeps_drains(self):
--- a/tests/frontends/test_xds_streams.py
+++ b/tests/frontends/test_xds_streams.py
@@ -2,9 +2,9 @@
 
 import unittest
 
+from harness import SimulatedLoop, TraceTestCase
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from rig import Loop, TraceCase
 
 from indigodeck.errors import LimitExceededError
 from indigodeck.frontends.xds import codec
@@ -16,7 +16,7 @@
 TYPE_URLS = {short: type_url for type_url, short in SHORT_NAMES.items()}
 
 
-class XdsPlanner(Loop):
+class XdsPlanner(SimulatedLoop):
     """A resource cache, a planner's host and an environment; a test says what resources are."""
 
     def __init__(self, *names):
@@ -113,7 +113,7 @@
             self.stream.on_full_request(kind, self.names.get(kind, ()), nonce, error)
 
 
-class StreamTest(TraceCase):
+class StreamTest(TraceTestCase):
     """Subscriptions, acknowledgements and rejections on one stream."""
 
     def test_make_before_break_stale_answers_and_rejections(self):
--- a/tests/leadership/test_election.py
+++ b/tests/leadership/test_election.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rig import Loop
+from harness import SimulatedLoop
 
 from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.clock import SECOND
@@ -22,7 +22,7 @@
 PLACES = {name: f"127.0.0.1:{nth}" for nth, name in enumerate("abc", 1)}
 
 
-class LoneMember(Loop):
+class LoneMember(SimulatedLoop):
     """One member of three, whose peers are played by the test."""
 
     def __init__(self, record=None, incarnation=2):
--- a/tests/leadership/test_records.py
+++ b/tests/leadership/test_records.py
@@ -4,7 +4,7 @@
 import tempfile
 import unittest
 
-from rig import Loop
+from harness import SimulatedLoop
 
 from indigodeck.leadership.lease_record import (
     RecordFile,
@@ -49,7 +49,7 @@
 
     def test_rejections_last_are_told_and_bounded(self):
         """Rejections are saved, sent once, read again, and limited in number."""
-        loop = Loop()
+        loop = SimulatedLoop()
         kept = []
         said = []
         loop.start_timer = loop.later
--- a/tests/planner/test_cached_endpoint_list.py
+++ b/tests/planner/test_cached_endpoint_list.py
@@ -1,13 +1,13 @@
 """Starting from a stored endpoint list (`planner.cached_endpoint_list`)."""
 
-from rig import Loop, TraceCase
+from harness import SimulatedLoop, TraceTestCase
 
 from indigodeck.clock import SECOND
 from indigodeck.planner.cached_endpoint_list import CachedEndpointList
 from indigodeck.versions.version_log import DAY
 
 
-class StubEnvironment(Loop):
+class StubEnvironment(SimulatedLoop):
     """Hosts that answer or not; prints what is gone by."""
 
     def __init__(self, hosts, there, age=3600, checks_enabled=True, **states):
@@ -64,7 +64,7 @@
         )
 
 
-class CachedEndpointListTest(TraceCase):
+class CachedEndpointListTest(TraceTestCase):
     """The cached list against hosts that answer, are silent, or come back."""
 
     def test_hosts_that_do_not_answer_are_left_out_and_drains_stay_drains(self):
--- a/tests/planner/test_health_inference.py
+++ b/tests/planner/test_health_inference.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rig import SECOND, deployment_settings, server
+from harness import SECOND, deployment_settings, server
 
 from indigodeck.planner.health_inference import HealthInference
 from indigodeck.planner.host_reports import HostReport
--- a/tests/planner/test_join_admission.py
+++ b/tests/planner/test_join_admission.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from rig import SECOND, Loop
+from harness import SECOND, SimulatedLoop
 
 from indigodeck.planner.join_admission import MAX_WAITING_PROXIES, JoinAdmission
 
@@ -12,7 +12,7 @@
 
     def setUp(self):
         """Start at time 0."""
-        self.loop = Loop()
+        self.loop = SimulatedLoop()
         self.now = self.loop.now
         self.later = self.loop.later
         self.waiting = 0
--- a/tests/testbed/test_audit.py
+++ b/tests/testbed/test_audit.py
@@ -3,7 +3,7 @@
 import dataclasses
 import unittest
 
-from rig import SECOND, deployment_settings
+from harness import SECOND, deployment_settings
 
 from indigodeck.frontends.sasp import codec
 from indigodeck.frontends.sasp.codec import CONFIDENT, QUIESCED, Entry, Member
--- a/tests/versions/test_replication.py
+++ b/tests/versions/test_replication.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from rig import SECOND, Loop
+from harness import SECOND, SimulatedLoop
 
 from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.leadership import message_codec
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, seed, members=3):
-        self.loop = Loop()
+        self.loop = SimulatedLoop()
         self.random = SeededRandom(seed)
         self.loss = 0
         self.planners = {}
