--- a/tests/assignment/test_delivery.py
+++ b/tests/assignment/test_delivery.py
@@ -41,7 +41,9 @@
         for index in (4, 7, 9):
             host.change(server(index, ServerState.DRAINING))
             host.run(0.4)
-        host.printed = [line for line in host.printed if " eject server" in line or "messages" in line]
+        host.printed = [
+            line for line in host.printed if " eject server" in line or "messages" in line
+        ]
         self.compare("drains-after-joins", host)
         self.assertEqual(host.assigner.state.ejected, {4, 7, 9})
 
--- a/tests/leadership/test_stored_leases.py
+++ b/tests/leadership/test_stored_leases.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from test_stored_data import DATA, STORED, StoredFolder
+from stored_data import DATA, STORED, StoredFolder
 
 from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.leadership.election import LeaderElection
--- a/tests/leadership/test_stored_messages.py
+++ b/tests/leadership/test_stored_messages.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from test_stored_data import MESSAGES, plain
+from stored_data import MESSAGES, plain
 
 from indigodeck.leadership import message_codec
 
--- a/tests/versions/test_replication_messages.py
+++ b/tests/versions/test_replication_messages.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from test_stored_data import MESSAGES
+from stored_data import MESSAGES
 
 from indigodeck.leadership import message_codec
 from indigodeck.versions.replication_messages import MESSAGE_KINDS, decode, encode
--- a/tests/versions/test_stored_versions.py
+++ b/tests/versions/test_stored_versions.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from test_stored_data import NUMBERS, STARTED_AT, STORED, StoredFolder
+from stored_data import NUMBERS, STARTED_AT, STORED, StoredFolder
 
 from indigodeck.versions.codec import (
     decode_requests,
