--- a/tests/run.py
+++ b/tests/run.py
@@ -6,6 +6,7 @@
 Names are those of modules, classes or methods, such as `store.test_writer`.
 """
 
+import asyncio
 import pathlib
 import sys
 import unittest
@@ -15,6 +16,7 @@
 TESTS = pathlib.Path(__file__).parent
 KNOWN_RED_FILE = TESTS.parent / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
+SLOW_CALLBACK_S = 600.0  # longer than any test
 
 _ErrorInfo: TypeAlias = (
     tuple[type[BaseException], BaseException, TracebackType] | tuple[None, None, None]
@@ -54,6 +56,19 @@
             super().addSuccess(test)
 
 
+class QuietLoopPolicy(asyncio.DefaultEventLoopPolicy):
+    """Makes event loops that do not report slow callbacks.
+
+    Asynchronous tests run in asyncio's debug mode, whose reports say only how busy the machine is.
+    """
+
+    def new_event_loop(self) -> asyncio.AbstractEventLoop:
+        """Return a new event loop."""
+        loop = super().new_event_loop()
+        loop.slow_callback_duration = SLOW_CALLBACK_S
+        return loop
+
+
 def find_tests(names: list[str]) -> unittest.TestSuite:
     """Return the tests with these names; if none is given, all of this folder and its packages."""
     loader = unittest.TestLoader()
@@ -63,6 +78,7 @@
 def main(names: list[str]) -> int:
     """Run tests, print the known red ones, and return the exit code."""
     sys.path.insert(0, str(TESTS))  # tests import the modules they share by their names here
+    asyncio.set_event_loop_policy(QuietLoopPolicy())
     passed = (
         unittest.TextTestRunner(resultclass=KnownRedResult).run(find_tests(names)).wasSuccessful()
     )
