--- a/indigodeck/frontends/xds/server.py
+++ b/indigodeck/frontends/xds/server.py
@@ -1,7 +1,6 @@
 """The xDS frontend's server on grpcio's asyncio loop: aggregated discovery and load reports."""
 
 import asyncio
-from collections.abc import Callable, Sequence
 from typing import Any
 
 import grpc
@@ -9,13 +8,12 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc
 from envoy.service.load_stats.v3 import lrs_pb2_grpc
 
-from ...clock import SECOND
 from ...errors import LimitExceededError
 from ...planner.planner_settings import PlannerSettings, XdsFrontendSettings
 from ...planner.service import PlannerService
 from ...planner.weights import scaled
 from . import codec
-from .codec import ENDPOINTS, RESOURCE_TYPES, NamedResource
+from .connection import Connection
 from .proxies import Bounds, NotLeaderError, XdsProxy
 from .resources import ResourceCache
 from .streams import Stream
@@ -27,162 +25,6 @@
 LISTEN_RETRY_S = 0.1
 
 
-class Connection:
-    """One discovery stream: reads requests as they come, writes responses one at a time."""
-
-    def __init__(self, frontend: "XdsFrontend", context: Any, is_delta: bool) -> None:
-        self.frontend = frontend
-        self.context = context  # grpcio's own
-        self.is_delta = is_delta
-        self.proxy: XdsProxy | None = None
-        self.stream: Stream | None = None
-        self._write_requested = asyncio.Event()
-        self._response: Any = None
-        self._reader: asyncio.Task[None] | None = None
-        self._writer: asyncio.Task[None] | None = None
-
-    # What the stream may do (`streams.StreamConnection`).
-
-    def send(
-        self,
-        type_url: str,
-        version: str,
-        nonce: str,
-        resources: Sequence[NamedResource],
-        removed: Sequence[str],
-    ) -> None:
-        """Make the response that is written next."""
-        if self.is_delta:
-            self._response = codec.delta_response(type_url, version, nonce, resources, removed)
-        else:
-            self._response = codec.full_response(type_url, version, nonce, resources)
-
-    def request_write(self) -> None:
-        """Have `send_next` called as soon as the proxy may be written to."""
-        self._write_requested.set()
-
-    def later(self, after: int, call: Callable[..., None], *arguments: Any) -> None:
-        """Call back after this time, in microseconds."""
-        asyncio.get_running_loop().call_later(after / SECOND, call, *arguments)
-
-    def end(self) -> None:
-        """End the stream."""
-        if self._reader is not None:
-            self._reader.cancel()
-
-    async def run(self) -> None:
-        """Serve the stream until the proxy ends it, or the planner does."""
-        reader = asyncio.get_running_loop().create_task(self._read_requests())
-        self._reader = reader
-        status = grpc.StatusCode.UNAVAILABLE
-        reason = "this relay is spoken to elsewhere now"
-        try:
-            await asyncio.wait([reader])
-            error = None if reader.cancelled() else reader.exception()
-            if error is None and not reader.cancelled():
-                return
-            if isinstance(error, LimitExceededError):
-                status = grpc.StatusCode.RESOURCE_EXHAUSTED
-                reason = str(error)
-                peer = self.proxy.proxy_id if self.proxy else None
-                self.frontend.note("proxy_rejected", peer=peer, reason=reason)
-            elif error is not None and not isinstance(error, NotLeaderError):
-                raise error
-        finally:
-            self._close()
-        # With a status of its own: a handler that is merely cancelled leaves the stream hanging.
-        await self.context.abort(status, reason)
-
-    def _close(self) -> None:
-        self.end()
-        if self._writer is not None:
-            self._writer.cancel()
-        if self.stream is not None and self.proxy is not None:
-            self.frontend.on_stream_closed(self.proxy, self.stream)
-
-    async def _read_requests(self) -> None:
-        while (request := await self.context.read()) is not grpc.aio.EOF:
-            if self.stream is None:
-                self.stream = await self._open_stream(request.node)
-            self._take_request(self.stream, request)
-            # A flood of requests from one proxy gives way to the others after each.
-            await asyncio.sleep(0)
-
-    async def _open_stream(self, node: base_pb2.Node) -> Stream:
-        frontend = self.frontend
-        if (
-            not frontend.is_connected(node)
-            and not await frontend.service.proxies.wait_for_admission()
-        ):
-            raise LimitExceededError("too many relays wait to join")
-        self.proxy = frontend.proxy_of(node)
-        stream = Stream.open(self.proxy, self, self.is_delta)
-        self._writer = asyncio.get_running_loop().create_task(
-            self._write_responses(self.proxy, stream)
-        )
-        return stream
-
-    def _take_request(self, stream: Stream, request: Any) -> None:
-        error = None
-        if request.HasField("error_detail"):
-            error = request.error_detail.message or "refused without a reason"
-        if self.is_delta:
-            stream.on_delta_request(
-                request.type_url,
-                request.resource_names_subscribe,
-                request.resource_names_unsubscribe,
-                dict(request.initial_resource_versions),
-                request.response_nonce,
-                error,
-            )
-        else:
-            stream.on_full_request(
-                request.type_url, request.resource_names, request.response_nonce, error
-            )
-
-    async def _write_responses(self, proxy: XdsProxy, stream: Stream) -> None:
-        try:
-            while True:
-                await self._write_requested.wait()
-                self._write_requested.clear()
-                proxy.take_updates()
-                while await self._write_next(proxy, stream):
-                    pass
-        except NotLeaderError:
-            self.end()
-
-    async def _write_next(self, proxy: XdsProxy, stream: Stream) -> bool:
-        """Write the response that is due, and return whether there was one.
-
-        Raises
-        ------
-        NotLeaderError
-            If another controller leads the proxy's group by now.
-        """
-        service = self.frontend.service
-        quota = service.proxies.message_quota(proxy.proxy_id)
-        while wait := quota.order_wait(service.now()):
-            await asyncio.sleep(wait / SECOND)
-        proxy.take_updates()  # the newest, after whatever it waited for
-        # Answers to subscriptions have a part of the limit: a proxy that asks for ever delays no
-        # order to itself.
-        answer_wait = quota.answer_wait(service.now())
-        type_url = stream.send_next((ENDPOINTS,) if answer_wait else RESOURCE_TYPES)
-        if type_url is None:
-            if answer_wait:
-                self.later(answer_wait, self._write_requested.set)
-            return False
-        # An answer to a subscription counts apart from orders: only endpoints change by themselves.
-        quota.on_written(service.now(), is_answer=type_url != ENDPOINTS)
-        response = self._response
-        self._response = None
-        if not service.leadership.may_write(proxy.index):
-            # Asked here, for much may have passed since it was made.
-            raise NotLeaderError("another controller is in charge")
-        await self.context.write(response)
-        return True
-
-
 class XdsFrontend(
     ads_pb2_grpc.AggregatedDiscoveryServiceServicer, lrs_pb2_grpc.LoadReportingServiceServicer
 ):
--- a/tests/client/test_xds_session.py
+++ b/tests/client/test_xds_session.py
@@ -3,7 +3,7 @@
 import unittest
 
 from indigodeck.client import Tables
-from indigodeck.client.xds import XdsSession
+from indigodeck.client.xds_session import XdsSession
 from indigodeck.frontends.xds import codec
 
 CLASSES = ["read", "write"]
--- a/tests/frontends/lossy_network.py
+++ b/tests/frontends/lossy_network.py
@@ -8,7 +8,8 @@
 
 from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.client import Tables
-from indigodeck.client.xds import RequestRejectedError, XdsSession
+from indigodeck.client.tables import RequestRejectedError
+from indigodeck.client.xds_session import XdsSession
 from indigodeck.frontends.xds import codec
 from indigodeck.frontends.xds.proxies import Bounds, XdsProxy
 from indigodeck.frontends.xds.resources import ResourceCache
--- a/tests/frontends/test_xds_codec.py
+++ b/tests/frontends/test_xds_codec.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from indigodeck.client.xds import read_assignment
+from indigodeck.client.xds_session import read_assignment
 from indigodeck.frontends.xds import codec
 from indigodeck.frontends.xds.codec import ENDPOINTS
 
--- a/tests/leadership/test_controllers.py
+++ b/tests/leadership/test_controllers.py
@@ -15,7 +15,8 @@
 from support import ROOT, until  # noqa: E402 - after the variable
 
 from indigodeck.client import Tables  # noqa: E402 - after the variable
-from indigodeck.client.xds import XdsClient, XdsSession  # noqa: E402 - after the variable
+from indigodeck.client.xds import XdsClient  # noqa: E402 - after the variable
+from indigodeck.client.xds_session import XdsSession  # noqa: E402 - after the variable
 from indigodeck.clock import now  # noqa: E402 - after the variable
 from indigodeck.testbed.faulty_link import FaultyLink  # noqa: E402 - after the variable
 from indigodeck.testbed.fleet_scenario import FleetScenarioRunner  # noqa: E402 - after the variable
--- a/tests/leadership/test_relay_client.py
+++ b/tests/leadership/test_relay_client.py
@@ -8,7 +8,8 @@
 from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402 - after the variable
 from indigodeck.client import Tables  # noqa: E402 - after the variable
 from indigodeck.client.reconnecting import ReconnectBackoff  # noqa: E402 - after the variable
-from indigodeck.client.xds import RequestRejectedError, XdsSession  # noqa: E402 - after the variable
+from indigodeck.client.tables import RequestRejectedError  # noqa: E402 - after the variable
+from indigodeck.client.xds_session import XdsSession  # noqa: E402 - after the variable
 from indigodeck.frontends.xds import codec  # noqa: E402 - after the variable
 
 
