--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -15,6 +15,7 @@
     """Commands that run as processes of their own."""
 
     def run_command(self, *words, **more):
+        """Run one command to its end."""
         return subprocess.run(
             [sys.executable, "-m", "indigodeck", *words],
             capture_output=True,
@@ -24,7 +25,8 @@
             **more,
         )
 
-    def test_check_names_places_and_exit_codes(self):
+    def test_check_names_mistakes_by_place_and_sets_exit_codes(self):
+        """`check` names what is wrong by place, and its exit codes hold."""
         self.assertEqual(
             self.run_command(
                 "check", "examples/charter.json", "examples/roster.json", "examples/bad-day.json"
@@ -43,7 +45,8 @@
             path.write_text("{")
             self.assertEqual(self.run_command("serve", "--charter", str(path)).returncode, 2)
 
-    def test_serve_says_where_it_listens_weights_asks_it_and_sigterm_ends_it(self):
+    def test_serve_logs_its_port_weights_polls_it_and_sigterm_ends_it(self):
+        """`serve` logs its port, `weights` polls it, SIGTERM ends it."""
         with tempfile.TemporaryDirectory() as folder:
             charter = json.loads((ROOT / "examples/charter.json").read_text())
             charter["fronts"]["sasp"]["port"] = 0
--- a/tests/client/test_sasp_client.py
+++ b/tests/client/test_sasp_client.py
@@ -14,7 +14,7 @@
 class SaspClientAndBadPlanners(unittest.IsolatedAsyncioTestCase):
     """A client that reconnects, and a planner that answers by a script."""
 
-    async def test_it_survives_planners_that_stall_lie_and_restart(self):
+    async def test_tables_outlive_planners_that_stall_send_nonsense_and_restart(self):
         """Each loss has its error, and the table that was given once is kept."""
         table = [
             (
--- a/tests/frontends/test_both_frontends.py
+++ b/tests/frontends/test_both_frontends.py
@@ -25,7 +25,7 @@
         planner.document["fronts"] = {
             protocol: {"address": "127.0.0.1", "port": 0} for protocol in ("sasp", "xds")
         }
-        planner.keep()
+        planner.set_host_states()
         return planner
 
     def relay(self, planner, protocol, uid):
@@ -52,7 +52,7 @@
             await until(lambda: xds[0].versions and sasp[3])
             self.assertEqual(len(planner.service.planner_host.updates.by_proxy), 1)
             sasp[1].stop()
-            planner.keep(host_3="draining")
+            planner.set_host_states(host_3="draining")
             await until(lambda: len(xds[0].lines["reading"]) == 5)
             xds[1].stop()
             await asyncio.gather(sasp[2], xds[2])
@@ -83,7 +83,7 @@
 
             flooder = asyncio.get_running_loop().create_task(flood())
             for nth in range(3):
-                planner.keep(**{f"host_{nth}": "draining"})
+                planner.set_host_states(**{f"host_{nth}": "draining"})
                 await until(lambda left=5 - nth: len(tables.lines["reading"]) == left)
             flooding = False
             await flooder
@@ -126,7 +126,7 @@
                 frontend = planner.service.frontends[isinstance(client, XdsClient)]
                 client.planners = lambda frontend=frontend: [("127.0.0.1", frontend.port())]
             await until(lambda: len(planner.service.proxies.frontend_of) == many, 20)
-            planner.keep(host_5="draining")
+            planner.set_host_states(host_5="draining")
             await until(
                 lambda: all(
                     ("127.0.0.1", 9005) not in tables.lines["reading"] for tables, *_ in relays
--- a/tests/frontends/test_sasp_sockets.py
+++ b/tests/frontends/test_sasp_sockets.py
@@ -40,7 +40,9 @@
                         writer.write(data)
                         self.assertEqual(await asyncio.wait_for(reader.read(), 5), b"")
                         await until(
-                            lambda count=nth + 1: len(planner.said("connection_closed")) == count
+                            lambda count=nth + 1: (
+                                len(planner.log_events("connection_closed")) == count
+                            )
                         )
             # Wrong lengths within a whole message are answered with the protocol's code, and the
             # peer goes on.
@@ -53,7 +55,7 @@
                     await reader.readexactly(18),
                 )
                 self.assertEqual((code, fine[-1]), (codec.NOT_UNDERSTOOD, codec.DONE))
-            planner.keep(host_2="draining")
+            planner.set_host_states(host_2="draining")
             await until(lambda: ports(tables) == {0, 1, 3, 4, 5})
             client.stop()
             await task
@@ -89,7 +91,7 @@
                     await reader.readexactly(int.from_bytes(head[5:9], "big") - 13)
                     times.append(now())
                     if len(times) == 6:
-                        planner.keep(host_1="draining")
+                        planner.set_host_states(host_1="draining")
                         await until(lambda: ports(tables) == {0, 2, 3, 4, 5})
                 # No more than eight within the span, whatever is asked: the ninth comes after it.
                 self.assertGreaterEqual(
@@ -108,7 +110,7 @@
             tables, client, task = planner.client()
             await until(lambda: len(ports(tables)) >= 4)
             for nth in range(30):
-                planner.keep(**{f"host_{nth}": "draining"})
+                planner.set_host_states(**{f"host_{nth}": "draining"})
                 await until(lambda drained=set(range(nth + 1)): not ports(tables) & drained)
             limit = planner.service.planner_host.settings.channel.max_waiting_lines
             self.assertLess(planner.service.planner_host.updates.most_waiting_lines, limit)
@@ -142,7 +144,7 @@
             wrote = planner.service.proxies.message_quota(b"hall-a/r1").written
             before = len(wrote)
             time.sleep(2)  # the whole loop stands still
-            planner.keep(host_0="draining")
+            planner.set_host_states(host_0="draining")
             await until(lambda: ports(tables) == set(range(1, 6)))
             self.assertLessEqual(len(wrote) - before, 4)
             client.stop()
--- a/tests/frontends/test_stock_client.py
+++ b/tests/frontends/test_stock_client.py
@@ -39,7 +39,7 @@
                 "weight": 2 + 4 * (nth % 2),
                 "hall": f"hall-{'abc'[nth % 3]}",
             }
-        planner.keep()
+        planner.set_host_states()
         async with planner:
             relays = [
                 await asyncio.create_subprocess_exec(
@@ -86,7 +86,7 @@
                     count / total, share, delta=5 * (share * (1 - share) / total) ** 0.5, msg=counts
                 )
             drained = now()
-            planner.keep(host_1="draining")
+            planner.set_host_states(host_1="draining")
             said = [
                 json.loads(line)
                 for relay in relays
@@ -121,7 +121,7 @@
         planner.document["rules"]["cold_ms"] = 4000
         for host in hosts[:9]:
             planner.hosts[host.name] = {"port": host.port}
-        planner.keep()
+        planner.set_host_states()
         async with planner:
             planner.service.health_checker.timeout = 1_000_000
             planner.document["fronts"]["xds"]["port"] = planner.port
@@ -172,7 +172,7 @@
                     "port": host.port,
                     "started_ms": int(time.time() * 1000),
                 }
-            planner.keep(**{f"host_{nth}": "draining" for nth in range(3, 9)})
+            planner.set_host_states(**{f"host_{nth}": "draining" for nth in range(3, 9)})
             await until(lambda: len(planner.service.planner_host.ejected_servers) == 6)
             planner.service.close()
             await asyncio.sleep(0.5)
--- a/tests/planner/test_planner_sockets.py
+++ b/tests/planner/test_planner_sockets.py
@@ -15,7 +15,7 @@
 class HostsAndListService(unittest.IsolatedAsyncioTestCase):
     """A planner in this process that learns of its hosts over HTTP."""
 
-    async def test_a_hung_host_loses_its_share_within_three_periods_and_comes_back_by_ramp(self):
+    async def test_a_hung_host_loses_its_weight_within_three_periods_and_returns_slowly(self):
         """It takes no share while it hangs, and a smaller one at first after."""
         with open(os.devnull, "w") as nowhere:
             settings = HostSettings(cores=4, slots=8, queue_limit=16)
@@ -26,7 +26,7 @@
                 for nth in range(8):
                     planner.hosts[f"host-{nth}"] = {"port": pool.start(f"host-{nth}", settings)}
                 planner.service.health_checker.timeout = 800_000
-                planner.keep()
+                planner.set_host_states()
                 tables, client, task = planner.client()
                 hung = ("127.0.0.1", pool.hosts["host-3"].port)
                 turns, old = [], planner.service.health_inference.report
@@ -54,7 +54,7 @@
                 for host in pool.hosts.values():
                     await host.stop()
 
-    async def test_the_list_from_a_service_that_pushes_or_is_asked_and_fails_for_a_while(self):
+    async def test_a_list_service_that_pushes_or_is_polled_and_is_down_for_a_while(self):
         """The planner follows the list again after each failure."""
         for asked in (False, True):
             with self.subTest(asked=asked):
@@ -88,8 +88,8 @@
             discovery.unavailable = True
             await until(
                 lambda: (
-                    planner.said("endpoint_list_not_read")
-                    or planner.said("endpoint_list_not_followed")
+                    planner.log_events("endpoint_list_not_read")
+                    or planner.log_events("endpoint_list_not_followed")
                 )
             )
             discovery.set(dict(hosts[2], state="gone"))
--- a/tests/planner/test_restart.py
+++ b/tests/planner/test_restart.py
@@ -22,9 +22,9 @@
                 publisher = planner.service.versions.publisher
                 await until(publisher.newest)
                 first = publisher.newest()
-                planner.keep(host_0="draining", host_1="draining")
+                planner.set_host_states(host_0="draining", host_1="draining")
                 await client.until_without(0, 1)
-                planner.keep(host_0="ready", host_1="ready")
+                planner.set_host_states(host_0="ready", host_1="ready")
                 await client.until_ports(set(range(6)))
                 answer = await planner.service.versions.on_operator_request(
                     {
@@ -47,7 +47,7 @@
                     (last, content_hash),
                 )
                 self.assertEqual(publisher.requests.rollbacks["reading"].author, "duty")
-                planner.keep(host_2="draining")
+                planner.set_host_states(host_2="draining")
                 await client.until_without(2)
                 newest = publisher.newest()
                 self.assertEqual((first.epoch, newest.epoch, newest.serial), (1, 2, 1))
@@ -64,7 +64,7 @@
         planner = self.planner
         async with planner:
             async with connected_client(planner) as client:
-                planner.keep(host_3="draining")
+                planner.set_host_states(host_3="draining")
                 await client.until_without(3)
                 await asyncio.sleep(LIST_STORED_SECONDS)
             planner.service.close()
@@ -80,11 +80,11 @@
                 trust = await self.trust()
                 self.assertEqual((trust["named"], service.endpoints.endpoint_list.version), (6, 2))
                 planner.version = 0
-                planner.keep(host_4="draining")
-                await until(lambda: planner.said("endpoint_list_stale"))
+                planner.set_host_states(host_4="draining")
+                await until(lambda: planner.log_events("endpoint_list_stale"))
                 self.assertIn(4, client.ports())
                 planner.version = 5
-                planner.keep(host_4="draining")
+                planner.set_host_states(host_4="draining")
                 await client.until_without(4)
                 self.assertIsNone(await self.trust())
 
@@ -104,6 +104,6 @@
         async with planner, connected_client(planner) as client:
             files = planner.service.versions.store.files
             with unittest.mock.patch.object(files, "append", side_effect=full):
-                planner.keep(host_0="draining")
+                planner.set_host_states(host_0="draining")
                 await client.until_without(0)
-                await until(lambda: planner.said("store_stopped"))
+                await until(lambda: planner.log_events("store_stopped"))
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,10 +1,12 @@
-"""What the tests over sockets share: a planner in this process, raw connections, waiting for a condition."""
+"""What tests over sockets share: a planner in this process, raw connections, waiting."""
 
 import asyncio
 import contextlib
 import json
 import pathlib
 import tempfile
+from collections.abc import AsyncIterator, Callable, Iterable, Mapping
+from typing import Any
 
 import structlog
 
@@ -16,51 +18,53 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 EXAMPLE = json.loads((ROOT / "examples/bad-day.json").read_text())
+FIRST_HOST_PORT = 9000  # of hosts that need not exist
+POLL_INTERVAL_S = 0.01
 
 
 class Planner:
-    """A planner in this process, with a roster file of its own and its log kept."""
-
-    def __init__(self, hosts=6, channel=(), reports=(), **sasp):
+    """A planner in this process, with an endpoint list of its own; its log events are kept.
+
+    `channel`, `reports` and `sasp` add to these sections of its settings.
+    """
+
+    def __init__(
+        self,
+        hosts: int = 6,
+        channel: Mapping[str, Any] | Iterable[tuple[str, Any]] = (),
+        reports: Mapping[str, Any] | Iterable[tuple[str, Any]] = (),
+        **sasp: Any,
+    ) -> None:
         self.folder = tempfile.TemporaryDirectory()
         document = json.loads(json.dumps(EXAMPLE["charter"]))
         document["channel"].update(channel)
-        document["reports"] = dict({"period_ms": 300, "probes_per_s": 0}, **dict(reports))
+        document["reports"] = {"period_ms": 300, "probes_per_s": 0, **dict(reports)}
         document["roster"] = {"file": "roster.json", "look_every_ms": 20}
-        document["fronts"] = {"sasp": dict({"address": "127.0.0.1", "port": 0}, **sasp)}
-        self.version, self.hosts = 0, {f"host-{nth}": {"port": 9000 + nth} for nth in range(hosts)}
-        self.keep()
-        self.logged, self.document = [], document
-
-    def keep(self, **states):
+        document["fronts"] = {"sasp": {"address": "127.0.0.1", "port": 0, **sasp}}
+        self.document = document
+        self.logged: list[dict[str, Any]] = []
+        self.version = 0
+        self.hosts: dict[str, dict[str, Any]] = {
+            f"host-{index}": {"port": FIRST_HOST_PORT + index} for index in range(hosts)
+        }
+        self.set_host_states()
+
+    def set_host_states(self, **states: str) -> None:
+        """Change states of hosts (`host_0="draining"`) and write the list's next version."""
         self.version += 1
         for name, state in states.items():
             self.hosts[name.replace("_", "-")]["state"] = state
-        text = json.dumps(
-            {
-                "version": self.version,
-                "hosts": [
-                    dict(
-                        {
-                            "id": name,
-                            "address": "127.0.0.1",
-                            "state": "ready",
-                            "hall": "hall-a",
-                            "weight": 4,
-                        },
-                        **host,
-                    )
-                    for name, host in self.hosts.items()
-                ],
-            }
-        )
+        usual = {"address": "127.0.0.1", "state": "ready", "hall": "hall-a", "weight": 4}
+        hosts = [{"id": name, **usual, **host} for name, host in self.hosts.items()]
         path = pathlib.Path(self.folder.name) / "roster.json"
-        path.with_suffix(".new").write_text(text)
-        path.with_suffix(".new").replace(path)
+        replacement = path.with_suffix(".new")
+        replacement.write_text(json.dumps({"version": self.version, "hosts": hosts}))
+        replacement.replace(path)
 
-    async def __aenter__(self):
+    async def __aenter__(self) -> "Planner":
+        """Start the planner."""
         structlog.configure(
-            processors=[lambda logger, name, line: self.logged.append(line) or str(line)],
+            processors=[self._keep_event],
             logger_factory=structlog.ReturnLoggerFactory(),
             cache_logger_on_first_use=False,
         )
@@ -68,23 +72,32 @@
         self.port = self.service.frontends[0].port()
         return self
 
-    async def __aexit__(self, *_):
+    async def __aexit__(self, *_: object) -> None:
+        """Stop the planner."""
         self.service.close()
         await asyncio.sleep(0.05)
         self.folder.cleanup()
 
-    def said(self, event):
-        return [line for line in self.logged if line["event"] == event]
+    def log_events(self, name: str) -> list[dict[str, Any]]:
+        """Return the log events of this name."""
+        return [event for event in self.logged if event["event"] == name]
 
-    def client(self, uid="hall-a/r1", **more):
+    def client(
+        self, uid: str = "hall-a/r1", **more: Any
+    ) -> tuple[Tables, SaspClient, asyncio.Task[None]]:
+        """Start a client over SASP; return its tables, itself and its task."""
         tables = Tables(["reading", "setpoint"], now)
         client = SaspClient(uid, [("127.0.0.1", self.port)], tables, **more)
         return tables, client, asyncio.get_running_loop().create_task(client.run())
 
+    def _keep_event(self, logger: Any, method: str, event: Any) -> str:
+        self.logged.append(event)
+        return str(event)
+
 
 @contextlib.asynccontextmanager
-async def peer(port):
-    """A raw connection: (reader, writer)."""
+async def peer(port: int) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
+    """Open a raw connection, as its reader and writer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         yield reader, writer
@@ -94,14 +107,15 @@
             await writer.wait_closed()
 
 
-async def until(true, seconds=8):
-    """Waits for something to become true; the bound only ends what hangs."""
-    for _ in range(round(seconds / 0.01)):
-        if true():
+async def until(condition: Callable[[], object], seconds: float = 8) -> None:
+    """Wait until a condition holds; the bound only ends what hangs."""
+    for _ in range(round(seconds / POLL_INTERVAL_S)):
+        if condition():
             return
-        await asyncio.sleep(0.01)
+        await asyncio.sleep(POLL_INTERVAL_S)
     raise AssertionError("it did not come true")
 
 
-def ports(tables, name="reading"):
-    return {port - 9000 for _, port in tables.lines[name]}
+def ports(tables: Tables, name: str = "reading") -> set[int]:
+    """Return the hosts that a table names, by their numbers."""
+    return {port - FIRST_HOST_PORT for _, port in tables.lines[name]}
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -14,17 +14,20 @@
     """Scripts that are played, and the rules they keep or break."""
 
     def play(self, script):
+        """Play a script; return its result and the rules that were broken."""
         self.assertEqual(scenario_script.check(script), [])
         (result,) = asyncio.run(scenario.run(script))
         return result, [rule["rule"] for rule in result["rules"] if not rule["kept"]]
 
-    def test_drains_amid_joins_cold_hosts_and_a_planner_killed_between_waves(self):
+    def test_drains_with_joins_cold_hosts_and_a_planner_killed_between_waves(self):
+        """A release with a planner killed in its middle breaks no rule."""
         # The faults of day h8334b8: relays near their message limit while others' drains are due.
         result, broken = self.play(json.loads((ROOT / "examples/drains-day.json").read_text()))
         self.assertEqual(broken, [], printed(result))
         self.assertGreater(result["service"]["whole"], 0.8, printed(result))
 
-    def test_a_whole_hall_is_cold_and_the_planner_starts_in_the_middle_of_it(self):
+    def test_a_zone_is_cold_and_the_planner_restarts_meanwhile(self):
+        """A zone of cold hosts and a new planner break no rule."""
         script = json.loads((ROOT / "examples/drains-day.json").read_text())
         script.update(
             seconds=10,
@@ -43,7 +46,8 @@
         result, broken = self.play(script)
         self.assertEqual(broken, [], printed(result))
 
-    def test_relays_that_ignore_drains_and_repeat_effects_are_called(self):
+    def test_relays_that_ignore_drains_and_repeat_effects_are_found(self):
+        """Relays that misbehave are named, with the rules they break."""
         script = json.loads((ROOT / "examples/drains-day.json").read_text())
         script.update(
             seconds=12,
--- a/tests/versions/test_versions_command.py
+++ b/tests/versions/test_versions_command.py
@@ -50,9 +50,9 @@
             publisher = planner.service.versions.publisher
             await until(publisher.newest)
             self.write_settings()
-            planner.keep(host_0="draining")
+            planner.set_host_states(host_0="draining")
             await client.until_without(0)
-            planner.keep(host_0="ready")
+            planner.set_host_states(host_0="ready")
             await until(lambda: 0 in client.ports())
             numbers = [str(number) for number in sorted(publisher.version_log.versions)]
             _, output = await self.run_versions("diff", numbers[0], numbers[1])
@@ -71,7 +71,7 @@
                 f"duty: rollback of reading, setpoint to {numbers[1]}: host-0 fails", output
             )
             # A host that drains now leaves the tables all the same.
-            planner.keep(host_5="draining")
+            planner.set_host_states(host_5="draining")
             await client.until_without(5)
             code, _ = await self.run_versions("release", "--reason", "mended")
             self.assertEqual(code, 0)
