--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -39,11 +39,7 @@
 def cached_list_events(log: pathlib.Path) -> list[dict[str, Any]]:
     """Return what a planner logged of its cached list."""
     records = [json.loads(line) for line in log.read_text().splitlines() if line.startswith("{")]
-    return [
-        record
-        for record in records
-        if record["event"].startswith(CACHED_LIST_EVENTS)
-    ]
+    return [record for record in records if record["event"].startswith(CACHED_LIST_EVENTS)]
 
 
 async def main() -> None:
