--- a/indigodeck/testbed/fleet_scenario.py
+++ b/indigodeck/testbed/fleet_scenario.py
@@ -13,6 +13,7 @@
 
 from ..clock import SECOND, now
 from .controller_fleet import read_lease_changes, takeover_section
+from .errors import PlannerNotStartedError
 from .evidence import LeaseAcquisition
 from .host_fleet import choose
 from .ports import ReservedPorts
@@ -109,7 +110,7 @@
             await sleep(START_POLL_INTERVAL_S)
             if self.lease_acquisitions():
                 return
-        raise RuntimeError("nobody is in charge")
+        raise PlannerNotStartedError("no controller became the leader")
 
     async def play(self) -> Result:
         """Play the whole script; return how it went."""
--- a/indigodeck/testbed/scenario.py
+++ b/indigodeck/testbed/scenario.py
@@ -21,6 +21,7 @@
 from ..planner.planner_settings import PlannerSettings
 from . import audit
 from .discovery_server import DiscoveryServer
+from .errors import PlannerNotStartedError
 from .evidence import Evidence, LeaseAcquisition, Publication
 from .faults import FaultInjector
 from .host_fleet import HostFleet, choose
@@ -118,7 +119,8 @@
             await sleep(START_POLL_INTERVAL_S)
             if self.planner_port is not None:
                 return
-        raise RuntimeError(f"the planner did not listen; see {self.folder / 'planner.log'}")
+        log = self.folder / "planner.log"
+        raise PlannerNotStartedError(f"the planner did not listen; see {log}")
 
     async def inject_fault(self, fault: Fault) -> None:
         """Let one thing go wrong."""
--- a/indigodeck/testbed/worker_process.py
+++ b/indigodeck/testbed/worker_process.py
@@ -5,6 +5,8 @@
 import sys
 from typing import Any
 
+from .errors import CommandFailedError
+
 ANSWER_TIMEOUT_S = 20
 END_TIMEOUT_S = 5
 LONGEST_LINE_BYTES = 1 << 24
@@ -37,7 +39,7 @@
 
         Raises
         ------
-        RuntimeError
+        CommandFailedError
             If the command failed or the process has ended.
         """
         stdin = self._process.stdin
@@ -50,7 +52,7 @@
             line = await asyncio.wait_for(stdout.readline(), ANSWER_TIMEOUT_S)
         answer = json.loads(line) if line else {"error": "the process has ended"}
         if "error" in answer:
-            raise RuntimeError(f"{command.get('do')}: {answer['error']}")
+            raise CommandFailedError(f"{command.get('do')}: {answer['error']}")
         return answer
 
     async def end(self) -> None:
