--- a/indigodeck/leadership/state.py
+++ b/indigodeck/leadership/state.py
@@ -189,9 +189,9 @@
 
     def learn_epochs(self, epochs: Mapping[str, KnownEpoch]) -> None:
         """Take over the epochs that are higher than those known."""
-        for relay_group, told in epochs.items():
-            if told.epoch > self.known_epoch(relay_group).epoch:
-                self.known_epochs[relay_group] = told
+        for relay_group, known in epochs.items():
+            if known.epoch > self.known_epoch(relay_group).epoch:
+                self.known_epochs[relay_group] = known
 
     def save(self, record: LeaseRecord) -> bool:
         """Write a record down under the next serial; False, and nothing changed, if that failed."""
