--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -136,7 +136,7 @@
         "compacted": compacted,
         "kept_mb": round(stored_bytes / 1e6, 2),
         "open_ms": round(seconds * 1000, 1),
-        "amplification": round(1 + log.copied_bytes / log.written_bytes, 2),
+        "amplification": round(1 + log.copied_bytes / log.committed_bytes, 2),
     }
 
 
--- a/indigodeck/store/write_ahead_log.py
+++ b/indigodeck/store/write_ahead_log.py
@@ -43,7 +43,7 @@
     `damage` is what was found wrong, at the start or since. `data_lost`: some of what was damaged
     at the start had been acknowledged, so that values may be older than what others were told.
     `compaction_error`: why there will be no compaction until the next start, or None.
-    `written_bytes` counts the bytes of commits, `copied_bytes` those written by compactions.
+    `committed_bytes` counts the bytes of commits, `copied_bytes` those written by compactions.
 
     Opening raises OSError if the files' names can't be listed. Not safe for threads.
     """
@@ -56,7 +56,7 @@
         self.damage: list[Damage] = recovered.damage
         self.data_lost: bool = recovered.data_lost
         self.compaction_error: str | None = None
-        self.written_bytes = 0
+        self.committed_bytes = 0
         self.copied_bytes = 0
         self._segments: dict[int, str] = recovered.segments
         self._bases: dict[int, str] = recovered.bases
@@ -153,7 +153,7 @@
             start = end
         appended_bytes = start - self._segment_size
         self._segment_size = start
-        self.written_bytes += appended_bytes
+        self.committed_bytes += appended_bytes
         self._bytes_since_base += appended_bytes
         self._synced_sequence = self._sequence
 
--- a/tests/leadership/test_stored_leases.py
+++ b/tests/leadership/test_stored_leases.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from stored_data import DATA, STORED, StoredFolder
+from stored_data import DATA_FOLDER, STORE_CONTENT, StoredFolderCase
 
 from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.leadership.election import LeaderElection
@@ -39,12 +39,12 @@
 REJECTIONS = [("relay-1", "read", "00c0ffee00c0ffee"), ("relay-é", "write", "0123456789abcdef")]
 
 
-class StoredLeases(StoredFolder):
+class StoredLeases(StoredFolderCase):
     """The record of leases and what relays rejected, in a store and in files."""
 
     def test_leases_and_rejections_are_read_from_the_store(self):
         """Both are found under their keys, and written back alike."""
-        reader = self.opened()
+        reader = self.open_store()
         leases = StoredRecord(reader.store, reader.held, "charge", RecordFile(self.folder / "none"))
         rejections = StoredRecord(
             reader.store,
@@ -57,7 +57,7 @@
         self.assertEqual((leases.read(), rejections.read()), (LEASES, REJECTIONS))
         self.assertTrue(leases.save(LEASES) and rejections.save(REJECTIONS))
         reader.reopen()
-        self.assertEqual(reader.held, STORED["records"])
+        self.assertEqual(reader.held, STORE_CONTENT["records"])
 
     def test_leases_and_rejections_are_read_from_files_and_written_as_the_same_bytes(self):
         """Each file is read as it was meant, and written byte for byte."""
@@ -67,16 +67,18 @@
             ("leases.record.refused", REJECTIONS, (pack_rejections, unpack_rejections)),
         ):
             with self.subTest(name=name):
-                self.assertEqual(RecordFile(DATA / name, *form).read(), record)
+                self.assertEqual(RecordFile(DATA_FOLDER / name, *form).read(), record)
                 again = RecordFile(self.folder / name, *form)
                 self.assertTrue(again.save(record))
-                self.assertEqual((self.folder / name).read_bytes(), (DATA / name).read_bytes())
+                self.assertEqual(
+                    (self.folder / name).read_bytes(), (DATA_FOLDER / name).read_bytes()
+                )
 
     def test_a_file_from_before_there_was_a_store_is_read_where_the_store_has_none(self):
         """The file counts while the store holds no record."""
-        reader = self.opened()
+        reader = self.open_store()
         before = StoredRecord(
-            reader.store, {}, "charge", RecordFile(DATA / "leases-without-fleet.record")
+            reader.store, {}, "charge", RecordFile(DATA_FOLDER / "leases-without-fleet.record")
         )
         self.assertEqual(before.read(), LEASES_WITHOUT_MEMBERSHIP)
 
--- a/tests/leadership/test_stored_messages.py
+++ b/tests/leadership/test_stored_messages.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from stored_data import MESSAGES, plain
+from stored_data import STORED_MESSAGES, json_round_trip
 
 from indigodeck.leadership import message_codec
 
@@ -43,12 +43,14 @@
 class StoredMessages(unittest.TestCase):
     """Each kind of message in each version: read as it was said, and packed as the same bytes."""
 
-    KEY = MESSAGES["key"].encode()
+    KEY = STORED_MESSAGES["key"].encode()
 
     def test_each_kind_is_there_in_each_version_that_can_say_it(self):
         """The data holds all kinds of each version."""
         found = {
-            version: {one["kind"] for one in MESSAGES["messages"] if one["version"] == version}
+            version: {
+                one["kind"] for one in STORED_MESSAGES["messages"] if one["version"] == version
+            }
             for version in (1, 2, 3)
         }
         self.assertEqual(
@@ -57,7 +59,7 @@
 
     def test_each_unpacks_to_the_fields_that_were_said(self):
         """Source, version, kind and fields are read as they were said."""
-        for place, one in enumerate(MESSAGES["messages"]):
+        for place, one in enumerate(STORED_MESSAGES["messages"]):
             with self.subTest(place=place, kind=one["kind"], version=one["version"]):
                 data = bytes.fromhex(one["bytes"])
                 head, rest = data[: message_codec.LENGTH_BYTES], data[message_codec.LENGTH_BYTES :]
@@ -68,11 +70,11 @@
                 self.assertEqual(
                     (source, version, kind), (one["from"], one["version"], one["kind"])
                 )
-                self.assertEqual(plain(fields), one["fields"])
+                self.assertEqual(json_round_trip(fields), one["fields"])
 
     def test_each_is_packed_as_the_same_bytes(self):
         """The same fields give the same bytes."""
-        for place, one in enumerate(MESSAGES["messages"]):
+        for place, one in enumerate(STORED_MESSAGES["messages"]):
             with self.subTest(place=place, kind=one["kind"], version=one["version"]):
                 data = message_codec.pack(
                     self.KEY, one["from"], one["kind"], one["version"], **one["fields"]
@@ -82,7 +84,9 @@
     def test_a_proposal_unpacks_as_number_epoch_and_members(self):
         """A grant carries the proposal that was accepted last."""
         grants = [
-            one for one in MESSAGES["messages"] if one["kind"] == "grant" and one["fields"]["plan"]
+            one
+            for one in STORED_MESSAGES["messages"]
+            if one["kind"] == "grant" and one["fields"]["plan"]
         ]
         self.assertEqual([one["version"] for one in grants], [2, 3])
         for one in grants:
--- a/tests/planner/test_stored_endpoint_list.py
+++ b/tests/planner/test_stored_endpoint_list.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from stored_data import STARTED_AT, StoredFolder, plain
+from stored_data import FIRST_PUBLISHED_AT, StoredFolderCase, json_round_trip
 
 from indigodeck.planner.endpoint_list import EndpointList
 
 
-class StoredEndpointListTest(StoredFolder):
+class StoredEndpointListTest(StoredFolderCase):
     """The endpoint list under the store's key `roster`."""
 
     def test_the_list_of_hosts_that_was_kept_is_taken_up_again(self):
@@ -27,7 +27,7 @@
                 """Return the index."""
                 return int(name.removeprefix("host-"))
 
-        kept = self.opened().held["roster"]
+        kept = self.open_store().held["roster"]
         listener = Listener()
         endpoint_list = EndpointList(
             listener, IdRegistry(), ["north", "south"], ["small", "big"], 1_749_999_000_000_000 - 7
@@ -39,12 +39,14 @@
         )
         self.assertEqual(
             [
-                plain([one.index, one.cell, one.machine_type, one.zone, one.weight, one.started])
+                json_round_trip(
+                    [one.index, one.cell, one.machine_type, one.zone, one.weight, one.started]
+                )
                 for one in listener.servers
             ],
             [[3, 1, 1, 0, 2.5, 7], [7, 0, 2, 0, 1.0, 0], [9, 0, 2, 1, 1.0, 0]],
         )
-        self.assertEqual({**endpoint_list.to_record(), "at": STARTED_AT}, kept)
+        self.assertEqual({**endpoint_list.to_record(), "at": FIRST_PUBLISHED_AT}, kept)
 
 
 if __name__ == "__main__":
--- a/tests/store/test_stored_segments.py
+++ b/tests/store/test_stored_segments.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from stored_data import NUMBERS, OTHER_KEYS, STORED, StoredFolder
+from stored_data import NON_VERSION_KEYS, STORE_CONTENT, VERSION_NUMBERS, StoredFolderCase
 
 
-class StoredSegmentsTest(StoredFolder):
+class StoredSegmentsTest(StoredFolderCase):
     """The files of the store: bases, segments and records."""
 
     def test_the_folder_is_compacted_with_segments_after_its_base(self):
@@ -24,17 +24,20 @@
 
     def test_every_record_is_read_back_and_no_damage_is_found(self):
         """All keys and values are as they were put."""
-        store = self.opened()
+        store = self.open_store()
         self.assertEqual(
-            (store.notes, store.store.log.damage, store.store.log.data_lost), ([], [], False)
+            (store.events, store.store.log.damage, store.store.log.data_lost), ([], [], False)
         )
         self.assertEqual(
             sorted(store.held),
             sorted(
-                [*OTHER_KEYS, *(f"version/{epoch:012d}.{serial:012d}" for epoch, serial in NUMBERS)]
+                [
+                    *NON_VERSION_KEYS,
+                    *(f"version/{epoch:012d}.{serial:012d}" for epoch, serial in VERSION_NUMBERS),
+                ]
             ),
         )
-        self.assertEqual(store.held, STORED["records"])
+        self.assertEqual(store.held, STORE_CONTENT["records"])
         self.assertEqual(store.held["starts"], 4)
         self.assertEqual(
             store.held["relays"], {"relay-0": [33, 2], "relay-1": [33, 2], "relay-2": [33, 2]}
@@ -46,14 +49,14 @@
         data = bytearray(base.read_bytes())
         data[len(data) // 2] ^= 1
         base.write_bytes(data)
-        store = self.opened()
-        self.assertEqual([event for event, _ in store.notes], ["store_tail_truncated"])
-        self.assertEqual(store.held, STORED["records"])
+        store = self.open_store()
+        self.assertEqual([event for event, _ in store.events], ["store_tail_truncated"])
+        self.assertEqual(store.held, STORE_CONTENT["records"])
 
     def test_the_last_segment_holds_what_came_after_the_base(self):
         """Without it the values are those of the compaction."""
         (self.folder / "00000005.log").unlink()
-        held = self.opened().held
+        held = self.open_store().held
         self.assertEqual(held["starts"], 3)
         self.assertEqual(held["charge"], {"serial": 11, "wards": {"fleet": [17, "c1"]}})
         self.assertEqual(held["second key to drop"], {"dropped": True})
@@ -65,13 +68,13 @@
 
     def test_the_store_is_written_to_and_compacted_again(self):
         """A change, a compaction and a restart lose nothing else."""
-        store = self.opened()
+        store = self.open_store()
         store.save([("starts", 5), ("relays", None)])
         self.assertTrue(store.store.query(lambda log: log.compact(1 << 20)).result())
         store.reopen()
-        want = {**STORED["records"], "starts": 5}
+        want = {**STORE_CONTENT["records"], "starts": 5}
         del want["relays"]
-        self.assertEqual((store.notes, store.held), ([], want))
+        self.assertEqual((store.events, store.held), ([], want))
 
 
 if __name__ == "__main__":
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -12,33 +12,40 @@
 from indigodeck.store.write_ahead_log import WriteAheadLog
 from indigodeck.store.writer import StoreWriter
 
-DATA = pathlib.Path(__file__).parent / "data"
-STORED = json.loads((DATA / "store.json").read_text(encoding="utf-8"))
-MESSAGES = json.loads((DATA / "messages.json").read_text(encoding="utf-8"))
-STARTED_AT = 1_750_000_000_000_000  # wall clock of the first version, in microseconds
-DAY = 86_400_000_000  # microseconds
-
-NUMBERS = [*((3, serial) for serial in range(1, 37)), (17, 1), (17, 2), (33, 1), (33, 2), (33, 3)]
-OTHER_KEYS = ["charge", "refused", "relays", "roster", "starts", "wishes"]
-
-
-def plain(value):
+DATA_FOLDER = pathlib.Path(__file__).parent / "data"
+STORE_CONTENT = json.loads((DATA_FOLDER / "store.json").read_text(encoding="utf-8"))
+STORED_MESSAGES = json.loads((DATA_FOLDER / "messages.json").read_text(encoding="utf-8"))
+FIRST_PUBLISHED_AT = 1_750_000_000_000_000  # wall clock of the first version, in microseconds
+DAY_US = 86_400_000_000  # microseconds
+
+VERSION_NUMBERS = [
+    *((3, serial) for serial in range(1, 37)),
+    (17, 1),
+    (17, 2),
+    (33, 1),
+    (33, 2),
+    (33, 3),
+]
+NON_VERSION_KEYS = ["charge", "refused", "relays", "roster", "starts", "wishes"]
+
+
+def json_round_trip(value):
     """Return a value as it comes back from JSON: lists in place of tuples."""
     return json.loads(json.dumps(value))
 
 
-class FolderStore(StubStore):
+class FolderBackedStore(StubStore):
     """A stub of a planner's store over a real one, opened as a controller opens it."""
 
     def __init__(self, folder):
         self.folder = folder
-        self.clock = STARTED_AT + DAY
-        self.notes = []
+        self.clock = FIRST_PUBLISHED_AT + DAY_US
+        self.events = []
         self.open()
 
     def open(self):
         """Open the store and read all that it holds."""
-        self.store = StoreWriter(StoreFolder(self.folder), self._note)
+        self.store = StoreWriter(StoreFolder(self.folder), self._record_event)
         self.held = self.store.query(WriteAheadLog.read_all).result()
 
     def save(self, changes):
@@ -51,11 +58,11 @@
         self.store.close()
         self.open()
 
-    def _note(self, event, **facts):
-        self.notes.append((event, facts))
+    def _record_event(self, event, **facts):
+        self.events.append((event, facts))
 
 
-class StoredFolder(unittest.TestCase):
+class StoredFolderCase(unittest.TestCase):
     """A test with a copy of the store's folder that it may change."""
 
     def setUp(self):
@@ -63,10 +70,10 @@
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
         self.folder = pathlib.Path(temporary.name) / "store"
-        shutil.copytree(DATA / "store", self.folder)
+        shutil.copytree(DATA_FOLDER / "store", self.folder)
 
-    def opened(self):
+    def open_store(self):
         """Return the store, open until the test ends."""
-        store = FolderStore(self.folder)
+        store = FolderBackedStore(self.folder)
         self.addCleanup(lambda: store.store.close())
         return store
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -22,15 +22,15 @@
         """Do nothing."""
 
 
-class KnownRedResultTest(unittest.TestCase):
+class KnownFailuresResultTest(unittest.TestCase):
     """The result of a run of one sample, listed or not."""
 
     def run_sample(self, name: str, *, listed: bool) -> unittest.TestResult:
         """Run one method of `Sample`."""
         sample = Sample(name)
-        known_red = {sample.id(): "why"} if listed else {}
-        runner = unittest.TextTestRunner(io.StringIO(), resultclass=run.KnownRedResult)
-        with unittest.mock.patch.dict(run.KNOWN_RED, known_red, clear=True):
+        known_failures = {sample.id(): "why"} if listed else {}
+        runner = unittest.TextTestRunner(io.StringIO(), resultclass=run.KnownFailuresResult)
+        with unittest.mock.patch.dict(run.KNOWN_FAILURES, known_failures, clear=True):
             return runner.run(unittest.TestSuite([sample]))
 
     def test_a_listed_test_that_fails_or_errs_lets_the_run_pass(self) -> None:
--- a/tests/versions/test_replication_messages.py
+++ b/tests/versions/test_replication_messages.py
@@ -3,12 +3,12 @@
 import json
 import unittest
 
-from stored_data import MESSAGES
+from stored_data import STORED_MESSAGES
 
 from indigodeck.leadership import message_codec
 from indigodeck.versions.replication_messages import MESSAGE_KINDS, decode, encode
 
-KEY = MESSAGES["key"].encode()
+KEY = STORED_MESSAGES["key"].encode()
 
 
 class ReplicationMessagesTest(unittest.TestCase):
@@ -16,7 +16,7 @@
 
     def setUp(self):
         """Choose the recorded messages of replication."""
-        self.recorded = [one for one in MESSAGES["messages"] if one["kind"] in MESSAGE_KINDS]
+        self.recorded = [one for one in STORED_MESSAGES["messages"] if one["kind"] in MESSAGE_KINDS]
 
     def test_each_kind_is_recorded(self):
         """The recorded messages show all kinds of replication."""
--- a/tests/versions/test_stored_versions.py
+++ b/tests/versions/test_stored_versions.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from stored_data import NUMBERS, STARTED_AT, STORED, StoredFolder
+from stored_data import FIRST_PUBLISHED_AT, STORE_CONTENT, VERSION_NUMBERS, StoredFolderCase
 
 from indigodeck.versions.codec import (
     decode_requests,
@@ -17,7 +17,7 @@
 from .support import StubPlanner
 
 
-class StoredVersionsTest(StoredFolder):
+class StoredVersionsTest(StoredFolderCase):
     """Versions, rollbacks and relays' versions in the store that bb80827 wrote."""
 
     def log(self, store):
@@ -26,8 +26,8 @@
 
     def test_numbers_causes_authors_and_times_are_those_that_were_published(self):
         """All versions are found, with what is known of them."""
-        log = self.log(self.opened())
-        self.assertEqual([tuple(one) for one in sorted(log.versions)], NUMBERS)
+        log = self.log(self.open_store())
+        self.assertEqual([tuple(one) for one in sorted(log.versions)], VERSION_NUMBERS)
         self.assertEqual(log.newest, VersionNumber(33, 3))
         found = [
             {
@@ -45,11 +45,11 @@
             found,
             [
                 {name: value for name, value in one.items() if name != "sheets"}
-                for one in STORED["versions"]
+                for one in STORE_CONTENT["versions"]
             ],
         )
         some = {
-            str(number): (one.published_at - STARTED_AT, one.author, one.cause)
+            str(number): (one.published_at - FIRST_PUBLISHED_AT, one.author, one.cause)
             for number, one in log.versions.items()
         }
         self.assertEqual(some["3.1"], (0, "", "in charge under epoch 3"))
@@ -67,8 +67,8 @@
 
     def test_the_snapshot_of_each_version_are_those_that_were_published(self):
         """Each version's tables are those that were published then."""
-        log = self.log(self.opened())
-        for one in STORED["versions"]:
+        log = self.log(self.open_store())
+        for one in STORE_CONTENT["versions"]:
             with self.subTest(number=one["number"]):
                 snapshot = log.snapshot_of(VersionNumber(*one["number"]))
                 self.assertEqual(encode_snapshot(snapshot), one["sheets"])
@@ -90,7 +90,7 @@
 
     def test_the_rollback_and_the_pinned_versions_are_kept(self):
         """Operator requests are read, and written in the same form."""
-        requests = OperatorRequests(decode_requests(self.opened().held["wishes"]))
+        requests = OperatorRequests(decode_requests(self.open_store().held["wishes"]))
         self.assertEqual((requests.serial, requests.pinned_versions), ((33, 2), {(3, 12), (17, 1)}))
         self.assertEqual(
             {name: tuple(pin) for name, pin in requests.rollbacks.items()},
@@ -104,11 +104,11 @@
                 )
             },
         )
-        self.assertEqual(encode_requests(requests.state()), STORED["records"]["wishes"])
+        self.assertEqual(encode_requests(requests.state()), STORE_CONTENT["records"]["wishes"])
 
     def test_a_new_version_follows_under_a_higher_epoch_while_the_rollback_goes_on(self):
         """The log goes on where the old program left it, in records that it can read."""
-        store = self.opened()
+        store = self.open_store()
         planner = StubPlanner(store, epoch=0)
         self.assertEqual(
             planner.publisher.relay_versions.remembered,
@@ -123,7 +123,7 @@
         )  # of 3.20, pinned
         store.reopen()
         log = self.log(store)
-        self.assertEqual([tuple(one) for one in sorted(log.versions)], [*NUMBERS, (49, 1)])
+        self.assertEqual([tuple(one) for one in sorted(log.versions)], [*VERSION_NUMBERS, (49, 1)])
         self.assertEqual(
             (log.newest, log.versions[VersionNumber(49, 1)].parent),
             (VersionNumber(49, 1), VersionNumber(33, 3)),
@@ -134,18 +134,19 @@
         # It is stored in the form of the ones before, which older programs read.
         written = store.held["version/000000000049.000000000001"]
         self.assertEqual(
-            written.keys(), STORED["records"]["version/000000000033.000000000003"].keys()
+            written.keys(), STORE_CONTENT["records"]["version/000000000033.000000000003"].keys()
         )
         self.assertEqual(
             (written["number"], written["parent"], written["author"]), ([49, 1], [33, 3], "")
         )
         self.assertEqual(
-            encode_snapshot(log.snapshot_of(VersionNumber(3, 36))), STORED["versions"][35]["sheets"]
+            encode_snapshot(log.snapshot_of(VersionNumber(3, 36))),
+            STORE_CONTENT["versions"][35]["sheets"],
         )
 
     def test_what_relays_hold_is_kept_in_the_same_form(self):
         """Versions of relays are added to those that were stored."""
-        store = self.opened()
+        store = self.open_store()
         planner = StubPlanner(store, epoch=49)
         planner.publisher.relay_versions.on_taken(7, planner.publisher.newest())
         planner.clock += 20_000_000
@@ -153,12 +154,12 @@
         store.reopen()
         self.assertEqual(
             store.held["relays"],
-            {**STORED["records"]["relays"], "relay-7": list(planner.publisher.newest())},
+            {**STORE_CONTENT["records"]["relays"], "relay-7": list(planner.publisher.newest())},
         )
 
     def test_the_rollback_can_be_released(self):
         """A stored rollback is released, and the pinned versions stay."""
-        store = self.opened()
+        store = self.open_store()
         planner = StubPlanner(store, epoch=49)
         self.assertEqual(planner.commands.release(["read"], "day shift", "mended"), "read released")
         store.reopen()
