--- a/indigodeck/store/files.py
+++ b/indigodeck/store/files.py
@@ -96,12 +96,12 @@
         if self._append_file is not None and self._append_file.name == name:
             os.fsync(self._append_file.descriptor)
             return
-        with _opened(self._path / name, os.O_RDONLY) as descriptor:
+        with _open_descriptor(self._path / name, os.O_RDONLY) as descriptor:
             os.fsync(descriptor)
 
     def sync_folder(self) -> None:
         """Make the files' names outlast a power cut."""
-        with _opened(self._path, os.O_RDONLY | os.O_DIRECTORY) as descriptor:
+        with _open_descriptor(self._path, os.O_RDONLY | os.O_DIRECTORY) as descriptor:
             os.fsync(descriptor)
 
     def rename(self, name: str, new_name: str) -> None:
@@ -141,7 +141,7 @@
 
 
 @contextmanager
-def _opened(path: pathlib.Path, flags: int) -> Iterator[int]:
+def _open_descriptor(path: pathlib.Path, flags: int) -> Iterator[int]:
     descriptor = os.open(path, flags)
     try:
         yield descriptor
--- a/indigodeck/store/framing.py
+++ b/indigodeck/store/framing.py
@@ -1,6 +1,6 @@
 """Record framing: values as bytes that are numbered, checksummed, and compressed where that pays.
 
-A frame is a mark (4 bytes), the length of its body, a CRC-32C (RFC 3720, B.4) over salt, length,
+A frame is a magic (4 bytes), the length of its body, a CRC-32C (RFC 3720, B.4) over salt, length,
 numbers and body, its sequence number, the highest sequence number that was synced when it was
 written, and the body: one byte for its form, then MessagePack, either plain or compressed with
 Zstandard (RFC 8878). The salt is the store's identity and the file's name, so that bytes of
@@ -23,26 +23,26 @@
 
 from ..errors import IndigodeckError
 
-FRAME_MARK = b"\xc5\x1d\xec\x0d"
-# mark, length of the body, checksum, sequence number, synced sequence number
-FRAME_HEAD = struct.Struct("<4sIIQQ")
-CHECKSUMMED_NUMBERS = struct.Struct("<IQQ")  # length, sequence number, synced sequence number
+FRAME_MAGIC = b"\xc5\x1d\xec\x0d"
+# magic, length of the body, checksum, sequence number, synced sequence number
+FRAME_HEADER = struct.Struct("<4sIIQQ")
+CHECKSUMMED_FIELDS = struct.Struct("<IQQ")  # length, sequence number, synced sequence number
 MAX_BODY_BYTES = 16 << 20
 MAX_UNPACKED_BYTES = 8 * MAX_BODY_BYTES  # guards against a body that expands without bound
-MIN_COMPRESSED_BYTES = 256  # shorter bodies gain nothing from compression
-MAX_COMPRESSED_SHARE = 0.9  # of the plain length; compression that saves less is not used
+MIN_BYTES_TO_COMPRESS = 256  # shorter bodies gain nothing from compression
+MAX_COMPRESSED_RATIO = 0.9  # of the plain length; compression that saves less is not used
 COMPRESSION_LEVEL = 3
 
 
-class BodyForm(IntEnum):
+class BodyEncoding(IntEnum):
     """The first byte of a body: how the rest of it is encoded."""
 
     PLAIN = 1
     COMPRESSED = 2
 
 
-_PLAIN_PREFIX = bytes([BodyForm.PLAIN])
-_COMPRESSED_PREFIX = bytes([BodyForm.COMPRESSED])
+_PLAIN_PREFIX = bytes([BodyEncoding.PLAIN])
+_COMPRESSED_PREFIX = bytes([BodyEncoding.COMPRESSED])
 
 
 class UnreadableRecordError(IndigodeckError):
@@ -84,9 +84,9 @@
 def pack_value(value: Any) -> bytes:
     """Return the body of a frame that holds a value."""
     data = msgpack.packb(value, use_bin_type=True)
-    if len(data) >= MIN_COMPRESSED_BYTES:
+    if len(data) >= MIN_BYTES_TO_COMPRESS:
         compressed = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(data)
-        if len(compressed) < len(data) * MAX_COMPRESSED_SHARE:
+        if len(compressed) < len(data) * MAX_COMPRESSED_RATIO:
             return _COMPRESSED_PREFIX + compressed
     return _PLAIN_PREFIX + data
 
@@ -96,18 +96,18 @@
 
     Raises `UnreadableRecordError` if the body is of a form that this program does not know.
     """
-    form = body[0]
+    encoding = body[0]
     try:
-        if form == BodyForm.COMPRESSED:
+        if encoding == BodyEncoding.COMPRESSED:
             data = zstandard.ZstdDecompressor().decompress(
                 body[1:], max_output_size=MAX_UNPACKED_BYTES
             )
             return msgpack.unpackb(data, strict_map_key=False)
-        if form == BodyForm.PLAIN:
+        if encoding == BodyEncoding.PLAIN:
             return msgpack.unpackb(body[1:], strict_map_key=False)
     except (ValueError, msgpack.UnpackException, zstandard.ZstdError) as error:
         raise UnreadableRecordError(f"a body that can't be unpacked: {error}") from error
-    raise UnreadableRecordError(f"body form {form}: written by a newer program")
+    raise UnreadableRecordError(f"body form {encoding}: written by a newer program")
 
 
 def encode_frame(salt: bytes, sequence: int, synced_sequence: int, value: Any) -> bytes:
@@ -116,18 +116,18 @@
     if len(body) > MAX_BODY_BYTES:
         raise ValueError(f"a record of {len(body)} bytes, {MAX_BODY_BYTES} at most")
     checksum = frame_checksum(salt, sequence, synced_sequence, body)
-    return FRAME_HEAD.pack(FRAME_MARK, len(body), checksum, sequence, synced_sequence) + body
+    return FRAME_HEADER.pack(FRAME_MAGIC, len(body), checksum, sequence, synced_sequence) + body
 
 
 def decode_frame(salt: bytes, data: bytes, offset: int = 0) -> Frame | None:
     """Return the complete frame that begins at an offset of `data`, or None."""
-    if len(data) - offset < FRAME_HEAD.size:
+    if len(data) - offset < FRAME_HEADER.size:
         return None
-    mark, length, checksum, sequence, synced_sequence = FRAME_HEAD.unpack_from(data, offset)
-    end = offset + FRAME_HEAD.size + length
-    if mark != FRAME_MARK or not 0 < length <= MAX_BODY_BYTES or end > len(data):
+    magic, length, checksum, sequence, synced_sequence = FRAME_HEADER.unpack_from(data, offset)
+    end = offset + FRAME_HEADER.size + length
+    if magic != FRAME_MAGIC or not 0 < length <= MAX_BODY_BYTES or end > len(data):
         return None
-    body = bytes(data[offset + FRAME_HEAD.size : end])
+    body = bytes(data[offset + FRAME_HEADER.size : end])
     if checksum != frame_checksum(salt, sequence, synced_sequence, body):
         return None
     return Frame(offset, end, sequence, synced_sequence, body)
@@ -151,7 +151,7 @@
 
 def _next_frame_offset(salt: bytes, data: bytes, offset: int) -> int:
     """Return where the next complete frame begins, or the length of `data`."""
-    while (offset := data.find(FRAME_MARK, offset)) >= 0:
+    while (offset := data.find(FRAME_MAGIC, offset)) >= 0:
         if decode_frame(salt, data, offset) is not None:
             return offset
         offset += 1
@@ -160,5 +160,5 @@
 
 def frame_checksum(salt: bytes, sequence: int, synced_sequence: int, body: bytes) -> int:
     """Return the CRC-32C that stands in the head of a frame."""
-    numbers = CHECKSUMMED_NUMBERS.pack(len(body), sequence, synced_sequence)
+    numbers = CHECKSUMMED_FIELDS.pack(len(body), sequence, synced_sequence)
     return crc32c(body, crc32c(numbers, crc32c(salt)))
--- a/indigodeck/store/index.py
+++ b/indigodeck/store/index.py
@@ -9,13 +9,13 @@
 
 
 class IndexEntry(NamedTuple):
-    """Where the newest value of a key stands; `share` is its part of the record's bytes."""
+    """Where the newest value of a key stands; `byte_share` is its part of the record's bytes."""
 
     file_name: str
     start: int
     end: int
     sequence: int
-    share: float
+    byte_share: float
 
 
 class RecordIndex(dict[str, IndexEntry]):
@@ -28,20 +28,20 @@
     def apply(self, file_name: str, start: int, end: int, sequence: int, changes: Changes) -> None:
         """Enter the changes of the record at these offsets, unless newer ones are known."""
         for key, value in changes:
-            known = self.get(key)
-            if known is not None and known.sequence > sequence:
+            current = self.get(key)
+            if current is not None and current.sequence > sequence:
                 continue
-            if known is not None:
-                self.live_bytes -= known.share
+            if current is not None:
+                self.live_bytes -= current.byte_share
                 del self[key]
             if value is not None:
                 entry = IndexEntry(file_name, start, end, sequence, (end - start) / len(changes))
                 self[key] = entry
-                self.live_bytes += entry.share
+                self.live_bytes += entry.byte_share
 
     def relocate(self, key: str, entry: IndexEntry) -> None:
         """Point to a copy of the record of a key, unless the key has changed since."""
-        known = self.get(key)
-        if known is not None and known.sequence == entry.sequence:
-            self.live_bytes += entry.share - known.share
+        current = self.get(key)
+        if current is not None and current.sequence == entry.sequence:
+            self.live_bytes += entry.byte_share - current.byte_share
             self[key] = entry
--- a/indigodeck/store/recovery.py
+++ b/indigodeck/store/recovery.py
@@ -26,16 +26,16 @@
 class RecoveredStore:
     """What recovery found.
 
-    `segments` and `bases` are the names of the files under their numbers, `last_number` the highest
-    of these. `segment_bytes` is the size of the segments that no base covers. `data_lost`: some of
-    what is damaged had been acknowledged, so that the values may be older than others know.
+    `segments` and `bases` are the names of the files under their numbers, `last_file_number` the
+    highest of these. `segment_bytes` is the size of the segments that no base covers. `data_lost`:
+    some of what is damaged had been acknowledged, so that the values may be older than others know.
     `read_only_reason`: why this store must not be written to, or None.
     """
 
     store_id: bytes
     segments: dict[int, str]
     bases: dict[int, str]
-    last_number: int
+    last_file_number: int
     index: RecordIndex = field(default_factory=RecordIndex)
     sequence: int = 0
     segment_bytes: int = 0
@@ -56,8 +56,8 @@
     name: str
     frames: list[Frame]
     bad_ranges: list[ByteRange]
-    follows: int | None
-    last: int | None = None
+    previous_sequence: int | None
+    last_sequence: int | None = None
 
 
 class _Recovery:
@@ -65,7 +65,7 @@
 
     def __init__(self, files: StoreFiles) -> None:
         self._files = files
-        self._read: dict[str, bytes] = {}
+        self._file_contents: dict[str, bytes] = {}
         names = files.names()
         segment_names = segments.numbered_files(names, FileType.SEGMENT)
         base_names = segments.numbered_files(names, FileType.BASE)
@@ -73,7 +73,7 @@
             store_id=b"",
             segments=segment_names,
             bases=base_names,
-            last_number=max([0, *segment_names, *base_names]),
+            last_file_number=max([0, *segment_names, *base_names]),
         )
 
     def run(self) -> RecoveredStore:
@@ -92,17 +92,17 @@
         store = self._store
         names = [*reversed(store.bases.values()), *store.segments.values()]
         for name in names:
-            store_id = segments.read_store_id(name, self._data(name))
+            store_id = segments.read_store_id(name, self._read_file(name))
             if store_id:
                 store.store_id = store_id
                 return True
         for name in names:
-            data = self._data(name)
+            data = self._read_file(name)
             if data:
-                self._report(name, 0, "no file here says whose store it is")
+                self._report_damage(name, 0, "no file here says whose store it is")
                 # Nothing is appended to a head before it is synced: a torn head had nothing behind
                 # it that could be lost.
-                store.data_lost = store.data_lost or len(data) > segments.HEAD_BYTES
+                store.data_lost = store.data_lost or len(data) > segments.HEADER_BYTES
         return False
 
     def _load_base(self) -> int:
@@ -113,14 +113,16 @@
         store = self._store
         scans = {}
         for number, name in reversed(store.bases.items()):
-            scanned = segments.scan_file(store.store_id, name, self._data(name))
+            scanned = segments.scan_file(store.store_id, name, self._read_file(name))
             scans[name] = scanned
             if self._is_complete_base(name, scanned):
                 self._load_base_frames(name, scanned.frames[:-1])
                 return number
             bad = scanned.bad_ranges
-            self._report(
-                name, bad[0].start if bad else len(self._data(name)), "the base is not complete"
+            self._report_damage(
+                name,
+                bad[0].start if bad else len(self._read_file(name)),
+                "the base is not complete",
             )
         # Each record that can be read is proved by its checksum, but not which ones are missing.
         store.data_lost = store.data_lost or bool(scans)
@@ -131,12 +133,12 @@
     def _is_complete_base(self, name: str, scanned: framing.ScannedFrames) -> bool:
         """Whether all is there between the head and a foot that counts the records."""
         frames = scanned.frames
-        foot = self._value(name, frames[-1]) if frames else None
+        footer = self._decode(name, frames[-1]) if frames else None
         return (
             not scanned.bad_ranges
             and len(frames) > 1
-            and isinstance(foot, dict)
-            and foot.get("count") == len(frames) - 2
+            and isinstance(footer, dict)
+            and footer.get("count") == len(frames) - 2
         )
 
     def _load_base_frames(self, name: str, frames: list[Frame]) -> None:
@@ -152,61 +154,65 @@
         Each one counts from what its head says that it follows up to what the next one follows.
         """
         scanned = [self._scan_segment(name) for name in names]
-        last = None
+        last_sequence = None
         for segment in reversed(scanned):
-            segment.last = last
-            if segment.follows is not None:
-                last = segment.follows
+            segment.last_sequence = last_sequence
+            if segment.previous_sequence is not None:
+                last_sequence = segment.previous_sequence
         # A record up to this number that is missing had been acknowledged.
-        acknowledged = max(
+        acknowledged_sequence = max(
             (frame.synced_sequence for segment in scanned for frame in segment.frames), default=0
         )
         for segment in scanned:
-            self._store.segment_bytes += len(self._data(segment.name))
-            self._load_segment(segment, acknowledged)
+            self._store.segment_bytes += len(self._read_file(segment.name))
+            self._load_segment(segment, acknowledged_sequence)
 
     def _scan_segment(self, name: str) -> _ScannedSegment:
-        frames, bad_ranges = segments.scan_file(self._store.store_id, name, self._data(name))
-        follows = None
+        frames, bad_ranges = segments.scan_file(self._store.store_id, name, self._read_file(name))
+        previous_sequence = None
         if frames:
             first = frames[0]
             # Without its head, as far as its first record can tell.
-            follows = first.synced_sequence if first.sequence == 0 else first.sequence - 1
-        return _ScannedSegment(name, frames, bad_ranges, follows)
+            previous_sequence = first.synced_sequence if first.sequence == 0 else first.sequence - 1
+        return _ScannedSegment(name, frames, bad_ranges, previous_sequence)
 
-    def _load_segment(self, segment: _ScannedSegment, acknowledged: int) -> None:
+    def _load_segment(self, segment: _ScannedSegment, acknowledged_sequence: int) -> None:
         store = self._store
         if not segment.frames or segment.frames[0].sequence:
-            self._report(segment.name, 0, "the head of the segment is not complete")
-        if segment.follows is not None and segment.follows > store.sequence:
-            self._report_gap(segment, segment.follows, segment.follows)
-            store.sequence = segment.follows
-        self._load_segment_records(segment, acknowledged)
-        if segment.last is None:
-            if segment.bad_ranges and acknowledged <= store.sequence:
+            self._report_damage(segment.name, 0, "the head of the segment is not complete")
+        if segment.previous_sequence is not None and segment.previous_sequence > store.sequence:
+            self._report_gap(segment, segment.previous_sequence, segment.previous_sequence)
+            store.sequence = segment.previous_sequence
+        self._load_segment_records(segment, acknowledged_sequence)
+        if segment.last_sequence is None:
+            if segment.bad_ranges and acknowledged_sequence <= store.sequence:
                 offset = segment.bad_ranges[-1].start
-                self._report(segment.name, offset, "truncated: bytes that are no complete record")
-        elif segment.last > store.sequence:
-            self._report_gap(segment, segment.last, segment.last)
-            store.sequence = segment.last
-
-    def _load_segment_records(self, segment: _ScannedSegment, acknowledged: int) -> None:
+                self._report_damage(
+                    segment.name, offset, "truncated: bytes that are no complete record"
+                )
+        elif segment.last_sequence > store.sequence:
+            self._report_gap(segment, segment.last_sequence, segment.last_sequence)
+            store.sequence = segment.last_sequence
+
+    def _load_segment_records(self, segment: _ScannedSegment, acknowledged_sequence: int) -> None:
         store = self._store
-        if segment.last is not None:
-            acknowledged = segment.last
+        if segment.last_sequence is not None:
+            acknowledged_sequence = segment.last_sequence
         for frame in segment.frames:
             if frame.sequence <= store.sequence:
                 continue
-            if segment.last is not None and frame.sequence > segment.last:
+            if segment.last_sequence is not None and frame.sequence > segment.last_sequence:
                 continue
             if frame.sequence > store.sequence + 1:
-                damaged = self._report_gap(segment, frame.sequence - 1, acknowledged)
-                if not damaged:
+                is_damage = self._report_gap(segment, frame.sequence - 1, acknowledged_sequence)
+                if not is_damage:
                     break
             self._apply(segment.name, frame)
             store.sequence = frame.sequence
 
-    def _report_gap(self, segment: _ScannedSegment, last: int, acknowledged: int) -> bool:
+    def _report_gap(
+        self, segment: _ScannedSegment, last_missing: int, acknowledged_sequence: int
+    ) -> bool:
         """Judge the records that are missing, from the next one up to number `last`.
 
         `acknowledged`: the highest number that is known to have been synced. Returns whether the
@@ -214,11 +220,13 @@
         when the power went, and later ones that reached the disk before them don't count either.
         """
         first = self._store.sequence + 1
-        if acknowledged < first:
+        if acknowledged_sequence < first:
             return False
         self._store.data_lost = True
         offset = segment.bad_ranges[0].start if segment.bad_ranges else 0
-        self._report(segment.name, offset, f"records {first} to {last} are damaged or missing")
+        self._report_damage(
+            segment.name, offset, f"records {first} to {last_missing} are damaged or missing"
+        )
         return True
 
     def _sync(self, names: list[str]) -> None:
@@ -234,29 +242,29 @@
                 self._store.read_only_reason = f"{name}: {error}"
 
     def _apply(self, name: str, frame: Frame) -> None:
-        changes = self._value(name, frame)
+        changes = self._decode(name, frame)
         if isinstance(changes, list):
             self._store.index.apply(name, frame.start, frame.end, frame.sequence, changes)
 
-    def _value(self, name: str, frame: Frame) -> Any:
+    def _decode(self, name: str, frame: Frame) -> Any:
         """Return what a frame holds, or None and allow no writing if a newer program wrote it."""
         try:
             return framing.unpack_value(frame.body)
         except framing.UnreadableRecordError as error:
-            self._report(name, frame.start, str(error))
+            self._report_damage(name, frame.start, str(error))
             self._store.read_only_reason = f"{name}: {error}"
             return None
 
-    def _data(self, name: str) -> bytes:
+    def _read_file(self, name: str) -> bytes:
         """Return a file's bytes; each file is read once, and only when it is needed."""
-        if name not in self._read:
+        if name not in self._file_contents:
             try:
-                self._read[name] = self._files.read(name)
+                self._file_contents[name] = self._files.read(name)
             except OSError as error:
-                self._read[name] = b""
+                self._file_contents[name] = b""
                 self._store.data_lost = True
-                self._report(name, 0, f"not readable: {error}")
-        return self._read[name]
+                self._report_damage(name, 0, f"not readable: {error}")
+        return self._file_contents[name]
 
-    def _report(self, name: str, offset: int, reason: str) -> None:
+    def _report_damage(self, name: str, offset: int, reason: str) -> None:
         self._store.damage.append(Damage(name, offset, reason))
--- a/indigodeck/store/segments.py
+++ b/indigodeck/store/segments.py
@@ -12,9 +12,9 @@
 from . import framing
 from .files import STORE_ID_BYTES
 
-FILE_MARK = b"indigo 1"
-PREFIX_BYTES = len(FILE_MARK) + STORE_ID_BYTES  # before the first frame
-HEAD_BYTES = PREFIX_BYTES + framing.FRAME_HEAD.size + len(framing.pack_value({}))
+FILE_MAGIC = b"indigo 1"
+PREFIX_BYTES = len(FILE_MAGIC) + STORE_ID_BYTES  # before the first frame
+HEADER_BYTES = PREFIX_BYTES + framing.FRAME_HEADER.size + len(framing.pack_value({}))
 NUMBER_DIGITS = 8
 
 
@@ -41,10 +41,10 @@
     return dict(sorted(found.items()))
 
 
-def encode_head(store_id: bytes, name: str, synced_sequence: int) -> bytes:
+def encode_header(store_id: bytes, name: str, synced_sequence: int) -> bytes:
     """Return the bytes that a file begins with, if it follows a sequence number."""
     salt = framing.frame_salt(store_id, name)
-    return FILE_MARK + store_id + framing.encode_frame(salt, 0, synced_sequence, {})
+    return FILE_MAGIC + store_id + framing.encode_frame(salt, 0, synced_sequence, {})
 
 
 def read_store_id(name: str, data: bytes) -> bytes | None:
@@ -52,9 +52,9 @@
 
     A head vouches for itself, as its checksum is salted with the identity that it states.
     """
-    if data[: len(FILE_MARK)] != FILE_MARK:
+    if data[: len(FILE_MAGIC)] != FILE_MAGIC:
         return None
-    store_id = data[len(FILE_MARK) : PREFIX_BYTES]
+    store_id = data[len(FILE_MAGIC) : PREFIX_BYTES]
     salt = framing.frame_salt(store_id, name)
     return store_id if framing.decode_frame(salt, data, PREFIX_BYTES) else None
 
@@ -62,6 +62,6 @@
 def scan_file(store_id: bytes, name: str, data: bytes) -> framing.ScannedFrames:
     """Find all complete frames of a file, and the ranges of bytes that are none."""
     scanned = framing.scan_frames(framing.frame_salt(store_id, name), data, PREFIX_BYTES)
-    if data[:PREFIX_BYTES] != FILE_MARK + store_id:
+    if data[:PREFIX_BYTES] != FILE_MAGIC + store_id:
         scanned.bad_ranges.insert(0, framing.ByteRange(0, min(PREFIX_BYTES, len(data))))
     return scanned
--- a/indigodeck/store/write_ahead_log.py
+++ b/indigodeck/store/write_ahead_log.py
@@ -60,7 +60,7 @@
         self.copied_bytes = 0
         self._segments: dict[int, str] = recovered.segments
         self._bases: dict[int, str] = recovered.bases
-        self._last_number: int = recovered.last_number
+        self._last_file_number: int = recovered.last_file_number
         self._segment_name = ""  # none is begun yet
         self._segment_size = 0
         self._sequence: int = recovered.sequence  # of the last record in the log
@@ -93,16 +93,16 @@
         try:
             data = self.files.read_at(entry.file_name, entry.start, entry.end - entry.start)
         except OSError as error:
-            self._report(entry.file_name, entry.start, f"not readable: {error}")
+            self._report_damage(entry.file_name, entry.start, f"not readable: {error}")
             return None
         salt = framing.frame_salt(self.store_id, entry.file_name)
         frame = framing.decode_frame(salt, data)
         if frame is None or frame.sequence != entry.sequence:
-            self._report(entry.file_name, entry.start, f"the record of {key!r} is damaged")
+            self._report_damage(entry.file_name, entry.start, f"the record of {key!r} is damaged")
             return None
         return dict(map(tuple, framing.unpack_value(frame.body))).get(key)
 
-    def _report(self, name: str, offset: int, reason: str) -> None:
+    def _report_damage(self, name: str, offset: int, reason: str) -> None:
         self.damage.append(Damage(name, offset, reason))
 
     # Writing.
@@ -162,19 +162,19 @@
         if self._read_only_reason is not None:
             self._stop_reason = self._read_only_reason
             return
-        self._last_number += 1  # never used again, whether the file comes to be or not
-        name = segments.file_name(self._last_number, FileType.SEGMENT)
-        head = segments.encode_head(self.store_id, name, self._synced_sequence)
+        self._last_file_number += 1  # never used again, whether the file comes to be or not
+        name = segments.file_name(self._last_file_number, FileType.SEGMENT)
+        header = segments.encode_header(self.store_id, name, self._synced_sequence)
         try:
-            self.files.append(name, head)
+            self.files.append(name, header)
             self.files.sync(name)
             self.files.sync_folder()
         except OSError as error:
             self._stop(name, error)
             return
-        self._segments[self._last_number] = name
+        self._segments[self._last_file_number] = name
         self._segment_name = name
-        self._segment_size = len(head)
+        self._segment_size = len(header)
         self._sequence = self._synced_sequence
         self._stop_reason = None
 
@@ -228,8 +228,8 @@
             store_id=self.store_id,
             index=self.index,
             read_value=self.get,
-            number=self._last_number - 1,
-            covers=self._synced_sequence,
+            base_number=self._last_file_number - 1,
+            covered_sequence=self._synced_sequence,
             segment_bytes=self._bytes_since_base,
         )
 
@@ -240,17 +240,17 @@
         """
         self.files.rename(compaction.unfinished_name, compaction.base_name)
         self.files.sync_folder()
-        for key, entry in compaction.copies.items():
+        for key, entry in compaction.copied_entries.items():
             self.index.relocate(key, entry)
         previous_base = max(self._bases, default=0)
-        self._bases[compaction.number] = compaction.base_name
+        self._bases[compaction.base_number] = compaction.base_name
         self._bytes_since_base -= compaction.segment_bytes
         self._compaction = None
         # The base before and the segments since are kept: should this base go bad, nothing is lost.
-        self._remove(self._bases, below=previous_base)
-        self._remove(self._segments, below=previous_base + 1)
+        self._remove_files(self._bases, below=previous_base)
+        self._remove_files(self._segments, below=previous_base + 1)
 
-    def _remove(self, names: dict[int, str], below: int) -> None:
+    def _remove_files(self, names: dict[int, str], below: int) -> None:
         """Remove the files of lower numbers."""
         for number in [number for number in names if number < below]:
             self.files.remove(names[number])
--- a/indigodeck/store/writer.py
+++ b/indigodeck/store/writer.py
@@ -2,9 +2,10 @@
 
 Whoever puts a change gets a future, which is done when the change would outlast a power cut. Group
 commit (as in P. Helland and others, "Group Commit Timers and High Volume Transaction Systems", HPTS
-1987): changes that arrive while a sync is under way, or within `delay` of the first one that waits,
-are written and synced together; each stays a record of its own. A delay helped nowhere it was
-measured (64 threads: 8,760 changes a second without, 5,912 with 2 ms), so the default is none.
+1987): changes that arrive while a sync is under way, or within `group_commit_delay` of the first
+one that waits, are written and synced together; each stays a record of its own. A delay helped
+nowhere it was measured (64 threads: 8,760 changes a second without, 5,912 with 2 ms), so the
+default is none.
 """
 
 import queue
@@ -19,10 +20,10 @@
 from .index import Changes
 from .write_ahead_log import StoreStoppedError, WriteAheadLog
 
-MAX_WAITING_REQUESTS = 4096  # further ones are rejected at once
+MAX_QUEUED_REQUESTS = 4096  # further ones are rejected at once
 MAX_GROUP_SIZE = 256  # requests that are written with one sync
 CLOSE_TIMEOUT_SECONDS = 5  # a disk that hangs must not keep a planner from ending
-IDLE_SECONDS = 0.05  # without any request, after which a compaction goes on
+COMPACTION_IDLE_SECONDS = 0.05  # without any request, after which a compaction goes on
 
 
 @dataclass(slots=True)
@@ -51,20 +52,20 @@
 class StoreWriter:
     """Opens the store in `files` and owns it until `close`.
 
-    `delay`: seconds for which a change may wait for others. `log_event(event, **facts)` is called
-    on the thread, and for damage on the caller's, when damage is found, when writing stops or
-    resumes, and for each compaction.
+    `group_commit_delay`: seconds for which a change may wait for others. `log_event(event,
+    **facts)` is called on the thread, and for damage on the caller's, when damage is found, when
+    writing stops or resumes, and for each compaction.
     """
 
     def __init__(
-        self, files: StoreFiles, log_event: Callable[..., None], delay: float = 0.0
+        self, files: StoreFiles, log_event: Callable[..., None], group_commit_delay: float = 0.0
     ) -> None:
         self.files = files
         self.log = WriteAheadLog(files)
         self.commit_count = 0  # syncs, however many requests each of them served
         self._log_event = log_event
-        self._delay = delay
-        self._requests: queue.Queue[_Request] = queue.Queue(MAX_WAITING_REQUESTS)
+        self._group_commit_delay = group_commit_delay
+        self._requests: queue.Queue[_Request] = queue.Queue(MAX_QUEUED_REQUESTS)
         self._closing = False
         self._stopped = False
         self._report_damage()
@@ -119,7 +120,7 @@
             self._requests.put_nowait(request)
         except queue.Full:
             request.future.set_exception(
-                StoreStoppedError(f"{MAX_WAITING_REQUESTS} changes wait already")
+                StoreStoppedError(f"{MAX_QUEUED_REQUESTS} changes wait already")
             )
         return request.future
 
@@ -128,7 +129,7 @@
     def _run(self) -> None:
         while True:
             try:
-                first = self._requests.get(timeout=IDLE_SECONDS)
+                first = self._requests.get(timeout=COMPACTION_IDLE_SECONDS)
             except queue.Empty:
                 self._compact()
                 continue
@@ -141,7 +142,7 @@
     def _collect_group(self, first: _Request) -> list[_Request]:
         """Return what is served at once: writes that wait, up to one request of another sort."""
         group = [first]
-        deadline = time.monotonic() + self._delay
+        deadline = time.monotonic() + self._group_commit_delay
         while isinstance(group[-1], _Write) and len(group) < MAX_GROUP_SIZE:
             try:
                 group.append(self._requests.get(timeout=max(0.0, deadline - time.monotonic())))
@@ -155,7 +156,7 @@
             self._commit(writes)
         for request in group:
             if isinstance(request, _Query):
-                self._answer(request)
+                self._run_query(request)
 
     def _commit(self, writes: Sequence[_Write]) -> None:
         try:
@@ -192,7 +193,7 @@
         for write in writes:
             write.future.set_result(None)
 
-    def _answer(self, query: _Query) -> None:
+    def _run_query(self, query: _Query) -> None:
         try:
             query.future.set_result(query.function(self.log))
         except Exception as error:  # whoever asked is notified, and the thread goes on
--- a/tests/store/crash_scenarios.py
+++ b/tests/store/crash_scenarios.py
@@ -13,7 +13,7 @@
 from indigodeck.store.write_ahead_log import StoreStoppedError, WriteAheadLog
 from indigodeck.testbed.faulty_disk import FaultyDisk, PowerCutError
 
-Values: TypeAlias = dict[str, Any]
+StoreState: TypeAlias = dict[str, Any]
 
 KEYS = [f"key/{number}" for number in range(7)]
 COMMIT_COUNT = 40
@@ -46,8 +46,8 @@
     """
 
     def __init__(self, random: SeededRandom) -> None:
-        self.possible: list[Values] = [{}]
-        self.all: list[Values] = [{}]
+        self.possible: list[StoreState] = [{}]
+        self.all: list[StoreState] = [{}]
         self._random = random
         self._change_count = 0
 
@@ -56,7 +56,7 @@
         batches = [self._batch() for _ in range(1 + self._random.below(3))]
         states = self.possible[:1]
         for changes in batches:
-            states.append(_changed(states[-1], changes))
+            states.append(_apply_changes(states[-1], changes))
         self.possible += states[1:]
         self.all += states[1:]
         log.commit(batches)
@@ -74,7 +74,7 @@
         return sorted(changes, key=lambda change: change[0])
 
 
-def _changed(state: Values, changes: Changes) -> Values:
+def _apply_changes(state: StoreState, changes: Changes) -> StoreState:
     state = dict(state)
     for key, value in changes:
         state.pop(key, None)
@@ -83,7 +83,7 @@
     return state
 
 
-class Outcome(NamedTuple):
+class ScenarioResult(NamedTuple):
     """What was wrong, or None, and how many operations were done before the power was cut."""
 
     problem: str | None
@@ -104,7 +104,7 @@
     errors: Mapping[int, int] | None = None
     process_only: bool = False
 
-    def run(self) -> Outcome:
+    def run(self) -> ScenarioResult:
         """Play the scenario."""
         random = SeededRandom(self.seed)
         expected = ExpectedStates(SeededRandom(self.seed + 1))
@@ -112,8 +112,8 @@
         try:
             problem = self._commit_and_compact(disk, expected)
         except PowerCutError:
-            return Outcome(self._restart(disk, expected), disk.operation_count)
-        return Outcome(problem, disk.operation_count)
+            return ScenarioResult(self._check_restart(disk, expected), disk.operation_count)
+        return ScenarioResult(problem, disk.operation_count)
 
     def _commit_and_compact(self, disk: FaultyDisk, expected: ExpectedStates) -> str | None:
         log = WriteAheadLog(disk)
@@ -126,8 +126,8 @@
                 return f"{self}: {log.read_all()} held, {expected.possible[0]} acknowledged"
         return None
 
-    def _restart(self, disk: FaultyDisk, expected: ExpectedStates) -> str | None:
-        disk, log = self._recovered(disk)
+    def _check_restart(self, disk: FaultyDisk, expected: ExpectedStates) -> str | None:
+        disk, log = self._recover(disk)
         values = log.read_all()
         if values not in expected.possible:
             return f"{self}: {values} is none of {expected.possible}; {log.damage}"
@@ -141,7 +141,7 @@
             return f"{self}: {values} after going on"
         return None
 
-    def _recovered(self, disk: FaultyDisk) -> tuple[FaultyDisk, WriteAheadLog]:
+    def _recover(self, disk: FaultyDisk) -> tuple[FaultyDisk, WriteAheadLog]:
         cut_at = self.restart_cut_at
         for _ in range(MAX_RESTARTS):
             next_disk = disk.after_process_end if self.process_only else disk.after_power_cut
@@ -160,7 +160,7 @@
     """A disk with two bases and the segments since the first, and each state it was ever in."""
 
     disk: FaultyDisk
-    states: list[Values]
+    states: list[StoreState]
 
 
 def filled_disk(commits: int = 30, seed: int = 5) -> FilledDisk:
--- a/tests/store/test_damage.py
+++ b/tests/store/test_damage.py
@@ -28,27 +28,27 @@
         self.files = {name: disk.read(name) for name in disk.names()}
         self.history = {key: [state.get(key) for state in self.states] for key in KEYS}
 
-    def filled_disk(self) -> FaultyDisk:
+    def undamaged_disk(self) -> FaultyDisk:
         """Return a disk with the files as they were."""
         disk = FaultyDisk(SeededRandom(3))
         for name, data in self.files.items():
             disk.put(name, data)
         return disk
 
-    def opened_with(self, name: str, data: bytes) -> WriteAheadLog:
+    def open_with(self, name: str, data: bytes) -> WriteAheadLog:
         """Open the store with other bytes in one file."""
-        disk = self.filled_disk()
+        disk = self.undamaged_disk()
         disk.put(name, data)
         return WriteAheadLog(disk)
 
     def assert_undamaged(self) -> None:
         """Check that the store opens with its last state, from several bases and segments."""
-        log = WriteAheadLog(self.filled_disk())
+        log = WriteAheadLog(self.undamaged_disk())
         self.assertEqual((log.read_all(), log.damage, log.data_lost), (self.states[-1], [], False))
         for file_type in (FileType.BASE, FileType.SEGMENT):
             self.assertGreater(len(segments.numbered_files(self.files, file_type)), 1, file_type)
 
-    def assert_nothing_invented(self, log: WriteAheadLog, name: str, case: object) -> None:
+    def assert_only_reported_loss(self, log: WriteAheadLog, name: str, case: object) -> None:
         """Check that what differs from all states is reported, with the name of the file."""
         values = log.read_all()
         for key in KEYS:
@@ -63,8 +63,8 @@
         last_segment = max(name for name in self.files if name.endswith(FileType.SEGMENT))
         for name, data in self.files.items():
             for size in range(len(data)):
-                log = self.opened_with(name, data[:size])
-                self.assert_nothing_invented(log, name, size)
+                log = self.open_with(name, data[:size])
+                self.assert_only_reported_loss(log, name, size)
                 if name == last_segment:
                     # All that a cut may cost is the end of the log: the newest records.
                     self.assertIn(log.read_all(), self.states, size)
@@ -77,18 +77,18 @@
             for offset in range(len(data)):
                 flipped = bytearray(data)
                 flipped[offset] ^= 1 << offset % 8
-                log = self.opened_with(name, bytes(flipped))
-                self.assert_nothing_invented(log, name, offset)
+                log = self.open_with(name, bytes(flipped))
+                self.assert_only_reported_loss(log, name, offset)
                 if name.endswith(FileType.BASE):
                     self.assertEqual(log.read_all(), self.states[-1], (name, offset))
 
     def test_an_unreadable_file_is_reported_and_the_rest_is_served(self) -> None:
         """The store opens without the file, and can be written to."""
         for name in self.files:
-            disk = self.filled_disk()
+            disk = self.undamaged_disk()
             with unittest.mock.patch.object(disk, "read", read_all_but(disk, name)):
                 log = WriteAheadLog(disk)
-                self.assert_nothing_invented(log, name, "unreadable")
+                self.assert_only_reported_loss(log, name, "unreadable")
             log.commit([[("key/0", {"nth": 10_000, "fill": ""})]])
             self.assertEqual(log.get("key/0")["nth"], 10_000)
 
--- a/tests/store/test_power_cuts.py
+++ b/tests/store/test_power_cuts.py
@@ -79,7 +79,9 @@
         self.assert_caught(WriteAheadLog, "_begin_segment", append_to_the_last_segment)
         self.assert_caught(WriteAheadLog, "_install_base", remove_segments_before_the_rename)
         self.assert_caught(
-            _Recovery, "_report_gap", lambda recovery, segment, last, acknowledged: True
+            _Recovery,
+            "_report_gap",
+            lambda recovery, segment, last_missing, acknowledged_sequence: True,
         )
         self.assert_caught(framing, "decode_frame", decode_frame_without_checksum)
 
@@ -108,29 +110,29 @@
     if not found or begun or log._stop_reason is not None or log._compaction is not None:
         real_begin_segment(log)
         return
-    log._last_number = max(found)
-    log._segment_name = found[log._last_number]
-    log._segments[log._last_number] = log._segment_name
+    log._last_file_number = max(found)
+    log._segment_name = found[log._last_file_number]
+    log._segments[log._last_file_number] = log._segment_name
     log._segment_size = len(log.files.read(log._segment_name))
     log._sequence = log._synced_sequence
 
 
 def remove_segments_before_the_rename(log: WriteAheadLog, compaction: Compaction) -> None:
     """Mutant of `WriteAheadLog._install_base`."""
-    for number in [number for number in log._segments if number <= compaction.number]:
+    for number in [number for number in log._segments if number <= compaction.base_number]:
         log.files.remove(log._segments.pop(number))
     real_install_base(log, compaction)
 
 
 def decode_frame_without_checksum(salt: bytes, data: bytes, offset: int = 0) -> Frame | None:
     """Mutant of `framing.decode_frame`: believes any frame whose length fits."""
-    if len(data) - offset < framing.FRAME_HEAD.size:
+    if len(data) - offset < framing.FRAME_HEADER.size:
         return None
-    mark, length, _, sequence, synced = framing.FRAME_HEAD.unpack_from(data, offset)
-    end = offset + framing.FRAME_HEAD.size + length
-    if mark != framing.FRAME_MARK or not 0 < length <= framing.MAX_BODY_BYTES or end > len(data):
+    magic, length, _, sequence, synced = framing.FRAME_HEADER.unpack_from(data, offset)
+    end = offset + framing.FRAME_HEADER.size + length
+    if magic != framing.FRAME_MAGIC or not 0 < length <= framing.MAX_BODY_BYTES or end > len(data):
         return None
-    body = bytes(data[offset + framing.FRAME_HEAD.size : end])
+    body = bytes(data[offset + framing.FRAME_HEADER.size : end])
     try:
         framing.unpack_value(body)
     except framing.UnreadableRecordError:
--- a/tests/store/test_store_folder.py
+++ b/tests/store/test_store_folder.py
@@ -33,7 +33,7 @@
         self.addCleanup(temporary.cleanup)
         self.path = pathlib.Path(temporary.name) / "store"
 
-    def opened_folder(self) -> StoreFolder:
+    def open_folder(self) -> StoreFolder:
         """Open the folder until the end of the test."""
         folder = StoreFolder(self.path)
         self.addCleanup(folder.close)
@@ -54,7 +54,7 @@
                 StoreFolder(self.path)
             process.kill()
             committed += [int(line) for line in output.read().split()]
-        log = WriteAheadLog(self.opened_folder())
+        log = WriteAheadLog(self.open_folder())
         self.assertIn(log.get("number"), (committed[-1], committed[-1] + 1))
         self.assertEqual(log.get("twice"), 2 * log.get("number"))
 
@@ -71,7 +71,7 @@
             self.assertEqual(log.get("a"), 1)
         log.commit([[("a", 3)]])
         folder.close()
-        self.assertEqual(WriteAheadLog(self.opened_folder()).get("a"), 3)
+        self.assertEqual(WriteAheadLog(self.open_folder()).get("a"), 3)
 
 
 if __name__ == "__main__":
--- a/tests/store/test_write_ahead_log.py
+++ b/tests/store/test_write_ahead_log.py
@@ -24,8 +24,8 @@
         salt = framing.frame_salt(log.store_id, segment)
         body = bytes([9]) + b"what is to come"
         checksum = framing.frame_checksum(salt, 2, 1, body)
-        head = framing.FRAME_HEAD.pack(framing.FRAME_MARK, len(body), checksum, 2, 1)
-        disk.append(segment, head + body)
+        header = framing.FRAME_HEADER.pack(framing.FRAME_MAGIC, len(body), checksum, 2, 1)
+        disk.append(segment, header + body)
         reopened = WriteAheadLog(disk)
         self.assertEqual(reopened.get("a"), 1)
         with self.assertRaisesRegex(StoreStoppedError, "newer program"):
