--- a/benchmarks/cuts.py
+++ b/benchmarks/cuts.py
@@ -37,7 +37,7 @@
     with unittest.mock.patch.multiple(write_ahead_log, **SMALL_LIMITS):
         operation_count = CrashScenario(seed=1).run().operation_count
         scenarios = [
-            CrashScenario(seed, cut_at, process_only=bool(seed % 2))
+            CrashScenario(seed, cut_at, process_crash_only=bool(seed % 2))
             for cut_at in range(operation_count)
             for seed in range(1, 4 * times + 1)
         ]
--- a/indigodeck/store/__init__.py
+++ b/indigodeck/store/__init__.py
@@ -1,6 +1,6 @@
-"""The embedded store (docs/store.md): values under keys that outlast a restart or a power cut.
+"""An embedded key-value store whose values survive restarts and power loss (docs/store.md).
 
-`StoreWriter` is what a planner uses: a thread that owns a `WriteAheadLog`, which is kept in the
-files of a `StoreFolder`. The log's parts are record framing (`framing`), the names and heads of
-its files (`segments`), the index of records in memory (`index`), `recovery` and `compaction`.
+A planner uses `StoreWriter`: a thread that owns a `WriteAheadLog`, which keeps its data in the
+files of a `StoreFolder`. The log consists of record framing (`framing`), the names and headers of
+its files (`segments`), the in-memory index of records (`index`), `recovery` and `compaction`.
 """
--- a/indigodeck/store/compaction.py
+++ b/indigodeck/store/compaction.py
@@ -1,4 +1,4 @@
-"""Compaction: live records are copied out of old segments into a new base, a step at a time.
+"""Compaction: copies live records from old segments into a new base file, in small steps.
 
 (As in M. Rosenblum and J. Ousterhout, "The Log-Structured File System", TOCS 1992.)
 """
@@ -14,12 +14,13 @@
 
 
 class Compaction:
-    """A compaction under way. The base that it writes counts only once it has its final name.
+    """A compaction in progress. Its base file is valid only once it has its final name.
 
-    `base_number` is that of the last segment that the base covers, `covered_sequence` the last
-    sequence number, and `read_value` reads a key's value, or None if it can't be read.
-    `segment_bytes` is the size of the segments that the base covers and the base before does not.
-    Every method, construction included, may raise OSError; the compaction is then of no use.
+    `base_number` is the number of the last segment that the base covers, and `covered_sequence` is
+    the last sequence number that it covers. `read_value` returns a key's value, or None if the
+    value can't be read. `segment_bytes` is the size of the segments that this base covers and the
+    previous base does not.
+    Every method, including the constructor, may raise OSError; discard the compaction in that case.
     """
 
     def __init__(
@@ -51,21 +52,21 @@
 
     @property
     def all_copied(self) -> bool:
-        """Whether nothing is left to copy."""
+        """Whether every live record has been copied."""
         return not self._remaining_keys
 
     def copy(self, max_bytes: int) -> int:
-        """Copy records until `max_bytes` are exceeded, and return how many bytes were written."""
+        """Copy records until `max_bytes` are reached or none is left; return the bytes written."""
         frames: list[bytes] = []
         copied_bytes = 0
         while self._remaining_keys and copied_bytes < max_bytes:
             key = self._remaining_keys.popleft()
             entry = self._index.get(key)
             if entry is None or entry.sequence > self._covered_sequence:
-                continue  # changed since: the segments that stay have it
+                continue  # removed or changed since: newer segments hold the change
             value = self._read_value(key)
             if value is None:
-                raise OSError(f"{entry.file_name}: the record of {key!r} can't be read")
+                raise OSError(f"{entry.file_name}: the record of key {key!r} can't be read")
             data = framing.encode_frame(
                 self._salt, entry.sequence, self._covered_sequence, [[key, value]]
             )
@@ -81,7 +82,10 @@
         return copied_bytes
 
     def finish(self) -> None:
-        """Write the foot, which counts the records, and sync; the base has not its name yet."""
+        """Write the footer, which holds the number of records, and sync the file.
+
+        The caller then renames the file to its final name.
+        """
         footer = framing.encode_frame(
             self._salt,
             self._covered_sequence,
--- a/indigodeck/store/files.py
+++ b/indigodeck/store/files.py
@@ -1,4 +1,4 @@
-"""The files of a store: the interface that the log writes through, and a folder on a real disk."""
+"""The files of a store: the interface through which the log accesses them, and a disk folder."""
 
 import fcntl
 import os
@@ -15,46 +15,46 @@
 class StoreFiles(Protocol):
     """The files of one store, by name. Every call may raise OSError.
 
-    What is appended outlasts a power cut only after `sync` of its file. A file that is made,
-    renamed or removed is so after a power cut only after `sync_folder`.
+    Appended bytes are durable (survive a power loss) only after `sync` of their file. Creating,
+    renaming or removing a file is durable only after `sync_folder`.
     """
 
     def names(self) -> list[str]:
         """Return the names of all files, sorted."""
 
     def read(self, name: str) -> bytes:
-        """Return all bytes of a file."""
+        """Return the entire contents of a file."""
 
     def read_at(self, name: str, offset: int, size: int) -> bytes:
-        """Return at most `size` bytes of a file from an offset on."""
+        """Return at most `size` bytes of a file, starting at `offset`."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at the end of a file, which is made if there is none."""
+        """Append to a file, which is created if it does not exist."""
 
     def sync(self, name: str) -> None:
-        """Make the bytes of a file outlast a power cut."""
+        """Make the bytes of a file durable."""
 
     def sync_folder(self) -> None:
-        """Make the files' names outlast a power cut."""
+        """Make created, renamed and removed file names durable."""
 
     def rename(self, name: str, new_name: str) -> None:
-        """Rename a file; it takes the place of any that had the new name."""
+        """Rename a file, replacing any file that already has the new name."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
     def new_store_id(self) -> bytes:
-        """Return `STORE_ID_BYTES` bytes that no other store has."""
+        """Return `STORE_ID_BYTES` bytes that identify this store alone."""
 
     def close(self) -> None:
-        """Give the files free for another process."""
+        """Release the files, so that another process can open the store."""
 
 
 class StoreFolder:
-    """`StoreFiles` in a folder on a disk, which is made if there is none.
+    """`StoreFiles` in a folder on disk, which is created if it does not exist.
 
-    One process holds the folder at a time, by a lock that ends with the process. Raises OSError if
-    another process holds it.
+    Only one process can use the folder at a time: it holds a file lock, which the operating system
+    releases when the process ends. Raises OSError if another process holds the lock.
     """
 
     def __init__(self, path: str | os.PathLike[str]) -> None:
@@ -65,34 +65,37 @@
             fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(self._lock_descriptor)
-            raise OSError(error.errno, "another process holds it", str(self._path)) from error
-        self._append_file: _OpenFile | None = None  # kept open, as most appends go to one file
+            raise OSError(
+                error.errno, "another process has locked the store folder", str(self._path)
+            ) from error
+        # Kept open because most appends go to the same file.
+        self._append_file: _OpenFile | None = None
 
     def names(self) -> list[str]:
         """Return the names of all files, sorted."""
         return sorted(entry.name for entry in self._path.iterdir())
 
     def read(self, name: str) -> bytes:
-        """Return all bytes of a file."""
+        """Return the entire contents of a file."""
         return (self._path / name).read_bytes()
 
     def read_at(self, name: str, offset: int, size: int) -> bytes:
-        """Return at most `size` bytes of a file from an offset on."""
+        """Return at most `size` bytes of a file, starting at `offset`."""
         with open(self._path / name, "rb") as file:
             file.seek(offset)
             return file.read(size)
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at the end of a file, which is made if there is none."""
+        """Append to a file, which is created if it does not exist."""
         descriptor = self._append_descriptor(name)
         remaining = memoryview(data)
         while remaining:
-            # A short write is no error of its own; the next one says why.
+            # A short write reports no error; the write of the remaining bytes raises the cause.
             written = os.write(descriptor, remaining)
             remaining = remaining[written:]
 
     def sync(self, name: str) -> None:
-        """Make the bytes of a file outlast a power cut."""
+        """Make the bytes of a file durable."""
         if self._append_file is not None and self._append_file.name == name:
             os.fsync(self._append_file.descriptor)
             return
@@ -100,12 +103,12 @@
             os.fsync(descriptor)
 
     def sync_folder(self) -> None:
-        """Make the files' names outlast a power cut."""
+        """Make created, renamed and removed file names durable."""
         with _open_descriptor(self._path, os.O_RDONLY | os.O_DIRECTORY) as descriptor:
             os.fsync(descriptor)
 
     def rename(self, name: str, new_name: str) -> None:
-        """Rename a file; it takes the place of any that had the new name."""
+        """Rename a file, replacing any file that already has the new name."""
         self._close_append_file()
         os.replace(self._path / name, self._path / new_name)
 
@@ -114,11 +117,11 @@
         (self._path / name).unlink()
 
     def new_store_id(self) -> bytes:
-        """Return random bytes that no other store has."""
+        """Return random bytes, which identify this store alone."""
         return os.urandom(STORE_ID_BYTES)
 
     def close(self) -> None:
-        """Give the folder free for another process."""
+        """Release the folder, so that another process can open the store."""
         self._close_append_file()
         os.close(self._lock_descriptor)
 
--- a/indigodeck/store/framing.py
+++ b/indigodeck/store/framing.py
@@ -1,16 +1,23 @@
-"""Record framing: values as bytes that are numbered, checksummed, and compressed where that pays.
+"""Record framing: encodes values as numbered, checksummed and optionally compressed frames.
 
-A frame is a magic (4 bytes), the length of its body, a CRC-32C (RFC 3720, B.4) over salt, length,
-numbers and body, its sequence number, the highest sequence number that was synced when it was
-written, and the body: one byte for its form, then MessagePack, either plain or compressed with
-Zstandard (RFC 8878). The salt is the store's identity and the file's name, so that bytes of
-another file, of another store or from within a value never pass for a frame of this file.
+A frame consists of:
 
-`synced_sequence` tells apart two file ends that look alike. If a later frame says that a bad frame
-was synced, then it has been damaged. If none does, it was never acknowledged, and it may be torn or
-missing without harm.
+- a magic number (4 bytes),
+- the length of the body,
+- a CRC-32C (RFC 3720, B.4) over salt, length, sequence numbers and body,
+- the frame's sequence number,
+- the highest sequence number that was synced when the frame was written,
+- the body: one byte for its encoding, then MessagePack, either plain or compressed with Zstandard
+  (RFC 8878).
 
-No I/O.
+The salt consists of the store's id and the file's name, so that bytes from another file, from
+another store or from inside a value are never taken for a frame of this file.
+
+`synced_sequence` distinguishes damage from an interrupted write. If a later frame states that an
+unreadable frame was synced, the unreadable frame has been damaged. If none does, that frame was
+never acknowledged, and losing it is harmless.
+
+This module does no I/O.
 """
 
 import struct
@@ -24,18 +31,18 @@
 from ..errors import IndigodeckError
 
 FRAME_MAGIC = b"\xc5\x1d\xec\x0d"
-# magic, length of the body, checksum, sequence number, synced sequence number
+# magic number, body length, checksum, sequence number, synced sequence number
 FRAME_HEADER = struct.Struct("<4sIIQQ")
-CHECKSUMMED_FIELDS = struct.Struct("<IQQ")  # length, sequence number, synced sequence number
+CHECKSUMMED_FIELDS = struct.Struct("<IQQ")  # body length, sequence number, synced sequence number
 MAX_BODY_BYTES = 16 << 20
-MAX_UNPACKED_BYTES = 8 * MAX_BODY_BYTES  # guards against a body that expands without bound
-MIN_BYTES_TO_COMPRESS = 256  # shorter bodies gain nothing from compression
-MAX_COMPRESSED_RATIO = 0.9  # of the plain length; compression that saves less is not used
+MAX_UNPACKED_BYTES = 8 * MAX_BODY_BYTES  # limits what a compressed body may expand to
+MIN_BYTES_TO_COMPRESS = 256  # compression does not pay for shorter bodies
+MAX_COMPRESSED_RATIO = 0.9  # of the uncompressed size; above it the body is stored plain
 COMPRESSION_LEVEL = 3
 
 
 class BodyEncoding(IntEnum):
-    """The first byte of a body: how the rest of it is encoded."""
+    """The first byte of a body, which states how the rest is encoded."""
 
     PLAIN = 1
     COMPRESSED = 2
@@ -46,11 +53,14 @@
 
 
 class UnreadableRecordError(IndigodeckError):
-    """A complete frame whose body this program does not understand: a newer program wrote it."""
+    """A complete frame has a body that this version of the program can't decode.
+
+    The likely cause is that a newer version of the program wrote it.
+    """
 
 
 class Frame(NamedTuple):
-    """A frame as found in a file: its first offset, the offset after it, and its packed body."""
+    """A frame in a file: its start offset, the offset after its end, and its encoded body."""
 
     start: int
     end: int
@@ -60,29 +70,29 @@
 
 
 class ByteRange(NamedTuple):
-    """The bytes of a file from offset `start` up to offset `end`, exclusive."""
+    """The bytes of a file from offset `start` up to, but not including, offset `end`."""
 
     start: int
     end: int
 
 
 class ScannedFrames(NamedTuple):
-    """The complete frames of a file in order, and the ranges of bytes that are none."""
+    """The complete frames of a file in order, and the byte ranges that belong to no frame."""
 
     frames: list[Frame]
     bad_ranges: list[ByteRange]
 
 
 def frame_salt(store_id: bytes, file_name: str) -> bytes:
-    """Return what the checksums of a file are salted with.
+    """Return the salt for the checksums of a file.
 
-    `file_name` is the name under which the file counts, also while it is written under another.
+    `file_name` is the file's final name, even while it is written under a temporary name.
     """
     return store_id + file_name.encode()
 
 
 def pack_value(value: Any) -> bytes:
-    """Return the body of a frame that holds a value."""
+    """Encode a value as the body of a frame."""
     data = msgpack.packb(value, use_bin_type=True)
     if len(data) >= MIN_BYTES_TO_COMPRESS:
         compressed = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(data)
@@ -92,9 +102,9 @@
 
 
 def unpack_value(body: bytes) -> Any:
-    """Return the value in the body of a complete frame.
+    """Decode the value in the body of a complete frame.
 
-    Raises `UnreadableRecordError` if the body is of a form that this program does not know.
+    Raises `UnreadableRecordError` if the body's encoding is unknown or the body can't be decoded.
     """
     encoding = body[0]
     try:
@@ -106,21 +116,21 @@
         if encoding == BodyEncoding.PLAIN:
             return msgpack.unpackb(body[1:], strict_map_key=False)
     except (ValueError, msgpack.UnpackException, zstandard.ZstdError) as error:
-        raise UnreadableRecordError(f"a body that can't be unpacked: {error}") from error
-    raise UnreadableRecordError(f"body form {encoding}: written by a newer program")
+        raise UnreadableRecordError(f"record body can't be decoded: {error}") from error
+    raise UnreadableRecordError(f"unknown body encoding {encoding}: written by a newer program")
 
 
 def encode_frame(salt: bytes, sequence: int, synced_sequence: int, value: Any) -> bytes:
-    """Return the bytes of one frame; raises ValueError if the value is too long."""
+    """Return the bytes of one frame. Raises ValueError if the encoded value is too long."""
     body = pack_value(value)
     if len(body) > MAX_BODY_BYTES:
-        raise ValueError(f"a record of {len(body)} bytes, {MAX_BODY_BYTES} at most")
+        raise ValueError(f"record of {len(body)} bytes exceeds the maximum of {MAX_BODY_BYTES}")
     checksum = frame_checksum(salt, sequence, synced_sequence, body)
     return FRAME_HEADER.pack(FRAME_MAGIC, len(body), checksum, sequence, synced_sequence) + body
 
 
 def decode_frame(salt: bytes, data: bytes, offset: int = 0) -> Frame | None:
-    """Return the complete frame that begins at an offset of `data`, or None."""
+    """Return the frame that starts at `offset` in `data`, or None if no complete one does."""
     if len(data) - offset < FRAME_HEADER.size:
         return None
     magic, length, checksum, sequence, synced_sequence = FRAME_HEADER.unpack_from(data, offset)
@@ -134,7 +144,7 @@
 
 
 def scan_frames(salt: bytes, data: bytes, offset: int) -> ScannedFrames:
-    """Find all complete frames of a file from an offset on."""
+    """Find all complete frames of a file from `offset` to its end."""
     frames: list[Frame] = []
     bad_ranges: list[ByteRange] = []
     while offset < len(data):
@@ -150,7 +160,7 @@
 
 
 def _next_frame_offset(salt: bytes, data: bytes, offset: int) -> int:
-    """Return where the next complete frame begins, or the length of `data`."""
+    """Return the offset of the next complete frame, or the length of `data` if there is none."""
     while (offset := data.find(FRAME_MAGIC, offset)) >= 0:
         if decode_frame(salt, data, offset) is not None:
             return offset
@@ -159,6 +169,6 @@
 
 
 def frame_checksum(salt: bytes, sequence: int, synced_sequence: int, body: bytes) -> int:
-    """Return the CRC-32C that stands in the head of a frame."""
-    numbers = CHECKSUMMED_FIELDS.pack(len(body), sequence, synced_sequence)
-    return crc32c(body, crc32c(numbers, crc32c(salt)))
+    """Return the CRC-32C for the header of a frame."""
+    fields = CHECKSUMMED_FIELDS.pack(len(body), sequence, synced_sequence)
+    return crc32c(body, crc32c(fields, crc32c(salt)))
--- a/indigodeck/store/index.py
+++ b/indigodeck/store/index.py
@@ -1,15 +1,19 @@
-"""The index in memory: in which record the newest value of each key stands. No I/O."""
+"""The in-memory index of the record that holds each key's newest value. No I/O."""
 
 from collections.abc import Sequence
 from typing import Any, NamedTuple, TypeAlias
 
-# A key, and its new value as MessagePack allows it, or None to drop the key.
+# A key and its new value, of any type that MessagePack can encode; None removes the key.
 Change: TypeAlias = tuple[str, Any]
 Changes: TypeAlias = Sequence[Change]
 
 
 class IndexEntry(NamedTuple):
-    """Where the newest value of a key stands; `byte_share` is its part of the record's bytes."""
+    """The location of the record with a key's newest value.
+
+    `start` and `end` are offsets in the file. A record may hold several keys: `byte_share` is its
+    size divided by the number of its changes.
+    """
 
     file_name: str
     start: int
@@ -19,14 +23,14 @@
 
 
 class RecordIndex(dict[str, IndexEntry]):
-    """The index entry of each key that has a value; `live_bytes` is the sum of their shares."""
+    """The index entry of each key that has a value; `live_bytes` is the sum of `byte_share`."""
 
     def __init__(self) -> None:
         super().__init__()
         self.live_bytes = 0.0
 
     def apply(self, file_name: str, start: int, end: int, sequence: int, changes: Changes) -> None:
-        """Enter the changes of the record at these offsets, unless newer ones are known."""
+        """Index the changes of the record at these offsets, except where a newer one is indexed."""
         for key, value in changes:
             current = self.get(key)
             if current is not None and current.sequence > sequence:
@@ -40,7 +44,7 @@
                 self.live_bytes += entry.byte_share
 
     def relocate(self, key: str, entry: IndexEntry) -> None:
-        """Point to a copy of the record of a key, unless the key has changed since."""
+        """Point a key at a copy of its record, unless the key has changed since the copy."""
         current = self.get(key)
         if current is not None and current.sequence == entry.sequence:
             self.live_bytes += entry.byte_share - current.byte_share
--- a/indigodeck/store/recovery.py
+++ b/indigodeck/store/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery: what a store holds, as its files are found at a start.
+"""Recovery: reads the contents of a store from its files at start-up.
 
-Recovery changes nothing of what it finds. It reads the newest base that is complete and the
-segments that this base does not cover. Whatever is damaged is reported; records around it are used.
+Recovery never modifies the files. It reads the newest complete base and the segments that this base
+does not cover. Damage is reported, and the readable records around it are still used.
 """
 
 from dataclasses import dataclass, field
@@ -15,7 +15,7 @@
 
 
 class Damage(NamedTuple):
-    """Something that was found wrong: the file, from which offset on, and what it means."""
+    """Damage that was found: the file, the offset where it starts, and a description."""
 
     file_name: str
     offset: int
@@ -24,12 +24,13 @@
 
 @dataclass(slots=True)
 class RecoveredStore:
-    """What recovery found.
+    """The result of recovery.
 
-    `segments` and `bases` are the names of the files under their numbers, `last_file_number` the
-    highest of these. `segment_bytes` is the size of the segments that no base covers. `data_lost`:
-    some of what is damaged had been acknowledged, so that the values may be older than others know.
-    `read_only_reason`: why this store must not be written to, or None.
+    `segments` and `bases` map file numbers to file names, and `last_file_number` is the highest of
+    these numbers. `sequence` is the number of the last record. `segment_bytes` is the size of the
+    segments that no base covers. `data_lost` is true if acknowledged data may be missing, so that
+    values may be older than those that other processes have seen. `read_only_reason` says why this
+    store must not be written to; it is None if writing is allowed.
     """
 
     store_id: bytes
@@ -45,13 +46,17 @@
 
 
 def recover(files: StoreFiles) -> RecoveredStore:
-    """Read a store; an empty one with a new identity if no file says whose it is."""
+    """Read a store; return an empty one with a new id if no file has a complete header."""
     return _Recovery(files).run()
 
 
 @dataclass(slots=True)
 class _ScannedSegment:
-    """A segment's frames. They count from after `follows` up to `last`, where these are known."""
+    """A segment's frames.
+
+    Its valid records are numbered after `previous_sequence`, up to and including `last_sequence`.
+    Either is None if it is not known.
+    """
 
     name: str
     frames: list[Frame]
@@ -78,17 +83,17 @@
 
     def run(self) -> RecoveredStore:
         store = self._store
-        if not self._identify():
+        if not self._find_store_id():
             store.store_id = self._files.new_store_id()
             return store
         covered = self._load_base()
         uncovered = [name for number, name in store.segments.items() if number > covered]
         self._load_segments(uncovered)
-        self._sync(uncovered)
+        self._sync_segments(uncovered)
         return store
 
-    def _identify(self) -> bool:
-        """Take the store's identity from the first file that has a complete head."""
+    def _find_store_id(self) -> bool:
+        """Take the store's id from the first file with a complete header; False if none has one."""
         store = self._store
         names = [*reversed(store.bases.values()), *store.segments.values()]
         for name in names:
@@ -99,16 +104,16 @@
         for name in names:
             data = self._read_file(name)
             if data:
-                self._report_damage(name, 0, "no file here says whose store it is")
-                # Nothing is appended to a head before it is synced: a torn head had nothing behind
-                # it that could be lost.
+                self._report_damage(name, 0, "no file of this store has a complete header")
+                # Records are appended only after the header is synced, so a file with a torn
+                # header never held records that could be lost.
                 store.data_lost = store.data_lost or len(data) > segments.HEADER_BYTES
         return False
 
     def _load_base(self) -> int:
         """Load the newest complete base and return the number of the last segment it covers.
 
-        If none is complete, load what can be read of all bases and return 0.
+        If no base is complete, load the readable records of all bases and return 0.
         """
         store = self._store
         scans = {}
@@ -122,16 +127,16 @@
             self._report_damage(
                 name,
                 bad[0].start if bad else len(self._read_file(name)),
-                "the base is not complete",
+                "the base file is incomplete",
             )
-        # Each record that can be read is proved by its checksum, but not which ones are missing.
+        # A checksum proves that a record is valid, but nothing tells which records are missing.
         store.data_lost = store.data_lost or bool(scans)
         for name in store.bases.values():
             self._load_base_frames(name, scans[name].frames)
         return 0
 
     def _is_complete_base(self, name: str, scanned: framing.ScannedFrames) -> bool:
-        """Whether all is there between the head and a foot that counts the records."""
+        """Whether the file has all records between its header and a footer with their number."""
         frames = scanned.frames
         footer = self._decode(name, frames[-1]) if frames else None
         return (
@@ -145,13 +150,14 @@
         store = self._store
         for frame in frames:
             self._apply(name, frame)
-            # The head of a base says up to which sequence number the base counts.
+            # The header of a base states the last sequence number that the base covers.
             store.sequence = max(store.sequence, frame.sequence, frame.synced_sequence)
 
     def _load_segments(self, names: list[str]) -> None:
         """Load segments in order.
 
-        Each one counts from what its head says that it follows up to what the next one follows.
+        A segment's valid records start after the sequence number in its header and end at the
+        sequence number in the header of the next segment.
         """
         scanned = [self._scan_segment(name) for name in names]
         last_sequence = None
@@ -159,7 +165,7 @@
             segment.last_sequence = last_sequence
             if segment.previous_sequence is not None:
                 last_sequence = segment.previous_sequence
-        # A record up to this number that is missing had been acknowledged.
+        # Records up to this number had been acknowledged, so a missing one is lost data.
         acknowledged_sequence = max(
             (frame.synced_sequence for segment in scanned for frame in segment.frames), default=0
         )
@@ -172,14 +178,14 @@
         previous_sequence = None
         if frames:
             first = frames[0]
-            # Without its head, as far as its first record can tell.
+            # Without the header frame, this is derived from the first record.
             previous_sequence = first.synced_sequence if first.sequence == 0 else first.sequence - 1
         return _ScannedSegment(name, frames, bad_ranges, previous_sequence)
 
     def _load_segment(self, segment: _ScannedSegment, acknowledged_sequence: int) -> None:
         store = self._store
         if not segment.frames or segment.frames[0].sequence:
-            self._report_damage(segment.name, 0, "the head of the segment is not complete")
+            self._report_damage(segment.name, 0, "the header of the segment is incomplete")
         if segment.previous_sequence is not None and segment.previous_sequence > store.sequence:
             self._report_gap(segment, segment.previous_sequence, segment.previous_sequence)
             store.sequence = segment.previous_sequence
@@ -188,7 +194,9 @@
             if segment.bad_ranges and acknowledged_sequence <= store.sequence:
                 offset = segment.bad_ranges[-1].start
                 self._report_damage(
-                    segment.name, offset, "truncated: bytes that are no complete record"
+                    segment.name,
+                    offset,
+                    "truncated here: the bytes that follow are not a complete record",
                 )
         elif segment.last_sequence > store.sequence:
             self._report_gap(segment, segment.last_sequence, segment.last_sequence)
@@ -213,11 +221,12 @@
     def _report_gap(
         self, segment: _ScannedSegment, last_missing: int, acknowledged_sequence: int
     ) -> bool:
-        """Judge the records that are missing, from the next one up to number `last`.
+        """Report missing records, from the next one up to `last_missing`, if they are damage.
 
-        `acknowledged`: the highest number that is known to have been synced. Returns whether the
-        gap is damage, so that what comes after it counts. Otherwise the records were not synced
-        when the power went, and later ones that reached the disk before them don't count either.
+        `acknowledged_sequence` is the highest sequence number that is known to have been synced.
+        Returns True if the gap is damage: then the records after it are valid. Otherwise the
+        missing records had not been synced when the power was lost, and records after the gap,
+        which happened to reach the disk earlier, are not valid either.
         """
         first = self._store.sequence + 1
         if acknowledged_sequence < first:
@@ -229,11 +238,11 @@
         )
         return True
 
-    def _sync(self, names: list[str]) -> None:
-        """Make the segments that were read outlast a power cut.
+    def _sync_segments(self, names: list[str]) -> None:
+        """Make the segments that were read durable.
 
-        A process that ended while the machine ran on leaves bytes that are read here and may not
-        be on the disk yet.
+        If only the previous process ended and the machine kept running, bytes that were read here
+        may still be in the page cache and not on the disk.
         """
         for name in names:
             try:
@@ -247,7 +256,10 @@
             self._store.index.apply(name, frame.start, frame.end, frame.sequence, changes)
 
     def _decode(self, name: str, frame: Frame) -> Any:
-        """Return what a frame holds, or None and allow no writing if a newer program wrote it."""
+        """Return a frame's value; if it can't be decoded, return None and make the store read-only.
+
+        A newer version of the program may have written the frame.
+        """
         try:
             return framing.unpack_value(frame.body)
         except framing.UnreadableRecordError as error:
@@ -256,14 +268,14 @@
             return None
 
     def _read_file(self, name: str) -> bytes:
-        """Return a file's bytes; each file is read once, and only when it is needed."""
+        """Return a file's contents; each file is read at most once, when it is first needed."""
         if name not in self._file_contents:
             try:
                 self._file_contents[name] = self._files.read(name)
             except OSError as error:
                 self._file_contents[name] = b""
                 self._store.data_lost = True
-                self._report_damage(name, 0, f"not readable: {error}")
+                self._report_damage(name, 0, f"file can't be read: {error}")
         return self._file_contents[name]
 
     def _report_damage(self, name: str, offset: int, reason: str) -> None:
--- a/indigodeck/store/segments.py
+++ b/indigodeck/store/segments.py
@@ -1,9 +1,10 @@
-"""The files of the log: their names, and the head that each of them begins with.
+"""The files of the log: their names, and the header at the start of each file.
 
-A segment, `NNNNNNNN.log`, holds commits; it is appended to and never changed. A base,
-`NNNNNNNN.base`, holds what was live in all segments up to its number, and is written under the
-name `NNNNNNNN.new`. Each file begins with a mark, the store's identity, and a head frame, which has
-sequence number 0 and whose synced sequence number says which one the file follows.
+A segment, `NNNNNNNN.log`, holds committed records; it is only ever appended to. A base file,
+`NNNNNNNN.base`, holds a copy of all records that were live in the segments up to its number; until
+it is complete, it is named `NNNNNNNN.new`. Each file starts with a magic number, the store's id,
+and a header frame. The header frame has sequence number 0; its synced sequence number is the last
+sequence number that precedes the file, or, in a base file, the last one that the base covers.
 """
 
 from collections.abc import Iterable
@@ -19,7 +20,7 @@
 
 
 class FileType(StrEnum):
-    """The suffix of a file's name."""
+    """The kind of a log file, which is the suffix of its name."""
 
     SEGMENT = "log"
     BASE = "base"
@@ -27,12 +28,12 @@
 
 
 def file_name(number: int, file_type: FileType) -> str:
-    """Return the name of the file with a number."""
+    """Return the name of a file of this type and number."""
     return f"{number:0{NUMBER_DIGITS}d}.{file_type}"
 
 
 def numbered_files(names: Iterable[str], file_type: FileType) -> dict[int, str]:
-    """Return the names of the files of one type under their numbers, in order."""
+    """Map file numbers to the names of the files of one type, in ascending order."""
     found = {
         int(name[:NUMBER_DIGITS]): name
         for name in names
@@ -42,15 +43,15 @@
 
 
 def encode_header(store_id: bytes, name: str, synced_sequence: int) -> bytes:
-    """Return the bytes that a file begins with, if it follows a sequence number."""
+    """Return the header of a file that follows `synced_sequence`."""
     salt = framing.frame_salt(store_id, name)
     return FILE_MAGIC + store_id + framing.encode_frame(salt, 0, synced_sequence, {})
 
 
 def read_store_id(name: str, data: bytes) -> bytes | None:
-    """Return the store's identity if the head of a file is complete.
+    """Return the store's id from the header of a file, or None if the header is not complete.
 
-    A head vouches for itself, as its checksum is salted with the identity that it states.
+    The id needs no further check: the header frame's checksum is salted with it.
     """
     if data[: len(FILE_MAGIC)] != FILE_MAGIC:
         return None
@@ -60,7 +61,7 @@
 
 
 def scan_file(store_id: bytes, name: str, data: bytes) -> framing.ScannedFrames:
-    """Find all complete frames of a file, and the ranges of bytes that are none."""
+    """Find all complete frames of a file, and the byte ranges that belong to no frame."""
     scanned = framing.scan_frames(framing.frame_salt(store_id, name), data, PREFIX_BYTES)
     if data[:PREFIX_BYTES] != FILE_MAGIC + store_id:
         scanned.bad_ranges.insert(0, framing.ByteRange(0, min(PREFIX_BYTES, len(data))))
--- a/indigodeck/store/write_ahead_log.py
+++ b/indigodeck/store/write_ahead_log.py
@@ -1,17 +1,19 @@
-"""A store as a write-ahead log in segments: what is written when. No I/O but by `StoreFiles`.
-
-Values stand under keys. A commit is one frame with all its changes, so that either all of them are
-there or none. (A log of records with an index in memory, as in J. Sheehy and D. Smith, "Bitcask",
-2010.) What the files are is told in `segments`.
-
-- Recovery changes nothing of what it finds: the log goes on in a new segment, whose head says up to
-  which sequence number the others count. So a crash during recovery is a crash before it.
-- A base is written beside, synced, and renamed; the folder is synced before anything that the base
-  replaces is removed. The base before it, and the segments since that one, stay until the next
-  compaction: a single bad file, whichever it is, loses nothing.
-- After any error of the disk writing stops (a failed sync may have dropped what it did not write:
-  A. Rebello and others, "Can Applications Recover from fsync Failures?", ATC 2020); it goes on only
-  in a new segment, without what was not acknowledged.
+"""A key-value store as a segmented write-ahead log. All I/O goes through `StoreFiles`.
+
+This is a log of records with an in-memory index, as in J. Sheehy and D. Smith, "Bitcask", 2010. A
+batch of changes is written as one frame, so it is applied completely or not at all. The files are
+described in `segments`.
+
+- Recovery never modifies existing files. The log continues in a new segment, whose header states
+  the last valid sequence number of the earlier ones. A crash during recovery is therefore the same
+  as a crash before it.
+- A base is written under a temporary name, synced, and renamed. The folder is synced before
+  anything that the base replaces is removed. The previous base and the segments since it are kept
+  until the next compaction, so damage to a single file, be it a base or a segment that a base
+  covers, loses no data.
+- After any disk error, writing stops, because a failed sync may have discarded the data that it did
+  not write (A. Rebello and others, "Can Applications Recover from fsync Failures?", ATC 2020). It
+  resumes only in a new segment, without the records that were not acknowledged.
 """
 
 from collections.abc import Iterable
@@ -25,27 +27,28 @@
 from .recovery import Damage, recover
 from .segments import FileType
 
-MAX_SEGMENT_BYTES = 1 << 20  # a longer segment is followed by a new one
-MIN_COMPACTED_BYTES = 256 << 10  # fewer bytes since the base are not worth a compaction
-COMPACTION_RATIO = 2  # bytes since the base over live bytes that are worth a compaction
-MAX_SEGMENTS = 24  # each start leaves a segment behind, however short
-COMPACTION_STEP_BYTES = 64 << 10  # bounds how long a step of a compaction delays a commit
+MAX_SEGMENT_BYTES = 1 << 20  # a new segment is started once one is longer
+MIN_COMPACTED_BYTES = 256 << 10  # no compaction for fewer bytes since the last base
+COMPACTION_RATIO = 2  # compact above this ratio of bytes since the last base to live bytes
+MAX_SEGMENTS = 24  # compact above this number, as each start adds a segment, however short
+COMPACTION_STEP_BYTES = 64 << 10  # limits how long a compaction step delays a commit
 MAX_KEY_LENGTH = 512  # characters
 
 
 class StoreStoppedError(IndigodeckError):
-    """Nothing can be written; the message says why, and to which file."""
+    """The store can't be written to; the message names the cause and, if there is one, the file."""
 
 
 class WriteAheadLog:
-    """Opens the store in these files, or begins one.
+    """Opens the store in these files, or creates one if there is none.
 
-    `damage` is what was found wrong, at the start or since. `data_lost`: some of what was damaged
-    at the start had been acknowledged, so that values may be older than what others were told.
-    `compaction_error`: why there will be no compaction until the next start, or None.
-    `committed_bytes` counts the bytes of commits, `copied_bytes` those written by compactions.
+    `damage` lists the damage found at start-up or later. `data_lost` is true if acknowledged data
+    may have been missing at start-up, so that values may be older than those that other processes
+    have seen. `compaction_error` says why there will be no compaction until the next start; it is
+    None if there was no error. `committed_bytes` counts the bytes written by commits and
+    `copied_bytes` those written by compactions.
 
-    Opening raises OSError if the files' names can't be listed. Not safe for threads.
+    Opening raises OSError if the files can't be listed. Not thread-safe.
     """
 
     def __init__(self, files: StoreFiles) -> None:
@@ -61,13 +64,13 @@
         self._segments: dict[int, str] = recovered.segments
         self._bases: dict[int, str] = recovered.bases
         self._last_file_number: int = recovered.last_file_number
-        self._segment_name = ""  # none is begun yet
+        self._segment_name = ""  # no segment has been started yet
         self._segment_size = 0
         self._sequence: int = recovered.sequence  # of the last record in the log
-        self._synced_sequence: int = recovered.sequence  # of the last record that is acknowledged
+        self._synced_sequence: int = recovered.sequence  # of the last acknowledged record
         self._bytes_since_base: int = recovered.segment_bytes
-        self._read_only_reason: str | None = recovered.read_only_reason  # for good
-        self._stop_reason: str | None = None  # until a new segment can be begun
+        self._read_only_reason: str | None = recovered.read_only_reason  # permanent
+        self._stop_reason: str | None = None  # until a new segment is started
         self._compaction: Compaction | None = None
         self._begin_segment()
 
@@ -78,14 +81,14 @@
         return sorted(self.index)
 
     def read_all(self) -> dict[str, Any]:
-        """Return the newest value of each key, as `get` does, in the order of the keys."""
+        """Return the newest value of each key, as `get` does, sorted by key."""
         return {key: self.get(key) for key in sorted(self.index)}
 
     def get(self, key: str) -> Any:
         """Return the newest value of a key, or None.
 
-        Each reading proves the record by its checksum: one that is damaged on the disk is reported
-        in `damage` and never served.
+        Every read verifies the record's checksum. A record that is damaged on disk is reported in
+        `damage`, and None is returned for it.
         """
         entry = self.index.get(key)
         if entry is None:
@@ -93,12 +96,14 @@
         try:
             data = self.files.read_at(entry.file_name, entry.start, entry.end - entry.start)
         except OSError as error:
-            self._report_damage(entry.file_name, entry.start, f"not readable: {error}")
+            self._report_damage(entry.file_name, entry.start, f"file can't be read: {error}")
             return None
         salt = framing.frame_salt(self.store_id, entry.file_name)
         frame = framing.decode_frame(salt, data)
         if frame is None or frame.sequence != entry.sequence:
-            self._report_damage(entry.file_name, entry.start, f"the record of {key!r} is damaged")
+            self._report_damage(
+                entry.file_name, entry.start, f"the record of key {key!r} is damaged"
+            )
             return None
         return dict(map(tuple, framing.unpack_value(frame.body))).get(key)
 
@@ -108,10 +113,11 @@
     # Writing.
 
     def commit(self, batches: Iterable[Changes]) -> None:
-        """Write each batch of changes as one record, and sync once.
+        """Write each batch of changes as one record, then sync once.
 
-        The batches are acknowledged when this returns. Raises StoreStoppedError if they may be
-        there or not, and ValueError if nothing was written because a key or record is not allowed.
+        The batches are durable (acknowledged) when this returns. Raises StoreStoppedError if
+        writing has stopped; a restart may or may not find the batches then. Raises ValueError,
+        without writing anything, if a key or record is not allowed.
         """
         if self._stop_reason is not None:
             self._begin_segment()
@@ -122,21 +128,23 @@
             self.files.append(self._segment_name, b"".join(record.data for record in records))
             self.files.sync(self._segment_name)
         except OSError as error:
-            reason = self._stop(self._segment_name, error)
+            reason = self._stop_writing(self._segment_name, error)
             raise StoreStoppedError(reason) from error
         self._acknowledge(records)
         if self._segment_size > MAX_SEGMENT_BYTES:
             self._begin_segment()
 
     def _encode(self, batches: Iterable[Changes]) -> list["_EncodedRecord"]:
-        """Return the records as they will stand at the end of the segment."""
+        """Encode the batches as records to append to the current segment."""
         salt = framing.frame_salt(self.store_id, self._segment_name)
         sequence = self._sequence
         records: list[_EncodedRecord] = []
         for changes in batches:
             for key, _ in changes:
                 if not isinstance(key, str) or len(key) > MAX_KEY_LENGTH:
-                    raise ValueError(f"a key is a text of {MAX_KEY_LENGTH} characters at most")
+                    raise ValueError(
+                        f"a key must be a string of at most {MAX_KEY_LENGTH} characters"
+                    )
             sequence += 1
             value = [list(change) for change in changes]
             data = framing.encode_frame(salt, sequence, self._synced_sequence, value)
@@ -144,7 +152,7 @@
         return records
 
     def _acknowledge(self, records: list["_EncodedRecord"]) -> None:
-        """Take into account the records that were written and synced."""
+        """Update the index and the counters for records that were written and synced."""
         start = self._segment_size
         for record in records:
             end = start + len(record.data)
@@ -158,11 +166,14 @@
         self._synced_sequence = self._sequence
 
     def _begin_segment(self) -> None:
-        """Begin a new segment. It follows what recovery took, or what was acknowledged."""
+        """Start a new segment, which follows the last recovered or acknowledged record.
+
+        If that fails, `_stop_reason` says why.
+        """
         if self._read_only_reason is not None:
             self._stop_reason = self._read_only_reason
             return
-        self._last_file_number += 1  # never used again, whether the file comes to be or not
+        self._last_file_number += 1  # never reused, even if creating the file fails
         name = segments.file_name(self._last_file_number, FileType.SEGMENT)
         header = segments.encode_header(self.store_id, name, self._synced_sequence)
         try:
@@ -170,7 +181,7 @@
             self.files.sync(name)
             self.files.sync_folder()
         except OSError as error:
-            self._stop(name, error)
+            self._stop_writing(name, error)
             return
         self._segments[self._last_file_number] = name
         self._segment_name = name
@@ -178,16 +189,16 @@
         self._sequence = self._synced_sequence
         self._stop_reason = None
 
-    def _stop(self, name: str, error: OSError) -> str:
+    def _stop_writing(self, name: str, error: OSError) -> str:
         reason = f"{name}: {error}"
         self._stop_reason = reason
         self._compaction = None
         return reason
 
-    # Compaction, a little at a time, between commits.
+    # Compaction, in small steps between commits.
 
     def compaction_due(self) -> bool:
-        """Whether a compaction is under way or worth its cost."""
+        """Whether a compaction is in progress or is worth its cost."""
         if self._stop_reason is not None or self.compaction_error is not None:
             return False
         if self._compaction is not None or len(self._segments) > MAX_SEGMENTS:
@@ -196,9 +207,9 @@
         return self._bytes_since_base > threshold
 
     def compact(self, max_bytes: int = COMPACTION_STEP_BYTES) -> bool:
-        """Begin a compaction or go on with one, for about `max_bytes`.
+        """Start a compaction or continue one, and copy about `max_bytes`.
 
-        Returns True once its base is complete and in place.
+        Returns True once the new base is complete and has replaced the previous one.
         """
         try:
             if self._compaction is None:
@@ -212,8 +223,8 @@
             self._install_base(self._compaction)
             return True
         except OSError as error:
-            # The segments hold everything; what can't be copied, or written beside them, is left
-            # until the next start.
+            # No data is at risk, as the existing segments still hold all records. Compaction is
+            # not tried again until the next start.
             self.compaction_error = str(error)
             self._compaction = None
             return False
@@ -222,7 +233,7 @@
         self._begin_segment()
         if self._stop_reason is not None:
             return
-        # All that is live now stands in the segments before the new one, or in the base.
+        # All live records are now in the base or in segments before the new one.
         self._compaction = Compaction(
             files=self.files,
             store_id=self.store_id,
@@ -234,9 +245,9 @@
         )
 
     def _install_base(self, compaction: Compaction) -> None:
-        """Put the new base in place, and remove what has become superfluous.
+        """Rename the new base to its final name, and remove files that are no longer needed.
 
-        The base counts once the folder is synced; only then anything that it replaces is removed.
+        The base is valid once the folder is synced, so files are removed only after that.
         """
         self.files.rename(compaction.unfinished_name, compaction.base_name)
         self.files.sync_folder()
@@ -246,12 +257,12 @@
         self._bases[compaction.base_number] = compaction.base_name
         self._bytes_since_base -= compaction.segment_bytes
         self._compaction = None
-        # The base before and the segments since are kept: should this base go bad, nothing is lost.
+        # The previous base and the segments since it are kept in case this base gets damaged.
         self._remove_files(self._bases, below=previous_base)
         self._remove_files(self._segments, below=previous_base + 1)
 
     def _remove_files(self, names: dict[int, str], below: int) -> None:
-        """Remove the files of lower numbers."""
+        """Remove the files with numbers lower than `below`."""
         for number in [number for number in names if number < below]:
             self.files.remove(names[number])
             del names[number]
--- a/indigodeck/store/writer.py
+++ b/indigodeck/store/writer.py
@@ -1,11 +1,11 @@
-"""The thread that writes a planner's store: a slow disk delays nobody who decides.
-
-Whoever puts a change gets a future, which is done when the change would outlast a power cut. Group
-commit (as in P. Helland and others, "Group Commit Timers and High Volume Transaction Systems", HPTS
-1987): changes that arrive while a sync is under way, or within `group_commit_delay` of the first
-one that waits, are written and synced together; each stays a record of its own. A delay helped
-nowhere it was measured (64 threads: 8,760 changes a second without, 5,912 with 2 ms), so the
-default is none.
+"""The thread that writes a planner's store, so that a slow disk never blocks planning.
+
+`StoreWriter.put` returns a future that completes when the change is durable. Changes are written
+by group commit (as in P. Helland and others, "Group Commit Timers and High Volume Transaction
+Systems", HPTS 1987): those that arrive during a sync, or within `group_commit_delay` after the
+first waiting change is taken from the queue, are written and synced together, each `put` as a
+record of its own. The default is no delay, because a delay improved throughput in no measurement:
+64 threads made 8,760 changes per second without a delay and 5,912 with 2 ms.
 """
 
 import queue
@@ -20,15 +20,15 @@
 from .index import Changes
 from .write_ahead_log import StoreStoppedError, WriteAheadLog
 
-MAX_QUEUED_REQUESTS = 4096  # further ones are rejected at once
-MAX_GROUP_SIZE = 256  # requests that are written with one sync
-CLOSE_TIMEOUT_SECONDS = 5  # a disk that hangs must not keep a planner from ending
-COMPACTION_IDLE_SECONDS = 0.05  # without any request, after which a compaction goes on
+MAX_QUEUED_REQUESTS = 4096  # further requests are rejected immediately
+MAX_GROUP_SIZE = 256  # requests per sync, at most
+CLOSE_TIMEOUT_SECONDS = 5  # a disk that hangs must not keep the planner from exiting
+COMPACTION_IDLE_SECONDS = 0.05  # idle time before a compaction step
 
 
 @dataclass(slots=True)
 class _Write:
-    """Changes to commit as one record; the future gives None."""
+    """Changes to commit as one record; the future's result is None."""
 
     changes: Changes
     future: Future = field(default_factory=Future)
@@ -36,14 +36,14 @@
 
 @dataclass(slots=True)
 class _Query:
-    """A function of the log to call between two commits; the future gives its result."""
+    """A function to call with the log between two commits; the future holds its result."""
 
     function: Callable[[WriteAheadLog], Any]
     future: Future = field(default_factory=Future)
 
 
 class _Close:
-    """The last request."""
+    """The request after which the thread ends."""
 
 
 _Request: TypeAlias = _Write | _Query | _Close
@@ -52,9 +52,10 @@
 class StoreWriter:
     """Opens the store in `files` and owns it until `close`.
 
-    `group_commit_delay`: seconds for which a change may wait for others. `log_event(event,
-    **facts)` is called on the thread, and for damage on the caller's, when damage is found, when
-    writing stops or resumes, and for each compaction.
+    `group_commit_delay` is the time in seconds for which a commit waits for further changes.
+    `log_event(event, **facts)` reports damage found on opening, each stop and resumption of
+    writing, and each compaction that finishes or fails. It is called on the writer's thread, but
+    for damage on the thread that constructs the writer.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
     ) -> None:
         self.files = files
         self.log = WriteAheadLog(files)
-        self.commit_count = 0  # syncs, however many requests each of them served
+        self.commit_count = 0  # successful commits, each with one sync for any number of writes
         self._log_event = log_event
         self._group_commit_delay = group_commit_delay
         self._requests: queue.Queue[_Request] = queue.Queue(MAX_QUEUED_REQUESTS)
@@ -79,17 +80,17 @@
                 event, file=damage.file_name, offset=damage.offset, reason=damage.reason
             )
 
-    # For any thread.
+    # Methods for any thread.
 
     def put(self, changes: Changes) -> Future:
-        """Write changes, all or none; the future is done when they are durable.
+        """Write changes atomically; the future completes when they are durable.
 
         The future raises StoreStoppedError or ValueError as `WriteAheadLog.commit` does.
         """
         return self._enqueue(_Write(changes))
 
     def query(self, function: Callable[[WriteAheadLog], Any]) -> Future:
-        """Call a function of the log between two commits; the future gives its result."""
+        """Call a function with the log between two commits; the future holds its result."""
         return self._enqueue(_Query(function))
 
     def put_and_wait(self, changes: Changes) -> bool:
@@ -101,11 +102,14 @@
         return True
 
     def get(self, key: str) -> Any:
-        """Return the newest value of a key, or None; waits for the thread."""
+        """Return the newest value of a key, or None; blocks until the writer's thread replies."""
         return self.query(lambda log: log.get(key)).result()
 
     def close(self) -> None:
-        """Write what waits, and give the files free."""
+        """Write the queued changes and release the files.
+
+        The files are not released if the thread does not end within `CLOSE_TIMEOUT_SECONDS`.
+        """
         self._closing = True
         self._requests.put(_Close())
         self._thread.join(CLOSE_TIMEOUT_SECONDS)
@@ -120,11 +124,13 @@
             self._requests.put_nowait(request)
         except queue.Full:
             request.future.set_exception(
-                StoreStoppedError(f"{MAX_QUEUED_REQUESTS} changes wait already")
+                StoreStoppedError(
+                    f"the write queue is full: {MAX_QUEUED_REQUESTS} requests are waiting"
+                )
             )
         return request.future
 
-    # The thread.
+    # Methods of the writer's thread.
 
     def _run(self) -> None:
         while True:
@@ -134,13 +140,16 @@
                 self._compact()
                 continue
             group = self._collect_group(first)
-            self._serve(group)
+            self._process_group(group)
             if isinstance(group[-1], _Close):
                 return
             self._compact()
 
     def _collect_group(self, first: _Request) -> list[_Request]:
-        """Return what is served at once: writes that wait, up to one request of another sort."""
+        """Return the requests to process together.
+
+        These are `first` and the waiting writes, up to and including a request of another kind.
+        """
         group = [first]
         deadline = time.monotonic() + self._group_commit_delay
         while isinstance(group[-1], _Write) and len(group) < MAX_GROUP_SIZE:
@@ -150,7 +159,7 @@
                 break
         return group
 
-    def _serve(self, group: Sequence[_Request]) -> None:
+    def _process_group(self, group: Sequence[_Request]) -> None:
         writes = [request for request in group if isinstance(request, _Write)]
         if writes:
             self._commit(writes)
@@ -165,13 +174,13 @@
             self._commit_one_by_one(writes, error)
         except StoreStoppedError as error:
             self._fail(writes, error)
-        except Exception as error:  # whoever waits must be notified, and the thread must go on
+        except Exception as error:  # the futures must complete and the thread must continue
             self._fail(writes, StoreStoppedError(f"{type(error).__name__}: {error}"))
         else:
             self._succeed(writes)
 
     def _commit_one_by_one(self, writes: Sequence[_Write], error: ValueError) -> None:
-        """One of these can't be written, which must not affect the others."""
+        """Commit each write alone, so that an invalid one does not fail the others."""
         if len(writes) == 1:
             writes[0].future.set_exception(error)
             return
@@ -196,7 +205,7 @@
     def _run_query(self, query: _Query) -> None:
         try:
             query.future.set_result(query.function(self.log))
-        except Exception as error:  # whoever asked is notified, and the thread goes on
+        except Exception as error:  # passed to the caller; the thread must continue
             query.future.set_exception(error)
 
     def _compact(self) -> None:
@@ -204,7 +213,7 @@
             return
         try:
             finished = self.log.compact()
-        except Exception as error:  # the segments hold everything: it is left until the next start
+        except Exception as error:  # the segments hold all records; retried at the next start
             self.log.compaction_error = f"{type(error).__name__}: {error}"
             finished = False
         if finished:
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,9 +1,10 @@
 """Runs all tests, or those named on the command line: python tests/run.py [NAME ...].
 
-The tests listed in KNOWN-RED.txt at the root, one line `test id: cause` each, run as well, and
-their lines are printed. A listed test may fail; one that passes, or a list that is too long, fails
-the run.
-Names are those of modules, classes or methods, such as `store.test_writer`.
+A name is that of a module, class or method, such as `store.test_writer`.
+
+KNOWN-RED.txt in the root folder lists tests that are known to fail, one `test id: cause` per line.
+These tests run too, and their lines are printed. The run fails if a listed test passes, or if the
+list has more than `MAX_KNOWN_FAILURES` lines.
 """
 
 import asyncio
@@ -24,7 +25,7 @@
 
 
 def read_known_failures(text: str) -> dict[str, str]:
-    """Return the lines of the list under the ids of their tests."""
+    """Map test ids to their lines in the list."""
     return {line.split(":")[0]: line for line in text.splitlines() if line}
 
 
@@ -32,7 +33,7 @@
 
 
 class KnownFailuresResult(unittest.TextTestResult):
-    """A result that expects each test listed in `KNOWN_FAILURES` to fail, and no other."""
+    """A result that expects the tests listed in `KNOWN_FAILURES`, and only those, to fail."""
 
     def addFailure(self, test: unittest.TestCase, err: _ErrorInfo) -> None:  # noqa: N802 - unittest's
         """Count a failure, as expected if the test is listed."""
@@ -57,9 +58,10 @@
 
 
 class NoSlowCallbackReportsPolicy(asyncio.DefaultEventLoopPolicy):
-    """Makes event loops that do not report slow callbacks.
+    """Creates event loops that do not report slow callbacks.
 
-    Asynchronous tests run in asyncio's debug mode, whose reports say only how busy the machine is.
+    Asynchronous tests run in asyncio's debug mode, which reports slow callbacks. In these tests
+    the reports only reflect how busy the machine is.
     """
 
     def new_event_loop(self) -> asyncio.AbstractEventLoop:
@@ -70,21 +72,21 @@
 
 
 def find_tests(names: list[str]) -> unittest.TestSuite:
-    """Return the tests with these names; if none is given, all of this folder and its packages."""
+    """Return the named tests, or all tests in this folder and its packages if `names` is empty."""
     loader = unittest.TestLoader()
     return loader.loadTestsFromNames(names) if names else loader.discover(str(TESTS))
 
 
 def main(names: list[str]) -> int:
-    """Run tests, print the known red ones, and return the exit code."""
-    sys.path.insert(0, str(TESTS))  # tests import the modules they share by their names here
+    """Run tests, print the list of known failures, and return the exit code."""
+    sys.path.insert(0, str(TESTS))  # tests import shared modules by their names in this folder
     asyncio.set_event_loop_policy(NoSlowCallbackReportsPolicy())
     passed = (
         unittest.TextTestRunner(resultclass=KnownFailuresResult)
         .run(find_tests(names))
         .wasSuccessful()
     )
-    print("\n".join(f"known red: {line}" for line in KNOWN_FAILURES.values()))
+    print("\n".join(f"known failure: {line}" for line in KNOWN_FAILURES.values()))
     return 0 if passed and len(KNOWN_FAILURES) <= MAX_KNOWN_FAILURES else 1
 
 
--- a/tests/store/crash_scenarios.py
+++ b/tests/store/crash_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios that commit and compact on a disk whose power may be cut at any operation."""
+"""Scenarios that commit and compact on a disk that may lose power at any operation."""
 
 import contextlib
 import unittest
@@ -18,9 +18,9 @@
 KEYS = [f"key/{number}" for number in range(7)]
 COMMIT_COUNT = 40
 COMPACTION_STEP_BYTES = 200
-MAX_RESTARTS = 3  # one that is cut as well, and one that succeeds, with one to spare
+MAX_RESTARTS = 3  # one that loses power too, one that succeeds, and one spare
 
-# So that every case of segments and compactions is met within some commits.
+# So small that a few commits fill several segments and cause several compactions.
 SMALL_LIMITS: dict[str, Any] = {
     "MAX_SEGMENT_BYTES": 700,
     "MIN_COMPACTED_BYTES": 900,
@@ -29,38 +29,38 @@
 
 
 class SmallLimitsCase(unittest.TestCase):
-    """Segments and compactions of a few hundred bytes."""
+    """Test case in which segments and compactions are a few hundred bytes long."""
 
     def setUp(self) -> None:
-        """Set the limits for one test."""
+        """Apply the limits for one test."""
         limits = unittest.mock.patch.multiple(write_ahead_log, **SMALL_LIMITS)
         limits.start()
         self.addCleanup(limits.stop)
 
 
 class ExpectedStates:
-    """The values that a store may hold.
+    """The states that a store may be in.
 
-    `possible` are the states of which it must hold one; there is one alone as soon as everything is
-    acknowledged. `all` are those that there ever were.
+    The store must be in one of `possible_states`; only one is left once all commits are
+    acknowledged. `all_states` are all states since the beginning.
     """
 
     def __init__(self, random: SeededRandom) -> None:
-        self.possible: list[StoreState] = [{}]
-        self.all: list[StoreState] = [{}]
+        self.possible_states: list[StoreState] = [{}]
+        self.all_states: list[StoreState] = [{}]
         self._random = random
         self._change_count = 0
 
     def commit(self, log: WriteAheadLog) -> None:
         """Commit some random batches to a log."""
         batches = [self._batch() for _ in range(1 + self._random.below(3))]
-        states = self.possible[:1]
+        states = self.possible_states[:1]
         for changes in batches:
             states.append(_apply_changes(states[-1], changes))
-        self.possible += states[1:]
-        self.all += states[1:]
+        self.possible_states += states[1:]
+        self.all_states += states[1:]
         log.commit(batches)
-        self.possible = states[-1:]
+        self.possible_states = states[-1:]
 
     def _batch(self) -> Changes:
         changes = []
@@ -84,7 +84,7 @@
 
 
 class ScenarioResult(NamedTuple):
-    """What was wrong, or None, and how many operations were done before the power was cut."""
+    """The problem that was found, or None, and the number of operations on the first disk."""
 
     problem: str | None
     operation_count: int
@@ -92,20 +92,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashScenario:
-    """Commits and compactions until the power is cut, or to the end; then restarts.
+    """Commits and compacts until the power is cut or to the end, then restarts after a cut.
 
-    `cut_at` and `errors` are of the first disk (`FaultyDisk`); the first restart is cut at its
-    operation `restart_cut_at`. With `process_only` the process ends and the machine runs on.
+    `cut_at` and `errors` apply to the first disk (`FaultyDisk`); the first restart loses power at
+    its operation `restart_cut_at`. With `process_crash_only` the process ends, but the machine
+    keeps running.
     """
 
     seed: int
     cut_at: int | None = None
     restart_cut_at: int | None = None
     errors: Mapping[int, int] | None = None
-    process_only: bool = False
+    process_crash_only: bool = False
 
     def run(self) -> ScenarioResult:
-        """Play the scenario."""
+        """Run the scenario."""
         random = SeededRandom(self.seed)
         expected = ExpectedStates(SeededRandom(self.seed + 1))
         disk = FaultyDisk(random, self.cut_at, self.errors)
@@ -122,29 +123,31 @@
                 expected.commit(log)
             while log.compaction_due() and disk.random.below(4):
                 log.compact(COMPACTION_STEP_BYTES)
-            if len(expected.possible) == 1 and log.read_all() != expected.possible[0]:
-                return f"{self}: {log.read_all()} held, {expected.possible[0]} acknowledged"
+            if len(expected.possible_states) == 1 and log.read_all() != expected.possible_states[0]:
+                return f"{self}: read {log.read_all()}, acknowledged {expected.possible_states[0]}"
         return None
 
     def _check_restart(self, disk: FaultyDisk, expected: ExpectedStates) -> str | None:
         disk, log = self._recover(disk)
         values = log.read_all()
-        if values not in expected.possible:
-            return f"{self}: {values} is none of {expected.possible}; {log.damage}"
+        if values not in expected.possible_states:
+            return (
+                f"{self}: read {values}, expected one of {expected.possible_states}; {log.damage}"
+            )
         if log.data_lost:
-            return f"{self}: data reported lost that is there; {log.damage}"
-        # The log goes on with what it found, and does not come back to what it had left out.
-        expected.possible = [values]
+            return f"{self}: data loss reported although no data is lost; {log.damage}"
+        # Further commits build on the recovered state, and discarded records must not reappear.
+        expected.possible_states = [values]
         expected.commit(log)
         values = WriteAheadLog(disk.after_power_cut()).read_all()
-        if values != expected.possible[0]:
-            return f"{self}: {values} after going on"
+        if values != expected.possible_states[0]:
+            return f"{self}: wrong values after a further commit: {values}"
         return None
 
     def _recover(self, disk: FaultyDisk) -> tuple[FaultyDisk, WriteAheadLog]:
         cut_at = self.restart_cut_at
         for _ in range(MAX_RESTARTS):
-            next_disk = disk.after_process_end if self.process_only else disk.after_power_cut
+            next_disk = disk.after_process_end if self.process_crash_only else disk.after_power_cut
             disk = next_disk(cut_at)
             cut_at = None
             try:
@@ -153,18 +156,18 @@
                 continue
             disk.cut_at = None
             return disk, log
-        raise AssertionError(f"{self}: no restart succeeded")
+        raise AssertionError(f"{self}: all {MAX_RESTARTS} restarts failed")
 
 
 class FilledDisk(NamedTuple):
-    """A disk with two bases and the segments since the first, and each state it was ever in."""
+    """A disk with two bases and the segments since the first, and all states of its store."""
 
     disk: FaultyDisk
     states: list[StoreState]
 
 
 def filled_disk(commits: int = 30, seed: int = 5) -> FilledDisk:
-    """Commit and compact on a disk without faults."""
+    """Return a disk after commits and compactions without faults."""
     disk = FaultyDisk(SeededRandom(seed))
     expected = ExpectedStates(SeededRandom(seed + 1))
     log = WriteAheadLog(disk)
@@ -172,4 +175,4 @@
         expected.commit(log)
         while log.compaction_due():
             log.compact(COMPACTION_STEP_BYTES)
-    return FilledDisk(disk, expected.all)
+    return FilledDisk(disk, expected.all_states)
--- a/tests/store/test_damage.py
+++ b/tests/store/test_damage.py
@@ -1,4 +1,4 @@
-"""Files that are cut, flipped or unreadable: what can be read is served, the rest is reported."""
+"""Truncated, corrupted and unreadable files: readable records are used and damage is reported."""
 
 import errno
 import unittest
@@ -15,41 +15,45 @@
 
 
 class DamagedFileTest(SmallLimitsCase):
-    """One file of a store is damaged after everything was synced."""
+    """Damage to one file of a store after everything was synced."""
 
     def setUp(self) -> None:
-        """Fill a disk."""
+        """Fill a disk with the default commits."""
         super().setUp()
         self.fill()
 
     def fill(self, commits: int = 30, seed: int = 5) -> None:
-        """Fill a disk, and note every value that a key ever had."""
+        """Fill a disk, and keep its files and every value that each key ever had."""
         disk, self.states = filled_disk(commits, seed)
         self.files = {name: disk.read(name) for name in disk.names()}
         self.history = {key: [state.get(key) for state in self.states] for key in KEYS}
 
     def undamaged_disk(self) -> FaultyDisk:
-        """Return a disk with the files as they were."""
+        """Return a new disk with the undamaged files."""
         disk = FaultyDisk(SeededRandom(3))
         for name, data in self.files.items():
             disk.put(name, data)
         return disk
 
     def open_with(self, name: str, data: bytes) -> WriteAheadLog:
-        """Open the store with other bytes in one file."""
+        """Open the store with the contents of one file replaced."""
         disk = self.undamaged_disk()
         disk.put(name, data)
         return WriteAheadLog(disk)
 
     def assert_undamaged(self) -> None:
-        """Check that the store opens with its last state, from several bases and segments."""
+        """Check that the store opens in its last state and has several bases and segments."""
         log = WriteAheadLog(self.undamaged_disk())
         self.assertEqual((log.read_all(), log.damage, log.data_lost), (self.states[-1], [], False))
         for file_type in (FileType.BASE, FileType.SEGMENT):
             self.assertGreater(len(segments.numbered_files(self.files, file_type)), 1, file_type)
 
     def assert_only_reported_loss(self, log: WriteAheadLog, name: str, case: object) -> None:
-        """Check that what differs from all states is reported, with the name of the file."""
+        """Check that no value is invented, and that lost data is reported with the file's name.
+
+        Every value must be one that its key had, and values that match no state of the store must
+        be reported as a loss.
+        """
         values = log.read_all()
         for key in KEYS:
             self.assertIn(values.get(key), [None, *self.history[key]], (name, case))
@@ -58,7 +62,7 @@
             self.assertIn(name, [damage.file_name for damage in log.damage], case)
 
     def test_each_file_cut_at_every_byte(self) -> None:
-        """A cut base costs nothing, a cut last segment only its end."""
+        """A truncated base loses nothing, and a truncated last segment only its newest records."""
         self.assert_undamaged()
         last_segment = max(name for name in self.files if name.endswith(FileType.SEGMENT))
         for name, data in self.files.items():
@@ -66,13 +70,13 @@
                 log = self.open_with(name, data[:size])
                 self.assert_only_reported_loss(log, name, size)
                 if name == last_segment:
-                    # All that a cut may cost is the end of the log: the newest records.
+                    # Truncation may lose only the end of the log: its newest records.
                     self.assertIn(log.read_all(), self.states, size)
                 elif name.endswith(FileType.BASE):
                     self.assertEqual(log.read_all(), self.states[-1], (name, size))
 
     def test_each_file_with_a_bit_flipped_anywhere(self) -> None:
-        """A flipped bit in a base costs nothing; elsewhere the damage is reported."""
+        """A flipped bit in a base loses nothing; elsewhere the loss is reported."""
         for name, data in self.files.items():
             for offset in range(len(data)):
                 flipped = bytearray(data)
@@ -82,8 +86,8 @@
                 if name.endswith(FileType.BASE):
                     self.assertEqual(log.read_all(), self.states[-1], (name, offset))
 
-    def test_an_unreadable_file_is_reported_and_the_rest_is_served(self) -> None:
-        """The store opens without the file, and can be written to."""
+    def test_an_unreadable_file_is_reported_and_other_files_are_still_used(self) -> None:
+        """The store opens without the file and accepts commits."""
         for name in self.files:
             disk = self.undamaged_disk()
             with unittest.mock.patch.object(disk, "read", read_all_but(disk, name)):
@@ -94,7 +98,7 @@
 
 
 def read_all_but(disk: FaultyDisk, unreadable: str) -> Callable[[str], bytes]:
-    """Return a function that reads a disk's files, but fails for one of them."""
+    """Return a replacement for `disk.read` that raises an error for one file."""
     real_read = disk.read
 
     def read(name: str) -> bytes:
@@ -106,10 +110,13 @@
 
 
 class DamagedRecordTest(SmallLimitsCase):
-    """One record is damaged."""
+    """Damage to one record."""
+
+    def test_damage_within_a_segment_is_distinguished_from_a_torn_end(self) -> None:
+        """A bad record is lost data if a later record says that it was synced.
 
-    def test_damage_within_a_segment_is_told_apart_from_a_torn_end(self) -> None:
-        """A bad record that a later one vouches for is lost; a bad last one is no loss."""
+        A bad last record was never acknowledged and is not lost data.
+        """
         disk = FaultyDisk(SeededRandom(4))
         log = WriteAheadLog(disk)
         for number in range(3):
@@ -129,8 +136,8 @@
             )
             self.assertEqual(recovered.get("b"), 2 if data_lost else 1)
 
-    def test_a_record_damaged_while_the_store_is_open_is_not_served(self) -> None:
-        """Each reading checks the record again."""
+    def test_a_record_damaged_while_the_store_is_open_is_not_returned(self) -> None:
+        """Each read verifies the record's checksum again."""
         disk = FaultyDisk(SeededRandom(4))
         log = WriteAheadLog(disk)
         log.commit([[("a", "x" * 50)], [("b", 2)]])
--- a/tests/store/test_power_cuts.py
+++ b/tests/store/test_power_cuts.py
@@ -1,4 +1,4 @@
-"""The power is cut at every operation of commits, compactions and recovery."""
+"""Power cuts at every disk operation of commits, compactions and recovery."""
 
 import errno
 import unittest
@@ -19,32 +19,32 @@
 
 
 class PowerCutTest(SmallLimitsCase):
-    """What was acknowledged outlasts every power cut, and nothing else is held."""
+    """Acknowledged commits survive every power cut, and no other values appear."""
 
-    def test_a_cut_at_every_operation_leaves_what_was_acknowledged(self) -> None:
-        """Cut once in each operation of a run, by four seeds."""
+    def test_acknowledged_commits_survive_a_power_cut_at_every_operation(self) -> None:
+        """Cut the power at each operation of a run, with four seeds."""
         operation_count = CrashScenario(seed=1).run().operation_count
         self.assertGreater(operation_count, 100)
         for cut_at in range(operation_count):
             for seed in range(1, 5):
                 self.assertIsNone(CrashScenario(seed, cut_at).run().problem)
 
-    def test_a_cut_during_the_recovery_from_a_cut(self) -> None:
-        """Cut, and cut again in each of the first operations of the restart."""
+    def test_a_power_cut_during_recovery_loses_nothing(self) -> None:
+        """Cut the power, and cut it again at each of the first operations of the restart."""
         for cut_at in range(0, 120, 3):
             for restart_cut_at in range(6):
                 self.assertIsNone(CrashScenario(cut_at, cut_at, restart_cut_at).run().problem)
 
-    def test_a_process_that_ends_before_the_power_is_cut(self) -> None:
-        """End the process, then cut the power with bytes read that were not synced."""
+    def test_a_process_crash_before_a_power_cut_loses_nothing(self) -> None:
+        """End the process, then cut the power after a restart has read unsynced bytes."""
         for cut_at in range(0, 120, 2):
-            scenario = CrashScenario(cut_at, cut_at, process_only=True)
+            scenario = CrashScenario(cut_at, cut_at, process_crash_only=True)
             self.assertIsNone(scenario.run().problem)
-            scenario = CrashScenario(cut_at, cut_at, restart_cut_at=2, process_only=True)
+            scenario = CrashScenario(cut_at, cut_at, restart_cut_at=2, process_crash_only=True)
             self.assertIsNone(scenario.run().problem)
 
-    def test_disk_errors_stop_a_commit_and_lose_nothing_that_was_acknowledged(self) -> None:
-        """Fail operations with ENOSPC and EIO, without and with a power cut."""
+    def test_disk_errors_fail_commits_but_lose_no_acknowledged_ones(self) -> None:
+        """Fail operations with ENOSPC and EIO, with and without a power cut."""
         for seed in range(60):
             random = SeededRandom(seed)
             errors = {
@@ -55,35 +55,35 @@
 
 
 class MutantTest(SmallLimitsCase):
-    """Each mutant leaves out one thing that the store must do; the power cuts must show it."""
+    """Mutation tests: each mutant breaks one safety measure, and power cuts must reveal it."""
 
-    def is_caught(self) -> bool:
-        """Whether any of some scenarios finds something wrong."""
+    def is_detected(self) -> bool:
+        """Return whether any scenario finds a problem."""
         return any(
             CrashScenario(seed, cut_at).run().problem
             for seed in range(40)
             for cut_at in range(3 + seed % 3, 130, 7)
         )
 
-    def assert_caught(self, owner: Any, name: str, mutant: Callable) -> None:
-        """Check that the scenarios notice when `mutant` takes the place of a function."""
+    def assert_detected(self, owner: Any, name: str, mutant: Callable) -> None:
+        """Check that the scenarios find a problem when `mutant` replaces a function."""
         with unittest.mock.patch.object(owner, name, mutant):
-            self.assertTrue(self.is_caught(), name)
-
-    def test_every_mutant_is_caught(self) -> None:
-        """Without a mutant nothing is found wrong; with each one something is."""
-        self.assertFalse(self.is_caught())
-        self.assert_caught(FaultyDisk, "sync", sync_bases_only)
-        self.assert_caught(FaultyDisk, "sync", sync_segments_only)
-        self.assert_caught(FaultyDisk, "sync_folder", lambda disk: None)
-        self.assert_caught(WriteAheadLog, "_begin_segment", append_to_the_last_segment)
-        self.assert_caught(WriteAheadLog, "_install_base", remove_segments_before_the_rename)
-        self.assert_caught(
+            self.assertTrue(self.is_detected(), name)
+
+    def test_every_mutant_is_detected(self) -> None:
+        """The scenarios find no problem without a mutant, and a problem with each mutant."""
+        self.assertFalse(self.is_detected())
+        self.assert_detected(FaultyDisk, "sync", sync_bases_only)
+        self.assert_detected(FaultyDisk, "sync", sync_segments_only)
+        self.assert_detected(FaultyDisk, "sync_folder", lambda disk: None)
+        self.assert_detected(WriteAheadLog, "_begin_segment", append_to_last_segment)
+        self.assert_detected(WriteAheadLog, "_install_base", remove_segments_before_rename)
+        self.assert_detected(
             _Recovery,
             "_report_gap",
             lambda recovery, segment, last_missing, acknowledged_sequence: True,
         )
-        self.assert_caught(framing, "decode_frame", decode_frame_without_checksum)
+        self.assert_detected(framing, "decode_frame", decode_frame_without_checksum)
 
 
 real_sync = FaultyDisk.sync
@@ -92,22 +92,22 @@
 
 
 def sync_bases_only(disk: FaultyDisk, name: str) -> None:
-    """Mutant of `FaultyDisk.sync`."""
+    """Mutant of `FaultyDisk.sync` that does not sync segments."""
     if name.endswith(FileType.UNFINISHED_BASE):
         real_sync(disk, name)
 
 
 def sync_segments_only(disk: FaultyDisk, name: str) -> None:
-    """Mutant of `FaultyDisk.sync`."""
+    """Mutant of `FaultyDisk.sync` that does not sync bases."""
     if not name.endswith(FileType.UNFINISHED_BASE):
         real_sync(disk, name)
 
 
-def append_to_the_last_segment(log: WriteAheadLog) -> None:
-    """Mutant of `WriteAheadLog._begin_segment`: a start goes on behind whatever was torn there."""
+def append_to_last_segment(log: WriteAheadLog) -> None:
+    """Mutant of `WriteAheadLog._begin_segment` that appends to a segment with a torn end."""
     found = segments.numbered_files(log.files.names(), FileType.SEGMENT)
-    begun = log._segment_name != ""
-    if not found or begun or log._stop_reason is not None or log._compaction is not None:
+    started = log._segment_name != ""
+    if not found or started or log._stop_reason is not None or log._compaction is not None:
         real_begin_segment(log)
         return
     log._last_file_number = max(found)
@@ -117,15 +117,15 @@
     log._sequence = log._synced_sequence
 
 
-def remove_segments_before_the_rename(log: WriteAheadLog, compaction: Compaction) -> None:
-    """Mutant of `WriteAheadLog._install_base`."""
+def remove_segments_before_rename(log: WriteAheadLog, compaction: Compaction) -> None:
+    """Mutant of `WriteAheadLog._install_base` that removes segments too early."""
     for number in [number for number in log._segments if number <= compaction.base_number]:
         log.files.remove(log._segments.pop(number))
     real_install_base(log, compaction)
 
 
 def decode_frame_without_checksum(salt: bytes, data: bytes, offset: int = 0) -> Frame | None:
-    """Mutant of `framing.decode_frame`: believes any frame whose length fits."""
+    """Mutant of `framing.decode_frame` that accepts any frame of a valid length."""
     if len(data) - offset < framing.FRAME_HEADER.size:
         return None
     magic, length, _, sequence, synced = framing.FRAME_HEADER.unpack_from(data, offset)
--- a/tests/store/test_store_folder.py
+++ b/tests/store/test_store_folder.py
@@ -1,4 +1,4 @@
-"""A store in a folder on a real disk."""
+"""A store in a folder on a real file system."""
 
 import errno
 import pathlib
@@ -25,22 +25,22 @@
 
 
 class StoreFolderTest(unittest.TestCase):
-    """Kills, locks and errors of a real file system."""
+    """Killed processes, file locks and errors of a real file system."""
 
     def setUp(self) -> None:
-        """Make a temporary folder."""
+        """Create a temporary folder."""
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
         self.path = pathlib.Path(temporary.name) / "store"
 
     def open_folder(self) -> StoreFolder:
-        """Open the folder until the end of the test."""
+        """Open the folder, and close it at the end of the test."""
         folder = StoreFolder(self.path)
         self.addCleanup(folder.close)
         return folder
 
-    def test_commits_outlast_a_process_that_is_killed_during_them(self) -> None:
-        """Kill a process while it commits, and read what it printed as committed."""
+    def test_commits_survive_a_kill_of_the_committing_process(self) -> None:
+        """Kill a process while it commits, and find the commits that it had acknowledged."""
         with subprocess.Popen(
             [sys.executable, "-c", COMMITTING_PROGRAM, str(self.path)],
             stdout=subprocess.PIPE,
@@ -49,8 +49,8 @@
             output = process.stdout
             assert output is not None
             committed = [int(output.readline()) for _ in range(40)]
-            # One process at a time: a second one is rejected while the first holds the lock.
-            with self.assertRaisesRegex(OSError, "another process holds it"):
+            # A second process can't open the folder while the first holds the lock.
+            with self.assertRaisesRegex(OSError, "another process has locked the store folder"):
                 StoreFolder(self.path)
             process.kill()
             committed += [int(line) for line in output.read().split()]
@@ -58,8 +58,8 @@
         self.assertIn(log.get("number"), (committed[-1], committed[-1] + 1))
         self.assertEqual(log.get("twice"), 2 * log.get("number"))
 
-    def test_a_full_disk_is_reported_while_the_store_can_be_read(self) -> None:
-        """Writing stops with the disk's reason and goes on once there is space."""
+    def test_a_full_disk_stops_writing_but_not_reading(self) -> None:
+        """Commits fail with the disk's error and succeed again once there is space."""
         folder = StoreFolder(self.path)
         log = WriteAheadLog(folder)
         log.commit([[("a", 1)]])
--- a/tests/store/test_stored_segments.py
+++ b/tests/store/test_stored_segments.py
@@ -1,4 +1,4 @@
-"""Tests that segments and bases written by commit bb80827 stay readable."""
+"""Segments and bases that commit bb80827 wrote stay readable (tests/data/README.md)."""
 
 import unittest
 
@@ -6,10 +6,10 @@
 
 
 class StoredSegmentsTest(StoredFolderCase):
-    """The files of the store: bases, segments and records."""
+    """The bases, segments and records of the stored folder."""
 
-    def test_the_folder_is_compacted_with_segments_after_its_base(self):
-        """The names of the files, one by one."""
+    def test_the_stored_folder_has_two_bases_and_the_segments_since_the_first(self):
+        """The folder has exactly these files."""
         self.assertEqual(
             sorted(entry.name for entry in self.folder.iterdir()),
             [
@@ -22,8 +22,8 @@
             ],
         )
 
-    def test_every_record_is_read_back_and_no_damage_is_found(self):
-        """All keys and values are as they were put."""
+    def test_all_records_are_read_and_no_damage_is_found(self):
+        """All keys and values are as they were written."""
         store = self.open_store()
         self.assertEqual(
             (store.events, store.store.log.damage, store.store.log.data_lost), ([], [], False)
@@ -43,7 +43,7 @@
             store.held["relays"], {"relay-0": [33, 2], "relay-1": [33, 2], "relay-2": [33, 2]}
         )
 
-    def test_a_damaged_base_is_replaced_by_the_base_and_the_segments_before(self):
+    def test_a_damaged_base_is_recovered_from_the_previous_base_and_segments(self):
         """A flipped bit in the newest base loses nothing."""
         base = self.folder / "00000003.base"
         data = bytearray(base.read_bytes())
@@ -53,8 +53,8 @@
         self.assertEqual([event for event, _ in store.events], ["store_tail_truncated"])
         self.assertEqual(store.held, STORE_CONTENT["records"])
 
-    def test_the_last_segment_holds_what_came_after_the_base(self):
-        """Without it the values are those of the compaction."""
+    def test_without_its_last_segment_the_store_holds_the_values_at_compaction(self):
+        """Removing the last segment loses only the changes after the last compaction."""
         (self.folder / "00000005.log").unlink()
         held = self.open_store().held
         self.assertEqual(held["starts"], 3)
@@ -66,15 +66,15 @@
         )
         self.assertNotIn("key to drop", held)
 
-    def test_the_store_is_written_to_and_compacted_again(self):
-        """A change, a compaction and a restart lose nothing else."""
+    def test_the_stored_folder_can_be_written_to_and_compacted(self):
+        """Nothing else is lost by a change, a compaction and a restart."""
         store = self.open_store()
         store.save([("starts", 5), ("relays", None)])
         self.assertTrue(store.store.query(lambda log: log.compact(1 << 20)).result())
         store.reopen()
-        want = {**STORE_CONTENT["records"], "starts": 5}
-        del want["relays"]
-        self.assertEqual((store.events, store.held), ([], want))
+        expected = {**STORE_CONTENT["records"], "starts": 5}
+        del expected["relays"]
+        self.assertEqual((store.events, store.held), ([], expected))
 
 
 if __name__ == "__main__":
--- a/tests/store/test_write_ahead_log.py
+++ b/tests/store/test_write_ahead_log.py
@@ -1,4 +1,4 @@
-"""The bounds of the log: what it rejects, and how much it keeps."""
+"""The limits of the log: what it rejects, and how much disk space it uses."""
 
 import os
 import unittest
@@ -12,11 +12,11 @@
 from .crash_scenarios import ExpectedStates, SmallLimitsCase
 
 
-class BoundsTest(SmallLimitsCase):
-    """Records of newer programs, records that are too long, and a long history."""
+class LimitsTest(SmallLimitsCase):
+    """Records of newer programs, invalid keys and records, and a long history."""
 
-    def test_a_store_of_a_newer_program_is_read_and_never_written_to(self) -> None:
-        """An unknown body form forbids writing, and not reading."""
+    def test_a_store_written_by_a_newer_program_is_read_only(self) -> None:
+        """A record with an unknown body encoding prevents writing but not reading."""
         disk = FaultyDisk(SeededRandom(4))
         log = WriteAheadLog(disk)
         log.commit([[("a", 1)]])
@@ -31,8 +31,8 @@
         with self.assertRaisesRegex(StoreStoppedError, "newer program"):
             reopened.commit([[("a", 2)]])
 
-    def test_what_is_too_long_is_rejected_and_nothing_is_written(self) -> None:
-        """A key or record that is not allowed rejects the whole commit."""
+    def test_a_commit_with_an_invalid_key_or_record_writes_nothing(self) -> None:
+        """One invalid key or oversized record causes the whole commit to be rejected."""
         disk = FaultyDisk(SeededRandom(4))
         log = WriteAheadLog(disk)
         operation_count = disk.operation_count
@@ -46,8 +46,8 @@
                 log.commit([[("a", 1)], changes])
         self.assertEqual((disk.operation_count, log.keys()), (operation_count, []))
 
-    def test_what_a_start_reads_is_bounded_however_long_the_history(self) -> None:
-        """Ten times the commits leave less than twice the bytes."""
+    def test_size_on_disk_is_bounded_however_many_commits_were_made(self) -> None:
+        """Ten times as many commits use less than twice the space."""
         sizes = []
         for commits in (300, 3000):
             disk = FaultyDisk(SeededRandom(6))
@@ -57,7 +57,7 @@
                 expected.commit(log)
                 if log.compaction_due():
                     log.compact(500)
-            self.assertEqual(WriteAheadLog(disk).read_all(), expected.possible[0])
+            self.assertEqual(WriteAheadLog(disk).read_all(), expected.possible_states[0])
             sizes.append(sum(len(disk.read(name)) for name in disk.names()))
         self.assertLess(sizes[1], 2 * sizes[0])
 
--- a/tests/store/test_writer.py
+++ b/tests/store/test_writer.py
@@ -1,4 +1,4 @@
-"""The thread that writes the store: group commit, rejections, and errors of the disk."""
+"""The thread that writes the store: group commit, rejected changes and disk errors."""
 
 import errno
 import threading
@@ -12,7 +12,7 @@
 
 
 class SlowDisk(FaultyDisk):
-    """A disk whose syncs wait while the `syncs_allowed` event is not set."""
+    """A disk whose syncs block until the `syncs_allowed` event is set."""
 
     def __init__(self) -> None:
         super().__init__(SeededRandom(1))
@@ -21,27 +21,27 @@
         self.sync_count = 0
 
     def sync(self, name: str) -> None:
-        """Make the bytes of a file outlast a power cut, when that is allowed."""
+        """Wait until syncs are allowed, then sync the file."""
         self.sync_count += 1
         self.syncs_allowed.wait()
         super().sync(name)
 
 
 class StoreWriterTest(unittest.TestCase):
-    """The writer on a disk in memory that a test may delay."""
+    """A writer on an in-memory disk whose syncs a test can block."""
 
     def setUp(self) -> None:
-        """Open a writer."""
+        """Open a writer on a new disk."""
         self.disk = SlowDisk()
         self.events: list[str] = []
         self.writer = StoreWriter(self.disk, lambda event, **facts: self.events.append(event))
 
     def durable_values(self) -> dict:
-        """Return what a start after a power cut would find."""
+        """Return the values that a start after a power cut finds."""
         return WriteAheadLog(self.disk.after_power_cut()).read_all()
 
-    def test_all_changes_that_wait_for_one_sync_share_the_next(self) -> None:
-        """200 changes take three syncs at most, and a closed writer rejects more."""
+    def test_changes_that_wait_during_a_sync_share_the_next_sync(self) -> None:
+        """200 changes need at most three syncs, and a closed writer rejects further changes."""
         self.disk.syncs_allowed.clear()
         futures = [self.writer.put([(f"k{number}", number)]) for number in range(200)]
         sync_count = self.disk.sync_count
@@ -54,8 +54,8 @@
         with self.assertRaisesRegex(StoreStoppedError, "closed"):
             self.writer.put([("a", 1)]).result(1)
 
-    def test_a_change_that_can_not_be_written_does_not_affect_the_others(self) -> None:
-        """A key that is too long fails its own future alone."""
+    def test_an_invalid_change_does_not_affect_others_in_its_group(self) -> None:
+        """A key that is too long fails only its own future."""
         self.disk.syncs_allowed.clear()
         futures = [self.writer.put([("a" * length, 1)]) for length in (3, 4, 600, 5)]
         self.disk.syncs_allowed.set()
@@ -65,8 +65,8 @@
         )
         self.writer.close()
 
-    def test_a_full_disk_rejects_changes_and_writing_resumes_with_nothing_half_done(self) -> None:
-        """Both events are logged, and the failed change is not there."""
+    def test_a_full_disk_rejects_changes_until_writing_resumes(self) -> None:
+        """The stop and the resumption are logged, and no part of the failed change is stored."""
         next_operation = self.disk.operation_count
         self.disk.errors = {
             number: errno.ENOSPC for number in range(next_operation, next_operation + 6)
@@ -79,8 +79,8 @@
         self.writer.close()
         self.assertEqual(self.durable_values(), {"a": 2})
 
-    def test_a_failed_compaction_is_given_up_and_writing_goes_on(self) -> None:
-        """It is logged once, and the values are there after a power cut."""
+    def test_writing_continues_after_a_failed_compaction(self) -> None:
+        """The failure is logged once, and all values survive a power cut."""
         with (
             unittest.mock.patch.object(WriteAheadLog, "compact", side_effect=IndexError),
             unittest.mock.patch.object(
@@ -93,12 +93,14 @@
         self.assertEqual(self.events, ["store_compaction_failed"])
         self.assertEqual(self.durable_values(), {"a": 2})
 
-    def test_the_number_of_waiting_changes_is_bounded(self) -> None:
-        """Further changes are rejected at once."""
+    def test_the_number_of_queued_changes_is_limited(self) -> None:
+        """Changes beyond the limit are rejected immediately."""
         self.disk.syncs_allowed.clear()
         futures = [self.writer.put([("a", number)]) for number in range(5000)]
         rejected = [future for future in futures if future.done()]
-        self.assertTrue(any("wait already" in str(future.exception()) for future in rejected))
+        self.assertTrue(
+            any("the write queue is full" in str(future.exception()) for future in rejected)
+        )
         self.disk.syncs_allowed.set()
         self.writer.close()
 
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -1,4 +1,4 @@
-"""What commit bb80827 stored (tests/data/README.md), for the tests that read it."""
+"""Data stored by commit bb80827 (tests/data/README.md), for tests that it stays readable."""
 
 import json
 import pathlib
@@ -15,8 +15,8 @@
 DATA_FOLDER = pathlib.Path(__file__).parent / "data"
 STORE_CONTENT = json.loads((DATA_FOLDER / "store.json").read_text(encoding="utf-8"))
 STORED_MESSAGES = json.loads((DATA_FOLDER / "messages.json").read_text(encoding="utf-8"))
-FIRST_PUBLISHED_AT = 1_750_000_000_000_000  # wall clock of the first version, in microseconds
-DAY_US = 86_400_000_000  # microseconds
+FIRST_PUBLISHED_AT = 1_750_000_000_000_000  # of the first version, in microseconds since 1970
+DAY_US = 86_400_000_000
 
 VERSION_NUMBERS = [
     *((3, serial) for serial in range(1, 37)),
@@ -30,12 +30,12 @@
 
 
 def json_round_trip(value):
-    """Return a value as it comes back from JSON: lists in place of tuples."""
+    """Return a value as encoded to JSON and decoded again, with lists in place of tuples."""
     return json.loads(json.dumps(value))
 
 
 class FolderBackedStore(StubStore):
-    """A stub of a planner's store over a real one, opened as a controller opens it."""
+    """A `StubStore` on top of a real store, which is opened as a controller opens it."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -44,14 +44,14 @@
         self.open()
 
     def open(self):
-        """Open the store and read all that it holds."""
+        """Open the store and read all its values."""
         self.store = StoreWriter(StoreFolder(self.folder), self._record_event)
         self.held = self.store.query(WriteAheadLog.read_all).result()
 
     def save(self, changes):
-        """Write changes; raises AssertionError if the store cannot be written."""
+        """Write changes. Raises AssertionError if the write fails."""
         if not self.store.put_and_wait(changes):
-            raise AssertionError("the store can't be written")
+            raise AssertionError("could not write to the store")
 
     def reopen(self):
         """Close the store and open it again."""
@@ -63,17 +63,17 @@
 
 
 class StoredFolderCase(unittest.TestCase):
-    """A test with a copy of the store's folder that it may change."""
+    """Test case with its own copy of the stored folder, which it may change."""
 
     def setUp(self):
-        """Copy the folder."""
+        """Copy the stored folder."""
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
         self.folder = pathlib.Path(temporary.name) / "store"
         shutil.copytree(DATA_FOLDER / "store", self.folder)
 
     def open_store(self):
-        """Return the store, open until the test ends."""
+        """Open the store, and close it at the end of the test."""
         store = FolderBackedStore(self.folder)
         self.addCleanup(lambda: store.store.close())
         return store
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,4 +1,4 @@
-"""What KNOWN-RED.txt does to a run: a listed test runs, may fail, and must not pass."""
+"""The effect of KNOWN-RED.txt on a test run: a listed test runs, may fail, and must not pass."""
 
 import io
 import unittest
@@ -8,22 +8,22 @@
 
 
 class Sample(unittest.TestCase):
-    """Run by the tests below alone: no method here is named as a test."""
+    """Sample tests that only the tests below run: the test loader does not match their names."""
 
     def fails(self) -> None:
-        """Fail."""
-        self.fail("as meant")
+        """Fail an assertion."""
+        self.fail("intended failure")
 
     def errs(self) -> None:
-        """Raise an error that is no failure."""
-        raise OSError("as meant")
+        """Raise an exception other than an assertion failure."""
+        raise OSError("intended error")
 
     def passes(self) -> None:
         """Do nothing."""
 
 
 class KnownFailuresResultTest(unittest.TestCase):
-    """The result of a run of one sample, listed or not."""
+    """The result of running one sample test that is or is not listed."""
 
     def run_sample(self, name: str, *, listed: bool) -> unittest.TestResult:
         """Run one method of `Sample`."""
@@ -34,7 +34,7 @@
             return runner.run(unittest.TestSuite([sample]))
 
     def test_a_listed_test_that_fails_or_errs_lets_the_run_pass(self) -> None:
-        """A failure or an error of a listed test is expected, and counted."""
+        """A failure or error of a listed test counts as an expected failure."""
         for name in ("fails", "errs"):
             result = self.run_sample(name, listed=True)
             self.assertEqual(
@@ -43,11 +43,11 @@
             )
 
     def test_a_listed_test_that_passes_fails_the_run(self) -> None:
-        """A list that names a mended test is out of date."""
+        """A fixed test must be removed from the list."""
         self.assertFalse(self.run_sample("passes", listed=True).wasSuccessful())
 
     def test_a_test_that_is_not_listed_counts_as_usual(self) -> None:
-        """The list changes nothing for the other tests."""
+        """The list does not affect other tests."""
         self.assertTrue(self.run_sample("passes", listed=False).wasSuccessful())
         for name in ("fails", "errs"):
             self.assertFalse(self.run_sample(name, listed=False).wasSuccessful())
