--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -1,4 +1,4 @@
-"""What commit bb80827 stored (tests/data/README.md), for the tests that read it."""
+"""Data stored by commit bb80827 (tests/data/README.md), for tests that it stays readable."""
 
 import json
 import pathlib
@@ -12,61 +12,68 @@
 from indigodeck.store.write_ahead_log import WriteAheadLog
 from indigodeck.store.writer import StoreWriter
 
-DATA = pathlib.Path(__file__).parent / "data"
-STORED = json.loads((DATA / "store.json").read_text(encoding="utf-8"))
-MESSAGES = json.loads((DATA / "messages.json").read_text(encoding="utf-8"))
-STARTED_AT = 1_750_000_000_000_000  # wall clock of the first version, in microseconds
-DAY = 86_400_000_000  # microseconds
-
-NUMBERS = [*((3, serial) for serial in range(1, 37)), (17, 1), (17, 2), (33, 1), (33, 2), (33, 3)]
-OTHER_KEYS = ["charge", "refused", "relays", "roster", "starts", "wishes"]
-
-
-def plain(value):
-    """Return a value as it comes back from JSON: lists in place of tuples."""
+DATA_FOLDER = pathlib.Path(__file__).parent / "data"
+STORE_CONTENT = json.loads((DATA_FOLDER / "store.json").read_text(encoding="utf-8"))
+STORED_MESSAGES = json.loads((DATA_FOLDER / "messages.json").read_text(encoding="utf-8"))
+FIRST_PUBLISHED_AT = 1_750_000_000_000_000  # of the first version, in microseconds since 1970
+DAY_US = 86_400_000_000
+
+VERSION_NUMBERS = [
+    *((3, serial) for serial in range(1, 37)),
+    (17, 1),
+    (17, 2),
+    (33, 1),
+    (33, 2),
+    (33, 3),
+]
+NON_VERSION_KEYS = ["charge", "refused", "relays", "roster", "starts", "wishes"]
+
+
+def json_round_trip(value):
+    """Return a value as encoded to JSON and decoded again, with lists in place of tuples."""
     return json.loads(json.dumps(value))
 
 
-class FolderStore(StubStore):
-    """A stub of a planner's store over a real one, opened as a controller opens it."""
+class FolderBackedStore(StubStore):
+    """A `StubStore` on top of a real store, which is opened as a controller opens it."""
 
     def __init__(self, folder):
         self.folder = folder
-        self.clock = STARTED_AT + DAY
-        self.notes = []
+        self.clock = FIRST_PUBLISHED_AT + DAY_US
+        self.events = []
         self.open()
 
     def open(self):
-        """Open the store and read all that it holds."""
-        self.store = StoreWriter(StoreFolder(self.folder), self._note)
+        """Open the store and read all its values."""
+        self.store = StoreWriter(StoreFolder(self.folder), self._record_event)
         self.held = self.store.query(WriteAheadLog.read_all).result()
 
     def save(self, changes):
-        """Write changes; raises AssertionError if the store cannot be written."""
+        """Write changes. Raises AssertionError if the write fails."""
         if not self.store.put_and_wait(changes):
-            raise AssertionError("the store can't be written")
+            raise AssertionError("could not write to the store")
 
     def reopen(self):
         """Close the store and open it again."""
         self.store.close()
         self.open()
 
-    def _note(self, event, **facts):
-        self.notes.append((event, facts))
+    def _record_event(self, event, **facts):
+        self.events.append((event, facts))
 
 
-class StoredFolder(unittest.TestCase):
-    """A test with a copy of the store's folder that it may change."""
+class StoredFolderCase(unittest.TestCase):
+    """Test case with its own copy of the stored folder, which it may change."""
 
     def setUp(self):
-        """Copy the folder."""
+        """Copy the stored folder."""
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
         self.folder = pathlib.Path(temporary.name) / "store"
-        shutil.copytree(DATA / "store", self.folder)
+        shutil.copytree(DATA_FOLDER / "store", self.folder)
 
-    def opened(self):
-        """Return the store, open until the test ends."""
-        store = FolderStore(self.folder)
+    def open_store(self):
+        """Open the store, and close it at the end of the test."""
+        store = FolderBackedStore(self.folder)
         self.addCleanup(lambda: store.store.close())
         return store
