--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -26,12 +26,12 @@
     faults: list[dict[str, Any]] = []
     at = FIRST_FAULT_S
     while at < seconds - QUIET_END_S:
-        if random.below(100) < HANDOVER_PERCENT:
+        if random.randbelow(100) < HANDOVER_PERCENT:
             faults.append({"at": at, "kind": "handover"})
         else:
-            pause_s = (100 + random.below(5900)) / 1000
+            pause_s = (100 + random.randbelow(5900)) / 1000
             faults.append({"at": at, "kind": "stall", "seconds": pause_s})
-        at += (2000 + random.below(5000)) / 1000
+        at += (2000 + random.randbelow(5000)) / 1000
     return faults
 
 
--- a/indigodeck/assignment/demand.py
+++ b/indigodeck/assignment/demand.py
@@ -82,7 +82,7 @@
         """Enter a proxy; the demand of one that was known before is kept."""
         demand = self[number].demand if number in self else {}
         # The same group at every planner; not by remainder, for numbers may go with zones.
-        group = SeededRandom(number).below(group_count)
+        group = SeededRandom(number).randbelow(group_count)
         self[number] = Proxy(Locality(zone, group), stated_rate, demand)
 
     def leave(self, number: int, now: int) -> None:
--- a/indigodeck/assignment/endpoints.py
+++ b/indigodeck/assignment/endpoints.py
@@ -25,7 +25,7 @@
 
     def update(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
         """Take in an update; one that is not of changes alone removes who is not in it."""
-        if kind != UpdateKind.CHANGES:
+        if kind != UpdateKind.INCREMENTAL:
             listed = {server.index for server in servers}
             for index in sorted(self.state.servers.keys() - listed):
                 self._remove(index)
@@ -98,7 +98,7 @@
         """Ask again, later after each failure."""
         self.active = False
         self.pause = min(self.pause * 2, LONGEST_PAUSE)
-        self.host.start_timer(self.pause // 2 + self.random.below(self.pause), self.retry_timer)
+        self.host.start_timer(self.pause // 2 + self.random.randbelow(self.pause), self.retry_timer)
 
     def on_timer(self, now: int, token: int) -> None:
         """Ask again if it is time to."""
--- a/indigodeck/assignment/interface.py
+++ b/indigodeck/assignment/interface.py
@@ -22,8 +22,8 @@
 class UpdateKind(StrEnum):
     """How an endpoint update relates to what was known before."""
 
-    WHOLE = "whole"  # all servers there are
-    CHANGES = "changes"  # only those that changed
+    FULL = "whole"  # all servers there are
+    INCREMENTAL = "changes"  # only those that changed
     CACHED = "cached"  # all that were known before this planner started
 
 
@@ -32,10 +32,10 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"  # the server refused it, for it is at its limit
-    SILENT = "silent"  # no answer in time
+    OVERLOADED = "full"  # the server refused it, for it is at its limit
+    TIMED_OUT = "silent"  # no answer in time
     UNREACHABLE = "unreachable"
-    BROKEN = "broken"  # the connection ended before the answer
+    CONNECTION_LOST = "broken"  # the connection ended before the answer
 
 
 class RetryPolicy(IntEnum):
@@ -122,7 +122,7 @@
     ) -> None:
         """Set how much of these classes is admitted, and when proxies may retry."""
 
-    def request_ack(self, number: int, everyone: bool) -> None:
+    def request_ack(self, number: int, all_proxies: bool) -> None:
         """Ask each proxy that this call's orders reach, or everyone, to answer with `on_ack`."""
 
     def check_health(self, server: int) -> None:
@@ -131,7 +131,7 @@
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
         """Send a datagram to another planner, or to all."""
 
-    def watch_endpoints(self, on: bool) -> None:
+    def watch_endpoints(self, enabled: bool) -> None:
         """Subscribe to changes of the endpoint list, where it must be asked for, or stop that."""
 
     def fetch_endpoints(self) -> None:
--- a/indigodeck/assignment/key_ranges.py
+++ b/indigodeck/assignment/key_ranges.py
@@ -58,7 +58,7 @@
     def _move(self, table: int, servers: set[int], in_order: list[Server], now: int) -> None:
         ids = [server.stable_id for server in in_order]
         random = SeededRandom(seed_from(str(table), ids))
-        drawn = in_order[random.below(len(in_order))].index
+        drawn = in_order[random.randbelow(len(in_order))].index
         self.servers_of[table] = {drawn}
         if not self.state.settings.exclusive_ownership:
             for server in sorted(servers):
--- a/indigodeck/assignment/outlier_detection.py
+++ b/indigodeck/assignment/outlier_detection.py
@@ -116,7 +116,7 @@
         health.health_check_pending = False
         pause = SUSPECT_CHECK_EVERY if health.suspect else RETRY_HEALTH_CHECK_AFTER
         health.next_check_at = self.state.host.now() + pause
-        if health.suspect and outcome not in (HealthCheckOutcome.OK, HealthCheckOutcome.FULL):
+        if health.suspect and outcome not in (HealthCheckOutcome.OK, HealthCheckOutcome.OVERLOADED):
             self.state.servers.pop(server, None)
             return True
         if health.ejected_classes and outcome == HealthCheckOutcome.OK:
--- a/indigodeck/assignment/seeded_random.py
+++ b/indigodeck/assignment/seeded_random.py
@@ -15,7 +15,7 @@
     def __init__(self, seed: int) -> None:
         self.state = seed & MASK
 
-    def below(self, bound: int) -> int:
+    def randbelow(self, bound: int) -> int:
         """Return a number from 0 to `bound` - 1."""
         self.state = (self.state * LCG_MULTIPLIER + LCG_INCREMENT) & MASK
         return (self.state >> 32) * bound >> 32
--- a/indigodeck/assignment/shard_draws.py
+++ b/indigodeck/assignment/shard_draws.py
@@ -79,7 +79,7 @@
             draw = random or SeededRandom(
                 seed_from(table.name, [server.stable_id for server in left])
             )
-            candidates = [left[draw.below(len(left))] for _ in range(CANDIDATES)]
+            candidates = [left[draw.randbelow(len(left))] for _ in range(CANDIDATES)]
             server = min(
                 candidates,
                 key=lambda server: (loads[server.index] / server.weight, server.stable_id),
--- a/indigodeck/client/reconnecting.py
+++ b/indigodeck/client/reconnecting.py
@@ -140,9 +140,9 @@
         doublings, index = divmod(self.failures, max(1, address_count))
         self.failures += 1
         if index < address_count - 1:
-            return self.random.below(self.first_delay // 4)
+            return self.random.randbelow(self.first_delay // 4)
         bound = min(self.max_delay, self.first_delay << min(doublings, MAX_DOUBLINGS))
-        return bound // 4 + self.random.below(bound - bound // 4)
+        return bound // 4 + self.random.randbelow(bound - bound // 4)
 
     def reset(self) -> None:
         """Start over: a connection gave tables."""
--- a/indigodeck/client/sasp.py
+++ b/indigodeck/client/sasp.py
@@ -215,7 +215,7 @@
         """Poll at the planner's interval, also where it pushes: the answers show that it lives."""
         try:
             while True:
-                jitter = 0.9 + self.random.below(200) / 1000
+                jitter = 0.9 + self.random.randbelow(200) / 1000
                 await sleep(session.poll_interval * jitter)
                 if not session.unanswered:
                     await stream.write(session.poll())
--- a/indigodeck/edge/assigner_host.py
+++ b/indigodeck/edge/assigner_host.py
@@ -128,7 +128,7 @@
         if cached:
             kind = UpdateKind.CACHED
         else:
-            kind = UpdateKind.WHOLE if found.complete else UpdateKind.CHANGES
+            kind = UpdateKind.FULL if found.complete else UpdateKind.INCREMENTAL
         self._dispatch(self.assigner.on_endpoint_update, kind, servers)
 
     def on_proxy_joined(self, joined: ProxyJoined) -> None:
@@ -231,13 +231,13 @@
         order_table = None if table < 0 else table
         self._orders.append(SetAdmission(order_table, self._names_of(classes), level, retry_policy))
 
-    def request_ack(self, number: int, everyone: bool) -> None:
+    def request_ack(self, number: int, all_proxies: bool) -> None:
         """Ask each proxy that the orders of this call reach, or everyone, for an answer."""
         self.ack_requested_at.pop(number, None)
         self.ack_requested_at[number] = self._environment.now()
         if len(self.ack_requested_at) > MAX_ACK_REQUESTS:
             del self.ack_requested_at[next(iter(self.ack_requested_at))]
-        self._orders.append(RequestAck(number, everyone))
+        self._orders.append(RequestAck(number, all_proxies))
 
     def check_health(self, server: int) -> None:
         """Send the server a request, and report its end to the assigner."""
@@ -249,7 +249,7 @@
         """Send a datagram to another planner, or to all."""
         self._environment.send_to_peer(peer, data)
 
-    def watch_endpoints(self, on: bool) -> None:
+    def watch_endpoints(self, enabled: bool) -> None:
         """Do nothing: the endpoint list is watched all the time."""
 
     def fetch_endpoints(self) -> None:
--- a/indigodeck/edge/codec.py
+++ b/indigodeck/edge/codec.py
@@ -10,7 +10,7 @@
 
 from ..assignment.interface import DemandReport, ServerState
 from ..errors import MalformedMessageError
-from ..settings import DeploymentSettings, microseconds
+from ..settings import DeploymentSettings, microseconds_or_zero
 from .json_fields import (
     parse_address,
     read_choice,
@@ -83,8 +83,8 @@
             server=read_name(given, "server"),
             attempts=attempts,
             failures=failures,
-            mean_latency=microseconds(mean_ms),
-            span=microseconds(read_number(given, "span_ms", MAX_SPAN_MS, 1)),
+            mean_latency=microseconds_or_zero(mean_ms),
+            span=microseconds_or_zero(read_number(given, "span_ms", MAX_SPAN_MS, 1)),
             load=self.read_load(given.get("load")),
         )
 
@@ -108,7 +108,7 @@
             class_index=read_choice(given, "class", self._classes),
             requests=requests,
             failures=read_count(given, "failed", requests),
-            span=microseconds(read_number(given, "span_ms", MAX_SPAN_MS, 1)),
+            span=microseconds_or_zero(read_number(given, "span_ms", MAX_SPAN_MS, 1)),
         )
 
     def read_proxy_joined(self, given: Mapping[str, Any]) -> ProxyJoined:
@@ -129,7 +129,7 @@
         return Ack(
             proxy=self.read_proxy(given),
             number=read_count(given, "mark", MAX_ACK_NUMBER),
-            delay=microseconds(read_number(given, "took_ms", MAX_SPAN_MS)),
+            delay=microseconds_or_zero(read_number(given, "took_ms", MAX_SPAN_MS)),
         )
 
     def read_endpoint(self, given: Any) -> Endpoint:
@@ -143,7 +143,7 @@
             machine_type=read_choice(given, "class", self._machine_types),
             cell=read_count(given, "block", MAX_CELL),
             weight=float(read_number(given, "share", MAX_COUNT)),
-            started=microseconds(read_number(given, "born_ms", MAX_UNIX_TIME_MS)),
+            started=microseconds_or_zero(read_number(given, "born_ms", MAX_UNIX_TIME_MS)),
             state=read_choice(given, "health", STATE_NAMES),
         )
 
--- a/indigodeck/edge/connecting.py
+++ b/indigodeck/edge/connecting.py
@@ -106,4 +106,4 @@
         """Wait from half to one and a half times the delay."""
         delay = self.delay
         self.delay = min(2 * delay, MAX_BACKOFF)
-        await sleep((delay // 2 + self._random.below(delay)) / SECOND)
+        await sleep((delay // 2 + self._random.randbelow(delay)) / SECOND)
--- a/indigodeck/edge/health_checks.py
+++ b/indigodeck/edge/health_checks.py
@@ -68,7 +68,7 @@
         if len(self._waiting) >= MAX_WAITING:
             dropped = self._waiting.popleft()
             IOLoop.current().add_callback(
-                self._on_health_check, dropped.checked, HealthCheckOutcome.SILENT, TIMEOUT, None
+                self._on_health_check, dropped.checked, HealthCheckOutcome.TIMED_OUT, TIMEOUT, None
             )
         self._waiting.append(WaitingCheck(checked, address))
         if self._running < MAX_CONCURRENT:
--- a/indigodeck/frontends/xds/health_checks.py
+++ b/indigodeck/frontends/xds/health_checks.py
@@ -19,9 +19,9 @@
 from ...planner.host_reports import HostReport, read_host_report
 
 OUTCOMES = {
-    grpc.StatusCode.DEADLINE_EXCEEDED: HealthCheckOutcome.SILENT,
+    grpc.StatusCode.DEADLINE_EXCEEDED: HealthCheckOutcome.TIMED_OUT,
     grpc.StatusCode.UNAVAILABLE: HealthCheckOutcome.UNREACHABLE,
-    grpc.StatusCode.RESOURCE_EXHAUSTED: HealthCheckOutcome.FULL,
+    grpc.StatusCode.RESOURCE_EXHAUSTED: HealthCheckOutcome.OVERLOADED,
 }
 REPORT_METHOD = "/xds.service.orca.v3.OpenRcaService/StreamCoreMetrics"
 REPORT_TRAILER = "endpoint-load-metrics-bin"
--- a/indigodeck/leadership/candidacy.py
+++ b/indigodeck/leadership/candidacy.py
@@ -132,7 +132,7 @@
         # Tried again after a while that differs, so that members that asked at once don't go on so.
         candidacy.failures = min(candidacy.failures + 1, MAX_BACKOFF_STEPS)
         lease = state.settings.lease
-        backoff = self._random.below(lease * candidacy.failures // 2)
+        backoff = self._random.randbelow(lease * candidacy.failures // 2)
         candidacy.retry_at = now + lease // RENEWALS_PER_LEASE + backoff
         for member in state.peers:
             request = LeaseRequest(
@@ -211,7 +211,7 @@
             return
         if (message.epoch, message.round) == (candidacy.epoch, candidacy.round):
             pause = min(message.retry_after, state.settings.lease)
-            jitter = self._random.below(state.settings.tick)
+            jitter = self._random.randbelow(state.settings.tick)
             candidacy.retry_at = max(candidacy.retry_at, state.host.now() + pause + jitter)
 
     # Leading.
--- a/indigodeck/leadership/membership.py
+++ b/indigodeck/leadership/membership.py
@@ -79,7 +79,7 @@
             return "it was never a member"
         # Two forced at once must not have one number; epochs are ahead of any that the others may
         # have granted.
-        step = FORCED_STEP + self._random.below(FORCED_STEP)
+        step = FORCED_STEP + self._random.randbelow(FORCED_STEP)
         state.learn_epochs(
             {
                 group: KnownEpoch(state.known_epoch(group).epoch + step * EPOCHS_PER_TURN, None)
--- a/indigodeck/leadership/model.py
+++ b/indigodeck/leadership/model.py
@@ -59,8 +59,8 @@
         self.members: dict[str, SimulatedMember] = {}
         self.faults_until = self._end - QUIET
         for name in self.names:
-            rate = 1 + DRIFT * (self.random.below(2001) - 1000) / 1000
-            offset = self.random.below(1000 * SECOND)
+            rate = 1 + DRIFT * (self.random.randbelow(2001) - 1000) / 1000
+            offset = self.random.randbelow(1000 * SECOND)
             self.members[name] = SimulatedMember(self, name, rate, offset)
         for member in self.members.values():
             member.start(None)
@@ -78,7 +78,7 @@
             10: self._change_amid_a_fault,
             11: self._partition,
         }
-        self.schedule(self.random.below(LEASE), self.cause_fault)
+        self.schedule(self.random.randbelow(LEASE), self.cause_fault)
 
     def has_faults(self) -> bool:
         """Return whether faults still happen."""
@@ -106,13 +106,13 @@
 
     def carry(self, source: str, target: str, message: ElectionMessage) -> None:
         """Bring a message to another member; perhaps not, late or twice."""
-        if (source, target) in self.cut or self.random.below(100) < self._loss_percent:
+        if (source, target) in self.cut or self.random.randbelow(100) < self._loss_percent:
             return
         member = self.members[target]
-        is_doubled = self.has_faults() and self.random.below(100) < 3
+        is_doubled = self.has_faults() and self.random.randbelow(100) < 3
         for _ in range(2 if is_doubled else 1):
-            is_slow = self.has_faults() and self.random.below(100) < 5
-            delay = 1000 + self.random.below(3 * LEASE if is_slow else 50_000)
+            is_slow = self.has_faults() and self.random.randbelow(100) < 5
+            delay = 1000 + self.random.randbelow(3 * LEASE if is_slow else 50_000)
             self.schedule(self.clock + delay, lambda: member.deliver(source, message))
 
     # What goes wrong.
@@ -123,10 +123,10 @@
             self._mend_all()
             return
         member = self._draw_member(self.random)
-        if self._hang_random.below(16) == 0:
+        if self._hang_random.randbelow(16) == 0:
             self._hang_planner()
-        self._faults[self.random.below(len(self._faults))](member)
-        self.schedule(self.clock + self.random.below(2 * LEASE), self.cause_fault)
+        self._faults[self.random.randbelow(len(self._faults))](member)
+        self.schedule(self.clock + self.random.randbelow(2 * LEASE), self.cause_fault)
 
     def _mend_all(self) -> None:
         self.cut = set()
@@ -138,7 +138,7 @@
                 member.start(member.disk)
 
     def _draw_member(self, random: SeededRandom) -> SimulatedMember:
-        return self.members[self.names[random.below(len(self.names))]]
+        return self.members[self.names[random.randbelow(len(self.names))]]
 
     def _hang_planner(self) -> None:
         member = self._draw_member(self._hang_random)
@@ -147,33 +147,33 @@
         def recover() -> None:
             member.planner_hung_at = None
 
-        self.schedule(self.clock + self._hang_random.below(6 * LEASE), recover)
+        self.schedule(self.clock + self._hang_random.randbelow(6 * LEASE), recover)
 
     def _pause(self, member: SimulatedMember) -> None:
         member.is_paused = member.election is not None
-        self.schedule(self.clock + self.random.below(3 * LEASE), member.resume)
+        self.schedule(self.clock + self.random.randbelow(3 * LEASE), member.resume)
 
     def _stop(self, member: SimulatedMember) -> None:
         if member.election is not None:
             member.election = None
-            delay = self.random.below(LEASE)
+            delay = self.random.randbelow(LEASE)
             self.schedule(self.clock + delay, lambda: self.restart(member))
 
     def _stop_some(self, _: SimulatedMember) -> None:
         for member in self.members.values():
-            if self.random.below(3) == 0:
+            if self.random.randbelow(3) == 0:
                 self._stop(member)
 
     def _cut_some(self, member: SimulatedMember) -> None:
         """Cut off one way or both, from some; messages alone are lost, members run."""
         for other in self.names:
-            if self.random.below(2):
+            if self.random.randbelow(2):
                 self.cut.add((member.name, other))
-            if self.random.below(2):
+            if self.random.randbelow(2):
                 self.cut.add((other, member.name))
 
     def _partition(self, _: SimulatedMember) -> None:
-        self.cut_off({name for name in self.names if self.random.below(2)})
+        self.cut_off({name for name in self.names if self.random.randbelow(2)})
 
     def cut_off(self, side: set[str]) -> None:
         """Let nothing pass between these members and all others."""
@@ -188,7 +188,7 @@
         self.cut = set()
 
     def _lose_messages(self, _: SimulatedMember) -> None:
-        self._loss_percent = (0, 10, 40)[self.random.below(3)]
+        self._loss_percent = (0, 10, 40)[self.random.randbelow(3)]
 
     def _transfer(self, member: SimulatedMember) -> None:
         if member.election is not None and not member.is_paused:
@@ -200,7 +200,7 @@
     def _change_amid_a_fault(self, member: SimulatedMember) -> None:
         """Ask the leader for a change just as it hears nobody, is heard by nobody, or stops."""
         is_unheard, is_paused = 1, 2  # 0: it hears nobody
-        fault = self.random.below(3)
+        fault = self.random.randbelow(3)
         leaders = self.leaders()
         if fault != is_paused:
             for leader in leaders:
@@ -211,7 +211,7 @@
         if fault == is_paused:
             for leader in leaders:
                 leader.is_paused = True
-                pause = 2 * LEASE + self.random.below(3 * LEASE)
+                pause = 2 * LEASE + self.random.randbelow(3 * LEASE)
                 self.schedule(self.clock + pause, leader.resume)
 
     def change(self, name: str) -> None:
@@ -240,12 +240,12 @@
         if member.election is not None:
             return
         record = member.disk
-        draw = self.random.below(10)
+        draw = self.random.randbelow(10)
         if self._may_lose_disk(member):
             if draw == 0:
                 record = None
             elif draw == 1:
-                record = member.disk_copies[self.random.below(len(member.disk_copies))]
+                record = member.disk_copies[self.random.randbelow(len(member.disk_copies))]
         member.disk = record
         member.start(record)
 
--- a/indigodeck/leadership/simulated_member.py
+++ b/indigodeck/leadership/simulated_member.py
@@ -113,7 +113,7 @@
 
     def save_record(self, record: LeaseRecord) -> bool:
         """Write to the disk, which fails now and then."""
-        if self._world.random.below(100) < 2 and self._world.has_faults():
+        if self._world.random.randbelow(100) < 2 and self._world.has_faults():
             return False
         self.disk = record
         self.disk_copies.append(record)
--- a/indigodeck/planner/endpoint_directory.py
+++ b/indigodeck/planner/endpoint_directory.py
@@ -101,7 +101,7 @@
             if self.cached_list is not None:
                 self.cached_list.on_list(self.endpoint_list.entries)
             self._schedule_store()
-        if kind != UpdateKind.CHANGES:
+        if kind != UpdateKind.INCREMENTAL:
             self._pending_changes.clear()  # it stands for all that was about to be handed on
             self._hand_on(kind, servers)
             return
@@ -135,7 +135,7 @@
 
     def _tell_health_inference(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
         inference = self._service.health_inference
-        if kind != UpdateKind.CHANGES:
+        if kind != UpdateKind.INCREMENTAL:
             for server in inference.hosts.keys() - {server.index for server in servers}:
                 inference.on_unlisted(server)
         inference.on_endpoint_update(servers)
@@ -149,7 +149,7 @@
         servers = self._pending_changes
         self._pending_changes = []
         if servers:
-            self._hand_on(UpdateKind.CHANGES, servers)
+            self._hand_on(UpdateKind.INCREMENTAL, servers)
 
     def _hand_on(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
         if kind == UpdateKind.CACHED:
--- a/indigodeck/planner/endpoint_list.py
+++ b/indigodeck/planner/endpoint_list.py
@@ -101,7 +101,7 @@
             self.listener.note("endpoint_list_stale", version=version, held_version=held_version)
             return
         # The first list after a start says nothing of what changed: processes in it may be long up.
-        kind = UpdateKind.CACHED if self.version is None else UpdateKind.WHOLE
+        kind = UpdateKind.CACHED if self.version is None else UpdateKind.FULL
         self.version = version
         self.epoch = epoch
         self.entries = {
@@ -124,7 +124,7 @@
                 self.entries.pop(entry["id"], None)
             else:
                 self.entries[entry["id"]] = entry
-        self.listener.on_endpoint_update(UpdateKind.CHANGES, self._servers(document["hosts"]))
+        self.listener.on_endpoint_update(UpdateKind.INCREMENTAL, self._servers(document["hosts"]))
 
     def _held(self) -> tuple[int, int]:
         if self.version is not None:
@@ -150,7 +150,7 @@
         restored = {entry["id"]: entry for entry in entries}
         self.entries = restored if is_first else {**self.entries, **restored}
         self.quiesced_ids = set(record["quiet"]) & self.entries.keys()
-        kind = UpdateKind.CACHED if is_first else UpdateKind.CHANGES
+        kind = UpdateKind.CACHED if is_first else UpdateKind.INCREMENTAL
         self.listener.on_endpoint_update(kind, self._servers(entries))
 
     def set_quiesced(self, address: str, port: int, quiesced: bool) -> bool:
@@ -166,7 +166,7 @@
                     self.quiesced_ids.add(host_id)
                 else:
                     self.quiesced_ids.discard(host_id)
-                self.listener.on_endpoint_update(UpdateKind.CHANGES, self._servers([entry]))
+                self.listener.on_endpoint_update(UpdateKind.INCREMENTAL, self._servers([entry]))
                 return True
         return False
 
--- a/indigodeck/planner/health_checks.py
+++ b/indigodeck/planner/health_checks.py
@@ -14,9 +14,9 @@
 DUE_INTERVAL_MS = 50  # between two looks at which checks are due
 RECENT_PERIODS = 3  # a host that answered within so many report periods is there
 # A host answered a check, whatever it said.
-ANSWERS = (HealthCheckOutcome.OK, HealthCheckOutcome.ERROR, HealthCheckOutcome.FULL)
+ANSWERS = (HealthCheckOutcome.OK, HealthCheckOutcome.ERROR, HealthCheckOutcome.OVERLOADED)
 # A host takes requests, though it may refuse one.
-ALIVE = (HealthCheckOutcome.OK, HealthCheckOutcome.FULL)
+ALIVE = (HealthCheckOutcome.OK, HealthCheckOutcome.OVERLOADED)
 
 
 class HealthChecker:
--- a/indigodeck/planner/host_client.py
+++ b/indigodeck/planner/host_client.py
@@ -81,9 +81,9 @@
         try:
             answer = await self.client.fetch(request, raise_error=False)
         except HTTPTimeoutError:
-            return CheckResult(HealthCheckOutcome.SILENT)
+            return CheckResult(HealthCheckOutcome.TIMED_OUT)
         except HTTPStreamClosedError:
-            return CheckResult(HealthCheckOutcome.BROKEN)
+            return CheckResult(HealthCheckOutcome.CONNECTION_LOST)
         except (OSError, HTTPClientError):
             return CheckResult(HealthCheckOutcome.UNREACHABLE)
         return CheckResult(_outcome(answer.code), self.read_report(answer))
@@ -108,5 +108,5 @@
     if status < FIRST_ERROR_STATUS:
         return HealthCheckOutcome.OK
     if status == SERVICE_UNAVAILABLE:
-        return HealthCheckOutcome.FULL
+        return HealthCheckOutcome.OVERLOADED
     return HealthCheckOutcome.ERROR
--- a/indigodeck/planner/planner_host.py
+++ b/indigodeck/planner/planner_host.py
@@ -364,9 +364,9 @@
             self._admissions[table, class_index] = Admission(level, retry_policy)
         self.mark_changed(table, ())
 
-    def request_ack(self, number: int, everyone: bool) -> None:
+    def request_ack(self, number: int, all_proxies: bool) -> None:
         """Ask each proxy that the orders of this call reach, or everyone, to acknowledge them."""
-        self.updates.request_ack(number, everyone)
+        self.updates.request_ack(number, all_proxies)
 
     def check_health(self, server: int) -> None:
         """Send the server a request, and report its end with `on_health_check`."""
@@ -375,7 +375,7 @@
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
         """Send nothing: planners share nothing here."""
 
-    def watch_endpoints(self, on: bool) -> None:
+    def watch_endpoints(self, enabled: bool) -> None:
         """Fetch the list: its source decides whether it is followed."""
         self.environment.fetch_endpoint_list()
 
--- a/indigodeck/planner/planner_settings.py
+++ b/indigodeck/planner/planner_settings.py
@@ -17,7 +17,7 @@
     ClassSettings,
     DeploymentSettings,
     Idempotency,
-    whole_microseconds,
+    to_microseconds,
 )
 from .settings_sections import (
     EndpointListSettings,
@@ -183,7 +183,7 @@
         file=section.get("file"),
         service_url=section.get("service"),
         polled=section.get("asked", False),
-        poll_interval=whole_microseconds(section.get("look_every_ms", usual)),
+        poll_interval=to_microseconds(section.get("look_every_ms", usual)),
     )
 
 
@@ -201,8 +201,8 @@
         max_message_bytes=section.get("message_bytes", MEBIBYTE),
         max_groups=section.get("groups", 64),
         max_members=section.get("members", 1024),
-        message_timeout=whole_microseconds(section.get("message_ms", 5000)),
-        stalled_timeout=whole_microseconds(section.get("deaf_ms", 60_000)),
+        message_timeout=to_microseconds(section.get("message_ms", 5000)),
+        stalled_timeout=to_microseconds(section.get("deaf_ms", 60_000)),
     )
 
 
@@ -226,7 +226,7 @@
         members=section["members"],
         key_file=section["key_file"],
         record_file=section.get("record", "none"),
-        lease_time=whole_microseconds(section.get("lease_ms", 3000)),
+        lease_time=to_microseconds(section.get("lease_ms", 3000)),
         lease_per_zone=section.get("wards") == "halls",
         clock_drift=section.get("drift", 0.01),
         protocol_version=section.get("speaks", 3),
@@ -240,7 +240,7 @@
     versions = section.get("versions", {})
     return StoreSettings(
         folder=section["folder"],
-        write_delay=whole_microseconds(section.get("delay_ms", 0)),
+        write_delay=to_microseconds(section.get("delay_ms", 0)),
         max_versions=versions.get("most", 1000),
         max_version_age=round(versions.get("days", 30) * SECONDS_PER_DAY * SECOND),
     )
@@ -276,17 +276,17 @@
         channel=_channel(channel),
         zone_count=len(zone_names),
         planner_count=planners.get("many", 1),
-        planner_number=planners.get("number", 0),
+        planner_index=planners.get("number", 0),
         planner_zone=zone_names.index(document.get("hall", zone_names[0])),
         proxy_count=proxies.get("most", 0),
         proxy_failure_limit=proxies.get("strikes", 0),
-        report_period=whole_microseconds(reports.get("period_ms", 1000)),
-        max_unserved_time=whole_microseconds(rules["bare_ms"]),
-        warm_up_time=whole_microseconds(rules["cold_ms"]),
+        report_period=to_microseconds(reports.get("period_ms", 1000)),
+        max_unserved_time=to_microseconds(rules["bare_ms"]),
+        warm_up_time=to_microseconds(rules["cold_ms"]),
         cold_capacity_share=rules["cold_share"],
-        drain_grace=whole_microseconds(rules["drain_grace_ms"]),
+        drain_grace=to_microseconds(rules["drain_grace_ms"]),
         overload_multiple=rules["tip_multiple"],
-        overload_time=whole_microseconds(rules["tip_ms"]),
+        overload_time=to_microseconds(rules["tip_ms"]),
         removal_is_final=rules.get("gone_binds", True),
         health_checks_allowed=reports.get("probes_per_s", CHECKS_PER_SECOND) > 0,
         list_on_request=document["roster"].get("asked", False),
@@ -300,23 +300,23 @@
         lines_per_second=section["lines_per_s"],
         max_waiting_lines=section["waiting_most"],
         message_overhead_lines=section["head_lines"],
-        mean_delivery_delay=whole_microseconds(section["way_mean_ms"]),
-        max_delivery_delay=whole_microseconds(section["way_longest_ms"]),
+        mean_delivery_delay=to_microseconds(section["way_mean_ms"]),
+        max_delivery_delay=to_microseconds(section["way_longest_ms"]),
         # Answers to a proxy's own requests come off what the assigner may order.
         max_messages=limit - section["answers_most"] if limit else 0,
-        message_window=whole_microseconds(section["messages_span_ms"]),
+        message_window=to_microseconds(section["messages_span_ms"]),
     )
 
 
 def _class(given: dict[str, Any]) -> ClassSettings:
     return ClassSettings(
         name=given["name"],
-        latency_objective=whole_microseconds(given["agreed_time_ms"]),
-        deadline=whole_microseconds(given["patience_ms"]),
+        latency_objective=to_microseconds(given["agreed_time_ms"]),
+        deadline=to_microseconds(given["patience_ms"]),
         priority_weight=given.get("credit", 1),
-        late_priority_weight=given.get("late_credit", 0),
+        late_weight_factor=given.get("late_credit", 0),
         idempotency=Idempotency(given.get("repeats", "safe")),
-        idempotency_window=whole_microseconds(given.get("repeat_window_ms", 0)),
+        idempotency_window=to_microseconds(given.get("repeat_window_ms", 0)),
         deduplication_scope=given.get("repeat_scope", "all"),
         zone_bound=given.get("own_hall", False),
     )
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -151,7 +151,7 @@
         self.planner_host.on_endpoint_list_failed()
 
     def _jitter(self) -> float:
-        return self.planner_host.assigner.random.below(JITTER_STEPS) / JITTER_STEPS
+        return self.planner_host.assigner.random.randbelow(JITTER_STEPS) / JITTER_STEPS
 
     def _on_period(self) -> None:
         """Hand on what proxies and hosts reported, and ask hosts again."""
--- a/indigodeck/settings.py
+++ b/indigodeck/settings.py
@@ -40,7 +40,7 @@
     """What is stated of one traffic class.
 
     A response within `latency_objective` earns `priority_weight`; one that is later, but within
-    `deadline`, earns `late_priority_weight` times that. `idempotency_window` is how long a key is
+    `deadline`, earns `late_weight_factor` times that. `idempotency_window` is how long a key is
     remembered, within `deduplication_scope` ("all", or the cell or zone of a server).
     `zone_bound` classes are served only by servers of the proxy's own zone.
     """
@@ -49,7 +49,7 @@
     latency_objective: int
     deadline: int
     priority_weight: float = 1
-    late_priority_weight: float = 0
+    late_weight_factor: float = 0
     idempotency_window: int = 0
     idempotency: Idempotency = Idempotency.NEVER
     deduplication_scope: str = "all"
@@ -78,7 +78,7 @@
 class DeploymentSettings:
     """What a deployment states, as the assigner knows it.
 
-    `planner_count` planners share the proxies; `planner_number` is this one's, from 0.
+    `planner_count` planners share the proxies; `planner_index` is this one's, from 0.
     `proxy_count` proxies are expected over all planners. Each proxy avoids a server after
     `proxy_failure_limit` failures of its own in a row (0: never). A server restarted less than
     `warm_up_time` ago is cold: it starts with `cold_capacity_share` of its capacity, and is
@@ -98,7 +98,7 @@
     overload_multiple: float
     overload_time: int
     planner_count: int = 1
-    planner_number: int = 0
+    planner_index: int = 0
     planner_zone: int = 0
     proxy_count: int = 0
     proxy_failure_limit: int = 0
@@ -137,14 +137,14 @@
 }
 
 
-def microseconds(milliseconds: float) -> int:
+def microseconds_or_zero(milliseconds: float) -> int:
     """Return whole microseconds; what is no number, or cannot be a time, counts as 0."""
     if 0 < milliseconds < LONGEST_MILLISECONDS:
-        return whole_microseconds(milliseconds)
+        return to_microseconds(milliseconds)
     return 0
 
 
-def whole_microseconds(milliseconds: float) -> int:
+def to_microseconds(milliseconds: float) -> int:
     """Return whole microseconds of a time that has been checked."""
     return round(milliseconds * MILLISECOND)
 
@@ -200,7 +200,7 @@
         overload_multiple=rules.number("tipMultiple"),
         overload_time=rules.time("fallMs"),
         planner_count=top.number("nInstances", 1),
-        planner_number=top.number("me", 0),
+        planner_index=top.number("me", 0),
         planner_zone=top.number("zone", 0),
         proxy_count=domain.number("proxies", 0),
         proxy_failure_limit=domain.number("strikes", 0),
@@ -247,7 +247,7 @@
         latency_objective=section.time("aimMs"),
         deadline=section.time("deadlineMs"),
         priority_weight=section.number("points", 1),
-        late_priority_weight=section.number("lateWorth", 0),
+        late_weight_factor=section.number("lateWorth", 0),
         idempotency_window=section.time("keyTtlMs", 0),
         idempotency=IDEMPOTENCY_NAMES.get(section.get("effect"), Idempotency.NEVER),
         deduplication_scope=section.get("dedupScope", "all"),
@@ -297,4 +297,4 @@
         value = self._given.get(key)
         if value is None and default is not None:
             return default
-        return whole_microseconds(self.number(key))
+        return to_microseconds(self.number(key))
--- a/indigodeck/simulator/adapter.py
+++ b/indigodeck/simulator/adapter.py
@@ -18,7 +18,7 @@
 from ..clock import MILLISECOND
 from ..errors import MalformedMessageError
 from ..id_registry import IdRegistry
-from ..settings import DeploymentSettings, microseconds, settings_from_json
+from ..settings import DeploymentSettings, microseconds_or_zero, settings_from_json
 from . import codec
 from .codec import ActionCode, EventCode, Frame, ListEntry
 
@@ -113,9 +113,9 @@
         mask = _class_mask(classes)
         self._add(codec.pack_admission(ActionCode.ADMISSION, mask, retry_policy, number, level))
 
-    def request_ack(self, number: int, everyone: bool) -> None:
+    def request_ack(self, number: int, all_proxies: bool) -> None:
         """Ask for an acknowledgement of the orders up to here."""
-        self._add(codec.pack_ack_request(ActionCode.ACK_REQUEST, number & 0xFFFF, everyone))
+        self._add(codec.pack_ack_request(ActionCode.ACK_REQUEST, number & 0xFFFF, all_proxies))
 
     def check_health(self, server: int) -> None:
         """Order a health check."""
@@ -127,9 +127,9 @@
         offset, length = self._reply.append_to_tail(data)
         self._add(codec.pack_peer_message(ActionCode.PEER_MESSAGE, receiver, offset, length))
 
-    def watch_endpoints(self, on: bool) -> None:
+    def watch_endpoints(self, enabled: bool) -> None:
         """Subscribe to changes of the endpoint list, or stop that."""
-        self._add(codec.pack_list_subscription(ActionCode.LIST_SUBSCRIPTION, on))
+        self._add(codec.pack_list_subscription(ActionCode.LIST_SUBSCRIPTION, enabled))
 
     def fetch_endpoints(self) -> None:
         """Ask for the whole endpoint list."""
@@ -270,7 +270,7 @@
         host.assigner.on_peer_message(peer, bytes(data))
 
     def _on_ack(self, host: InstanceHost, proxy: int, number: int, duration_ms: float) -> None:
-        host.assigner.on_ack(proxy, number, microseconds(duration_ms))
+        host.assigner.on_ack(proxy, number, microseconds_or_zero(duration_ms))
 
     def _on_timer(self, host: InstanceHost, token: int) -> None:
         host.assigner.on_timer(token)
@@ -281,7 +281,7 @@
         host.assigner.on_health_check(
             host.server_index(server_id),
             codec.HEALTH_CHECK_OUTCOMES.get(outcome, HealthCheckOutcome.ERROR),
-            microseconds(duration_ms),
+            microseconds_or_zero(duration_ms),
             codec.read_load(host.settings.load_columns, load),
         )
 
@@ -301,8 +301,8 @@
             server=host.server_index(server_id),
             attempts=attempts,
             failures=failures,
-            mean_latency=microseconds(mean_latency_ms),
-            span=microseconds(span_ms),
+            mean_latency=microseconds_or_zero(mean_latency_ms),
+            span=microseconds_or_zero(span_ms),
             load=codec.read_load(host.settings.load_columns, load),
         )
         host.assigner.on_load_report(report)
@@ -317,7 +317,7 @@
         requests: int,
     ) -> None:
         _check_class(host, class_index)
-        report = DemandReport(proxy, class_index, requests, failures, microseconds(span_ms))
+        report = DemandReport(proxy, class_index, requests, failures, microseconds_or_zero(span_ms))
         host.assigner.on_demand_report(report)
 
     def _on_key_range_assigned(self, host: InstanceHost, on: int, table: int) -> None:
@@ -339,7 +339,7 @@
     ) -> None:
         _check_class(host, class_index)
         host.assigner.on_key_range_demand(
-            table, class_index, requests, failures, microseconds(span_ms)
+            table, class_index, requests, failures, microseconds_or_zero(span_ms)
         )
 
 
--- a/indigodeck/simulator/codec.py
+++ b/indigodeck/simulator/codec.py
@@ -11,7 +11,7 @@
 
 from ..assignment.interface import HealthCheckOutcome, ServerState, UpdateKind
 from ..errors import MalformedMessageError
-from ..settings import microseconds
+from ..settings import microseconds_or_zero
 
 HEADER = struct.Struct("<IId")  # records, bytes after the header, clock
 REPLY_HEADER = struct.Struct("<II")  # records, bytes after the header
@@ -68,14 +68,14 @@
 
 SERVER_STATES = {0: ServerState.DRAINING, 1: ServerState.READY, 2: ServerState.GONE}
 LIST_FAILED = 0
-UPDATE_KINDS = {1: UpdateKind.CHANGES, 3: UpdateKind.CACHED, 4: UpdateKind.WHOLE}
+UPDATE_KINDS = {1: UpdateKind.INCREMENTAL, 3: UpdateKind.CACHED, 4: UpdateKind.FULL}
 HEALTH_CHECK_OUTCOMES = {
     0: HealthCheckOutcome.OK,
     1: HealthCheckOutcome.ERROR,
-    2: HealthCheckOutcome.FULL,
-    3: HealthCheckOutcome.SILENT,
+    2: HealthCheckOutcome.OVERLOADED,
+    3: HealthCheckOutcome.TIMED_OUT,
     4: HealthCheckOutcome.UNREACHABLE,
-    5: HealthCheckOutcome.BROKEN,
+    5: HealthCheckOutcome.CONNECTION_LOST,
 }
 
 
@@ -137,7 +137,7 @@
     if not 0 <= clock_ms < LATEST_CLOCK_MS:
         raise MalformedMessageError(f"a header states the clock as {clock_ms}")
     body = _read_exactly(stream, length, f"a frame of {length} bytes")
-    return Frame(microseconds(clock_ms), count, body)
+    return Frame(microseconds_or_zero(clock_ms), count, body)
 
 
 def _read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
@@ -159,7 +159,7 @@
             machine_type,
             weight,
             server_id,
-            microseconds(started_ms),
+            microseconds_or_zero(started_ms),
             SERVER_STATES[state],
             zone,
         )
--- a/indigodeck/testbed/baselines.py
+++ b/indigodeck/testbed/baselines.py
@@ -20,7 +20,7 @@
 
     def on_endpoint_update(self, kind: UpdateKind, servers: Iterable[Server]) -> None:
         """Follow the endpoint list."""
-        if kind != UpdateKind.CHANGES:
+        if kind != UpdateKind.INCREMENTAL:
             self._ready = {}
         for server in servers:
             self._ready.pop(server.index, None)
--- a/indigodeck/testbed/faulty_disk.py
+++ b/indigodeck/testbed/faulty_disk.py
@@ -20,7 +20,7 @@
 class RandomSource(Protocol):
     """What the disk draws from, such as `assignment.seeded_random.SeededRandom`."""
 
-    def below(self, bound: int) -> int:
+    def randbelow(self, bound: int) -> int:
         """Return a whole number from 0 up to `bound`, exclusive."""
 
 
@@ -112,7 +112,7 @@
             file.data += data[:size]
             file.unsynced_writes.append(ByteRange(start, len(file.data)))
 
-        self._operate(lambda: write(len(data)), lambda: write(self.random.below(len(data) + 1)))
+        self._operate(lambda: write(len(data)), lambda: write(self.random.randbelow(len(data) + 1)))
 
     def sync(self, name: str) -> None:
         """Make the bytes of a file outlast a power cut."""
@@ -145,7 +145,7 @@
 
     def new_store_id(self) -> bytes:
         """Return random bytes for a store's identity."""
-        return bytes(self.random.below(256) for _ in range(STORE_ID_BYTES))
+        return bytes(self.random.randbelow(256) for _ in range(STORE_ID_BYTES))
 
     def close(self) -> None:
         """Do nothing: the disk may be opened again."""
@@ -169,11 +169,11 @@
         number = self.operation_count
         self.operation_count += 1
         if self.cut_at is not None and number >= self.cut_at:
-            if partly and number == self.cut_at and self.random.below(2):
+            if partly and number == self.cut_at and self.random.randbelow(2):
                 partly()
             raise PowerCutError
         if number in self.errors:
-            if partly and self.random.below(2):
+            if partly and self.random.randbelow(2):
                 partly()
             raise OSError(self.errors[number], "as the test says")
         complete()
@@ -186,7 +186,7 @@
         """Return the disk after a power cut, with faults of its own."""
         files = dict(self._synced_files)
         for change in self._unsynced_changes:
-            if not self.random.below(2):
+            if not self.random.randbelow(2):
                 change.apply(files)
         disk = FaultyDisk(self.random, cut_at, errors)
         for name, file in files.items():
@@ -221,13 +221,13 @@
     def _surviving_ranges(self, write: ByteRange) -> Iterator[ByteRange]:
         """Draw what of one write has reached the disk: all of it, a prefix, or some sectors."""
         length = write.end - write.start
-        outcome = self.random.below(3)
+        outcome = self.random.randbelow(3)
         if outcome == 0:
             yield write
         elif outcome == 1:
-            yield ByteRange(write.start, write.start + self.random.below(length + 1))
+            yield ByteRange(write.start, write.start + self.random.randbelow(length + 1))
         else:
-            sector_size = 1 + self.random.below(1 + length // 2)
+            sector_size = 1 + self.random.randbelow(1 + length // 2)
             for start in range(write.start, write.end, sector_size):
-                if self.random.below(2):
+                if self.random.randbelow(2):
                     yield ByteRange(start, min(write.end, start + sector_size))
--- a/indigodeck/testbed/host_fleet.py
+++ b/indigodeck/testbed/host_fleet.py
@@ -139,5 +139,5 @@
     left = list(names)
     chosen = []
     for _ in range(min(len(left), max(1, round(len(left) * share)))):
-        chosen.append(left.pop(random.below(len(left))))
+        chosen.append(left.pop(random.randbelow(len(left))))
     return chosen
--- a/indigodeck/testbed/relay.py
+++ b/indigodeck/testbed/relay.py
@@ -170,7 +170,7 @@
 
     def _time_to_next_request(self) -> float:
         """Return seconds, drawn for requests that come independently of one another."""
-        return -math.log((1 + self._random.below(1 << 30)) / (1 << 30)) / self._settings.rate
+        return -math.log((1 + self._random.randbelow(1 << 30)) / (1 << 30)) / self._settings.rate
 
     def _on_request(self) -> None:
         if self._now() >= self._until:
@@ -183,7 +183,7 @@
         IOLoop.current().add_callback(self._serve_client, request_class, key)
 
     def _draw_class(self) -> RequestClass:
-        point = self._random.below(1000) / 1000
+        point = self._random.randbelow(1000) / 1000
         classes = list(self._settings.classes.values())
         for request_class in classes:
             point -= request_class.share
@@ -194,7 +194,7 @@
     async def _serve_client(self, request_class: RequestClass, key: str) -> None:
         """Serve one client, which retries until its deadline."""
         started = self._now()
-        work = round(request_class.work * (0.6 + 0.8 * self._random.below(1000) / 1000))
+        work = round(request_class.work * (0.6 + 0.8 * self._random.randbelow(1000) / 1000))
         outcome = "nowhere"
         attempts = 0
         for attempt in range(1 + self._settings.retries):
@@ -229,7 +229,7 @@
         started = self._now()
         # A client that retries is rejected again: by what it asks, and not by a new draw.
         client_key = key.rpartition("/")[0]
-        point = SeededRandom(seed_from(client_key, [])).below(1 << 20) / (1 << 20)
+        point = SeededRandom(seed_from(client_key, [])).randbelow(1 << 20) / (1 << 20)
         if not self.tables.admits(name, point):
             return "refused"
         outcome = "nowhere"
--- a/tests/assignment/scenarios.py
+++ b/tests/assignment/scenarios.py
@@ -37,7 +37,7 @@
         )
     )
     host.assigner.on_endpoint_update(
-        UpdateKind.CHANGES, [server(index, zone=index % 3) for index in range(90)]
+        UpdateKind.INCREMENTAL, [server(index, zone=index % 3) for index in range(90)]
     )
     for proxy in range(joined):
         host.assigner.on_proxy_joined(proxy, proxy % 3, 4.0, True)
--- a/tests/assignment/test_assigner.py
+++ b/tests/assignment/test_assigner.py
@@ -15,7 +15,7 @@
         """Zeros, unknown indices and odd numbers are passed over."""
         host = RecordingHost()
         host.assigner.on_endpoint_update(
-            UpdateKind.CHANGES, [server(0, weight=0.0), server(1, weight=float("nan"))]
+            UpdateKind.INCREMENTAL, [server(0, weight=0.0), server(1, weight=float("nan"))]
         )
         host.start([])
         host.assigner.on_load_report(LoadReport(0, 7, 0, 0, 0, 0))
--- a/tests/assignment/test_delivery.py
+++ b/tests/assignment/test_delivery.py
@@ -30,7 +30,7 @@
         host = RecordingHost(deployment_settings(max_messages=20, proxy_count=40))
         host.clock = 60 * SECOND
         host.assigner.on_endpoint_update(
-            UpdateKind.CHANGES,
+            UpdateKind.INCREMENTAL,
             [server(index, started=index % 3 * 25 * SECOND) for index in range(12)],
         )
         for proxy in range(40):
--- a/tests/assignment/test_endpoints.py
+++ b/tests/assignment/test_endpoints.py
@@ -17,7 +17,7 @@
         host.run(1)
         host.printed.clear()
         host.change(server(3, ServerState.DRAINING))
-        host.assigner.on_endpoint_update(UpdateKind.CHANGES, [server(5, ServerState.GONE)])
+        host.assigner.on_endpoint_update(UpdateKind.INCREMENTAL, [server(5, ServerState.GONE)])
         host.change(server(5, started=SECOND))
         self.compare("drain", host)
 
--- a/tests/assignment/test_key_ranges.py
+++ b/tests/assignment/test_key_ranges.py
@@ -15,7 +15,7 @@
     def test_key_ranges_keep_their_server_until_it_goes(self):
         """Load moves nothing."""
         host = RecordingHost(deployment_settings(key_range_count=8))
-        host.assigner.on_endpoint_update(UpdateKind.CHANGES, fleet(4))
+        host.assigner.on_endpoint_update(UpdateKind.INCREMENTAL, fleet(4))
         host.assigner.on_key_range_assigned(2, True)
         host.assigner.on_key_range_server(2, 1, 1.0)
         host.assigner.on_key_range_demand(2, 0, 9, 1, SECOND)
@@ -33,7 +33,7 @@
     def test_single_owner_hands_over_after_a_delay(self):
         """No write may be on its way to the old owner any more."""
         host = RecordingHost(deployment_settings(key_range_count=8, exclusive_ownership=True))
-        host.assigner.on_endpoint_update(UpdateKind.CHANGES, fleet(4))
+        host.assigner.on_endpoint_update(UpdateKind.INCREMENTAL, fleet(4))
         host.assigner.on_key_range_assigned(2, True)
         host.assigner.on_key_range_server(2, 1, 1.0)
         host.change(server(1, ServerState.DRAINING))
--- a/tests/assignment/test_weights.py
+++ b/tests/assignment/test_weights.py
@@ -39,7 +39,7 @@
         host = RecordingHost()
         host.clock = 60 * SECOND
         host.assigner.on_endpoint_update(
-            UpdateKind.CHANGES,
+            UpdateKind.INCREMENTAL,
             [server(index, started=57 * SECOND if index % 2 else 0) for index in range(8)],
         )
         for proxy in range(4):
--- a/tests/edge/test_assigner_host.py
+++ b/tests/edge/test_assigner_host.py
@@ -153,7 +153,7 @@
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1", started_ms=9000), version=2))
         self.host.assigner.on_health_check = lambda *found: results.append(found)
         self.host.check_health(0)
-        self.host.on_health_check(checked[0], HealthCheckOutcome.SILENT, 500_000, None)
+        self.host.on_health_check(checked[0], HealthCheckOutcome.TIMED_OUT, 500_000, None)
         self.assertEqual(results, [])
         self.host.on_health_check(checked[1], HealthCheckOutcome.OK, 100, None)
         self.assertEqual(results, [(0, "ok", 100, None)])
--- a/tests/frontends/lossy_network.py
+++ b/tests/frontends/lossy_network.py
@@ -103,12 +103,12 @@
 
     def change_tables(self, all_tables=False):
         """Draw new weights for one table, or for all."""
-        for table in range(4) if all_tables else (self.random.below(4),):
+        for table in range(4) if all_tables else (self.random.randbelow(4),):
             self.planner_host.class_of_table[table] = table % 2
             for number in range(8):
-                if all_tables or self.random.below(3) == 0:
+                if all_tables or self.random.randbelow(3) == 0:
                     self.planner_host.set_weight(
-                        table, number, self.random.below(3) * 1.0 if number else 1.0
+                        table, number, self.random.randbelow(3) * 1.0 if number else 1.0
                     )
         self.planner_host.flush_orders("a turn")
         self.record_published()
@@ -134,12 +134,12 @@
     def give_operator_command(self):
         """Roll back one class or all, again and again, or release, while messages are in flight."""
         numbers = sorted(self.publisher.version_log.versions)
-        classes = [[], ["read"], ["write"]][self.random.below(3)]
-        if self.random.below(3) == 0:
+        classes = [[], ["read"], ["write"]][self.random.randbelow(3)]
+        if self.random.randbelow(3) == 0:
             self.commands.release(classes, "duty", "")
         else:
-            number = numbers[self.random.below(len(numbers))]
-            for _ in range(1 + self.random.below(2)):
+            number = numbers[self.random.randbelow(len(numbers))]
+            for _ in range(1 + self.random.randbelow(2)):
                 before = len(self.publisher.version_log.versions)
                 if (
                     "nothing changes" in self.commands.roll_back(number, classes, "duty", "")
@@ -178,11 +178,11 @@
 
     def deliver(self, proxy, incarnation, call, *arguments):
         """Deliver a message: never, twice or late; not once its connection is gone."""
-        if self.random.below(100) < self.loss_percent:
+        if self.random.randbelow(100) < self.loss_percent:
             return
-        for _ in range(2 if self.random.below(8) == 0 else 1):
+        for _ in range(2 if self.random.randbelow(8) == 0 else 1):
             self.later(
-                1000 + self.random.below(200_000 if self.random.below(4) == 0 else 20_000),
+                1000 + self.random.randbelow(200_000 if self.random.randbelow(4) == 0 else 20_000),
                 lambda: proxy.incarnation == incarnation and call(*arguments),
             )
 
@@ -218,7 +218,7 @@
         self.stream = None
         incarnation = self.incarnation
         self.network.later(
-            10_000 + self.network.random.below(500_000),
+            10_000 + self.network.random.randbelow(500_000),
             lambda: incarnation == self.incarnation and self.connect(),
         )
 
@@ -322,7 +322,7 @@
     for _ in range(30):
         _play_event(network)
         for _ in range(3):
-            network.run(network.random.below(200) / 1000)
+            network.run(network.random.randbelow(200) / 1000)
             for proxy in network.proxies:
                 proxy.serve()
     # Faults end; what was lost last shows with the next change.
@@ -336,8 +336,8 @@
 
 
 def _play_event(network):
-    event = network.random.below(10)
-    proxy = network.proxies[network.random.below(4)]
+    event = network.random.randbelow(10)
+    proxy = network.proxies[network.random.randbelow(4)]
     if event < 5:
         network.change_tables()
     elif event == 5:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -25,7 +25,7 @@
     latency_objective=SECOND,
     deadline=3 * SECOND,
     priority_weight=1,
-    late_priority_weight=0.1,
+    late_weight_factor=0.1,
     idempotency=Idempotency.SAFE,
 )
 WRITE_CLASS = dataclasses.replace(
@@ -127,7 +127,7 @@
         """Record an admission level."""
         self.note(f"table {table}: level {level:.2f} of {list(classes)}, retry {retry_policy}")
 
-    def request_ack(self, number, everyone):
+    def request_ack(self, number, all_proxies):
         """Keep the time at which the acknowledgement comes."""
         if self.ack_delay is not None:
             self.timers.append((self.clock + self.ack_delay, -number))
@@ -140,9 +140,9 @@
         """Record a message to another planner."""
         self.note(f"send to peer {peer}")
 
-    def watch_endpoints(self, on):
+    def watch_endpoints(self, enabled):
         """Record a subscription to the endpoint list."""
-        self.note(f"watch {on}")
+        self.note(f"watch {enabled}")
 
     def fetch_endpoints(self):
         """Record a request for the endpoint list."""
@@ -161,7 +161,7 @@
 
     def change(self, *servers):
         """Tell the assigner of changes to the endpoint list."""
-        self.assigner.on_endpoint_update(UpdateKind.CHANGES, list(servers))
+        self.assigner.on_endpoint_update(UpdateKind.INCREMENTAL, list(servers))
 
     def run(self, seconds, reports=None):
         """Let time pass; `reports`, if any, is called once a second, before the timers."""
--- a/tests/store/crash_scenarios.py
+++ b/tests/store/crash_scenarios.py
@@ -53,7 +53,7 @@
 
     def commit(self, log: WriteAheadLog) -> None:
         """Commit some random batches to a log."""
-        batches = [self._batch() for _ in range(1 + self._random.below(3))]
+        batches = [self._batch() for _ in range(1 + self._random.randbelow(3))]
         states = self.possible[:1]
         for changes in batches:
             states.append(_changed(states[-1], changes))
@@ -64,12 +64,12 @@
 
     def _batch(self) -> Changes:
         changes = []
-        count = 1 + self._random.below(3)
-        for key in {KEYS[self._random.below(len(KEYS))] for _ in range(count)}:
+        count = 1 + self._random.randbelow(3)
+        for key in {KEYS[self._random.randbelow(len(KEYS))] for _ in range(count)}:
             self._change_count += 1
             value = None
-            if self._random.below(5):
-                value = {"nth": self._change_count, "fill": "x" * self._random.below(60)}
+            if self._random.randbelow(5):
+                value = {"nth": self._change_count, "fill": "x" * self._random.randbelow(60)}
             changes.append((key, value))
         return sorted(changes, key=lambda change: change[0])
 
@@ -120,7 +120,7 @@
         for _ in range(COMMIT_COUNT):
             with contextlib.suppress(StoreStoppedError):
                 expected.commit(log)
-            while log.compaction_due() and disk.random.below(4):
+            while log.compaction_due() and disk.random.randbelow(4):
                 log.compact(COMPACTION_STEP_BYTES)
             if len(expected.possible) == 1 and log.read_all() != expected.possible[0]:
                 return f"{self}: {log.read_all()} held, {expected.possible[0]} acknowledged"
--- a/tests/store/test_power_cuts.py
+++ b/tests/store/test_power_cuts.py
@@ -48,7 +48,8 @@
         for seed in range(60):
             random = SeededRandom(seed)
             errors = {
-                random.below(150): (errno.ENOSPC, errno.EIO)[random.below(2)] for _ in range(12)
+                random.randbelow(150): (errno.ENOSPC, errno.EIO)[random.randbelow(2)]
+                for _ in range(12)
             }
             self.assertIsNone(CrashScenario(seed, errors=errors).run().problem)
             self.assertIsNone(CrashScenario(seed, cut_at=30 + seed, errors=errors).run().problem)
--- a/tests/versions/support.py
+++ b/tests/versions/support.py
@@ -171,7 +171,10 @@
     return {
         str(table): table_snapshot(
             "read",
-            {SERVER_IDS[random.below(12)]: 1 + random.below(4) for _ in range(1 + random.below(6))},
+            {
+                SERVER_IDS[random.randbelow(12)]: 1 + random.randbelow(4)
+                for _ in range(1 + random.randbelow(6))
+            },
             1.0,
             1,
         )
--- a/tests/versions/test_replication.py
+++ b/tests/versions/test_replication.py
@@ -48,7 +48,7 @@
 
     def carry(self, source, target, kind, fields):
         """Bring a message to its target, if it is not lost."""
-        if self.random.below(100) < self.loss:
+        if self.random.randbelow(100) < self.loss:
             return
         # As it travels: what a message can't carry must show here.
         *_, fields = message_codec.unpack(
@@ -63,9 +63,9 @@
             if self.replicators[target] is receiver:
                 receiver.on_message(source, kind, fields)
 
-        for _ in range(2 if self.random.below(10) == 0 else 1):
-            longest = SECOND if self.random.below(10) == 0 else 20_000
-            self.loop.later(1000 + self.random.below(longest), arrive)
+        for _ in range(2 if self.random.randbelow(10) == 0 else 1):
+            longest = SECOND if self.random.randbelow(10) == 0 else 20_000
+            self.loop.later(1000 + self.random.randbelow(longest), arrive)
 
     def take_over(self, name, epoch):
         """Let a controller lead under an epoch."""
@@ -133,7 +133,7 @@
     def step(self):
         """Do one thing, and check what all hold."""
         planner = self.network.planners[self.network.leader]
-        action = self.random.below(8)
+        action = self.random.randbelow(8)
         if action < 4:
             self._change(planner)
         elif action == 4:
@@ -144,18 +144,20 @@
             self._take_over(planner)
         else:
             self._restart()
-        self.network.loop.run(self.random.below(1500) / 1000)
+        self.network.loop.run(self.random.randbelow(1500) / 1000)
         self.network.check()
 
     def _change(self, planner):
-        table = self.random.below(6)
-        weights = {f"h{self.random.below(12)}": 1.0 + self.random.below(3) for _ in range(4)}
+        table = self.random.randbelow(6)
+        weights = {
+            f"h{self.random.randbelow(12)}": 1.0 + self.random.randbelow(3) for _ in range(4)
+        }
         planner.change(table, **weights)
 
     def _roll_back(self, planner):
         numbers = sorted(planner.publisher.version_log.versions)
-        number = numbers[self.random.below(len(numbers))]
-        class_name = ("read", "write")[self.random.below(2)]
+        number = numbers[self.random.randbelow(len(numbers))]
+        class_name = ("read", "write")[self.random.randbelow(2)]
         planner.commands.roll_back(number, [class_name], "duty", "")
 
     def _take_over(self, planner):
@@ -167,7 +169,7 @@
         self.epoch += 1
         loss = network.loss
         network.loss = 0
-        network.take_over(network.names[self.random.below(len(network.names))], self.epoch)
+        network.take_over(network.names[self.random.randbelow(len(network.names))], self.epoch)
         network.loop.run(2)
         network.loss = loss
         serial = network.planners[network.leader].publisher.requests.serial
@@ -175,7 +177,7 @@
             raise AssertionError(f"seed {self.seed}: a request that was kept is forgotten")
 
     def _restart(self):
-        name = self.network.names[self.random.below(len(self.network.names))]
+        name = self.network.names[self.random.randbelow(len(self.network.names))]
         if name != self.network.leader:
             self.network.start(name, self.network.planners[name].store)
 
