--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -27,7 +27,7 @@
         results = pool.map(explore_part, range(0, count, SEEDS_PER_PART), chunksize=1)
     elapsed = time.perf_counter() - started
     caught = {
-        mutant.__name__: model.explore(range(MUTANT_SEEDS), make=mutant)[0]
+        mutant.__name__: model.explore(range(MUTANT_SEEDS), election_class=mutant)[0]
         for mutant in mutants.MUTANTS
     }
     kept = {
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -21,7 +21,7 @@
 from indigodeck.client.sasp import SaspClient
 from indigodeck.client.xds import XdsClient
 from indigodeck.clock import now
-from indigodeck.leadership.operator_client import ask
+from indigodeck.leadership.operator_client import send_operator_request
 from indigodeck.store.files import StoreFolder
 from indigodeck.store.write_ahead_log import WriteAheadLog
 from indigodeck.testbed.discovery_server import EndpointListFile
@@ -146,7 +146,9 @@
 
     async def request(self, **fields: Any) -> dict[str, Any]:
         """Send an operator's request about versions; return its answer."""
-        return await ask(("127.0.0.1", self._operator_port), KEY, "versions", wish=fields)
+        return await send_operator_request(
+            ("127.0.0.1", self._operator_port), KEY, "versions", wish=fields
+        )
 
     async def newest_version(self) -> str:
         """Return the newest version, once all has settled."""
--- a/indigodeck/cli/controller_group.py
+++ b/indigodeck/cli/controller_group.py
@@ -54,11 +54,11 @@
     from tornado.util import TimeoutError as DeadlineExceededError
 
     from ..leadership.message_codec import MessageRejectedError
-    from ..leadership.operator_client import ask
+    from ..leadership.operator_client import send_operator_request
 
     async def ask_one(address: Address) -> Answer:
         try:
-            return await ask(address, key, request, **fields)
+            return await send_operator_request(address, key, request, **fields)
         except (OSError, StreamClosedError, DeadlineExceededError, MessageRejectedError) as error:
             return {"unreached": str(error) or type(error).__name__}
 
--- a/indigodeck/leadership/candidacy.py
+++ b/indigodeck/leadership/candidacy.py
@@ -78,12 +78,12 @@
             member
             for member in self.preference_order(relay_group)
             if not grantor.is_passed_over(relay_group, member)
-            and (member == state.me or (member != lapsed and state.is_alive(member)))
+            and (member == state.member_id or (member != lapsed and state.is_alive(member)))
         ]
         if self._is_resting(relay_group):
             return False
         vacant = grantor.vacant_time(relay_group)
-        return state.me in eligible[:1] or vacant > VACANT_LEASES * state.settings.lease
+        return state.member_id in eligible[:1] or vacant > VACANT_LEASES * state.settings.lease
 
     def _is_resting(self, relay_group: str) -> bool:
         return self._state.host.now() < self._resting_until.get(relay_group, 0)
@@ -114,7 +114,7 @@
         state = self._state
         known = state.known_epoch(relay_group).epoch
         turn = max(known, self.candidacies[relay_group].epoch) // EPOCHS_PER_TURN + 1
-        return turn * EPOCHS_PER_TURN + sorted(state.members).index(state.me)
+        return turn * EPOCHS_PER_TURN + sorted(state.members).index(state.member_id)
 
     def _request(self, relay_group: str, epoch: int) -> None:
         state = self._state
@@ -149,9 +149,9 @@
         state = self._state
         grantor = self._election.grantor
         epoch = candidacy.epoch
-        if grantor.refusal(state.me, relay_group, epoch, state.number) is not None:
+        if grantor.refusal(state.member_id, relay_group, epoch, state.number) is not None:
             return
-        if grantor.grant(state.me, relay_group, epoch):
+        if grantor.grant(state.member_id, relay_group, epoch):
             grant = LeaseGrant(
                 relay_group=relay_group,
                 epoch=epoch,
@@ -160,7 +160,7 @@
                 membership_number=state.number,
                 proposal=state.record.proposal,
             )
-            self.count_grant(state.me, grant)
+            self.count_grant(state.member_id, grant)
 
     def on_grant(self, member: str, message: LeaseGrant) -> None:
         """Count what another member granted."""
@@ -257,7 +257,7 @@
         resting = RESTING_LEASES * state.settings.lease
         self._resting_until[relay_group] = state.host.now() + resting
         self._lose(relay_group, "leadership transferred")
-        self._election.grantor.on_release(state.me, release)
+        self._election.grantor.on_release(state.member_id, release)
         for member in state.peers:
             state.host.send(member, release)
         return True
--- a/indigodeck/leadership/election.py
+++ b/indigodeck/leadership/election.py
@@ -83,9 +83,9 @@
         host.start_timer(settings.tick)
 
     @property
-    def me(self) -> str:
+    def member_id(self) -> str:
         """Id of this member."""
-        return self.settings.me
+        return self.settings.member_id
 
     @property
     def members(self) -> Members:
@@ -172,7 +172,7 @@
         """Return what is known here of members and leases."""
         state = self.state
         return Status(
-            me=self.me,
+            me=self.member_id,
             may_grant=self.recovery.may_grant(),
             membership_number=state.number,
             change_pending=bool(self.membership.requested),
@@ -186,7 +186,7 @@
     def _member_status(self, member: str, address: str) -> MemberStatus:
         state = self.state
         heard_at = state.last_heard.get(member)
-        if member == self.me or state.is_alive(member):
+        if member == self.member_id or state.is_alive(member):
             liveness = "alive"
         else:
             liveness = "unheard" if heard_at is None else "suspected"
@@ -195,7 +195,7 @@
             liveness=liveness,
             heard_ago=None if heard_at is None else self._host.now() - heard_at,
             membership_number=(
-                state.number if member == self.me else state.peer_numbers.get(member)
+                state.number if member == self.member_id else state.peer_numbers.get(member)
             ),
         )
 
--- a/indigodeck/leadership/member_thread.py
+++ b/indigodeck/leadership/member_thread.py
@@ -20,7 +20,7 @@
 from tornado.ioloop import IOLoop, PeriodicCallback
 
 from .messages import ReplicationMessage
-from .transport import ControllerTransport, Follower, MemberService
+from .transport import ConnectedRelay, ControllerTransport, MemberService
 
 CLOSE_TIME = 0.1  # seconds for what is given up to be sent
 JOIN_TIMEOUT = 1.0  # seconds for the thread to end
@@ -45,7 +45,7 @@
     def on_replication_message(self, member: str, kind: str, fields: dict[str, Any]) -> None:
         """Take a message of the replication of versions."""
 
-    def followers(self) -> list[Follower]:
+    def connected_relays(self) -> list[ConnectedRelay]:
         """Return the relays that are spoken to from here."""
 
     def on_operator_request(self, request: Any) -> Coroutine[Any, Any, Any]:
@@ -55,18 +55,18 @@
 class MemberThread:
     """Runs a member beside the planner whose loop makes this.
 
-    `make(service)` gives the transport on the thread's own loop; what it raises is raised here.
-    `lease` is in microseconds.
+    `make_transport(service)` gives the transport on the thread's own loop; what it raises is
+    raised here. `lease` is in microseconds.
     """
 
     def __init__(
         self,
         service: PlannerService,
-        make: Callable[[MemberService], ControllerTransport],
+        make_transport: Callable[[MemberService], ControllerTransport],
         lease: int,
     ) -> None:
         self._service = service
-        self._make = make
+        self._make_transport = make_transport
         self._planner_loop = IOLoop.current()
         self._planner_seen_at = service.now()
         self._planner_heartbeat = PeriodicCallback(self._on_planner_turn, lease / HEARTBEAT_DIVISOR)
@@ -84,7 +84,7 @@
         asyncio.set_event_loop(asyncio.new_event_loop())
         self._loop = IOLoop.current()
         try:
-            made.set_result(self._make(self))
+            made.set_result(self._make_transport(self))
         except Exception as error:
             # Raised where it is waited for: an address in use, a key that is none.
             made.set_exception(error)
@@ -153,11 +153,11 @@
         """Return the planner's answer to a request."""
         return await self._on_planner_loop(self._service.on_operator_request(request))
 
-    async def followers(self) -> list[Follower]:
+    async def connected_relays(self) -> list[ConnectedRelay]:
         """Return the relays that the planner speaks to."""
 
-        async def ask() -> list[Follower]:
-            return self._service.followers()
+        async def ask() -> list[ConnectedRelay]:
+            return self._service.connected_relays()
 
         return await self._on_planner_loop(ask())
 
--- a/indigodeck/leadership/membership.py
+++ b/indigodeck/leadership/membership.py
@@ -73,7 +73,7 @@
         that know epochs follow it. Returns None, or why it can't be.
         """
         state = self._state
-        if state.me not in members or not 1 <= len(members) <= MAX_MEMBERS:
+        if state.member_id not in members or not 1 <= len(members) <= MAX_MEMBERS:
             return "who is forced to be a member must be told so itself"
         if state.number < 0:
             return "it was never a member"
@@ -133,8 +133,8 @@
         for member in state.peers:
             if member not in self._accepted_by:
                 state.host.send(member, ProposeMembers(*proposal))
-        if state.me not in self._accepted_by and self.accepts(state.me, proposal):
-            self.count_acceptance(state.me, proposal)
+        if state.member_id not in self._accepted_by and self.accepts(state.member_id, proposal):
+            self.count_acceptance(state.member_id, proposal)
 
     def on_acceptance(self, member: str, message: AcceptMembers) -> None:
         """Count that another member has accepted and written down what is proposed here."""
@@ -208,7 +208,10 @@
         """Tell who the members are; once a tick at most, as the other may ask for many groups."""
         state = self._state
         now = state.host.now()
-        if member == state.me or now - self._informed_at.get(member, NEVER) < state.settings.tick:
+        if (
+            member == state.member_id
+            or now - self._informed_at.get(member, NEVER) < state.settings.tick
+        ):
             return
         self._informed_at[member] = now
         notice = MembershipNotice(state.number, state.members, dict(state.known_epochs))
@@ -237,7 +240,7 @@
         adopted = state.record._replace(epochs=epochs, membership=membership, proposal=None)
         if not state.save(adopted):
             return
-        if state.me not in members:
+        if state.member_id not in members:
             self._election.transfer_all()
         if number - state.number >= FORCED_STEP and state.number >= 0:
             # Forced by an operator: leases may run that none of these members granted.
--- a/indigodeck/leadership/message_codec.py
+++ b/indigodeck/leadership/message_codec.py
@@ -51,7 +51,7 @@
     "hand over": messages.TransferLeadership,
     "change": messages.ChangeMembers,
     "force": messages.ForceMembers,
-    "followers": messages.FollowersQuery,
+    "followers": messages.ConnectedRelaysQuery,
     "versions": messages.VersionRequest,
     "answer": messages.Answer,
 }
--- a/indigodeck/leadership/messages.py
+++ b/indigodeck/leadership/messages.py
@@ -182,7 +182,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FollowersQuery:
+class ConnectedRelaysQuery:
     """Asks which relays this member speaks to, from the one after `after` on, in order of ids."""
 
     after: str
@@ -200,7 +200,7 @@
     | TransferLeadership
     | ChangeMembers
     | ForceMembers
-    | FollowersQuery
+    | ConnectedRelaysQuery
     | VersionRequest
 )
 
--- a/indigodeck/leadership/model.py
+++ b/indigodeck/leadership/model.py
@@ -28,8 +28,8 @@
 class World:
     """All members on one true clock.
 
-    `make` is the election to run, `LeaderElection` or a mutant of it. Two more controllers than
-    `members` stand by to be added.
+    `election_class` is the election to run, `LeaderElection` or a mutant of it. Two more
+    controllers than `members` stand by to be added.
     """
 
     def __init__(
@@ -37,10 +37,10 @@
         seed: int,
         members: int = 3,
         seconds: int = 120,
-        make: type[LeaderElection] = LeaderElection,
+        election_class: type[LeaderElection] = LeaderElection,
     ) -> None:
         self.seed = seed
-        self.make = make
+        self.election_class = election_class
         self.random = SeededRandom(seed * 2654435761 + 1)
         self._hang_random = SeededRandom(seed * 2654435761 + 2)
         self.clock = 0
@@ -342,9 +342,9 @@
         seed: int,
         members: int = 5,
         seconds: int = 120,
-        make: type[LeaderElection] = LeaderElection,
+        election_class: type[LeaderElection] = LeaderElection,
     ) -> None:
-        super().__init__(seed, 5, seconds, make)
+        super().__init__(seed, 5, seconds, election_class)
         self._step = 0
         self._unaware: list[str] = []  # removed without hearing of it
         self._between = ""
@@ -383,14 +383,14 @@
     seeds: Sequence[int],
     members: Sequence[int] = (3, 5),
     seconds: int = 60,
-    make: type[LeaderElection] = LeaderElection,
+    election_class: type[LeaderElection] = LeaderElection,
 ) -> tuple[int, int, str | None]:
     """Play schedules until one breaks: how many were played, takeovers seen, what broke or None."""
     takeovers = 0
     for played, seed in enumerate(seeds, 1):
         world = NeighbouringMemberships if seed % 16 == 15 else World
         try:
-            takeovers += world(seed, members[seed % len(members)], seconds, make).run()
+            takeovers += world(seed, members[seed % len(members)], seconds, election_class).run()
         except InvariantError as error:
             return played, takeovers, str(error)
     return len(seeds), takeovers, None
--- a/indigodeck/leadership/operator_client.py
+++ b/indigodeck/leadership/operator_client.py
@@ -14,7 +14,9 @@
 ANSWER_TIMEOUT = 3  # seconds
 
 
-async def ask(address: tuple[str, int], key: bytes, kind: str, **fields: Any) -> Any:
+async def send_operator_request(
+    address: tuple[str, int], key: bytes, kind: str, **fields: Any
+) -> Any:
     """Return one controller's answer to an operator, by the request's kind and fields on the wire.
 
     One that speaks only an older version is asked in that.
@@ -29,13 +31,13 @@
     *newer, last = message_codec.versions_that_can_say(kind, fields)
     for version in newer:
         try:
-            return await _ask_in_version(address, key, version, kind, **fields)
+            return await _send_in_version(address, key, version, kind, **fields)
         except StreamClosedError:
             continue
-    return await _ask_in_version(address, key, last, kind, **fields)
+    return await _send_in_version(address, key, last, kind, **fields)
 
 
-async def _ask_in_version(
+async def _send_in_version(
     address: tuple[str, int], key: bytes, version: int, kind: str, **fields: Any
 ) -> Any:
     stream = await TCPClient().connect(*address, timeout=CONNECT_TIMEOUT)
--- a/indigodeck/leadership/recovery.py
+++ b/indigodeck/leadership/recovery.py
@@ -30,7 +30,7 @@
         state = self._state
         self.nonce += 1
         self.queried_at = state.host.now()
-        listed = [name for name in state.settings.members if name != state.me]
+        listed = [name for name in state.settings.members if name != state.member_id]
         for member in state.peers or listed:
             state.host.send(member, RecoveryQuery(self.nonce, max(0, state.number)))
 
--- a/indigodeck/leadership/simulated_member.py
+++ b/indigodeck/leadership/simulated_member.py
@@ -43,18 +43,18 @@
         # A member that is added later, and one whose disk is lost, are told today's members, as
         # settings should.
         members = self._world.decided_members()
-        settings = self._world.make.settings_class(
-            me=self.name,
+        settings = self._world.election_class.settings_class(
+            member_id=self.name,
             members=members,
             relay_groups=(RELAY_GROUP,),
             lease=LEASE,
             drift=DRIFT,
             incarnation=self.incarnation,
-            joins=self.name not in members,
+            joining=self.name not in members,
         )
         name_seed = ord(self.name[0]) + ord(self.name[-1])
         random = SeededRandom(self._world.seed * 97 + self.incarnation * 31 + name_seed)
-        self.election = self._world.make(self, settings, random, record)
+        self.election = self._world.election_class(self, settings, random, record)
 
     def run(self, incarnation: int, callback: Callback) -> None:
         """Let something happen, unless it was for an earlier incarnation; later while paused."""
--- a/indigodeck/leadership/state.py
+++ b/indigodeck/leadership/state.py
@@ -95,17 +95,17 @@
 
     `members` are all, this one among them, as long as nothing else was decided. `drift` bounds by
     what part any member's clock may run faster or slower than true time. `incarnation` is a number
-    that no earlier start of this member had. A member that `joins` is none yet and asks nobody for
-    anything until it is added; `members` are then those that it may hear.
+    that no earlier start of this member had. A member that is `joining` is none yet and asks nobody
+    for anything until it is added; `members` are then those that it may hear.
     """
 
-    me: str
+    member_id: str
     members: Members
     relay_groups: tuple[str, ...]
     lease: int
     drift: float
     incarnation: int
-    joins: bool = False
+    joining: bool = False
 
     @property
     def tick(self) -> int:
@@ -142,7 +142,7 @@
         """Start from what the record says, or from the settings where it says nothing."""
         if self.record.membership:
             self.number, self.members = self.record.membership
-        elif self.settings.joins:
+        elif self.settings.joining:
             self.number = -1
         else:
             self.members = dict(self.settings.members)
@@ -150,14 +150,14 @@
         self.started_at = self.host.now()
 
     @property
-    def me(self) -> str:
+    def member_id(self) -> str:
         """Id of this member."""
-        return self.settings.me
+        return self.settings.member_id
 
     @property
     def is_member(self) -> bool:
         """Whether this one is a member by the membership that it knows."""
-        return self.me in self.members
+        return self.member_id in self.members
 
     @property
     def majority(self) -> int:
@@ -167,7 +167,7 @@
     @property
     def peers(self) -> list[str]:
         """All members but this one."""
-        return [member for member in self.members if member != self.me]
+        return [member for member in self.members if member != self.member_id]
 
     def note_heard(self, member: str, number: int | None = None) -> None:
         """Note that a member was heard now, and which membership it knows if it said so."""
--- a/indigodeck/leadership/transport.py
+++ b/indigodeck/leadership/transport.py
@@ -33,7 +33,7 @@
 MAX_RECONNECT_BACKOFF = 1.0  # seconds
 
 
-class Follower(NamedTuple):
+class ConnectedRelay(NamedTuple):
     """A relay that this controller speaks to."""
 
     relay: str
@@ -62,7 +62,7 @@
     def on_replication_message(self, member: str, kind: str, fields: dict[str, Any]) -> None:
         """Take a message of the replication of versions."""
 
-    def followers(self) -> Awaitable[list[Follower]]:
+    def connected_relays(self) -> Awaitable[list[ConnectedRelay]]:
         """Return the relays that are spoken to from here."""
 
     def on_operator_request(self, request: Any) -> Awaitable[Any]:
@@ -115,7 +115,7 @@
         record = lease_store.read()
         self._update_peers(record.membership.members if record and record.membership else {})
         self.election = LeaderElection(self, settings, random, record)
-        address = parse_address(settings.members[settings.me])
+        address = parse_address(settings.members[settings.member_id])
         self.add_sockets(bind_sockets(address.port, address.host))
 
     def close(self) -> None:
@@ -133,7 +133,7 @@
         for name in [name for name in self._peers if name not in places]:
             self._peers.pop(name).is_closed = True
         for name, place in places.items():
-            if name != self._settings.me and name not in self._peers:
+            if name != self._settings.member_id and name not in self._peers:
                 peer = PeerQueue(parse_address(place), self._newest_version)
                 self._peers[name] = peer
                 IOLoop.current().add_callback(self._send_queue, peer)
@@ -164,7 +164,7 @@
         kind, fields = message_codec.to_wire(message)
         version = peer.spoken.version
         if message_codec.can_say(kind, version, fields):
-            data = message_codec.pack(self._key, self._settings.me, kind, version, **fields)
+            data = message_codec.pack(self._key, self._settings.member_id, kind, version, **fields)
             peer.queue.append((self.now(), data))
             peer.has_messages.set()
 
@@ -261,7 +261,9 @@
             answer = messages.Answer(await self._answer(received.kind, message))
             kind, fields = message_codec.to_wire(answer)
             await stream.write(
-                message_codec.pack(self._key, self._settings.me, kind, received.version, **fields)
+                message_codec.pack(
+                    self._key, self._settings.member_id, kind, received.version, **fields
+                )
             )
             return
         self._peers[received.source].spoken.on_message(connection, received.version)
@@ -281,7 +283,7 @@
         match message:
             case messages.StatusQuery():
                 return await self._status()
-            case messages.FollowersQuery(after):
+            case messages.ConnectedRelaysQuery(after):
                 return await self._followers(after)
             case messages.ChangeMembers(members):
                 return {"why_not": self._change_members(members)}
@@ -296,12 +298,12 @@
         raise message_codec.MessageRejectedError(f"an operator can't say {kind!r}")
 
     async def _status(self) -> dict[str, Any]:
-        followers = await self._service.followers()
+        followers = await self._service.connected_relays()
         status = self.election.status()
         for group, lease in status.leases.items():
             lease.followers = sum(follower[2] == group for follower in followers)
         for name, member in status.members.items():
-            is_self = name == self._settings.me
+            is_self = name == self._settings.member_id
             member.message_version = (
                 self._newest_version if is_self else self._peers[name].spoken.version
             )
@@ -309,7 +311,7 @@
 
     async def _followers(self, after: str) -> dict[str, Any]:
         found = sorted(
-            follower for follower in await self._service.followers() if follower[0] > after
+            follower for follower in await self._service.connected_relays() if follower[0] > after
         )
         return {
             "relays": found[:MAX_FOLLOWERS_PER_ANSWER],
--- a/indigodeck/planner/leadership_hooks.py
+++ b/indigodeck/planner/leadership_hooks.py
@@ -10,7 +10,7 @@
 from ..clock import now
 
 if TYPE_CHECKING:
-    from ..leadership.transport import Follower
+    from ..leadership.transport import ConnectedRelay
     from .service import PlannerService
 
 
@@ -100,9 +100,9 @@
         """Carry out an operator's request on versions."""
         return await self._service.versions.on_operator_request(request)
 
-    def followers(self) -> "list[Follower]":
+    def connected_relays(self) -> "list[ConnectedRelay]":
         """Return all proxies that are spoken to from here."""
-        from ..leadership.transport import Follower  # loaded only where there is a group
+        from ..leadership.transport import ConnectedRelay  # loaded only where there is a group
 
         proxies = self._service.proxies
         frontend_names = {
@@ -112,7 +112,7 @@
             )
         }
         return [
-            Follower(
+            ConnectedRelay(
                 proxies.proxy_name(proxy),
                 frontend_names.get(id(frontend), ""),
                 self._relay_group(proxies.zone_of[proxy]),
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -163,13 +163,13 @@
     lease_store, rejection_store = _group_records(record_path, store, stored)
     seed = seed_from(leadership.member_name, [str(settings.seed).encode()])
     election_settings = ElectionSettings(
-        me=leadership.member_name,
+        member_id=leadership.member_name,
         members=dict(leadership.members),
         relay_groups=tuple(settings.zone_names if leadership.lease_per_zone else [FLEET_GROUP]),
         lease=leadership.lease_time,
         drift=leadership.clock_drift,
         incarnation=int(time.time() * INCARNATIONS_PER_SECOND),
-        joins=leadership.joining,
+        joining=leadership.joining,
     )
 
     def make_transport(member_service: Any) -> ControllerTransport:
--- a/tests/leadership/controllers.py
+++ b/tests/leadership/controllers.py
@@ -10,7 +10,7 @@
 
 from support import ROOT, until  # noqa: E402 - after the variable
 
-from indigodeck.leadership.operator_client import ask  # noqa: E402 - after the variable
+from indigodeck.leadership.operator_client import send_operator_request  # noqa: E402 - after the variable
 from indigodeck.testbed.controller_fleet import ControllerFleet  # noqa: E402 - after the variable
 
 
@@ -57,9 +57,9 @@
         found, key = {}, b"a key for tests, shared by all of them"
         for name, port in self.fleet.member_ports.items():
             if self.fleet.processes[name].returncode is None:
-                for relay, *_ in (await ask(("127.0.0.1", port), key, "followers", after=""))[
-                    "relays"
-                ]:
+                for relay, *_ in (
+                    await send_operator_request(("127.0.0.1", port), key, "followers", after="")
+                )["relays"]:
                     found.setdefault(relay, []).append(name)
         return found
 
--- a/tests/leadership/test_member_thread.py
+++ b/tests/leadership/test_member_thread.py
@@ -35,7 +35,7 @@
         """Keep the change."""
         self.changes.append(("out", epoch))
 
-    def followers(self):
+    def connected_relays(self):
         """Return one relay."""
         return [("r1", "sasp", "fleet")]
 
--- a/tests/leadership/test_model.py
+++ b/tests/leadership/test_model.py
@@ -25,7 +25,7 @@
         seeds = [*range(600, 700), *range(220)]
         for mutant in MUTANTS:
             with self.subTest(mutant.__name__):
-                self.assertIsNotNone(model.explore(seeds, make=mutant)[2])
+                self.assertIsNotNone(model.explore(seeds, election_class=mutant)[2])
 
     def test_the_same_seed_plays_the_same_schedule(self):
         """A seed gives the same takeovers again."""
