--- a/benchmarks/full_size.py
+++ b/benchmarks/full_size.py
@@ -90,8 +90,6 @@
 class QuietEnvironment(SimulatedLoop):
     """A host's environment: time and timers, and nobody to notify."""
 
-    call_later = SimulatedLoop.later
-
     def ignore(self, *_given: object, **_facts: object) -> None:
         """Do nothing."""
 
@@ -100,7 +98,7 @@
     send_to_peer = ignore
     fetch_endpoints = ignore
     log = ignore
-    note = ignore
+    log_event = ignore
     trace = ignore
 
 
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -21,7 +21,7 @@
 
 from indigodeck.clock import now
 from indigodeck.planner.planner_settings import PlannerSettings
-from indigodeck.serve import assemble
+from indigodeck.serve import start_planner_service
 from indigodeck.testbed.discovery_server import EndpointListFile
 from indigodeck.testbed.worker_process import WorkerProcess
 
@@ -103,7 +103,7 @@
     with tempfile.TemporaryDirectory() as folder:
         endpoint_list = EndpointListFile(folder)
         endpoint_list.write(hosts)
-        service = assemble(PlannerSettings(document, pathlib.Path(folder)))
+        service = start_planner_service(PlannerSettings(document, pathlib.Path(folder)))
         times = OrderTimes(service)
         port = service.frontends[0].port()
         processes = await start_relays(document, protocol, relay_count, port)
--- a/benchmarks/wire_bytes.py
+++ b/benchmarks/wire_bytes.py
@@ -20,7 +20,7 @@
 from indigodeck.frontends.xds import codec
 from indigodeck.frontends.xds.streams import Stream
 from indigodeck.planner.planner_settings import PlannerSettings
-from indigodeck.serve import assemble
+from indigodeck.serve import start_planner_service
 from indigodeck.testbed.discovery_server import EndpointListFile
 
 HOSTS = 105
@@ -161,7 +161,7 @@
     with tempfile.TemporaryDirectory() as folder:
         endpoint_list = EndpointListFile(folder)
         endpoint_list.write(hosts)
-        service = assemble(PlannerSettings(document, pathlib.Path(folder)))
+        service = start_planner_service(PlannerSettings(document, pathlib.Path(folder)))
         xds_frontend, sasp_frontend = service.frontends
         meters = {
             "whole": XdsMeter(xds_frontend, "hall-a/whole", False, class_names),
--- a/indigodeck/frontends/sasp/connection.py
+++ b/indigodeck/frontends/sasp/connection.py
@@ -64,7 +64,7 @@
 
     def _close(self) -> None:
         if not self.stream.closed():
-            self.frontend.note(
+            self.frontend.log_event(
                 "connection_closed",
                 peer=self.conversation.name() or self.address[0],
                 reason=self._close_reason,
@@ -84,7 +84,7 @@
         except DeadlineExceededError:
             self.close("a message was begun and not ended in time")
         except codec.MalformedSaspMessageError as error:
-            self.frontend.note(
+            self.frontend.log_event(
                 "message_malformed",
                 peer=self.conversation.name(),
                 reason=str(error),
--- a/indigodeck/frontends/sasp/conversation.py
+++ b/indigodeck/frontends/sasp/conversation.py
@@ -77,7 +77,7 @@
         try:
             codec.dispatch(message, self, self.registry.bounds)
         except MalformedSaspMessageError as error:
-            self.registry.environment.note(
+            self.registry.environment.log_event(
                 "message_malformed", peer=self.name(), reason=str(error), code=error.return_code
             )
             if error.reply_type is None:
@@ -126,7 +126,7 @@
         environment.on_proxy_joined(proxy, load_balancer_id)
 
     def _reject_proxy(self, load_balancer_id: bytes, reason: str) -> NoReturn:
-        self.registry.environment.note(
+        self.registry.environment.log_event(
             "proxy_rejected", peer=load_balancer_id.decode("utf-8", "replace"), reason=reason
         )
         raise SaspRequestRejectedError(NOT_ACCEPTED)
--- a/indigodeck/frontends/sasp/group_weights.py
+++ b/indigodeck/frontends/sasp/group_weights.py
@@ -5,7 +5,7 @@
 """
 
 from ...planner.planner_host import PlannerHost
-from ...planner.weights import scaled
+from ...planner.weights import scale_weights
 from .codec import BY_BALANCER, CONFIDENT, CONTACT, QUIESCED, Address, Entry, Member
 from .registration import Group, SaspEnvironment
 
@@ -38,7 +38,7 @@
             if table and not server_at:
                 # None that it may use is in the table: that says nothing of those that it has.
                 return self._without_table(group, trust)
-        weights = scaled(table)
+        weights = scale_weights(table)
         entries = [
             self._entry(group, address, weights[server], server)
             for address, server in sorted(server_at.items())
--- a/indigodeck/frontends/sasp/registration.py
+++ b/indigodeck/frontends/sasp/registration.py
@@ -39,7 +39,7 @@
     def on_host_quiesced(self, address: Address, quiesced: bool) -> Any:
         """Take in what a server says of itself: whether it wants no new work."""
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write a line to the log."""
 
 
--- a/indigodeck/frontends/sasp/server.py
+++ b/indigodeck/frontends/sasp/server.py
@@ -107,7 +107,7 @@
     async def handle_stream(self, stream: IOStream, address: tuple) -> None:
         """Serve one connection."""
         if len(self._connections) >= self.max_connections:
-            self.note(
+            self.log_event(
                 "connection_rejected",
                 peer=address[0],
                 reason=f"{self.max_connections} connections are open",
@@ -161,6 +161,6 @@
         """Take in what a server says of itself: whether it wants no new work."""
         return self.service.endpoints.on_host_quiesced(address, quiesced)
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write a line to the log."""
-        self.service.note(event, frontend=FRONTEND_NAME, **facts)
+        self.service.log_event(event, frontend=FRONTEND_NAME, **facts)
--- a/indigodeck/frontends/xds/connection.py
+++ b/indigodeck/frontends/xds/connection.py
@@ -76,7 +76,7 @@
                 status = grpc.StatusCode.RESOURCE_EXHAUSTED
                 reason = str(error)
                 peer = self.proxy.proxy_id if self.proxy else None
-                self.frontend.note("proxy_rejected", peer=peer, reason=reason)
+                self.frontend.log_event("proxy_rejected", peer=peer, reason=reason)
             elif error is not None and not isinstance(error, NotLeaderError):
                 raise error
         finally:
--- a/indigodeck/frontends/xds/proxies.py
+++ b/indigodeck/frontends/xds/proxies.py
@@ -43,7 +43,7 @@
     def on_content_rejected(self, proxy_id: str, class_name: str, version: str) -> None:
         """Take note that a proxy rejected a class's endpoints."""
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write a line to the log."""
 
 
@@ -87,7 +87,7 @@
 
     def on_resources_rejected(self, type_url: str, versions: Mapping[str, str], error: str) -> None:
         """Take note that the proxy can't use these versions, by name."""
-        self.environment.note(
+        self.environment.log_event(
             "resources_rejected",
             proxy=self.proxy_id,
             type=type_url.rpartition(".")[2],
--- a/indigodeck/frontends/xds/resources.py
+++ b/indigodeck/frontends/xds/resources.py
@@ -28,7 +28,7 @@
     """The resources of all classes, by proxy.
 
     Proxies that share a table share its bytes: made once, whoever asks first. `class_indices` may
-    change while streams are open. `scaled` makes whole weights of a table.
+    change while streams are open. `scale_weights` makes whole weights of a table.
     """
 
     def __init__(
@@ -36,12 +36,12 @@
         planner_host: PlannerHost,
         lookup: EndpointLookup,
         class_indices: Mapping[str, int],
-        scaled: Callable[[Mapping[int, float]], dict[int, int]],
+        scale_weights: Callable[[Mapping[int, float]], dict[int, int]],
     ) -> None:
         self.class_indices = dict(class_indices)
         self._planner_host = planner_host
         self._lookup = lookup
-        self._scaled = scaled
+        self._scale_weights = scale_weights
         # The revision of the content and the resource, by type, name and what else tells it apart.
         self._cached: dict[tuple[Any, ...], tuple[Any, Resource]] = {}
 
@@ -80,7 +80,7 @@
 
     def _endpoints(self, name: str, class_index: int, proxy: int, level: float) -> Resource:
         table = self._planner_host.table_for(proxy, class_index) or {}
-        weights = self._scaled(table)
+        weights = self._scale_weights(table)
         serving = [
             Endpoint(*found, weights[server])
             for server in table
--- a/indigodeck/frontends/xds/server.py
+++ b/indigodeck/frontends/xds/server.py
@@ -11,7 +11,7 @@
 from ...errors import LimitExceededError
 from ...planner.planner_settings import PlannerSettings, XdsFrontendSettings
 from ...planner.service import PlannerService
-from ...planner.weights import scaled
+from ...planner.weights import scale_weights
 from . import codec
 from .connection import Connection
 from .proxies import Bounds, NotLeaderError, XdsProxy
@@ -45,7 +45,7 @@
             self.planner_host,
             self,
             {name: index for index, name in enumerate(settings.class_names)},
-            scaled,
+            scale_weights,
         )
         self.reports_counted = 0
         self._proxies_by_id: dict[str, XdsProxy] = {}
@@ -111,9 +111,9 @@
         except RuntimeError as error:
             # Whoever had the socket before may not have let go of it.
             self._server = None
-            # A fault kept as it is (docs/ROADMAP.md): `note` states the frontend as well, so that
-            # this call raises TypeError and ends the attempts.
-            self.note("listen_failed", frontend=FRONTEND_NAME, reason=str(error))
+            # A fault kept as it is (docs/ROADMAP.md): `log_event` states the frontend as well, so
+            # that this call raises TypeError and ends the attempts.
+            self.log_event("listen_failed", frontend=FRONTEND_NAME, reason=str(error))
             await asyncio.sleep(LISTEN_RETRY_S)
 
     async def _stop_listening(self) -> None:
@@ -255,6 +255,6 @@
         zone = self.service.proxies.zone_of.get(proxy, 0)
         return self.service.leadership.lease_epoch(zone) or 0
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write a line to the log."""
-        self.service.note(event, frontend=FRONTEND_NAME, **facts)
+        self.service.log_event(event, frontend=FRONTEND_NAME, **facts)
--- a/indigodeck/leadership/member_thread.py
+++ b/indigodeck/leadership/member_thread.py
@@ -33,7 +33,7 @@
     def now(self) -> int:
         """Return the monotonic time in microseconds; called from both threads."""
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write an event to the log; called from both threads."""
 
     def on_leadership_acquired(self, relay_group: str, epoch: int) -> None:
@@ -131,9 +131,9 @@
         """Return for how long the planner's loop has not turned, in microseconds."""
         return self._service.now() - self._planner_seen_at
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write an event to the log."""
-        self._service.note(event, **facts)
+        self._service.log_event(event, **facts)
 
     def on_leadership_acquired(self, relay_group: str, epoch: int) -> None:
         """Tell the planner that it leads."""
--- a/indigodeck/leadership/operator_server.py
+++ b/indigodeck/leadership/operator_server.py
@@ -28,7 +28,7 @@
     def on_operator_request(self, request: Any) -> Awaitable[Any]:
         """Answer a request to the versions of tables (versions/admin_api.py)."""
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write an event to the log."""
 
 
@@ -64,7 +64,7 @@
         sockets = bind_sockets(port, address)
         self.add_sockets(sockets)
         self.port = sockets[0].getsockname()[1]
-        self._service.note("listening", frontend="operators", port=self.port)
+        self._service.log_event("listening", frontend="operators", port=self.port)
 
     async def handle_stream(self, stream: IOStream, address: tuple) -> None:
         """Answer requests on one connection until it ends or one is rejected."""
@@ -76,7 +76,7 @@
             while True:
                 await self._answer_next(stream)
         except message_codec.MessageRejectedError as error:
-            self._service.note("operator_rejected", peer=address[0], why=str(error))
+            self._service.log_event("operator_rejected", peer=address[0], why=str(error))
         except (StreamClosedError, DeadlineExceededError, OSError):
             pass
         finally:
--- a/indigodeck/leadership/transport.py
+++ b/indigodeck/leadership/transport.py
@@ -50,7 +50,7 @@
     def planner_idle_time(self) -> int:
         """Return for how long the planner was not seen at work, in microseconds."""
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write an event to the log."""
 
     def on_leadership_acquired(self, relay_group: str, epoch: int) -> None:
@@ -186,7 +186,7 @@
 
     def log(self, event: str, **facts: Any) -> None:
         """Write an event to the log."""
-        self._service.note(event, **facts)
+        self._service.log_event(event, **facts)
 
     # What the registry of rejections may ask.
 
@@ -241,7 +241,7 @@
         except message_codec.MessageRejectedError as error:
             # One line for each connection, which ends: who is not of this fleet can't fill the log
             # through one.
-            self._service.note("controller_rejected", peer=address[0], why=str(error))
+            self._service.log_event("controller_rejected", peer=address[0], why=str(error))
         except (StreamClosedError, DeadlineExceededError, OSError):
             pass
         finally:
--- a/indigodeck/planner/cached_endpoint_list.py
+++ b/indigodeck/planner/cached_endpoint_list.py
@@ -37,7 +37,7 @@
     def wall_clock(self) -> int:
         """Return the time of day, in microseconds since 1970."""
 
-    def later(self, after: int, call: Callable[[], None]) -> None:
+    def call_later(self, delay: int, callback: Callable[[], None]) -> None:
         """Call back after this time."""
 
     def check_cached_host(self, entry: Entry) -> None:
@@ -46,7 +46,7 @@
     def use_cached_entries(self, entries: list[Entry], is_first: bool) -> None:
         """Use these entries: all there are (`is_first`), or more of them."""
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write a line to the log."""
 
 
@@ -71,7 +71,7 @@
         self._silent_since: dict[str, int] = {}
         self._in_progress: set[str] = set()
         self._published: set[str] | None = None  # None: the cached list is not used yet
-        environment.later(LIST_TIMEOUT, self._begin)
+        environment.call_later(LIST_TIMEOUT, self._begin)
 
     def on_answer(self, host_id: str) -> None:
         """Take note that a host has answered its check."""
@@ -102,7 +102,7 @@
         self.superseded = True
         if self._published is None:
             return  # in time: the cached list was never used
-        self.environment.note(
+        self.environment.log_event(
             "cached_list_superseded",
             more=len(entries.keys() - self._entries.keys()),
             fewer=len(self._entries.keys() - entries.keys()),
@@ -118,7 +118,7 @@
         }
         if not added or self.superseded:
             return
-        self.environment.note("stale_list_names_more", hosts=sorted(added)[:MAX_LOGGED_HOSTS])
+        self.environment.log_event("stale_list_names_more", hosts=sorted(added)[:MAX_LOGGED_HOSTS])
         self._entries.update((host_id, dict(entry)) for host_id, entry in added.items())
 
     def trust(self) -> float:
@@ -148,7 +148,7 @@
     def _begin(self) -> None:
         if self.superseded:
             return
-        self.environment.note("cached_list_checked", **self.figures())
+        self.environment.log_event("cached_list_checked", **self.figures())
         self._published = set()
         if not self.checks_enabled:
             self._answering = set(self._ready())
@@ -167,7 +167,7 @@
             if now - self._silent_since.get(host_id, -RECHECK_AFTER) >= RECHECK_AFTER
         ]
         self._check(sorted(due, key=lambda host_id: (host_id in self._silent_since, host_id)))
-        self.environment.later(CHECK_INTERVAL, self._check_due)
+        self.environment.call_later(CHECK_INTERVAL, self._check_due)
 
     def _check_next(self) -> None:
         """Check hosts that wait for their turn as soon as others have been."""
@@ -200,7 +200,7 @@
         added = [self._entries[host_id] for host_id in sorted(self._answering - already_used)]
         if not already_used:
             draining = [entry for entry in self._entries.values() if entry["state"] == "draining"]
-            self.environment.note("cached_list_used", **self.figures())
+            self.environment.log_event("cached_list_used", **self.figures())
             self.environment.use_cached_entries(added + draining, True)
         elif added:
             self.environment.use_cached_entries(added, False)
--- a/indigodeck/planner/demand_aggregation.py
+++ b/indigodeck/planner/demand_aggregation.py
@@ -167,12 +167,12 @@
         last = self._last_report_at.get(proxy, -SECOND * 1000)
         return self.sink.now() - last < REPORTS_STALE_AFTER_PERIODS * self.report_period
 
-    def hand_on(
-        self, is_listed: Callable[[int], bool], usual_latency: Callable[[int], int] = lambda _: 0
+    def forward_reports(
+        self, is_listed: Callable[[int], bool], recent_latency: Callable[[int], int] = lambda _: 0
     ) -> set[int]:
         """Hand the oldest sums to the sink, as many as the rate allows.
 
-        Sums of servers that are no longer listed are dropped. `usual_latency` is what a server
+        Sums of servers that are no longer listed are dropped. `recent_latency` is what a server
         itself says its requests take, for proxies that count but don't time.
 
         Returns
@@ -190,7 +190,7 @@
             server_sum = self._server_sums.pop(key)
             if is_listed(server):
                 reported.add(server)
-                self._report_server(key, server_sum, now, usual_latency)
+                self._report_server(key, server_sum, now, recent_latency)
         return reported
 
     def _budget(self, now: int) -> int:
@@ -217,14 +217,14 @@
         key: tuple[int, int],
         server_sum: _ServerSum,
         now: int,
-        usual_latency: Callable[[int], int],
+        recent_latency: Callable[[int], int],
     ) -> None:
         zone, server = key
         mean_latency = 0
         if server_sum.timed_attempts:
             mean_latency = server_sum.total_latency // server_sum.timed_attempts
         elif server_sum.attempts > server_sum.failures:
-            mean_latency = usual_latency(server)
+            mean_latency = recent_latency(server)
         self.sink.on_load_report(
             LoadReport(
                 zone,
--- a/indigodeck/planner/endpoint_directory.py
+++ b/indigodeck/planner/endpoint_directory.py
@@ -35,7 +35,7 @@
             self.server_ids,
             settings.zone_names,
             settings.machine_type_names,
-            service.clock_gap,
+            service.wall_clock_offset,
         )
         # A list stored by an earlier run, used for as long as nothing newer has come.
         self.cached_list: CachedEndpointList | None = None
@@ -91,7 +91,7 @@
         self._take_addresses()
         self._tell_health_inference(kind, servers)
         states = [server.state for server in servers]
-        self._service.note(
+        self._service.log_event(
             "endpoint_list_updated",
             kind=kind,
             version=self.endpoint_list.version,
@@ -120,9 +120,9 @@
         """Fetch the whole list: changes are missing."""
         self._service.list_source.fetch()
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write a line to the log."""
-        self._service.note(event, **facts)
+        self._service.log_event(event, **facts)
 
     def _take_addresses(self) -> None:
         for entry in self.endpoint_list.entries.values():
@@ -172,9 +172,9 @@
         """Return the time of day, in microseconds since 1970."""
         return self._service.wall_clock()
 
-    def later(self, after: int, call: Callable[[], None]) -> None:
+    def call_later(self, delay: int, callback: Callable[[], None]) -> None:
         """Call back after this time."""
-        self._service.later(after, call)
+        self._service.call_later(delay, callback)
 
     def check_cached_host(self, entry: Entry) -> None:
         """Check a host's health, and tell the cached list the end."""
@@ -208,7 +208,7 @@
     def _schedule_store(self) -> None:
         if self._service.versions.store is not None and not self._is_store_scheduled:
             self._is_store_scheduled = True
-            self._service.later(STORE_INTERVAL, self._store_list)
+            self._service.call_later(STORE_INTERVAL, self._store_list)
 
     def _store_list(self) -> None:
         self._is_store_scheduled = False
--- a/indigodeck/planner/endpoint_list.py
+++ b/indigodeck/planner/endpoint_list.py
@@ -51,15 +51,15 @@
     def fetch_endpoint_list(self) -> None:
         """Fetch the whole list: changes are missing."""
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write a line to the log."""
 
 
 class EndpointList:
     """Holds the newest list and tells its listener what it says.
 
-    `zone_names` and `machine_type_names` are in the order of the settings. `clock_gap` is from the
-    planner's own clock to the wall clock, in which lists state starts (microseconds).
+    `zone_names` and `machine_type_names` are in the order of the settings. `wall_clock_offset` is
+    from the planner's own clock to the wall clock, in which lists state starts (microseconds).
     `oldest_accepted` is the version and epoch of a list that was cached: an older one is no first
     list either. `quiesced_ids` are hosts that say of themselves that they take no new work.
     """
@@ -70,11 +70,11 @@
         server_ids: IdRegistry,
         zone_names: Sequence[str],
         machine_type_names: Sequence[str],
-        clock_gap: int,
+        wall_clock_offset: int,
     ) -> None:
         self.listener = listener
         self.server_ids = server_ids
-        self.clock_gap = clock_gap
+        self.wall_clock_offset = wall_clock_offset
         self.version: int | None = None
         self.epoch = 0
         self.oldest_accepted: tuple[int, int] | None = None
@@ -98,7 +98,9 @@
         # A service that starts again may count from the start again; its epoch says so.
         if version < held_version and epoch <= held_epoch:
             self.listener.on_stale_list({entry["id"]: entry for entry in document["hosts"]})
-            self.listener.note("endpoint_list_stale", version=version, held_version=held_version)
+            self.listener.log_event(
+                "endpoint_list_stale", version=version, held_version=held_version
+            )
             return
         # The first list after a start says nothing of what changed: processes in it may be long up.
         kind = UpdateKind.CACHED if self.version is None else UpdateKind.WHOLE
@@ -189,7 +191,7 @@
     def _started(self, entry: Entry) -> int:
         """Return when a host's process started, on the planner's clock; 0: before that began."""
         started = entry.get("started_ms", 0) * MILLISECOND
-        return max(0, started - self.clock_gap) if started else 0
+        return max(0, started - self.wall_clock_offset) if started else 0
 
     def _state(self, entry: Entry) -> ServerState:
         state = SERVER_STATES[entry["state"]]
--- a/indigodeck/planner/health_inference.py
+++ b/indigodeck/planner/health_inference.py
@@ -188,7 +188,7 @@
 
     # What the assigner is handed.
 
-    def usual_latency(self, server: int) -> int:
+    def recent_latency(self, server: int) -> int:
         """Return how long requests lately took at a host; 0 if nothing tells."""
         host = self.hosts.get(server)
         if host is None:
--- a/indigodeck/planner/join_admission.py
+++ b/indigodeck/planner/join_admission.py
@@ -30,13 +30,13 @@
     def now(self) -> int:
         """Return the time on a clock that never goes back."""
 
-    def later(self, after: int, call: Callable[[], None]) -> None:
+    def call_later(self, delay: int, callback: Callable[[], None]) -> None:
         """Call back after this time."""
 
     def waiting_lines(self) -> float:
         """Return the lines that wait for all proxies."""
 
-    def lines_of_one_join(self) -> float:
+    def lines_per_join(self) -> float:
         """Return the lines that one more proxy may have waiting at once."""
 
     def admit(self, candidate: Hashable) -> None:
@@ -70,7 +70,7 @@
         if not self._is_scheduled:
             self._is_scheduled = True
             next_look_at = self._last_look_at + ADMISSION_INTERVAL
-            self.environment.later(max(0, next_look_at - self.environment.now()), self._look)
+            self.environment.call_later(max(0, next_look_at - self.environment.now()), self._look)
 
     def on_departure(self, candidate: Hashable) -> None:
         """Forget a candidate that waits no more, whether it was admitted or not."""
@@ -83,16 +83,16 @@
         self._last_look_at = now
         while self._candidates and self._has_room(now):
             candidate, _ = self._candidates.popitem(last=False)
-            self._lines_of_this_look += self.environment.lines_of_one_join()
+            self._lines_of_this_look += self.environment.lines_per_join()
             self._last_admitted_at = now
             self.environment.admit(candidate)
         self._is_scheduled = bool(self._candidates)
         if self._is_scheduled:
-            self.environment.later(ADMISSION_INTERVAL, self._look)
+            self.environment.call_later(ADMISSION_INTERVAL, self._look)
 
     def _has_room(self, now: int) -> bool:
         waiting = self.environment.waiting_lines() + self._lines_of_this_look
-        needed = self.environment.lines_of_one_join()
+        needed = self.environment.lines_per_join()
         if not waiting:
             return True  # an empty channel takes anybody, however small it is stated to be
         if waiting + needed <= JOIN_SHARE * self.max_waiting_lines:
--- a/indigodeck/planner/leadership_hooks.py
+++ b/indigodeck/planner/leadership_hooks.py
@@ -18,7 +18,7 @@
     """Asked before anything is told to a proxy, and told of leases that are acquired and lost."""
 
     def __init__(self, service: "PlannerService") -> None:
-        self.members: Any = None  # set by the program that puts a planner together (`serve`)
+        self.member_thread: Any = None  # set by the program that puts a planner together (`serve`)
         self._service = service
 
     # What the planner and its frontends ask.
@@ -28,22 +28,22 @@
 
         0 where controllers share nothing, None while another leads. To be asked as bytes leave.
         """
-        if self.members is None:
+        if self.member_thread is None:
             return 0
-        return self.members.election.leading_epoch(self._relay_group(zone))
+        return self.member_thread.election.leading_epoch(self._relay_group(zone))
 
     def holds_any_lease(self) -> bool:
         """Return whether any proxy may be served from here now."""
-        if self.members is None:
+        if self.member_thread is None:
             return True
-        election = self.members.election
+        election = self.member_thread.election
         return any(election.leading_epoch(group) is not None for group in election.relay_groups)
 
     def may_serve(self, proxy_id: str, zone_name: str | None = None) -> bool:
         """Return whether a proxy that introduces itself may be told anything from here."""
         settings = self._service.settings
         if zone_name is None:
-            zone = settings.proxy_defaults.of(proxy_id).zone
+            zone = settings.proxy_defaults.rule_for(proxy_id).zone
         else:
             zone = settings.zone_names.index(zone_name)
         return self.lease_epoch(zone) is not None
@@ -54,14 +54,14 @@
 
     def rejected_content(self, proxy_id: str) -> dict[str, str]:
         """Return what a proxy rejected, here or with another controller, by class."""
-        if self.members is None:
+        if self.member_thread is None:
             return {}
-        return self.members.rejections_of(proxy_id)
+        return self.member_thread.rejections_of(proxy_id)
 
     def on_content_rejected(self, proxy_id: str, class_name: str, content: str) -> None:
         """Let the other controllers know that a proxy rejected what it was sent."""
-        if self.members is not None:
-            self.members.record_rejection(proxy_id, class_name, content)
+        if self.member_thread is not None:
+            self.member_thread.record_rejection(proxy_id, class_name, content)
 
     # What the group's member tells and asks.
 
@@ -69,20 +69,20 @@
         """Return the time on a clock that never goes back; from any thread."""
         return now()
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write a line to the log; from any thread."""
-        self._service.note(event, **facts)
+        self._service.log_event(event, **facts)
 
     def on_leadership_acquired(self, relay_group: str, epoch: int) -> None:
         """Begin to serve the proxies of a group under this epoch."""
-        self.note("lease_acquired", relay_group=relay_group, epoch=epoch)
+        self.log_event("lease_acquired", relay_group=relay_group, epoch=epoch)
         self._service.versions.on_leadership_acquired(epoch)
         for frontend in self._service.frontends:
             frontend.set_accepting(True)
 
     def on_leadership_lost(self, relay_group: str, epoch: int, reason: str) -> None:
         """Write nothing more to a group's proxies: their connections end at once."""
-        self.note("lease_lost", relay_group=relay_group, epoch=epoch, why=reason)
+        self.log_event("lease_lost", relay_group=relay_group, epoch=epoch, why=reason)
         proxies = self._service.proxies
         for proxy in list(proxies.frontend_of):
             if self._relay_group(proxies.zone_of[proxy]) == relay_group:
@@ -125,4 +125,4 @@
         settings = self._service.settings
         if settings.leadership is not None and settings.leadership.lease_per_zone:
             return settings.zone_names[zone]
-        return self.members.election.relay_groups[0]
+        return self.member_thread.election.relay_groups[0]
--- a/indigodeck/planner/pending_updates.py
+++ b/indigodeck/planner/pending_updates.py
@@ -68,13 +68,13 @@
 class UpdateQueue:
     """The pending updates of all joined proxies.
 
-    A message costs `message_overhead_lines` beside its lines. `most_waiting_lines` is the longest
+    A message costs `message_overhead_lines` beside its lines. `peak_waiting_lines` is the longest
     that the queue has been.
     """
 
     def __init__(self, now: Callable[[], int], message_overhead_lines: float) -> None:
         self.by_proxy: dict[int, PendingUpdates] = {}
-        self.most_waiting_lines: float = 0
+        self.peak_waiting_lines: float = 0
         self._now = now
         self._message_overhead_lines = message_overhead_lines
         self._reached_proxies: set[int] = set()  # since the last flush
@@ -136,7 +136,7 @@
         self._requested_acks = []
         if reached:
             # The queue grows only by what is added for somebody; most calls order nothing.
-            self.most_waiting_lines = max(self.most_waiting_lines, self.waiting_lines())
+            self.peak_waiting_lines = max(self.peak_waiting_lines, self.waiting_lines())
         return reached
 
     # What is taken from it.
--- a/indigodeck/planner/planner_host.py
+++ b/indigodeck/planner/planner_host.py
@@ -29,7 +29,7 @@
     def now(self) -> int:
         """Return the time on a clock that never goes back."""
 
-    def later(self, after: int, call: Callable[[], None]) -> None:
+    def call_later(self, delay: int, callback: Callable[[], None]) -> None:
         """Call back after this time."""
 
     def request_write(self, proxy: int) -> None:
@@ -41,7 +41,7 @@
     def fetch_endpoint_list(self) -> None:
         """Fetch the whole endpoint list, where its source must be asked."""
 
-    def note(self, event: str) -> None:
+    def log_event(self, event: str) -> None:
         """Write a line to the log."""
 
 
@@ -60,8 +60,8 @@
 
     Each `on_...` method ends with the orders of that call laid out for the proxies concerned: the
     environment is asked once for each proxy. `publisher` numbers the versions of what is published,
-    where they are kept (`versions.publisher`). `make` builds another policy in the assigner's
-    place.
+    where they are kept (`versions.publisher`). `make_assigner` builds another policy in the
+    assigner's place.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         environment: Environment,
         settings: DeploymentSettings,
         seed: int,
-        make: Callable[..., Any] = Assigner,
+        make_assigner: Callable[..., Any] = Assigner,
     ) -> None:
         self.environment = environment
         self.settings = settings
@@ -85,7 +85,7 @@
         self._table_revisions: dict[int, int] = {}
         self._ejection_revision = 0
         self.assigner: Any = None  # its constructor may give orders already
-        self.assigner = make(self, settings, seed)
+        self.assigner = make_assigner(self, settings, seed)
         self.flush_orders("start")
 
     # Events.
@@ -180,7 +180,7 @@
         """Return the lines that wait for all proxies, the overhead of messages included."""
         return self.updates.waiting_lines()
 
-    def lines_of_one_join(self) -> float:
+    def lines_per_join(self) -> float:
         """Return the lines that one more proxy may have waiting at once.
 
         These are a table and the ejected servers for each class.
@@ -295,7 +295,7 @@
 
     def start_timer(self, delay: int, token: int) -> None:
         """Call the assigner's `on_timer(token)` after `delay`."""
-        self.environment.later(delay, lambda: self._on_timer(token))
+        self.environment.call_later(delay, lambda: self._on_timer(token))
 
     def set_weight(self, table: int, server: int, weight: float) -> None:
         """Set one line of a table; weight 0 removes it."""
@@ -387,4 +387,4 @@
         """Write a line to the log; the publisher states it as the cause of the next version."""
         if self.publisher is not None:
             self.publisher.add_cause(text)
-        self.environment.note(text)
+        self.environment.log_event(text)
--- a/indigodeck/planner/planner_settings.py
+++ b/indigodeck/planner/planner_settings.py
@@ -105,7 +105,7 @@
         self.deployment = _deployment(document, channel)
         self.proxy_defaults = self._proxy_defaults(document.get("relays", {}))
 
-    def class_for_checks(self) -> str:
+    def health_check_class(self) -> str:
         """Return the class of which health checks are: one that may be executed twice, if any."""
         idempotent = [
             one.name for one in self.deployment.classes if one.idempotency == Idempotency.SAFE
--- a/indigodeck/planner/proxy_sessions.py
+++ b/indigodeck/planner/proxy_sessions.py
@@ -84,19 +84,19 @@
             if older is not frontend:
                 older.disconnect_proxy(proxy)
         self.frontend_of[proxy] = frontend
-        rule = self._settings.proxy_defaults.of(proxy_id)
+        rule = self._settings.proxy_defaults.rule_for(proxy_id)
         zone_names = self._settings.zone_names
         zone = rule.zone if zone_name is None else zone_names.index(zone_name)
         self.zone_of[proxy] = zone
         self._service.health_inference.on_proxy_joined(proxy)
-        self._service.note("proxy_joined", proxy=proxy_id, zone=zone_names[zone])
+        self._service.log_event("proxy_joined", proxy=proxy_id, zone=zone_names[zone])
         self._service.planner_host.on_proxy_joined(proxy, zone, rule.rate, False)
 
     def on_proxy_left(self, frontend: Frontend, proxy: int) -> None:
         """Serve a proxy no more, unless another frontend serves it by now."""
         if self.frontend_of.get(proxy) is frontend:
             self._leave(proxy)
-            self._service.note("proxy_left", proxy=self.proxy_name(proxy))
+            self._service.log_event("proxy_left", proxy=self.proxy_name(proxy))
 
     def on_proxy_report(
         self,
@@ -177,17 +177,17 @@
         """Return the time on a clock that never goes back."""
         return now()
 
-    def later(self, after: int, call: Any) -> None:
+    def call_later(self, delay: int, callback: Any) -> None:
         """Call back after this time."""
-        self._service.later(after, call)
+        self._service.call_later(delay, callback)
 
     def waiting_lines(self) -> float:
         """Return the lines that wait for all proxies."""
         return self._service.planner_host.waiting_lines()
 
-    def lines_of_one_join(self) -> float:
+    def lines_per_join(self) -> float:
         """Return the lines that one more proxy may have waiting at once."""
-        return self._service.planner_host.lines_of_one_join()
+        return self._service.planner_host.lines_per_join()
 
     def admit(self, candidate: Any) -> None:
         """Let a candidate join now, if it still waits."""
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -32,19 +32,20 @@
 class PlannerService:
     """Everything that one planner runs, and the environment of its `PlannerHost`.
 
-    `make` hosts another policy in the assigner's place, for baselines. `host_client` reaches hosts
-    (HTTP unless given). `operator_server` is set by the program that puts a planner together.
+    `make_assigner` hosts another policy in the assigner's place, for baselines. `host_client`
+    reaches hosts (HTTP unless given). `operator_server` is set by the program that puts a planner
+    together.
     """
 
     def __init__(
         self,
         settings: PlannerSettings,
-        make: Callable[..., Any] = Assigner,
+        make_assigner: Callable[..., Any] = Assigner,
         host_client: HostClient | None = None,
     ) -> None:
         self.settings = settings
         self.log = structlog.get_logger()
-        self.clock_gap = wall_clock_offset()
+        self.wall_clock_offset = wall_clock_offset()
         self.is_closing = False
         self.frontends: list[Frontend] = []
         self.operator_server: Any = None
@@ -62,7 +63,7 @@
         )
         deployment = settings.deployment
         reports = settings.reports
-        self.planner_host = PlannerHost(self, deployment, settings.seed, make)
+        self.planner_host = PlannerHost(self, deployment, settings.seed, make_assigner)
         self.health_inference = HealthInference(
             self.planner_host, deployment, reports.checks_per_second, reports.checks_at_once
         )
@@ -84,9 +85,9 @@
         """Return the time on a clock that never goes back."""
         return now()
 
-    def later(self, after: int, call: Callable[[], None]) -> None:
+    def call_later(self, delay: int, callback: Callable[[], None]) -> None:
         """Call back after this time."""
-        IOLoop.current().call_later(after / SECOND, call)
+        IOLoop.current().call_later(delay / SECOND, callback)
 
     def request_write(self, proxy: int) -> None:
         """Have a proxy's frontend write to it."""
@@ -100,13 +101,13 @@
         """Fetch the whole endpoint list, where its source must be asked."""
         self.list_source.fetch()
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write a line to the log."""
         self.log.info(event, **facts)
 
     def wall_clock(self) -> int:
         """Return the time of day, in microseconds since 1970."""
-        return now() + self.clock_gap
+        return now() + self.wall_clock_offset
 
     # Its life.
 
@@ -133,8 +134,8 @@
         logging.getLogger("tornado").disabled = True
         logging.getLogger("tornado.application").disabled = True
         self._report_timer.stop()
-        if self.leadership.members is not None:
-            self.leadership.members.close()
+        if self.leadership.member_thread is not None:
+            self.leadership.member_thread.close()
         self.versions.close()
         for frontend in self.frontends:
             frontend.close()
@@ -144,7 +145,7 @@
     def _http_client(self) -> HttpHostClient:
         reports = self.settings.reports
         # A check is a real request, so one that may be executed twice.
-        usual_path = f"/exchange/{self.settings.class_for_checks()}"
+        usual_path = f"/exchange/{self.settings.health_check_class()}"
         return HttpHostClient(reports.check_path or usual_path, reports.load_path)
 
     def _on_list_failed(self) -> None:
@@ -155,9 +156,9 @@
 
     def _on_period(self) -> None:
         """Hand on what proxies and hosts reported, and ask hosts again."""
-        reported_servers = self.demand_aggregator.hand_on(
+        reported_servers = self.demand_aggregator.forward_reports(
             lambda server: server in self.health_inference.hosts,
-            self.health_inference.usual_latency,
+            self.health_inference.recent_latency,
         )
         self.health_inference.report(reported_servers, self.demand_aggregator.reports_recently)
         self.health_checker.fetch_reports()
--- a/indigodeck/planner/settings_sections.py
+++ b/indigodeck/planner/settings_sections.py
@@ -143,7 +143,7 @@
         self._rules = rules
         self._default = ProxyRule("", zone, rate)
 
-    def of(self, proxy_id: str) -> ProxyRule:
+    def rule_for(self, proxy_id: str) -> ProxyRule:
         """Return the rule with the longest matching prefix."""
         matching = [rule for rule in self._rules if proxy_id.startswith(rule.prefix)]
         return max(matching, key=lambda rule: len(rule.prefix), default=self._default)
--- a/indigodeck/planner/version_hooks.py
+++ b/indigodeck/planner/version_hooks.py
@@ -80,10 +80,10 @@
             proxy_ids=service.proxies.proxy_ids,
             store=store,
             stored=stored,
-            clock_gap=service.clock_gap,
+            wall_clock_offset=service.wall_clock_offset,
             on_version_published=self._on_version_published,
             on_requests_changed=self._on_requests_changed,
-            log=service.note,
+            log=service.log_event,
         )
         self.publisher = TablePublisher(
             source, service.settings.class_names, settings.max_versions, settings.max_version_age
@@ -91,9 +91,9 @@
         source.forget_stored()
         service.planner_host.publisher = self.publisher
         self.admin_api = AdminApi(self.publisher, source)
-        members = service.leadership.members
+        members = service.leadership.member_thread
         if members is not None:
-            peers = ReplicationPeers(members, self.publisher, service.later)
+            peers = ReplicationPeers(members, self.publisher, service.call_later)
             self.replicator = VersionReplicator(peers, self.publisher)
         else:
             step = START_COUNT_MARGIN if store.log.data_lost else 1
@@ -135,9 +135,9 @@
         if self.replicator is not None:
             self.replicator.on_message(member, kind, fields)
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write a line to the log."""
-        self._service.note(event, **facts)
+        self._service.log_event(event, **facts)
 
     # Operators.
 
@@ -193,7 +193,7 @@
                 # published now.
                 self._service.planner_host.has_changes = True
             elif not self._service.is_closing:
-                self._service.later(START_COUNT_RETRY, lambda: self._store_start_count(count))
+                self._service.call_later(START_COUNT_RETRY, lambda: self._store_start_count(count))
 
         IOLoop.current().add_future(self.store.put([(START_COUNT_KEY, count)]), on_stored)
 
--- a/indigodeck/planner/version_source.py
+++ b/indigodeck/planner/version_source.py
@@ -19,9 +19,9 @@
 class VersionSource:
     """Implements `versions.publisher.PublisherHost`.
 
-    `stored` is what the store held at the start, by keys, until `forget_stored`. `clock_gap` is
-    from the planner's own clock to the wall clock (microseconds). The callbacks hear of each
-    version and of each change of what operators want.
+    `stored` is what the store held at the start, by keys, until `forget_stored`.
+    `wall_clock_offset` is from the planner's own clock to the wall clock (microseconds). The
+    callbacks hear of each version and of each change of what operators want.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         proxy_ids: IdRegistry,
         store: Any,
         stored: dict[str, Any],
-        clock_gap: int,
+        wall_clock_offset: int,
         on_version_published: Callable[[Version, SnapshotDelta], None],
         on_requests_changed: Callable[[RequestState], None],
         log: Callable[..., None],
@@ -43,7 +43,7 @@
         self._proxy_ids = proxy_ids
         self._store = store
         self._stored = stored
-        self._clock_gap = clock_gap
+        self._wall_clock_offset = wall_clock_offset
         self._on_version_published = on_version_published
         self._on_requests_changed = on_requests_changed
         self._log = log
@@ -59,7 +59,7 @@
 
     def wall_clock(self) -> int:
         """Return the microseconds since 1970."""
-        return self._clock() + self._clock_gap
+        return self._clock() + self._wall_clock_offset
 
     def save(self, changes: list[tuple[str, Any]]) -> None:
         """Store values by key, soon.
--- a/indigodeck/planner/weights.py
+++ b/indigodeck/planner/weights.py
@@ -5,7 +5,7 @@
 MAX_WEIGHT = 0xFFFF
 
 
-def scaled(weights: Mapping[int, float]) -> dict[int, int]:
+def scale_weights(weights: Mapping[int, float]) -> dict[int, int]:
     """Return weights of 1 to 65535 by server.
 
     Each is a power of two times what it was, so that one change leaves the others as they were
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -27,26 +27,28 @@
 FLEET_GROUP = "fleet"  # the one group of proxies where leases are not per zone
 
 
-async def serve(settings: PlannerSettings, make: Callable[..., Any] = Assigner) -> None:
+async def serve(settings: PlannerSettings, make_assigner: Callable[..., Any] = Assigner) -> None:
     """Run a planner until SIGTERM or SIGINT; proxies keep their tables."""
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopped.set)
-    service = assemble(settings, make)
+    service = start_planner_service(settings, make_assigner)
     try:
         await stopped.wait()
     finally:
-        service.note(
+        service.log_event(
             "planner_stopping",
             proxies=len(service.proxies.frontend_of),
-            most_waiting_lines=service.planner_host.updates.most_waiting_lines,
+            most_waiting_lines=service.planner_host.updates.peak_waiting_lines,
         )
         service.close()
         await asyncio.sleep(CLOSING_TIME_S)
 
 
-def assemble(settings: PlannerSettings, make: Callable[..., Any] = Assigner) -> PlannerService:
+def start_planner_service(
+    settings: PlannerSettings, make_assigner: Callable[..., Any] = Assigner
+) -> PlannerService:
     """Return a service that runs on the current loop, with its frontends open.
 
     Raises
@@ -56,13 +58,13 @@
     OSError
         If a port can't be opened, or a file can't be read.
     """
-    service = PlannerService(settings, make, _grpc_client(settings))
+    service = PlannerService(settings, make_assigner, _grpc_client(settings))
     store = None
     stored: dict[str, Any] = {}
     if settings.store is not None:
-        store, stored = _open_store(settings, settings.store, service.note)
+        store, stored = _open_store(settings, settings.store, service.log_event)
     if settings.leadership is not None:
-        service.leadership.members = _join_group(
+        service.leadership.member_thread = _join_group(
             service, settings, settings.leadership, store, stored
         )
     if store is not None:
@@ -117,13 +119,13 @@
         return None
     from .frontends.xds.health_checks import GrpcHostClient
 
-    usual_method = f"/exchange.Hosts/{settings.class_for_checks()}"
+    usual_method = f"/exchange.Hosts/{settings.health_check_class()}"
     method = settings.reports.check_path or usual_method
     return GrpcHostClient(method, settings.deployment.report_period)
 
 
 def _open_store(
-    settings: PlannerSettings, store_settings: StoreSettings, note: Callable[..., None]
+    settings: PlannerSettings, store_settings: StoreSettings, log_event: Callable[..., None]
 ) -> tuple[Any, dict[str, Any]]:
     """Return the planner's store, and all values that it holds by their keys."""
     from .store.files import StoreFolder
@@ -131,9 +133,9 @@
     from .store.writer import StoreWriter
 
     folder = StoreFolder(settings.folder / store_settings.folder)
-    store = StoreWriter(folder, note, store_settings.write_delay / SECOND)
+    store = StoreWriter(folder, log_event, store_settings.write_delay / SECOND)
     stored = store.query(WriteAheadLog.read_all).result()
-    note("store_opened", records=len(stored), data_lost=store.log.data_lost)
+    log_event("store_opened", records=len(stored), data_lost=store.log.data_lost)
     return store, stored
 
 
--- a/indigodeck/testbed/scripted_conversation.py
+++ b/indigodeck/testbed/scripted_conversation.py
@@ -20,7 +20,7 @@
 from ..client.xds import XdsClient
 from ..clock import now
 from ..planner.planner_settings import PlannerSettings
-from ..serve import assemble
+from ..serve import start_planner_service
 from .discovery_server import EndpointListFile
 from .recording_proxy import Address, ProxyMode, RecordingProxy
 
@@ -190,7 +190,7 @@
             roster={"file": "roster.json", "look_every_ms": 20},
             fronts={protocol: {"address": "127.0.0.1", "port": 0} for protocol in CLIENTS},
         )
-        self._service = assemble(PlannerSettings(document, self._folder))
+        self._service = start_planner_service(PlannerSettings(document, self._folder))
 
     async def _stop_planner(self) -> None:
         self._service.close()
--- a/tests/edge/stand_ins.py
+++ b/tests/edge/stand_ins.py
@@ -99,8 +99,7 @@
 class FakeEnvironment(SimulatedLoop):
     """A host's environment, which prints what it is asked."""
 
-    call_later = SimulatedLoop.later
-    log = SimulatedLoop.note
+    log = SimulatedLoop.log_event
 
     def notify_orders_pending(self):
         """Do nothing: the tests take the orders themselves."""
@@ -108,15 +107,15 @@
 
     def check_health(self, checked, address):
         """Print the health check."""
-        self.note(f"check server {checked.server} at {address}")
+        self.log_event(f"check server {checked.server} at {address}")
 
     def send_to_peer(self, peer, data):
         """Print the datagram."""
-        self.note(f"send to peer {peer}")
+        self.log_event(f"send to peer {peer}")
 
     def fetch_endpoints(self):
         """Print the request."""
-        self.note("fetch")
+        self.log_event("fetch")
 
     def trace(self, event, details):
         """Do nothing."""
--- a/tests/edge/test_assigner_host.py
+++ b/tests/edge/test_assigner_host.py
@@ -28,7 +28,7 @@
     def setUp(self):
         """Make a host with an assigner, no sockets."""
         self.environment = FakeEnvironment()
-        self.outbox = Outbox(self.environment.now, self.environment.note)
+        self.outbox = Outbox(self.environment.now, self.environment.log_event)
         self.host = EdgeAssignerHost(self.environment, self.outbox, SETTINGS, 7)
 
     def orders(self):
@@ -181,7 +181,7 @@
         self.machine_types = stated["hostTypes"]
         self.codec = MessageCodec(settings)
         self.environment = FakeEnvironment()
-        self.outbox = Outbox(self.environment.now, self.environment.note)
+        self.outbox = Outbox(self.environment.now, self.environment.log_event)
         self.host = EdgeAssignerHost(self.environment, self.outbox, settings, 7)
         self.orders = []
 
--- a/tests/frontends/lossy_network.py
+++ b/tests/frontends/lossy_network.py
@@ -17,7 +17,7 @@
 from indigodeck.id_registry import IdRegistry
 from indigodeck.planner.planner_host import PlannerHost
 from indigodeck.planner.version_source import VersionSource
-from indigodeck.planner.weights import scaled
+from indigodeck.planner.weights import scale_weights
 from indigodeck.versions.operator_commands import OperatorCommands
 from indigodeck.versions.publisher import TablePublisher
 from indigodeck.versions.version_log import DAY
@@ -85,17 +85,17 @@
             proxy_ids=self.proxy_ids,
             store=self,
             stored=dict(self.stored.held),
-            clock_gap=DAY,
+            wall_clock_offset=DAY,
             on_version_published=lambda version, delta: None,
             on_requests_changed=lambda state: None,
-            log=self.note,
+            log=self.log_event,
             clock=self.now,
         )
         self.publisher = TablePublisher(source, CLASSES, 500, DAY)
         self.planner_host.publisher = self.publisher
         self.commands = OperatorCommands(self.publisher, source)
         self.publisher.become_leader(self.epoch)
-        self.cache = ResourceCache(self.planner_host, self, CLASS_INDICES, scaled)
+        self.cache = ResourceCache(self.planner_host, self, CLASS_INDICES, scale_weights)
         self.connected = {}
         for proxy in self.proxies:
             proxy.disconnect()
@@ -122,7 +122,7 @@
             }
             _, data = codec.endpoints(
                 CLASSES[table % 2],
-                [self.endpoint_of(one) + (weight,) for one, weight in scaled(lines).items()],
+                [self.endpoint_of(one) + (weight,) for one, weight in scale_weights(lines).items()],
                 [],
                 1.0,
             )
@@ -181,7 +181,7 @@
         if self.random.below(100) < self.loss_percent:
             return
         for _ in range(2 if self.random.below(8) == 0 else 1):
-            self.later(
+            self.call_later(
                 1000 + self.random.below(200_000 if self.random.below(4) == 0 else 20_000),
                 lambda: proxy.incarnation == incarnation and call(*arguments),
             )
@@ -195,7 +195,7 @@
         self.rejected_content = network.rejected_content
         self.lease_epoch = network.lease_epoch
 
-    def note(self, event, **facts):
+    def log_event(self, event, **facts):
         """Write nothing."""
 
 
@@ -217,7 +217,7 @@
         self.incarnation += 1
         self.stream = None
         incarnation = self.incarnation
-        self.network.later(
+        self.network.call_later(
             10_000 + self.network.random.below(500_000),
             lambda: incarnation == self.incarnation and self.connect(),
         )
@@ -252,12 +252,12 @@
 
     def request_write(self):
         """Write soon."""
-        self.network.later(0, self.write)
+        self.network.call_later(0, self.write)
 
     def later(self, after, call, *arguments):
         """Call back, unless the connection has ended by then."""
         incarnation = self.incarnation
-        self.network.later(after, lambda: self.incarnation == incarnation and call(*arguments))
+        self.network.call_later(after, lambda: self.incarnation == incarnation and call(*arguments))
 
     def end(self):
         """End the connection."""
--- a/tests/frontends/test_both_frontends.py
+++ b/tests/frontends/test_both_frontends.py
@@ -13,7 +13,7 @@
 from indigodeck.client.xds import XdsClient
 from indigodeck.frontends.xds.codec import ENDPOINTS
 from indigodeck.planner.planner_settings import PlannerSettings
-from indigodeck.serve import assemble
+from indigodeck.serve import start_planner_service
 
 
 class BothFrontendsTest(unittest.IsolatedAsyncioTestCase):
@@ -121,7 +121,9 @@
                 tables.changed = lambda name, tables=tables: tables.lines[name] or bare.append(name)
             planner.service.close()
             await asyncio.sleep(0.3)
-            planner.service = assemble(PlannerSettings(planner.document, planner.folder.name))
+            planner.service = start_planner_service(
+                PlannerSettings(planner.document, planner.folder.name)
+            )
             for _, client, *_ in relays:
                 frontend = planner.service.frontends[isinstance(client, XdsClient)]
                 client.planners = lambda frontend=frontend: [("127.0.0.1", frontend.port())]
@@ -137,7 +139,7 @@
             settings = service.settings
             self.assertEqual(bare, [])
             self.assertLess(
-                service.planner_host.updates.most_waiting_lines,
+                service.planner_host.updates.peak_waiting_lines,
                 settings.deployment.channel.max_waiting_lines,
             )
             self.assertLessEqual(
--- a/tests/frontends/test_sasp_conversation.py
+++ b/tests/frontends/test_sasp_conversation.py
@@ -43,12 +43,12 @@
         """Print and serve a proxy."""
         if proxy in self.planner_host.updates.by_proxy:
             self.planner_host.on_proxy_left(proxy)
-        self.note(f"relay {uid.decode()} joined")
+        self.log_event(f"relay {uid.decode()} joined")
         self.planner_host.on_proxy_joined(proxy, 0, 10.0, True)
 
     def on_proxy_left(self, proxy):
         """Print and drop a proxy."""
-        self.note(f"relay {proxy} left")
+        self.log_event(f"relay {proxy} left")
         self.planner_host.on_proxy_left(proxy)
 
     def server_at(self, where):
@@ -86,12 +86,12 @@
     def close(self, why):
         """Print why, and end the conversation."""
         self.closed = why
-        self.planner.note(f"closed: {why}")
+        self.planner.log_event(f"closed: {why}")
         self.conversation.on_closed()
 
     def answered(self, message_id, reply_type, return_code):
         """Print an answer."""
-        self.planner.note(f"answer to {message_id}: {codec.MEANINGS[return_code]}")
+        self.planner.log_event(f"answer to {message_id}: {codec.MEANINGS[return_code]}")
 
     def weights(self, number, code, interval, groups):
         """Print an answer with weights."""
@@ -107,7 +107,7 @@
                 f"{'' if entry.flags & codec.CONFIDENT else '?'}"
                 for entry in entries
             )
-            self.planner.note(f"{name.decode()}: {sent}")
+            self.planner.log_event(f"{name.decode()}: {sent}")
 
     def ask(self, *messages):
         """Say messages."""
@@ -154,12 +154,12 @@
         connection.ask(*hello())
         planner.run(0.1)
         connection.push()
-        planner.note("server 3 drains, server 11 is new")
+        planner.log_event("server 3 drains, server 11 is new")
         planner.change(server(3, ServerState.DRAINING), server(11, started=planner.clock))
         connection.push()
         planner.run(12)
         connection.push()
-        planner.note("the relay asks")
+        planner.log_event("the relay asks")
         connection.ask(codec.get_weights(7, [(b"r1", b"write")]))
         self.compare("sasp-relay", planner)
 
@@ -223,16 +223,16 @@
         """What can not be known is told as no opinion."""
         planner = SaspPlanner(servers=0)
         connection, strict = RecordedConnection(planner), RecordedConnection(planner)
-        planner.note("no list yet: no opinion")
+        planner.log_event("no list yet: no opinion")
         connection.ask(*hello(members=(0, 20)), codec.get_weights(3, [(b"r1", b"read")]))
         strict.ask(*hello(uid=b"r2", trust=False, members=(20, 21)))
         planner.run(1)
-        planner.note("a list that names neither relay's members but one")
+        planner.log_event("a list that names neither relay's members but one")
         planner.change(*[server(index) for index in range(5)])
         planner.run(1)
         connection.push()
         strict.push()
-        planner.note("members that are listed come in place of no opinion")
+        planner.log_event("members that are listed come in place of no opinion")
         planner.change(server(20), server(21))
         planner.run(12)
         connection.push()
@@ -264,7 +264,7 @@
             planner.run(0.5)
         self.assertEqual(sum(connection.closed is None for connection in connections), 3)
         self.assertEqual(len(planner.planner_host.updates.by_proxy), 1)
-        planner.note("what a replaced connection still asks is not answered for the relay")
+        planner.log_event("what a replaced connection still asks is not answered for the relay")
         connections[0].ask(codec.get_weights(9, [(b"r1", b"read")]))
         planner.run(11)
         late = RecordedConnection(planner)
--- a/tests/frontends/test_sasp_sockets.py
+++ b/tests/frontends/test_sasp_sockets.py
@@ -113,7 +113,7 @@
                 planner.set_host_states(**{f"host_{nth}": "draining"})
                 await until(lambda drained=set(range(nth + 1)): not ports(tables) & drained)
             limit = planner.service.planner_host.settings.channel.max_waiting_lines
-            self.assertLess(planner.service.planner_host.updates.most_waiting_lines, limit)
+            self.assertLess(planner.service.planner_host.updates.peak_waiting_lines, limit)
             held, data = Tables(["reading"], now), b""
             stalled.setblocking(False)
             idle = 0
--- a/tests/frontends/test_stock_client.py
+++ b/tests/frontends/test_stock_client.py
@@ -9,7 +9,7 @@
 from support import Planner, now, start_stock_client, until
 
 from indigodeck.planner.planner_settings import PlannerSettings
-from indigodeck.serve import assemble
+from indigodeck.serve import start_planner_service
 from indigodeck.testbed.grpc_host import GrpcHost
 
 
@@ -144,7 +144,9 @@
             await until(lambda: len(planner.service.planner_host.ejected_servers) == 6)
             planner.service.close()
             await asyncio.sleep(0.5)
-            planner.service = assemble(PlannerSettings(planner.document, planner.folder.name))
+            planner.service = start_planner_service(
+                PlannerSettings(planner.document, planner.folder.name)
+            )
             planner.service.health_checker.timeout = 1_000_000
             said = [
                 json.loads(line)
--- a/tests/frontends/test_xds_streams.py
+++ b/tests/frontends/test_xds_streams.py
@@ -54,7 +54,7 @@
 
     def on_delivered(self, update):
         """Print the update."""
-        self.note(f"update {update} is delivered")
+        self.log_event(f"update {update} is delivered")
 
     def set(self, version, kind="endpoints", name="read"):
         """Set the version of a resource."""
@@ -85,7 +85,7 @@
         told = " ".join(f"{name}={held}" for name, held, _ in resources) + "".join(
             f" -{name}" for name in removed
         )
-        self.planner.note(f"{SHORT_NAMES[kind]} #{nonce}: {told}")
+        self.planner.log_event(f"{SHORT_NAMES[kind]} #{nonce}: {told}")
 
     def ask(self, kind, *names, nonce="", error=None):
         """Send a state-of-the-world request."""
@@ -125,17 +125,17 @@
         client.drain()
         for kind in SHORT_NAMES.values():
             client.answer(kind)
-        planner.note("three states go out before the first is answered; a fourth waits")
+        planner.log_event("three states go out before the first is answered; a fourth waits")
         for version in ("4", "5", "6", "7"):
             planner.set(version)
             planner.updates.append(version)
             planner.proxy.take_updates()
             client.drain()
-        planner.note("the one before the newest is acknowledged, then the newest")
+        planner.log_event("the one before the newest is acknowledged, then the newest")
         client.answer("endpoints", -2)
         client.drain()
         client.answer("endpoints")
-        planner.note("it refuses 8, which is not sent again, and takes 9")
+        planner.log_event("it refuses 8, which is not sent again, and takes 9")
         planner.set("8")
         client.drain()
         client.answer("endpoints", error="no such host")
@@ -144,7 +144,9 @@
         planner.set("9")
         client.drain()
         client.answer("endpoints")
-        planner.note("a subscription that grows and shrinks; a nonce of long ago asks for nothing")
+        planner.log_event(
+            "a subscription that grows and shrinks; a nonce of long ago asks for nothing"
+        )
         client.ask("endpoints", "read", nonce=client.nonces[ENDPOINTS][-1])
         planner.set("2", name="write")
         client.drain()
@@ -163,7 +165,7 @@
         client.drain()
         for kind in SHORT_NAMES.values():
             client.answer(kind)
-        planner.note("write is renamed to store while its endpoints change")
+        planner.log_event("write is renamed to store while its endpoints change")
         planner.set("2", name="write")
         client.drain()
         planner.drop("write")
@@ -171,7 +173,7 @@
             planner.resources[TYPE_URLS[kind], "store"] = "1"
             client.change(kind, ("store",), ())
         client.drain()
-        planner.note("its route and listener are acknowledged")
+        planner.log_event("its route and listener are acknowledged")
         client.answer("listener")
         client.answer("route")
         client.drain()
@@ -188,7 +190,7 @@
         )
         client.drain()
         other = RecordedStream(planner, delta=True)
-        planner.note("a wildcard of clusters, on a second stream")
+        planner.log_event("a wildcard of clusters, on a second stream")
         other.change("cluster")
         other.drain()
         planner.drop("store")
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -231,10 +231,10 @@
         """Return the simulated time."""
         return self.clock
 
-    def later(self, delay, call):
+    def call_later(self, delay, callback):
         """Keep a call for later."""
         self.nth += 1
-        self.timers.append((self.clock + delay, self.nth, call))
+        self.timers.append((self.clock + delay, self.nth, callback))
 
     def run(self, seconds):
         """Let time pass."""
@@ -253,13 +253,13 @@
 
     def check_health(self, server_index):
         """Record a health check."""
-        self.note(f"probe {server_index}")
+        self.log_event(f"probe {server_index}")
 
     def fetch_endpoint_list(self):
         """Record a request for the endpoint list."""
-        self.note("ask for the list")
+        self.log_event("ask for the list")
 
-    def note(self, text, **facts):
+    def log_event(self, text, **facts):
         """Record a line."""
         stated = " ".join(f"{name}={value}" for name, value in facts.items())
         elapsed = (self.clock - 100 * SECOND) / SECOND
--- a/tests/leadership/test_election.py
+++ b/tests/leadership/test_election.py
@@ -40,7 +40,7 @@
 
     def start_timer(self, delay):
         """Wake the election later."""
-        self.later(delay, lambda: self.election.on_timer())
+        self.call_later(delay, lambda: self.election.on_timer())
 
     def send(self, member, message):
         """Keep a message."""
@@ -53,19 +53,19 @@
 
     def on_leadership_acquired(self, relay_group, epoch):
         """Print it."""
-        self.note(f"leads under {epoch}")
+        self.log_event(f"leads under {epoch}")
 
     def on_leadership_lost(self, relay_group, epoch, reason):
         """Print it."""
-        self.note(f"leads no longer: {reason}")
+        self.log_event(f"leads no longer: {reason}")
 
     def on_members_changed(self, number, members):
         """Print it."""
-        self.note(f"members by {number}")
+        self.log_event(f"members by {number}")
 
     def log(self, event, **facts):
         """Print an event."""
-        self.note(event, **facts)
+        self.log_event(event, **facts)
 
     def answered(
         self, member, epochs=None, serial=0, number=0, members=PLACES, proposal=None, nonce=None
--- a/tests/leadership/test_member_thread.py
+++ b/tests/leadership/test_member_thread.py
@@ -23,7 +23,7 @@
         """Return the monotonic time."""
         return now()
 
-    def note(self, event, **facts):
+    def log_event(self, event, **facts):
         """Write nothing."""
         pass
 
--- a/tests/leadership/test_records.py
+++ b/tests/leadership/test_records.py
@@ -52,7 +52,7 @@
         loop = SimulatedLoop()
         kept = []
         said = []
-        loop.start_timer = loop.later
+        loop.start_timer = loop.call_later
         loop.save_rejections = lambda rejections: kept.append(rejections) or True
         loop.broadcast_rejections = said.append
         held = RejectionRegistry(loop)
--- a/tests/planner/test_cached_endpoint_list.py
+++ b/tests/planner/test_cached_endpoint_list.py
@@ -45,7 +45,7 @@
         """Answer after 50 ms, or let a second pass without an answer."""
         self.checked.append(host["id"])
         there = host["id"] in self.answering
-        self.later(
+        self.call_later(
             50_000 if there else SECOND,
             lambda: (self.cached_list.on_answer if there else self.cached_list.on_no_answer)(
                 host["id"]
@@ -55,7 +55,7 @@
     def use_cached_entries(self, hosts, fresh):
         """Keep what is used by id."""
         self.used = {**({} if fresh else self.used), **{host["id"]: host for host in hosts}}
-        self.note(
+        self.log_event(
             "goes by" if fresh else "and",
             hosts=",".join(
                 f"{host['id']}{'' if host['state'] == 'ready' else ' ' + host['state']}"
--- a/tests/planner/test_demand_aggregation.py
+++ b/tests/planner/test_demand_aggregation.py
@@ -43,7 +43,7 @@
     def turn(self, seconds=1):
         """Let time pass, and return what is handed on then."""
         self.clock += round(seconds * SECOND)
-        self.aggregator.hand_on(lambda server: server != 9, lambda server: 77)
+        self.aggregator.forward_reports(lambda server: server != 9, lambda server: 77)
         lines, self.lines = self.lines, []
         return lines
 
--- a/tests/planner/test_endpoint_list.py
+++ b/tests/planner/test_endpoint_list.py
@@ -32,7 +32,7 @@
         """Keep that the whole list was asked for."""
         self.calls.append("ask")
 
-    def note(self, event, **facts):
+    def log_event(self, event, **facts):
         """Keep a log event."""
         self.calls.append((event, facts))
 
--- a/tests/planner/test_join_admission.py
+++ b/tests/planner/test_join_admission.py
@@ -14,7 +14,7 @@
         """Start at time 0."""
         self.loop = SimulatedLoop()
         self.now = self.loop.now
-        self.later = self.loop.later
+        self.call_later = self.loop.call_later
         self.waiting = 0
         self.admitted = []
         self.rejected = []
@@ -24,7 +24,7 @@
         """Return what waits, as the test sets it."""
         return self.waiting
 
-    def lines_of_one_join(self):
+    def lines_per_join(self):
         """Return what a proxy that joins has waiting."""
         return 50
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -15,7 +15,7 @@
 from indigodeck.client.sasp import SaspClient
 from indigodeck.clock import now
 from indigodeck.planner.planner_settings import PlannerSettings
-from indigodeck.serve import assemble
+from indigodeck.serve import start_planner_service
 
 ROOT = pathlib.Path(__file__).parent.parent
 EXAMPLE = json.loads((ROOT / "examples/bad-day.json").read_text())
@@ -69,7 +69,7 @@
             logger_factory=structlog.ReturnLoggerFactory(),
             cache_logger_on_first_use=False,
         )
-        self.service = assemble(PlannerSettings(self.document, self.folder.name))
+        self.service = start_planner_service(PlannerSettings(self.document, self.folder.name))
         self.port = self.service.frontends[0].port()
         return self
 
--- a/tests/versions/test_replication.py
+++ b/tests/versions/test_replication.py
@@ -65,7 +65,7 @@
 
         for _ in range(2 if self.random.below(10) == 0 else 1):
             longest = SECOND if self.random.below(10) == 0 else 20_000
-            self.loop.later(1000 + self.random.below(longest), arrive)
+            self.loop.call_later(1000 + self.random.below(longest), arrive)
 
     def take_over(self, name, epoch):
         """Let a controller lead under an epoch."""
@@ -103,7 +103,7 @@
         self.network = network
         self.name = name
         self.now = network.loop.now
-        self.later = network.loop.later
+        self.later = network.loop.call_later
 
     def send(self, member, kind, **fields):
         """Give a message to the network."""
