--- a/indigodeck/edge/assigner_host.py
+++ b/indigodeck/edge/assigner_host.py
@@ -42,7 +42,7 @@
 BUSY_RETRY_DELAY = 50_000  # microseconds between two looks whether the relay has caught up
 
 
-class CheckedServer(NamedTuple):
+class HealthCheckTarget(NamedTuple):
     """Which process a health check is of: one server may be several, one after the other."""
 
     server: int
@@ -68,8 +68,8 @@
     def notify_orders_pending(self) -> None:
         """Send what waits in the outbox."""
 
-    def check_health(self, checked: CheckedServer, address: Address) -> None:
-        """Send a request, and report its end with `on_health_check`, given `checked` back."""
+    def check_health(self, target: HealthCheckTarget, address: Address) -> None:
+        """Send a request, and report its end with `on_health_check`, given `target` back."""
 
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
         """Send a datagram to another planner, or to all."""
@@ -77,7 +77,7 @@
     def fetch_endpoints(self) -> None:
         """Ask for the whole endpoint list."""
 
-    def log(self, event: str, /, **facts: object) -> None:
+    def log(self, event: str, /, **fields: object) -> None:
         """Write an event to the log."""
 
     def trace(self, event: str, details: Sequence[Any]) -> None:
@@ -87,7 +87,7 @@
 class EdgeAssignerHost:
     """Hosts one assigner: platform messages in, orders into `outbox`.
 
-    Invariant: `index_of` and `servers` have the same servers.
+    Invariant: `index_by_name` and `servers` have the same servers.
     """
 
     def __init__(
@@ -100,10 +100,10 @@
     ) -> None:
         self._environment = environment
         self._outbox = outbox
-        self._class_names = tuple(stated.name for stated in settings.classes)
+        self._class_names = tuple(class_settings.name for class_settings in settings.classes)
         self._next_index = 0
         self._orders: list[Order] = []
-        self.index_of: dict[str, int] = {}
+        self.index_by_name: dict[str, int] = {}
         self.servers: dict[int, KnownServer] = {}
         self.ack_requested_at: dict[int, int] = {}
         self.ignored_messages = 0
@@ -111,24 +111,24 @@
 
     # Events of the platform.
 
-    def on_endpoint_list(self, found: EndpointList, cached: bool = False) -> None:
+    def on_endpoint_list(self, endpoint_list: EndpointList, cached: bool = False) -> None:
         """Take an answer of discovery, or the list that was `cached` before this start."""
         # Gone before it was ever known: nothing names it, so nothing would ever forget it.
         servers = [
             self._update_server(endpoint)
-            for endpoint in found.endpoints
-            if endpoint.state != ServerState.GONE or endpoint.name in self.index_of
+            for endpoint in endpoint_list.endpoints
+            if endpoint.state != ServerState.GONE or endpoint.name in self.index_by_name
         ]
-        if found.complete:
+        if endpoint_list.complete:
             # An entry that can't be read says nothing against the server it names.
             servers += [
-                self.servers[self.index_of[name]].server
-                for name in sorted(found.unusable_names & self.index_of.keys())
+                self.servers[self.index_by_name[name]].server
+                for name in sorted(endpoint_list.unusable_names & self.index_by_name.keys())
             ]
         if cached:
             kind = UpdateKind.CACHED
         else:
-            kind = UpdateKind.WHOLE if found.complete else UpdateKind.CHANGES
+            kind = UpdateKind.WHOLE if endpoint_list.complete else UpdateKind.CHANGES
         self._dispatch(self.assigner.on_endpoint_update, kind, servers)
 
     def on_proxy_joined(self, joined: ProxyJoined) -> None:
@@ -142,7 +142,7 @@
 
     def on_outcome_report(self, report: OutcomeReport) -> None:
         """Take a collector's report; one of an unknown server is ignored."""
-        index = self.index_of.get(report.server)
+        index = self.index_by_name.get(report.server)
         if index is None:
             self.ignored_messages += 1
             return
@@ -171,7 +171,7 @@
 
     def on_health_check(
         self,
-        checked: CheckedServer,
+        target: HealthCheckTarget,
         outcome: HealthCheckOutcome,
         duration: int,
         load: dict[str, float] | None,
@@ -180,9 +180,9 @@
 
         What a former process answered says nothing of the one there now.
         """
-        known = self.servers.get(checked.server)
-        if known is not None and known.server.started == checked.started:
-            self._dispatch(self.assigner.on_health_check, checked.server, outcome, duration, load)
+        known = self.servers.get(target.server)
+        if known is not None and known.server.started == target.started:
+            self._dispatch(self.assigner.on_health_check, target.server, outcome, duration, load)
 
     def on_peer_message(self, peer: int, data: bytes) -> None:
         """Take a datagram of another planner."""
@@ -222,7 +222,7 @@
         """Uneject a server that nothing can name any more, and drop its index."""
         name = self.servers.pop(server).endpoint.name
         self._orders.append(SetEjected(name, ejected=False))
-        del self.index_of[name]
+        del self.index_by_name[name]
 
     def set_admission(
         self, table: int, classes: Sequence[int], level: float, retry_policy: RetryPolicy
@@ -242,8 +242,8 @@
     def check_health(self, server: int) -> None:
         """Send the server a request, and report its end to the assigner."""
         known = self.servers[server]
-        checked = CheckedServer(server, known.server.started)
-        self._environment.check_health(checked, known.endpoint.address)
+        target = HealthCheckTarget(server, known.server.started)
+        self._environment.check_health(target, known.endpoint.address)
 
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
         """Send a datagram to another planner, or to all."""
@@ -261,17 +261,17 @@
         self._environment.log(text)
 
     def _on_timer(self, token: int) -> None:
-        if self._outbox.is_behind():
+        if self._outbox.is_backlogged():
             # What can't be sent is not added to: the channel would get it all at once afterwards.
             self._environment.call_later(BUSY_RETRY_DELAY, lambda: self._on_timer(token))
         else:
             self._dispatch(self.assigner.on_timer, token)
 
     def _update_server(self, endpoint: Endpoint) -> Server:
-        index = self.index_of.get(endpoint.name)
+        index = self.index_by_name.get(endpoint.name)
         if index is None:
             index = self._next_index
-            self.index_of[endpoint.name] = index
+            self.index_by_name[endpoint.name] = index
             self._next_index += 1
         server = Server(
             index=index,
--- a/indigodeck/edge/bootstrap.py
+++ b/indigodeck/edge/bootstrap.py
@@ -15,8 +15,8 @@
 from .messages import Address, EndpointList
 
 MAX_FILE_BYTES = 16 << 20
-MIN_DESCRIPTORS = 64
-DEFAULT_DESCRIPTORS = 256
+MIN_DESCRIPTOR_LIMIT = 64
+DEFAULT_DESCRIPTOR_LIMIT = 256
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,8 @@
 class Bootstrap:
     """What a planner must know to start: addresses, limits and settings.
 
-    `cached_list` is the last known endpoint list; `descriptors` is how many the planner may hold.
+    `cached_list` is the last known endpoint list; `descriptor_limit` is how many file descriptors
+    the planner may hold.
     """
 
     path: pathlib.Path
@@ -44,7 +45,7 @@
     codec: MessageCodec
     seed: int
     cached_list: EndpointList | None
-    descriptors: int
+    descriptor_limit: int
     peers: PeerAddresses | None
 
 
@@ -68,63 +69,65 @@
         self._path = path
 
     def read(self) -> Bootstrap:
-        given = self._read_file()
-        listen = self._address(given, "listen", "EDGE_LISTEN")
-        discovery = self._address(given, "discovery", "EDGE_DISCOVERY")
-        relay = self._address(self._section(given, "registry"), "address")
-        settings = settings_from_object(given.get("settings"))
+        document = self._read_file()
+        listen = self._address(document, "listen", "EDGE_LISTEN")
+        discovery = self._address(document, "discovery", "EDGE_DISCOVERY")
+        relay = self._address(self._section(document, "registry"), "address")
+        settings = settings_from_object(document.get("settings"))
         codec = MessageCodec(settings)
         return Bootstrap(
             path=self._path,
-            name=str(given.get("name", os.environ.get("EDGE_NAME", ""))),
+            name=str(document.get("name", os.environ.get("EDGE_NAME", ""))),
             listen=listen,
             discovery=discovery,
             relay=relay,
             settings=settings,
             codec=codec,
-            seed=seed_from(str(given.get("seed", "")), []),
-            cached_list=self._cached_list(given, codec),
-            descriptors=self._descriptors(given),
-            peers=self._peers(given) if settings.peer_messages_allowed else None,
+            seed=seed_from(str(document.get("seed", "")), []),
+            cached_list=self._cached_list(document, codec),
+            descriptor_limit=self._descriptor_limit(document),
+            peers=self._peers(document) if settings.peer_messages_allowed else None,
         )
 
     def _read_file(self) -> dict[str, Any]:
         with self._path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
         try:
-            given = json.loads(data) if len(data) <= MAX_FILE_BYTES else None
+            document = json.loads(data) if len(data) <= MAX_FILE_BYTES else None
         except (ValueError, RecursionError) as error:
             raise MalformedMessageError(f"{self._path}: no JSON: {error}") from error
-        if not isinstance(given, dict):
+        if not isinstance(document, dict):
             raise MalformedMessageError(f"{self._path}: no JSON object")
-        return given
+        return document
 
-    def _cached_list(self, given: Mapping[str, Any], codec: MessageCodec) -> EndpointList | None:
-        if not given.get("known"):
+    def _cached_list(self, document: Mapping[str, Any], codec: MessageCodec) -> EndpointList | None:
+        if not document.get("known"):
             return None
-        return codec.read_endpoint_list(self._section(given, "known"))
+        return codec.read_endpoint_list(self._section(document, "known"))
 
-    def _descriptors(self, given: Mapping[str, Any]) -> int:
-        stated = self._section(given, "limits").get("sockets")
-        return max(MIN_DESCRIPTORS, stated) if isinstance(stated, int) else DEFAULT_DESCRIPTORS
+    def _descriptor_limit(self, document: Mapping[str, Any]) -> int:
+        limit = self._section(document, "limits").get("sockets")
+        return (
+            max(MIN_DESCRIPTOR_LIMIT, limit) if isinstance(limit, int) else DEFAULT_DESCRIPTOR_LIMIT
+        )
 
-    def _peers(self, given: Mapping[str, Any]) -> PeerAddresses | None:
-        if not given.get("peer_listen"):
+    def _peers(self, document: Mapping[str, Any]) -> PeerAddresses | None:
+        if not document.get("peer_listen"):
             return None
         return PeerAddresses(
-            listen=self._address(given, "peer_listen"),
-            peers=tuple(parse_address(text) for text in given.get("peers") or []),
-            broadcast=self._address(given, "peers_all") if given.get("peers_all") else None,
+            listen=self._address(document, "peer_listen"),
+            peers=tuple(parse_address(text) for text in document.get("peers") or []),
+            broadcast=self._address(document, "peers_all") if document.get("peers_all") else None,
         )
 
-    def _section(self, given: Mapping[str, Any], name: str) -> dict[str, Any]:
-        found = given.get(name)
-        if not isinstance(found, dict):
+    def _section(self, document: Mapping[str, Any], name: str) -> dict[str, Any]:
+        section = document.get(name)
+        if not isinstance(section, dict):
             raise MalformedMessageError(f"{self._path}: {name} is no object")
-        return found
+        return section
 
-    def _address(self, given: Mapping[str, Any], name: str, variable: str = "") -> Address:
+    def _address(self, document: Mapping[str, Any], name: str, variable: str = "") -> Address:
         try:
-            return parse_address(given.get(name) or os.environ.get(variable))
+            return parse_address(document.get(name) or os.environ.get(variable))
         except MalformedMessageError as error:
             raise MalformedMessageError(f"{self._path}: {name}: {error}") from error
--- a/indigodeck/edge/codec.py
+++ b/indigodeck/edge/codec.py
@@ -49,7 +49,7 @@
     "DRAINING": ServerState.DRAINING,
     "DELETED": ServerState.GONE,
 }
-LOAD_NAMES = {"inflight": "in_flight", "queue": "queued", "util": "cores_busy"}
+LOAD_FIELDS = {"inflight": "in_flight", "queue": "queued", "util": "cores_busy"}
 
 
 class MessageCodec:
@@ -60,96 +60,100 @@
         self._machine_types = {
             name: index for index, name in enumerate(settings.machine_type_names)
         }
-        self._classes = {stated.name: index for index, stated in enumerate(settings.classes)}
-        self._last_proxy = (settings.proxy_count or MAX_PROXY_COUNT) - 1
+        self._classes = {
+            class_settings.name: index for index, class_settings in enumerate(settings.classes)
+        }
+        self._max_proxy = (settings.proxy_count or MAX_PROXY_COUNT) - 1
         # No client waits longer than its deadline, so no mean of good answers is above it;
         # reports blur their times, hence twice that.
-        self._max_mean_ms = 2 * max(stated.deadline for stated in settings.classes) / 1000
+        self._max_mean_ms = (
+            2 * max(class_settings.deadline for class_settings in settings.classes) / 1000
+        )
 
-    def read_introduction(self, given: Mapping[str, Any]) -> int:
+    def read_introduction(self, fields: Mapping[str, Any]) -> int:
         """Return the zone that a collector introduces itself with."""
-        return read_choice(given, "zone", self.zones)
+        return read_choice(fields, "zone", self.zones)
 
-    def read_outcomes(self, given: Mapping[str, Any]) -> OutcomeReport:
+    def read_outcomes(self, fields: Mapping[str, Any]) -> OutcomeReport:
         """Read what the proxies of a zone met at one server."""
-        attempts = read_count(given, "tries", MAX_COUNT)
-        failures = read_count(given, "failed", attempts)
-        if failures == attempts and given.get("mean_ms") is None:
+        attempts = read_count(fields, "tries", MAX_COUNT)
+        failures = read_count(fields, "failed", attempts)
+        if failures == attempts and fields.get("mean_ms") is None:
             mean_ms = 0
         else:
-            mean_ms = read_number(given, "mean_ms", self._max_mean_ms)
+            mean_ms = read_number(fields, "mean_ms", self._max_mean_ms)
         return OutcomeReport(
-            zone=read_choice(given, "zone", self.zones),
-            server=read_name(given, "server"),
+            zone=read_choice(fields, "zone", self.zones),
+            server=read_name(fields, "server"),
             attempts=attempts,
             failures=failures,
             mean_latency=microseconds(mean_ms),
-            span=microseconds(read_number(given, "span_ms", MAX_SPAN_MS, 1)),
-            load=self.read_load(given.get("load")),
+            span=microseconds(read_number(fields, "span_ms", MAX_SPAN_MS, 1)),
+            load=self.read_load(fields.get("load")),
         )
 
-    def read_load(self, given: Any) -> dict[str, float] | None:
+    def read_load(self, fields: Any) -> dict[str, float] | None:
         """Read a server's load report, or None where there is none; unknown fields are left out."""
-        if given is None:
+        if fields is None:
             return None
-        if not isinstance(given, dict):
+        if not isinstance(fields, dict):
             raise MalformedMessageError("load is no object")
         return {
-            LOAD_NAMES[name]: float(read_number(given, name, MAX_COUNT))
-            for name in given
-            if name in LOAD_NAMES
+            LOAD_FIELDS[name]: float(read_number(fields, name, MAX_COUNT))
+            for name in fields
+            if name in LOAD_FIELDS
         }
 
-    def read_demand(self, given: Mapping[str, Any]) -> DemandReport:
+    def read_demand(self, fields: Mapping[str, Any]) -> DemandReport:
         """Read the requests of one class that came to one proxy."""
-        requests = read_count(given, "tries", MAX_COUNT)
+        requests = read_count(fields, "tries", MAX_COUNT)
         return DemandReport(
-            proxy=self.read_proxy(given),
-            class_index=read_choice(given, "class", self._classes),
+            proxy=self.read_proxy(fields),
+            class_index=read_choice(fields, "class", self._classes),
             requests=requests,
-            failures=read_count(given, "failed", requests),
-            span=microseconds(read_number(given, "span_ms", MAX_SPAN_MS, 1)),
+            failures=read_count(fields, "failed", requests),
+            span=microseconds(read_number(fields, "span_ms", MAX_SPAN_MS, 1)),
         )
 
-    def read_proxy_joined(self, given: Mapping[str, Any]) -> ProxyJoined:
+    def read_proxy_joined(self, fields: Mapping[str, Any]) -> ProxyJoined:
         """Read the relay's event that a proxy has connected."""
         return ProxyJoined(
-            proxy=self.read_proxy(given),
-            zone=read_choice(given, "zone", self.zones),
-            request_rate=float(read_number(given, "weight", MAX_COUNT)),
-            fresh=read_flag(given, "fresh"),
+            proxy=self.read_proxy(fields),
+            zone=read_choice(fields, "zone", self.zones),
+            request_rate=float(read_number(fields, "weight", MAX_COUNT)),
+            fresh=read_flag(fields, "fresh"),
         )
 
-    def read_proxy(self, given: Mapping[str, Any]) -> int:
+    def read_proxy(self, fields: Mapping[str, Any]) -> int:
         """Return the proxy that a message is about."""
-        return read_count(given, "proxy", self._last_proxy)
+        return read_count(fields, "proxy", self._max_proxy)
 
-    def read_ack(self, given: Mapping[str, Any]) -> Ack:
+    def read_ack(self, fields: Mapping[str, Any]) -> Ack:
         """Read a proxy's answer to a request for an acknowledgement."""
         return Ack(
-            proxy=self.read_proxy(given),
-            number=read_count(given, "mark", MAX_ACK_NUMBER),
-            delay=microseconds(read_number(given, "took_ms", MAX_SPAN_MS)),
+            proxy=self.read_proxy(fields),
+            number=read_count(fields, "mark", MAX_ACK_NUMBER),
+            delay=microseconds(read_number(fields, "took_ms", MAX_SPAN_MS)),
         )
 
-    def read_endpoint(self, given: Any) -> Endpoint:
+    def read_endpoint(self, fields: Any) -> Endpoint:
         """Read one entry of the endpoint list."""
-        if not isinstance(given, dict):
+        if not isinstance(fields, dict):
             raise MalformedMessageError("a list entry is no object")
         return Endpoint(
-            name=read_name(given, "host"),
-            address=parse_address(read_field(given, "dial")),
-            zone=read_choice(given, "site", self.zones),
-            machine_type=read_choice(given, "class", self._machine_types),
-            cell=read_count(given, "block", MAX_CELL),
-            weight=float(read_number(given, "share", MAX_COUNT)),
-            started=microseconds(read_number(given, "born_ms", MAX_UNIX_TIME_MS)),
-            state=read_choice(given, "health", STATE_NAMES),
+            name=read_name(fields, "host"),
+            address=parse_address(read_field(fields, "dial")),
+            zone=read_choice(fields, "site", self.zones),
+            machine_type=read_choice(fields, "class", self._machine_types),
+            cell=read_count(fields, "block", MAX_CELL),
+            weight=float(read_number(fields, "share", MAX_COUNT)),
+            started=microseconds(read_number(fields, "born_ms", MAX_UNIX_TIME_MS)),
+            state=read_choice(fields, "health", STATE_NAMES),
         )
 
-    def read_endpoint_list(self, given: Mapping[str, Any]) -> EndpointList:
+    def read_endpoint_list(self, fields: Mapping[str, Any]) -> EndpointList:
         """Read an answer of discovery; an entry that can't be used is left out alone."""
-        entries = read_field(given, "hosts")
+        entries = read_field(fields, "hosts")
         if not isinstance(entries, list):
             raise MalformedMessageError("hosts is no list")
         endpoints = []
@@ -160,8 +164,8 @@
             except MalformedMessageError:
                 unusable_names.add(_name_of(entry))
         return EndpointList(
-            version=read_count(given, "seq", MAX_VERSION),
-            complete=read_flag(given, "whole"),
+            version=read_count(fields, "seq", MAX_VERSION),
+            complete=read_flag(fields, "whole"),
             endpoints=endpoints,
             unusable_names=unusable_names,
         )
--- a/indigodeck/edge/collector_protocol.py
+++ b/indigodeck/edge/collector_protocol.py
@@ -4,11 +4,11 @@
 
 from .json_fields import pack
 
-ALIVE = b'{"type":"alive"}\n'  # the answer to the platform's health check
+HEALTH_CHECK_RESPONSE = b'{"type":"alive"}\n'  # the answer to the platform's health check
 MAX_ERROR_CHARACTERS = 100
 
 
-class ClientMessage(StrEnum):
+class ClientMessageType(StrEnum):
     """The types of messages that clients send; the values are the protocol's."""
 
     HEALTH_CHECK = "probe"
--- a/indigodeck/edge/discovery.py
+++ b/indigodeck/edge/discovery.py
@@ -22,7 +22,7 @@
 from .messages import Address, EndpointList
 
 PATH = "/catalog/members"
-POLL_TIME = SECOND  # discovery answers a poll within it, with what has changed if anything has
+POLL_WAIT = SECOND  # discovery answers a poll within it, with what has changed if anything has
 RESPONSE_TIMEOUT = SECOND  # beyond the poll's own time, and for a whole list
 MAX_LIST_BYTES = 8 << 20
 MAX_CLIENTS = 4  # polls at once: those under way at former addresses count
@@ -67,7 +67,7 @@
         generation = self._generation
         IOLoop.current().add_callback(keep_running, lambda: self._run(generation), self._log)
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Go on at another address: the whole list there first, whatever the old one answers."""
         if address != self._address:
             self._address = address
@@ -82,31 +82,31 @@
         while generation == self._generation:
             asked_version = self._poll_version
             try:
-                found = await self._poll(asked_version)
+                answer = await self._poll(asked_version)
             except (*CONNECTION_ERRORS, HTTPClientError, MalformedMessageError) as error:
                 if generation == self._generation:
                     self._log("endpoint_list_poll_failed", error=repr(error))
                     await self._backoff.wait()
                 continue
             if generation != self._generation:
-                self._take_late(found)
+                self._accept_late_answer(answer)
                 return
             self._backoff.reset()
-            if self._is_rejected(found):
+            if self._is_rejected(answer):
                 self._poll_version = None
                 await self._backoff.wait()
                 continue
             if self._poll_version == asked_version:  # else the whole list was asked for meanwhile
-                self._poll_version = found.version
-            self._take(found)
+                self._poll_version = answer.version
+            self._accept(answer)
 
     async def _poll(self, after: int | None) -> EndpointList:
         """Ask for the whole list, or for what changed after a version."""
         query = ""
         timeout = RESPONSE_TIMEOUT
         if after is not None:
-            query = f"?after={after}&wait_ms={POLL_TIME // MILLISECOND}"
-            timeout += POLL_TIME
+            query = f"?after={after}&wait_ms={POLL_WAIT // MILLISECOND}"
+            timeout += POLL_WAIT
         request = HTTPRequest(
             f"http://{authority(self._address)}{PATH}{query}",
             connect_timeout=RESPONSE_TIMEOUT / SECOND,
@@ -115,37 +115,37 @@
         response = await self._client.fetch(request)
         return self._codec.read_endpoint_list(read_object(response.body))
 
-    def _take_late(self, found: EndpointList) -> None:
+    def _accept_late_answer(self, answer: EndpointList) -> None:
         """Take an answer of a former address.
 
         It was written to this planner before it moved, so this planner counts as notified of it.
         What the new address has said may be newer.
         """
-        if self._last_version is None or found.version > self._last_version:
-            self._take(found)
+        if self._last_version is None or answer.version > self._last_version:
+            self._accept(answer)
 
-    def _is_rejected(self, found: EndpointList) -> bool:
+    def _is_rejected(self, answer: EndpointList) -> bool:
         """Whether to ask for a list again before it is believed.
 
         An older list may come from a replica that lags, and an empty one from one that has only
         started: to believe either would bring back what drains, or take every server away. One
         that says so again and again has restarted.
         """
-        is_older = self._last_version is not None and found.version < self._last_version
-        has_lost_all = found.complete and self._has_servers and found.is_empty
+        is_older = self._last_version is not None and answer.version < self._last_version
+        has_lost_all = answer.complete and self._has_servers and answer.is_empty
         if not (is_older or has_lost_all):
             self._rejections = 0
             return False
-        if not found.complete:
+        if not answer.complete:
             return True
         self._rejections += 1
-        self._log("endpoint_list_doubted", version=found.version, servers=len(found.endpoints))
+        self._log("endpoint_list_doubted", version=answer.version, servers=len(answer.endpoints))
         return self._rejections <= MAX_REJECTIONS
 
-    def _take(self, found: EndpointList) -> None:
-        self._last_version = found.version
+    def _accept(self, answer: EndpointList) -> None:
+        self._last_version = answer.version
         self._rejections = 0
-        if found.complete:
-            self._has_servers = not found.is_empty
-        if found.complete or found.endpoints:
-            self._on_list(found)
+        if answer.complete:
+            self._has_servers = not answer.is_empty
+        if answer.complete or answer.endpoints:
+            self._on_list(answer)
--- a/indigodeck/edge/event_log.py
+++ b/indigodeck/edge/event_log.py
@@ -11,14 +11,14 @@
 class EventLog(Protocol):
     """Writes one event to the log."""
 
-    def __call__(self, event: str, /, **facts: object) -> None:
+    def __call__(self, event: str, /, **fields: object) -> None:
         """Write `event` and its facts."""
 
 
-def format_event(event: str, facts: Mapping[str, object]) -> str:
+def format_event(event: str, fields: Mapping[str, object]) -> str:
     """Return one line: the event, then its facts as key=value; texts with spaces are quoted."""
-    stated = (f"{name}={_format_value(value)}" for name, value in facts.items())
-    return " ".join((event, *stated))
+    pairs = (f"{name}={_format_value(value)}" for name, value in fields.items())
+    return " ".join((event, *pairs))
 
 
 class LineRateFilter(logging.Filter):
@@ -26,21 +26,21 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._window_began = 0.0
+        self._window_start = 0.0
         self._lines = 0
-        self._left_out = 0
+        self._suppressed_lines = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Return whether a record is written."""
-        if record.created - self._window_began > WINDOW_S:
-            if self._left_out:
-                record.msg = f"{record.msg} left_out_lines={self._left_out}"
-            self._window_began = record.created
+        if record.created - self._window_start > WINDOW_S:
+            if self._suppressed_lines:
+                record.msg = f"{record.msg} left_out_lines={self._suppressed_lines}"
+            self._window_start = record.created
             self._lines = 0
-            self._left_out = 0
+            self._suppressed_lines = 0
         self._lines += 1
         if self._lines > MAX_LINES:
-            self._left_out += 1
+            self._suppressed_lines += 1
         return self._lines <= MAX_LINES
 
 
--- a/indigodeck/edge/health_checks.py
+++ b/indigodeck/edge/health_checks.py
@@ -10,7 +10,7 @@
 from ..clock import SECOND
 from ..errors import MalformedMessageError
 from ..planner.host_client import HttpHostClient
-from .assigner_host import CheckedServer
+from .assigner_host import HealthCheckTarget
 from .codec import MessageCodec
 from .json_fields import read_object
 from .messages import Address
@@ -18,20 +18,20 @@
 PATH = "/_load"
 TIMEOUT = SECOND // 2  # microseconds
 MAX_CONCURRENT = 16
-MAX_WAITING = 256
+MAX_QUEUED = 256
 
 Load = dict[str, float]
-OnHealthCheck = Callable[[CheckedServer, HealthCheckOutcome, int, Load | None], None]
+HealthCheckCallback = Callable[[HealthCheckTarget, HealthCheckOutcome, int, Load | None], None]
 
 
-class WaitingCheck(NamedTuple):
+class QueuedCheck(NamedTuple):
     """A health check that has not begun."""
 
-    checked: CheckedServer
+    target: HealthCheckTarget
     address: Address
 
 
-class EdgeHttpHealthCheck(HttpHostClient):
+class HealthCheckClient(HttpHostClient):
     """A health check as the platform's servers answer it."""
 
     def __init__(self, codec: MessageCodec) -> None:
@@ -55,31 +55,31 @@
     """
 
     def __init__(
-        self, codec: MessageCodec, now: Callable[[], int], on_health_check: OnHealthCheck
+        self, codec: MessageCodec, now: Callable[[], int], on_health_check: HealthCheckCallback
     ) -> None:
-        self._http = EdgeHttpHealthCheck(codec)
+        self._http = HealthCheckClient(codec)
         self._now = now
         self._on_health_check = on_health_check
-        self._waiting: deque[WaitingCheck] = deque()
+        self._queue: deque[QueuedCheck] = deque()
         self._running = 0
 
-    def check(self, checked: CheckedServer, address: Address) -> None:
+    def check(self, target: HealthCheckTarget, address: Address) -> None:
         """Check a server as soon as there is room."""
-        if len(self._waiting) >= MAX_WAITING:
-            dropped = self._waiting.popleft()
+        if len(self._queue) >= MAX_QUEUED:
+            dropped = self._queue.popleft()
             IOLoop.current().add_callback(
-                self._on_health_check, dropped.checked, HealthCheckOutcome.SILENT, TIMEOUT, None
+                self._on_health_check, dropped.target, HealthCheckOutcome.SILENT, TIMEOUT, None
             )
-        self._waiting.append(WaitingCheck(checked, address))
+        self._queue.append(QueuedCheck(target, address))
         if self._running < MAX_CONCURRENT:
             self._running += 1
             IOLoop.current().add_callback(self._run)
 
     async def _run(self) -> None:
         try:
-            while self._waiting:
-                checked, address = self._waiting.popleft()
-                began = self._now()
+            while self._queue:
+                target, address = self._queue.popleft()
+                start_time = self._now()
                 outcome: HealthCheckOutcome
                 load: Load | None
                 try:
@@ -87,6 +87,6 @@
                 except Exception:  # a check that is never reported would be the server's last
                     outcome = HealthCheckOutcome.ERROR
                     load = None
-                self._on_health_check(checked, outcome, self._now() - began, load)
+                self._on_health_check(target, outcome, self._now() - start_time, load)
         finally:
             self._running -= 1
--- a/indigodeck/edge/listener.py
+++ b/indigodeck/edge/listener.py
@@ -18,7 +18,7 @@
 from ..errors import MalformedMessageError
 from .assigner_host import EdgeAssignerHost
 from .codec import MessageCodec
-from .collector_protocol import ALIVE, ClientMessage, error_line
+from .collector_protocol import HEALTH_CHECK_RESPONSE, ClientMessageType, error_line
 from .connecting import CONNECTION_ERRORS, MAX_LINE_BYTES, read_line, with_deadline
 from .json_fields import read_object
 from .messages import Address
@@ -26,11 +26,11 @@
 INTRODUCTION_TIMEOUT = 12 * SECOND // 10  # and after each health check
 MAX_INTRODUCTION_BYTES = 4096
 # A collector that says nothing has vanished, or has nothing to say: it may come back.
-MAX_COLLECTOR_SILENCE = 30 * SECOND
-MAX_COLLECTORS = 8  # of one zone; the longest silent is disconnected for another
+COLLECTOR_IDLE_TIMEOUT = 30 * SECOND
+MAX_COLLECTORS_PER_ZONE = 8  # of one zone; the longest silent is disconnected for another
 RESERVED_DESCRIPTORS = 48  # for everything but this address
-MIN_STRANGER_DESCRIPTORS = 8
-LINES_PER_TURN = 64  # of one connection, so that a flood gives way to the others
+MIN_UNIDENTIFIED_DESCRIPTORS = 8
+LINES_BETWEEN_YIELDS = 64  # of one connection, so that a flood gives way to the others
 BACKLOG = 1024
 READ_CHUNK_BYTES = 16 << 10
 
@@ -42,7 +42,7 @@
         self._listener = listener
         self.stream = stream
         self.zone: int | None = None
-        self.last_heard = listener.now()
+        self.last_received_at = listener.now()
 
     async def run(self) -> None:
         """Read lines until either side closes."""
@@ -51,8 +51,8 @@
             while True:
                 data = await self._next_line()
                 line_count += 1
-                self._take_line(data)
-                if line_count % LINES_PER_TURN == 0:
+                self._handle_line(data)
+                if line_count % LINES_BETWEEN_YIELDS == 0:
                     await sleep(0)
         except MalformedMessageError as error:
             self._write_error(str(error))
@@ -63,8 +63,8 @@
 
     async def _next_line(self) -> bytes:
         if self.zone is not None:
-            return await read_line(self.stream, MAX_COLLECTOR_SILENCE)
-        remaining = max(0, self.last_heard + INTRODUCTION_TIMEOUT - self._listener.now())
+            return await read_line(self.stream, COLLECTOR_IDLE_TIMEOUT)
+        remaining = max(0, self.last_received_at + INTRODUCTION_TIMEOUT - self._listener.now())
         line = self.stream.read_until(b"\n", max_bytes=MAX_INTRODUCTION_BYTES)
         return await with_deadline(remaining, line)
 
@@ -72,17 +72,17 @@
         if self.zone is None and not self.stream.closed():
             self.stream.write(error_line(reason))
 
-    def _take_line(self, data: bytes) -> None:
-        given = read_object(data)  # what can't be read ends the connection, a collector's too
-        message_type = given.get("type")
+    def _handle_line(self, data: bytes) -> None:
+        message = read_object(data)  # what can't be read ends the connection, a collector's too
+        message_type = message.get("type")
         if self.zone is not None:
-            self.last_heard = self._listener.now()
-            self._listener.on_report(message_type, given)
-        elif message_type == ClientMessage.HEALTH_CHECK:
-            self.stream.write(ALIVE)
-            self.last_heard = self._listener.now()
-        elif message_type == ClientMessage.INTRODUCTION:
-            self.zone = self._listener.codec.read_introduction(given)
+            self.last_received_at = self._listener.now()
+            self._listener.on_report(message_type, message)
+        elif message_type == ClientMessageType.HEALTH_CHECK:
+            self.stream.write(HEALTH_CHECK_RESPONSE)
+            self.last_received_at = self._listener.now()
+        elif message_type == ClientMessageType.INTRODUCTION:
+            self.zone = self._listener.codec.read_introduction(message)
             self._listener.on_introduced(self, self.zone)
         else:
             raise MalformedMessageError("not allowed before an introduction")
@@ -91,7 +91,7 @@
 class CollectorListener(TCPServer):
     """Accepts connections at the planner's own address; `host` is notified of reports.
 
-    `descriptors`: how many the whole planner may hold.
+    `descriptor_limit`: how many the whole planner may hold.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         host: EdgeAssignerHost,
         codec: MessageCodec,
         now: Callable[[], int],
-        descriptors: int,
+        descriptor_limit: int,
     ) -> None:
         super().__init__(
             max_buffer_size=MAX_LINE_BYTES + 4 * READ_CHUNK_BYTES, read_chunk_size=READ_CHUNK_BYTES
@@ -107,11 +107,11 @@
         self._host = host
         self.codec = codec
         self.now = now
-        self.strangers: dict[Connection, None] = {}  # the oldest first
+        self.unidentified: dict[Connection, None] = {}  # the oldest first
         self.collectors: dict[int, list[Connection]] = {zone: [] for zone in codec.zones.values()}
-        collector_descriptors = MAX_COLLECTORS * len(self.collectors)
-        remaining = descriptors - RESERVED_DESCRIPTORS - collector_descriptors
-        self.max_strangers = max(MIN_STRANGER_DESCRIPTORS, remaining) // 2
+        collector_descriptors = MAX_COLLECTORS_PER_ZONE * len(self.collectors)
+        remaining = descriptor_limit - RESERVED_DESCRIPTORS - collector_descriptors
+        self.max_unidentified = max(MIN_UNIDENTIFIED_DESCRIPTORS, remaining) // 2
         self.ignored_reports = 0
 
     def open(self, address: Address) -> None:
@@ -121,35 +121,35 @@
     async def handle_stream(self, stream: IOStream, address: Any) -> None:
         """Serve one connection; the oldest stranger gives way if there are too many."""
         connection = Connection(self, stream)
-        self.strangers[connection] = None
-        if len(self.strangers) > self.max_strangers:
-            oldest = next(iter(self.strangers))
-            del self.strangers[oldest]
+        self.unidentified[connection] = None
+        if len(self.unidentified) > self.max_unidentified:
+            oldest = next(iter(self.unidentified))
+            del self.unidentified[oldest]
             oldest.stream.close()
         try:
             await connection.run()
         finally:
-            self.strangers.pop(connection, None)
+            self.unidentified.pop(connection, None)
             if connection.zone is not None and connection in self.collectors[connection.zone]:
                 self.collectors[connection.zone].remove(connection)
 
     def on_introduced(self, connection: Connection, zone: int) -> None:
         """Take a connection as a collector's; the longest silent one may give way to it."""
-        self.strangers.pop(connection, None)
+        self.unidentified.pop(connection, None)
         collectors = self.collectors[zone]
         collectors.append(connection)
-        if len(collectors) > MAX_COLLECTORS:
-            most_silent = min(collectors, key=lambda other: other.last_heard)
-            collectors.remove(most_silent)
-            most_silent.stream.close()
+        if len(collectors) > MAX_COLLECTORS_PER_ZONE:
+            longest_silent = min(collectors, key=lambda other: other.last_received_at)
+            collectors.remove(longest_silent)
+            longest_silent.stream.close()
 
-    def on_report(self, message_type: Any, given: Mapping[str, Any]) -> None:
+    def on_report(self, message_type: Any, message: Mapping[str, Any]) -> None:
         """Take a collector's report; one that can't be used is ignored alone."""
         try:
-            if message_type == ClientMessage.OUTCOME_REPORT:
-                self._host.on_outcome_report(self.codec.read_outcomes(given))
-            elif message_type == ClientMessage.DEMAND_REPORT:
-                self._host.on_demand_report(self.codec.read_demand(given))
+            if message_type == ClientMessageType.OUTCOME_REPORT:
+                self._host.on_outcome_report(self.codec.read_outcomes(message))
+            elif message_type == ClientMessageType.DEMAND_REPORT:
+                self._host.on_demand_report(self.codec.read_demand(message))
             else:
                 raise MalformedMessageError("no report")
         except MalformedMessageError:
--- a/indigodeck/edge/membership.py
+++ b/indigodeck/edge/membership.py
@@ -28,16 +28,16 @@
 
 
 @dataclass(slots=True)
-class View:
+class ConnectionView:
     """What one connection has reported.
 
     It is complete once all proxies that were joined when it opened have been reported.
     """
 
-    last_event: int
+    last_event_at: int
     complete: bool = False
     joined: dict[int, ProxyJoined] = field(default_factory=dict)
-    joining_numbers: dict[int, int] = field(default_factory=dict)
+    join_numbers: dict[int, int] = field(default_factory=dict)
 
 
 class ProxyMembership:
@@ -46,24 +46,24 @@
     def __init__(self, listener: MembershipListener, now: Callable[[], int]) -> None:
         self._listener = listener
         self._now = now
-        self._joining_numbers: dict[int, int] = {}
+        self._join_numbers: dict[int, int] = {}
         self._joined: set[int] = set()
-        self.views: dict[Hashable, View] = {}
+        self.views: dict[Hashable, ConnectionView] = {}
 
     def on_connected(self, connection: Hashable) -> None:
         """Take the opening of a connection."""
-        self.views[connection] = View(self._now())
+        self.views[connection] = ConnectionView(self._now())
 
     def on_heartbeat(self, connection: Hashable) -> None:
         """Take a heartbeat; the first one completes the view."""
         view = self.views[connection]
-        view.last_event = self._now()
+        view.last_event_at = self._now()
         if view.complete:
             return
         view.complete = True
-        view.joining_numbers = {**self._joining_numbers, **view.joining_numbers}
+        view.join_numbers = {**self._join_numbers, **view.join_numbers}
         if not self._other_live_views(connection):
-            self._leave(self._joined - view.joined.keys())
+            self._record_leave(self._joined - view.joined.keys())
 
     def is_complete(self, connection: Hashable) -> bool:
         """Whether a connection has reported all proxies that were joined when it opened."""
@@ -72,29 +72,29 @@
     def on_proxy_joined(self, connection: Hashable, joined: ProxyJoined) -> None:
         """Take a joining that a connection reports."""
         view = self.views[connection]
-        view.last_event = self._now()
+        view.last_event_at = self._now()
         proxy = joined.proxy
-        known_number = self._joining_numbers.get(proxy, 0)
+        known_number = self._join_numbers.get(proxy, 0)
         if view.complete or proxy in view.joined:
-            number = view.joining_numbers.get(proxy, 0) + 1
+            number = view.join_numbers.get(proxy, 0) + 1
         elif self._is_joined_elsewhere(connection, proxy):
             number = known_number  # the joining that another connection has reported
         else:
             number = known_number + 1  # a joining that was missed
-        view.joining_numbers[proxy] = number
+        view.join_numbers[proxy] = number
         view.joined[proxy] = joined
         if number > known_number:
-            self._joining_numbers[proxy] = number
-            self._join(joined)
+            self._join_numbers[proxy] = number
+            self._record_join(joined)
 
     def on_proxy_left(self, connection: Hashable, proxy: int) -> None:
         """Take a departure that a connection reports."""
         view = self.views[connection]
-        view.last_event = self._now()
+        view.last_event_at = self._now()
         if view.joined.pop(proxy, None) is None:
             return
-        if view.joining_numbers.get(proxy) == self._joining_numbers.get(proxy):
-            self._leave({proxy})
+        if view.join_numbers.get(proxy) == self._join_numbers.get(proxy):
+            self._record_leave({proxy})
 
     def on_disconnected(self, connection: Hashable) -> None:
         """Take the end of a connection.
@@ -106,33 +106,33 @@
         complete = [view for view in self.views.values() if view.complete]
         if not complete:
             return
-        self._leave(self._joined - set().union(*(view.joined for view in complete)))
+        self._record_leave(self._joined - set().union(*(view.joined for view in complete)))
         for view in complete:
             for proxy in sorted(view.joined.keys() - self._joined):
-                known_number = self._joining_numbers.get(proxy, 0)
-                self._joining_numbers[proxy] = max(known_number, view.joining_numbers[proxy])
-                self._join(view.joined[proxy])
+                known_number = self._join_numbers.get(proxy, 0)
+                self._join_numbers[proxy] = max(known_number, view.join_numbers[proxy])
+                self._record_join(view.joined[proxy])
 
     def _is_joined_elsewhere(self, connection: Hashable, proxy: int) -> bool:
         return proxy in self._joined and any(
             proxy in view.joined for view in self._other_live_views(connection)
         )
 
-    def _other_live_views(self, connection: Hashable) -> list[View]:
+    def _other_live_views(self, connection: Hashable) -> list[ConnectionView]:
         return [
             view
             for other, view in self.views.items()
-            if other is not connection and self._now() - view.last_event < MAX_HEARTBEAT_AGE
+            if other is not connection and self._now() - view.last_event_at < MAX_HEARTBEAT_AGE
         ]
 
-    def _join(self, joined: ProxyJoined) -> None:
+    def _record_join(self, joined: ProxyJoined) -> None:
         if joined.proxy in self._joined:
             # Its connection is a new one, which holds no table of ours.
             self._listener.on_proxy_left(joined.proxy)
         self._joined.add(joined.proxy)
         self._listener.on_proxy_joined(joined)
 
-    def _leave(self, proxies: Set[int]) -> None:
+    def _record_leave(self, proxies: Set[int]) -> None:
         for proxy in sorted(proxies & self._joined):
             self._joined.discard(proxy)
             self._listener.on_proxy_left(proxy)
--- a/indigodeck/edge/outbox.py
+++ b/indigodeck/edge/outbox.py
@@ -51,12 +51,12 @@
         self._in_flight: list[SentOrder] | None = None
         self._max_call_bytes = MAX_CALL_BYTES
         self._backoff = MIN_BACKOFF
-        self._not_before = 0
+        self._next_call_at = 0
         self.call_number = 0
-        self.unknown_calls = 0  # those whose fate was never known
+        self.unknown_outcome_calls = 0  # those whose fate was never known
 
     @property
-    def is_settled(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no order waits and no call is in flight."""
         return not self._pending and self._in_flight is None
 
@@ -82,7 +82,7 @@
                 for sent in self._in_flight
             ]
 
-    def is_behind(self) -> bool:
+    def is_backlogged(self) -> bool:
         """Whether orders have waited for so long that nothing should be added to them."""
         since = self._pending_since
         return since is not None and self._now() - since > MAX_PENDING_TIME
@@ -91,7 +91,7 @@
         """Return the time until a call may be sent; None if there is none to send yet."""
         if self._in_flight is not None or not self._pending:
             return None
-        return max(0, self._not_before - self._now())
+        return max(0, self._next_call_at - self._now())
 
     def next_call(self) -> bytes:
         """Return the next call as a line; `on_response` or `on_call_lost` must follow."""
@@ -140,7 +140,7 @@
         if self._in_flight is not None:
             sent_orders = self._in_flight
             self._in_flight = None
-            self.unknown_calls += 1
+            self.unknown_outcome_calls += 1
             self._return_to_front(sent_orders)
 
     def _drop_orders_of_table(self, table: int) -> None:
@@ -160,12 +160,12 @@
             self._log("order_unreadable_to_relay", order=sent_orders[0].order)
             sent_orders = []
         elif error == UNREADABLE_CALL:
-            self._max_call_bytes = self._half_of(sent_orders)
+            self._max_call_bytes = self._halved_size_limit(sent_orders)
         self._return_to_front(sent_orders)
-        self._not_before = self._now() + self._backoff
+        self._next_call_at = self._now() + self._backoff
         self._backoff = min(2 * self._backoff, MAX_BACKOFF)
 
-    def _half_of(self, sent_orders: Sequence[SentOrder]) -> int:
+    def _halved_size_limit(self, sent_orders: Sequence[SentOrder]) -> int:
         """Return half the size of a call: smaller ones find the order that can't be read."""
         size = _array_size(sent.order for sent in sent_orders)
         return max(1, min(self._max_call_bytes, size) // 2)
--- a/indigodeck/edge/peers.py
+++ b/indigodeck/edge/peers.py
@@ -10,7 +10,7 @@
 from .messages import Address
 
 MAX_DATAGRAM_BYTES = 256  # a longer one is against the platform's rules and would end the run
-MAX_READS = 64  # datagrams read in a row, so that a flood gives way to the rest
+MAX_CONSECUTIVE_READS = 64  # datagrams read in a row, so that a flood gives way to the rest
 
 
 class PeerSocket:
@@ -57,7 +57,7 @@
         return self._peers[peer] if peer < len(self._peers) else None
 
     def _read(self, *_: object) -> None:
-        for _read_number in range(MAX_READS):
+        for _read_number in range(MAX_CONSECUTIVE_READS):
             try:
                 data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
--- a/indigodeck/edge/relay_client.py
+++ b/indigodeck/edge/relay_client.py
@@ -27,7 +27,7 @@
 RESPONSE_TIMEOUT = SECOND // 5
 # The relay closes idle connections, and what is sent into that moment is lost.
 MAX_IDLE_TIME = SECOND
-MAX_SILENCE = 3 * SECOND  # heartbeats come every second
+EVENT_TIMEOUT = 3 * SECOND  # heartbeats come every second
 SUBSCRIPTION_COUNT = 2
 
 
@@ -127,7 +127,7 @@
         self._log = log
         self._backoff = Backoff(random)
         self._stream: IOStream | None = None
-        self._ended = False
+        self._is_shut_down = False
         self.retired = False
 
     async def run(self) -> None:
@@ -135,10 +135,10 @@
         while not self.retired:
             try:
                 self._stream = await connect(self._address, CONNECT_TIMEOUT)
-                if self._ended:  # while it was connecting: there was no stream to close then
+                if self._is_shut_down:  # while it was connecting: there was no stream to close then
                     return
                 await with_deadline(CONNECT_TIMEOUT, self._stream.write(subscribe_call()))
-                await self._follow(self._stream)
+                await self._read_events(self._stream)
             except (*CONNECTION_ERRORS, MalformedMessageError) as error:
                 self._log("subscription_lost", address=self._address, error=repr(error))
             finally:
@@ -147,28 +147,28 @@
             if not self.retired:
                 await self._backoff.wait()
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """Close the connection: its successors report all that it would."""
         self.retired = True
-        self._ended = True
+        self._is_shut_down = True
         self._close()
 
     def _close(self) -> None:
         if self._stream is not None:
             self._stream.close()
 
-    async def _follow(self, stream: IOStream) -> None:
+    async def _read_events(self, stream: IOStream) -> None:
         connected = False
         while True:
-            event = read_event(await read_line(stream, MAX_SILENCE))
+            event = read_event(await read_line(stream, EVENT_TIMEOUT))
             if not connected:
                 connected = True
                 self._membership.on_connected(self)
                 self._backoff.reset()
             if event is not None:
-                self._take_event(event)
+                self._handle_event(event)
 
-    def _take_event(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         fields = event.fields
         try:
             match event.method:
@@ -204,23 +204,23 @@
         self._log = log
         self._random = random
         self.membership = membership
-        self.calls = CallSender(outbox, now, log, random)
+        self.call_sender = CallSender(outbox, now, log, random)
         self.subscriptions: list[Subscription] = []
         self.former_subscriptions: list[Subscription] = []
 
     def start(self, address: Address) -> None:
         """Begin to send calls and to follow events at `address`."""
-        IOLoop.current().add_callback(keep_running, self.calls.run, self._log)
-        self.move(address)
+        IOLoop.current().add_callback(keep_running, self.call_sender.run, self._log)
+        self.set_address(address)
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Go on at another address.
 
         The old one closes by itself; until then its subscriptions bridge the beginning of the new.
         """
-        if address == self.calls.address:
+        if address == self.call_sender.address:
             return
-        self.calls.address = address
+        self.call_sender.address = address
         for subscription in self.subscriptions:
             subscription.retired = True
         self.former_subscriptions += self.subscriptions
@@ -230,7 +230,7 @@
 
     def notify_orders_pending(self) -> None:
         """Send what waits in the outbox."""
-        self.calls.notify_orders_pending()
+        self.call_sender.notify_orders_pending()
 
     def _subscription(self, address: Address) -> Subscription:
         return Subscription(
@@ -238,12 +238,12 @@
             self.membership,
             self._host,
             self._codec,
-            self._end_former_subscriptions,
+            self._shut_down_former_subscriptions,
             self._log,
             self._random,
         )
 
-    def _end_former_subscriptions(self) -> None:
+    def _shut_down_former_subscriptions(self) -> None:
         """End what bridged a move, once a new subscription is complete.
 
         One that the relay leaves open, as after a move to and fro, would stay for good, and the
@@ -251,5 +251,5 @@
         """
         if any(self.membership.is_complete(subscription) for subscription in self.subscriptions):
             for subscription in self.former_subscriptions:
-                subscription.end()
+                subscription.shut_down()
             self.former_subscriptions = []
--- a/indigodeck/edge/relay_protocol.py
+++ b/indigodeck/edge/relay_protocol.py
@@ -65,18 +65,18 @@
     MalformedMessageError
         If it can't be read, or answers another call.
     """
-    given = read_object(data)
-    answered = given.get("id")
+    message = read_object(data)
+    answered_id = message.get("id")
     # JSON-RPC leaves the id out where the call could not be read; one call is in flight, so it is
     # that one.
-    is_unread = "error" in given and given.get("id", number) is None
-    if not is_unread and (answered != number or isinstance(answered, bool)):
+    is_unattributed = "error" in message and message.get("id", number) is None
+    if not is_unattributed and (answered_id != number or isinstance(answered_id, bool)):
         raise MalformedMessageError("an answer to another call")
-    if "error" in given:
-        return CallResult(0, _error_message(given["error"]))
-    if not isinstance(given.get("result"), dict):
+    if "error" in message:
+        return CallResult(0, _error_message(message["error"]))
+    if not isinstance(message.get("result"), dict):
         raise MalformedMessageError("an answer without a result")
-    return CallResult(read_count(given["result"], "accepted", order_count), None)
+    return CallResult(read_count(message["result"], "accepted", order_count), None)
 
 
 def read_event(data: bytes) -> Event | None:
@@ -87,11 +87,11 @@
     MalformedMessageError
         If it is neither, or the subscription was rejected.
     """
-    given = read_object(data)
-    method = given.get("method")
-    fields = given.get("params", {})
+    message = read_object(data)
+    method = message.get("method")
+    fields = message.get("params", {})
     if method is None:
-        if "error" in given or given.get("result") is not True:
+        if "error" in message or message.get("result") is not True:
             raise MalformedMessageError("the subscription was rejected")
         return None
     if not isinstance(method, str) or not isinstance(fields, dict):
--- a/indigodeck/edge/service.py
+++ b/indigodeck/edge/service.py
@@ -14,7 +14,7 @@
 from ..assignment.seeded_random import SeededRandom
 from ..clock import SECOND, now, wall_clock_offset
 from ..errors import MalformedMessageError
-from .assigner_host import CheckedServer, EdgeAssignerHost
+from .assigner_host import EdgeAssignerHost, HealthCheckTarget
 from .bootstrap import Bootstrap, read_bootstrap
 from .codec import order_fields
 from .connecting import DeadlineExceededError, with_deadline
@@ -32,7 +32,7 @@
 # end is killed after 0.7 s.
 SHUTDOWN_TIMEOUT = SECOND // 2
 TRACE_VARIABLE = "INDIGODECK_TRACE"  # set: each event and order of the assigner is written out
-EXIT_UNUSABLE_CONFIGURATION = 2
+EXIT_INVALID_CONFIGURATION = 2
 
 
 class EdgeService:
@@ -44,13 +44,13 @@
         # Unix time as it was at the start, and grown steadily since: what the endpoint list says
         # of starts is in Unix time.
         self._clock_offset = wall_clock_offset()
-        self._is_traced = bool(os.environ.get(TRACE_VARIABLE))
+        self._trace_enabled = bool(os.environ.get(TRACE_VARIABLE))
         codec = bootstrap.codec
         random = SeededRandom(bootstrap.seed)
         self._outbox = Outbox(self.now, self.log)
         self._host = EdgeAssignerHost(self, self._outbox, bootstrap.settings, bootstrap.seed)
         self._health_checker = HealthChecker(codec, self.now, self._host.on_health_check)
-        self._listener = CollectorListener(self._host, codec, self.now, bootstrap.descriptors)
+        self._listener = CollectorListener(self._host, codec, self.now, bootstrap.descriptor_limit)
         self._discovery = DiscoveryClient(
             bootstrap.discovery,
             codec,
@@ -84,9 +84,9 @@
         """Send what waits in the outbox."""
         self._relay.notify_orders_pending()
 
-    def check_health(self, checked: CheckedServer, address: Address) -> None:
+    def check_health(self, target: HealthCheckTarget, address: Address) -> None:
         """Send a request, and report its end to the assigner host."""
-        self._health_checker.check(checked, address)
+        self._health_checker.check(target, address)
 
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
         """Send a datagram to another planner, or to all."""
@@ -97,13 +97,13 @@
         """Ask for the whole endpoint list."""
         self._discovery.fetch()
 
-    def log(self, event: str, /, **facts: object) -> None:
+    def log(self, event: str, /, **fields: object) -> None:
         """Write an event to the log."""
-        self._logger.info(format_event(event, facts))
+        self._logger.info(format_event(event, fields))
 
     def trace(self, event: str, details: Sequence[Any]) -> None:
         """Write an event or the orders of the assigner as a JSON line, if that is asked for."""
-        if self._is_traced:
+        if self._trace_enabled:
             is_orders = event == "orders"
             fields = [order_fields(order) for order in details] if is_orders else details
             print(json.dumps([self.now(), event, fields], default=repr), file=sys.stderr)
@@ -128,20 +128,20 @@
         """
         current = self._bootstrap
         try:
-            found = read_bootstrap(current.path)
+            reloaded = read_bootstrap(current.path)
         except Exception as error:
             # Whatever is wrong with a file, it must not end a planner that serves.
             self.log("configuration_rejected", error=error)
             return
-        if (found.name, found.listen) != (current.name, current.listen):
-            self.log("configuration_rejected", error=f"it is of planner {found.name}")
+        if (reloaded.name, reloaded.listen) != (current.name, current.listen):
+            self.log("configuration_rejected", error=f"it is of planner {reloaded.name}")
             return
-        if found.settings != current.settings:
+        if reloaded.settings != current.settings:
             # Tables made by others would not go with them.
             self.log("settings_change_ignored")
-        self.log("configuration_reloaded", discovery=found.discovery, relay=found.relay)
-        self._discovery.move(found.discovery)
-        self._relay.move(found.relay)
+        self.log("configuration_reloaded", discovery=reloaded.discovery, relay=reloaded.relay)
+        self._discovery.set_address(reloaded.discovery)
+        self._relay.set_address(reloaded.relay)
 
     async def stop(self) -> None:
         """Send the orders that wait.
@@ -151,7 +151,7 @@
         """
         self.log("planner_stopping")
         try:
-            await with_deadline(SHUTDOWN_TIMEOUT, self._relay.calls.idle.wait())
+            await with_deadline(SHUTDOWN_TIMEOUT, self._relay.call_sender.idle.wait())
         except DeadlineExceededError:
             self.log("orders_left_unsent")
 
@@ -192,7 +192,7 @@
         bootstrap = read_bootstrap(os.environ.get("EDGE_CONFIG", ""))
     except (MalformedMessageError, OSError) as error:
         print(f"indigodeck edge: {error}", file=sys.stderr)
-        return EXIT_UNUSABLE_CONFIGURATION
+        return EXIT_INVALID_CONFIGURATION
     asyncio.run(serve(bootstrap, bool(early_signals)))
     return 0
 
--- a/tests/edge/stand_ins.py
+++ b/tests/edge/stand_ins.py
@@ -91,9 +91,9 @@
     def __init__(self):
         self.lines = []
 
-    def __call__(self, event, /, **facts):
+    def __call__(self, event, /, **fields):
         """Keep one event as the line that would be logged."""
-        self.lines.append(format_event(event, facts))
+        self.lines.append(format_event(event, fields))
 
 
 class FakeEnvironment(SimulatedLoop):
@@ -152,7 +152,7 @@
         self.reports.append(report)
 
 
-class CallFate(Enum):
+class RelayBehavior(Enum):
     """What a scripted relay does with a call."""
 
     ACCEPTED = "accepted"
@@ -215,20 +215,20 @@
 
 
 class ScriptedRelay(TCPServer):
-    """A relay as a script: it keeps what it is sent, and each call has the next of the `fates`.
+    """A relay as a script: it keeps what it is sent, and each call has the next of the `behaviors`.
 
     Calls beyond the script are accepted.
     """
 
-    def __init__(self, fates=()):
+    def __init__(self, behaviors=()):
         super().__init__()
-        self.fates = list(fates)
+        self.behaviors = list(behaviors)
         self.state = RelayState()
         self.subscriptions = []
         self.calls = []
         self.connections = []
 
-    def listen_somewhere(self):
+    def listen_on_free_port(self):
         """Listen on a free port, and return the address."""
         sockets = bind_sockets(0, "127.0.0.1")
         self.add_sockets(sockets)
@@ -258,16 +258,16 @@
         await self.send_event(stream, "ping", {})
 
     async def _answer_call(self, stream, line):
-        fate = self.fates.pop(0) if self.fates else CallFate.ACCEPTED
-        if fate == CallFate.CLOSED:
+        behavior = self.behaviors.pop(0) if self.behaviors else RelayBehavior.ACCEPTED
+        if behavior == RelayBehavior.CLOSED:
             stream.close()
             return
         answer = self.state.apply(line)
-        if fate == CallFate.APPLIED_THEN_CLOSED:
+        if behavior == RelayBehavior.APPLIED_THEN_CLOSED:
             stream.close()
-        elif fate != CallFate.NO_RESPONSE:
+        elif behavior != RelayBehavior.NO_RESPONSE:
             await stream.write(
-                (answer[:-2] if fate == CallFate.MALFORMED_RESPONSE else answer) + b"\n"
+                (answer[:-2] if behavior == RelayBehavior.MALFORMED_RESPONSE else answer) + b"\n"
             )
 
     @staticmethod
@@ -277,7 +277,7 @@
         await stream.write(pack(event) + b"\n")
 
 
-class HoldingRelay(ScriptedRelay):
+class DelayingRelay(ScriptedRelay):
     """A relay that holds its answers while `release` is an event that is not set."""
 
     def __init__(self):
@@ -302,13 +302,13 @@
 
     One is an object, bytes or a list of such pieces that end the connection, an `Event` to wait for
     before the answer after it, or None, as a piece too, for silence; with none left, nothing is
-    new. `asked` keeps the version that each poll asks from.
+    new. `requested_versions` keeps the version that each poll asks from.
     """
 
     def __init__(self, *answers):
         super().__init__()
         self.answers = list(answers)
-        self.asked = []
+        self.requested_versions = []
         sockets = bind_sockets(0, "127.0.0.1")
         self.add_sockets(sockets)
         self.address = sockets[0].getsockname()[:2]
@@ -318,7 +318,7 @@
         try:
             request = await stream.read_until(b"\r\n\r\n")
             after = request.split(b" ")[1].partition(b"after=")[2].partition(b"&")[0]
-            self.asked.append(int(after) if after else None)
+            self.requested_versions.append(int(after) if after else None)
             answer = self._next_answer()
             while isinstance(answer, Event):
                 await answer.wait()
@@ -334,5 +334,5 @@
     def _next_answer(self):
         if self.answers:
             return self.answers.pop(0)
-        after = self.asked[-1]
+        after = self.requested_versions[-1]
         return list_answer(version=after or 1, complete=after is None)
--- a/tests/edge/test_assigner_host.py
+++ b/tests/edge/test_assigner_host.py
@@ -127,7 +127,7 @@
                 (len(self.host.servers), len(assigner.state.health), len(assigner.state.ejected))
             )
         self.assertLessEqual(max(max(size) for size in sizes[60:]), 20, sizes[-1])
-        self.assertEqual(len(self.host.servers), len(self.host.index_of))
+        self.assertEqual(len(self.host.servers), len(self.host.index_by_name))
 
     def test_timers_wait_while_the_relay_takes_no_orders(self):
         """While a call is unanswered, timers wait instead of adding orders."""
@@ -139,23 +139,23 @@
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1"), list_entry("s-2"), version=2))
         self.environment.run(5)
         self.assertLessEqual(len(self.environment.timers), waiting + 2)
-        self.assertTrue(self.outbox.is_behind())
+        self.assertTrue(self.outbox.is_backlogged())
         self.outbox.on_call_lost()
         self.assertTrue(self.orders())
 
     def test_a_health_check_of_a_former_process_is_ignored(self):
         """The result of a check that began before a restart does not reach the assigner."""
-        checked = []
+        targets = []
         results = []
-        self.environment.check_health = lambda process, address: checked.append(process)
+        self.environment.check_health = lambda target, address: targets.append(target)
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1", started_ms=5000)), cached=True)
         self.host.check_health(0)
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1", started_ms=9000), version=2))
         self.host.assigner.on_health_check = lambda *found: results.append(found)
         self.host.check_health(0)
-        self.host.on_health_check(checked[0], HealthCheckOutcome.SILENT, 500_000, None)
+        self.host.on_health_check(targets[0], HealthCheckOutcome.SILENT, 500_000, None)
         self.assertEqual(results, [])
-        self.host.on_health_check(checked[1], HealthCheckOutcome.OK, 100, None)
+        self.host.on_health_check(targets[1], HealthCheckOutcome.OK, 100, None)
         self.assertEqual(results, [(0, "ok", 100, None)])
 
     def test_a_server_gone_before_it_was_known_is_not_kept(self):
@@ -168,39 +168,39 @@
                 complete=False,
             )
         )
-        self.assertEqual(sorted(self.host.index_of), ["s-1"])
+        self.assertEqual(sorted(self.host.index_by_name), ["s-1"])
         self.assertEqual(len(self.host.servers), 1)
 
 
-class DeploymentPlayer:
+class DeploymentRun:
     """One deployment that plays the same turns each time, and keeps its orders call by call."""
 
-    def __init__(self, stated):
-        settings = settings_from_object(stated)
-        self.zones = stated["zones"]
-        self.machine_types = stated["hostTypes"]
+    def __init__(self, document):
+        settings = settings_from_object(document)
+        self.zones = document["zones"]
+        self.machine_types = document["hostTypes"]
         self.codec = MessageCodec(settings)
         self.environment = FakeEnvironment()
         self.outbox = Outbox(self.environment.now, self.environment.note)
         self.host = EdgeAssignerHost(self.environment, self.outbox, settings, 7)
         self.orders = []
 
-    def play(self, turn):
-        """Play one turn: a list, a joining, reports, and what is ordered."""
+    def run_step(self, step):
+        """Play one step: a list, a joining, reports, and what is ordered."""
         entries = [
             dict(
                 list_entry(f"s-{number}", zone=self.zones[number % len(self.zones)]),
                 **{"class": self.machine_types[number % len(self.machine_types)]},
             )
-            for number in range(turn, 9 + turn)
+            for number in range(step, 9 + step)
         ]
-        found = self.codec.read_endpoint_list(list_answer(*entries, version=turn))
-        self.host.on_endpoint_list(found, cached=turn == 0)
-        self.host.on_proxy_joined(ProxyJoined(turn, turn % len(self.zones), 5.0, True))
+        answer = self.codec.read_endpoint_list(list_answer(*entries, version=step))
+        self.host.on_endpoint_list(answer, cached=step == 0)
+        self.host.on_proxy_joined(ProxyJoined(step, step % len(self.zones), 5.0, True))
         for number in range(9):
-            failures = 30 if number == turn % 3 else 0
+            failures = 30 if number == step % 3 else 0
             self.host.on_outcome_report(
-                OutcomeReport(0, f"s-{number + turn}", 40, failures, 90_000, SECOND, None)
+                OutcomeReport(0, f"s-{number + step}", 40, failures, 90_000, SECOND, None)
             )
         self.environment.run(1)
         while self.outbox.time_until_call() is not None:
@@ -217,25 +217,26 @@
         zones=["x", "b", "c"],
         hostTypes=["m2", "m9"],
         classes=[
-            dict(kind, name=f"{kind['name']}-2", deadlineMs=9000)
-            for kind in reversed(PLATFORM_SETTINGS["classes"])
+            dict(class_settings, name=f"{class_settings['name']}-2", deadlineMs=9000)
+            for class_settings in reversed(PLATFORM_SETTINGS["classes"])
         ],
         domain=dict(PLATFORM_SETTINGS["domain"], proxies=40),
     )
 
-    def play(self, *deployments):
+    def run_deployments(self, *deployments):
         """Play all of them step by step in turn; return the orders of each."""
-        players = [DeploymentPlayer(stated) for stated in deployments]
-        for turn in range(12):
-            for player in players:
-                player.play(turn)
-        return [player.orders for player in players]
+        runs = [DeploymentRun(document) for document in deployments]
+        for step in range(12):
+            for run in runs:
+                run.run_step(step)
+        return [run.orders for run in runs]
 
     def test_deployments_side_by_side_order_what_each_does_alone(self):
         """No state is shared between two deployments of one process."""
-        alone = [self.play(stated)[0] for stated in (PLATFORM_SETTINGS, self.OTHER)]
+        alone = [self.run_deployments(document)[0] for document in (PLATFORM_SETTINGS, self.OTHER)]
         self.assertNotEqual(*alone)
-        self.assertEqual(self.play(self.OTHER, PLATFORM_SETTINGS), alone[::-1])
+        self.assertEqual(self.run_deployments(self.OTHER, PLATFORM_SETTINGS), alone[::-1])
         self.assertEqual(
-            self.play(PLATFORM_SETTINGS, self.OTHER, PLATFORM_SETTINGS), alone + alone[:1]
+            self.run_deployments(PLATFORM_SETTINGS, self.OTHER, PLATFORM_SETTINGS),
+            alone + alone[:1],
         )
--- a/tests/edge/test_discovery.py
+++ b/tests/edge/test_discovery.py
@@ -52,15 +52,15 @@
             silent, list_answer(list_entry("s-1", state="DRAINING"), list_entry("s-2"), version=2)
         )
         client = self.start_client(old)
-        await until(lambda: len(old.asked) == 2)
-        client.move(new.address)
-        await until(lambda: new.asked)
+        await until(lambda: len(old.requested_versions) == 2)
+        client.set_address(new.address)
+        await until(lambda: new.requested_versions)
         written.set()
         await until(lambda: len(self.lists) == 2)
         self.assertEqual(self.lists[1], (2, False, ["s-1"]))
         silent.set()
         await until(lambda: len(self.lists) == 3)
-        self.assertEqual(new.asked[0], None)
+        self.assertEqual(new.requested_versions[0], None)
 
     @gen_test(timeout=30)
     async def test_an_older_answer_of_the_former_address_is_ignored(self):
@@ -73,11 +73,11 @@
         )
         new = ScriptedDiscovery(list_answer(list_entry("s-1"), list_entry("s-2"), version=3))
         client = self.start_client(old)
-        await until(lambda: len(old.asked) == 2)
-        client.move(new.address)
-        await until(lambda: len(self.lists) == 2 and len(new.asked) > 1)
+        await until(lambda: len(old.requested_versions) == 2)
+        client.set_address(new.address)
+        await until(lambda: len(self.lists) == 2 and len(new.requested_versions) > 1)
         written.set()
-        await until(lambda: len(new.asked) > 2)
+        await until(lambda: len(new.requested_versions) > 2)
         self.assertEqual(self.lists, [(1, True, ["s-1"]), (3, True, ["s-1", "s-2"])])
 
     @gen_test(timeout=30)
@@ -136,7 +136,7 @@
         self.start_client(discovery)
         await until(lambda: len(self.lists) == 2, 30)
         self.assertEqual(self.lists, [(1, True, ["s-1"]), (2, False, ["s-2"])])
-        self.assertEqual(discovery.asked[:8], [None] + [1] * 7)
+        self.assertEqual(discovery.requested_versions[:8], [None] + [1] * 7)
 
     @gen_test(timeout=60)
     async def test_a_silent_poll_times_out_wherever_it_stops(self):
@@ -152,7 +152,7 @@
         self.start_client(discovery)
         await until(lambda: len(self.lists) == 2, 40)
         self.assertEqual(self.lists[1], (3, False, ["s-3"]))
-        self.assertEqual(discovery.asked[:5], [None, 1, 1, 1, 1])
+        self.assertEqual(discovery.requested_versions[:5], [None, 1, 1, 1, 1])
 
     @gen_test(timeout=30)
     async def test_a_fetch_during_a_poll_loses_neither_answer(self):
@@ -165,9 +165,9 @@
             list_answer(list_entry("s-1", state="DRAINING"), list_entry("s-2"), version=3),
         )
         client = self.start_client(discovery)
-        await until(lambda: len(discovery.asked) == 2)
+        await until(lambda: len(discovery.requested_versions) == 2)
         client.fetch()
         written.set()
         await until(lambda: len(self.lists) == 3)
         self.assertEqual([found[:2] for found in self.lists], [(1, True), (2, False), (3, True)])
-        self.assertEqual(discovery.asked[2], None)
+        self.assertEqual(discovery.requested_versions[2], None)
--- a/tests/edge/test_listener.py
+++ b/tests/edge/test_listener.py
@@ -64,7 +64,7 @@
         )
         await until(lambda: len(host.reports) == 2)
         self.assertEqual(collector_listener.ignored_reports, 2)
-        self.assertFalse(collector_listener.strangers)
+        self.assertFalse(collector_listener.unidentified)
         # What goes on with what can't be read is of no further use, and nothing is written to it.
         await collector.write(b"\x00\x01 and so on\n")
         self.assertEqual(await self.read_to_end(collector), b"")
@@ -81,14 +81,18 @@
             crowd.append(stream)
             if number % 3:
                 await stream.write(b'{"type":"probe"}\n' if number % 3 == 1 else b'{"type":')
-        self.assertLessEqual(len(collector_listener.strangers), collector_listener.max_strangers)
+        self.assertLessEqual(
+            len(collector_listener.unidentified), collector_listener.max_unidentified
+        )
         asker = await connecting.connect(address, SECOND)
         await asker.write(b'{"type":"probe"}\n')
-        self.assertEqual(await connecting.read_line(asker, 5 * SECOND), collector_protocol.ALIVE)
+        self.assertEqual(
+            await connecting.read_line(asker, 5 * SECOND), collector_protocol.HEALTH_CHECK_RESPONSE
+        )
         collector = await connecting.connect(address, SECOND)
         await collector.write(b'{"type":"agent","zone":"b"}\n' + pack(DEMAND) + b"\n")
         await until(lambda: host.reports)
-        await until(lambda: not collector_listener.strangers)
+        await until(lambda: not collector_listener.unidentified)
         for stream in crowd:
             stream.close()
 
@@ -99,7 +103,7 @@
         collector_listener, address = self.open_listener(host)
         line = pack(OUTCOMES) + b"\n"
         callers = []
-        for number in range(listener.MAX_COLLECTORS + 1):
+        for number in range(listener.MAX_COLLECTORS_PER_ZONE + 1):
             stream = await connecting.connect(address, SECOND)
             await stream.write(b'{"type":"agent","zone":"a"}\n' + line + line[:40])
             await until(lambda count=number + 1: len(host.reports) == count)
--- a/tests/edge/test_outbox.py
+++ b/tests/edge/test_outbox.py
@@ -46,7 +46,7 @@
 )
 
 
-class Fate(Enum):
+class CallOutcome(Enum):
     """What becomes of a call."""
 
     ACCEPTED = "accepted"
@@ -71,7 +71,7 @@
         st.lists(
             st.tuples(
                 st.lists(ORDERS, max_size=6),
-                st.sampled_from(Fate),
+                st.sampled_from(CallOutcome),
             ),
             max_size=25,
         )
@@ -82,37 +82,37 @@
         outbox = Outbox(lambda: self.clock, self.log)
         lossy = RelayState()
         lossless = RelayState()
-        for number, (orders, fate) in enumerate(steps):
+        for number, (orders, outcome) in enumerate(steps):
             outbox.add(orders)
             if orders:
                 lossless.apply(commit_call(number, orders))
             self.clock += SECOND
-            if fate != Fate.NOT_SENT and outbox.time_until_call() == 0:
-                self.send(outbox, lossy, fate)
+            if outcome != CallOutcome.NOT_SENT and outbox.time_until_call() == 0:
+                self.send(outbox, lossy, outcome)
         for _ in range(50):
             self.clock += SECOND
             if outbox.time_until_call() == 0:
-                self.send(outbox, lossy, Fate.ACCEPTED)
+                self.send(outbox, lossy, CallOutcome.ACCEPTED)
         self.assertIsNone(outbox.time_until_call())
-        self.assertFalse(outbox.is_behind())
+        self.assertFalse(outbox.is_backlogged())
         self.assertEqual(lossy.snapshot(), lossless.snapshot())
 
-    def send(self, outbox, relay_state, fate):
+    def send(self, outbox, relay_state, outcome):
         """Send the next call, with this fate."""
         line = outbox.next_call()
         # Nothing may overtake a call whose fate isn't known.
         self.assertIsNone(outbox.time_until_call())
-        if fate == Fate.THROTTLED:
+        if outcome == CallOutcome.THROTTLED:
             outbox.on_response(
                 pack(
                     {"jsonrpc": "2.0", "id": outbox.call_number, "error": {"message": "throttled"}}
                 )
             )
             return
-        answer = relay_state.apply(line) if fate != Fate.LOST else b""
-        if fate == Fate.ACCEPTED:
+        answer = relay_state.apply(line) if outcome != CallOutcome.LOST else b""
+        if outcome == CallOutcome.ACCEPTED:
             outbox.on_response(answer)
-        elif fate == Fate.MALFORMED_RESPONSE:
+        elif outcome == CallOutcome.MALFORMED_RESPONSE:
             with self.assertRaises(MalformedMessageError):
                 outbox.on_response(answer[:-3])
         else:
@@ -190,7 +190,7 @@
                 sent += call["params"]["ops"]
                 self.outbox.on_response(RelayState.answer(call, len(call["params"]["ops"])))
         self.assertEqual(sent, [order_fields(order) for order in orders])
-        self.assertEqual(self.outbox.unknown_calls, 0)
+        self.assertEqual(self.outbox.unknown_outcome_calls, 0)
 
     def test_orders_for_a_proxy_that_left_are_not_sent_again(self):
         """Neither what waits nor what was in flight names it."""
--- a/tests/edge/test_program.py
+++ b/tests/edge/test_program.py
@@ -21,7 +21,7 @@
 from edge.stand_ins import (
     PLATFORM_SETTINGS,
     PROXY_JOINED,
-    HoldingRelay,
+    DelayingRelay,
     ScriptedDiscovery,
     ScriptedRelay,
     list_answer,
@@ -36,13 +36,15 @@
 
     def get(self):
         """Answer a poll."""
-        asked = self.get_argument("after", None)
-        self.application.asked.append(asked)
+        requested_versions = self.get_argument("after", None)
+        self.application.requested_versions.append(requested_versions)
         self.write(
             {
                 "seq": 5,
-                "whole": asked is None,
-                "hosts": [list_entry("s-1"), list_entry("s-2")] if asked is None else [],
+                "whole": requested_versions is None,
+                "hosts": [list_entry("s-1"), list_entry("s-2")]
+                if requested_versions is None
+                else [],
             }
         )
 
@@ -53,7 +55,7 @@
     def serve_list(self):
         """Return a discovery and its port."""
         application = Application([("/catalog/members", MembersHandler)])
-        application.asked = []
+        application.requested_versions = []
         server = HTTPServer(application)
         sockets = bind_sockets(0, "127.0.0.1")
         server.add_sockets(sockets)
@@ -86,7 +88,7 @@
         """Assigns tables, survives a cut configuration, moves to a new one, ends with 0."""
         lists = [self.serve_list() for _ in range(2)]
         relays = [ScriptedRelay(), ScriptedRelay()]
-        addresses = [relay.listen_somewhere() for relay in relays]
+        addresses = [relay.listen_on_free_port() for relay in relays]
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
@@ -120,15 +122,18 @@
                 stream = await connecting.connect(("127.0.0.1", port), SECOND)
                 await stream.write(b'{"type":"probe"}\n')
                 self.assertEqual(
-                    await connecting.read_line(stream, 5 * SECOND), collector_protocol.ALIVE
+                    await connecting.read_line(stream, 5 * SECOND),
+                    collector_protocol.HEALTH_CHECK_RESPONSE,
                 )
-                await until(lambda: "5" in lists[0][0].asked, 20)
+                await until(lambda: "5" in lists[0][0].requested_versions, 20)
                 path.write_text("{ cut")
                 program.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.3)
                 configure(1)
                 program.send_signal(signal.SIGHUP)
-                await until(lambda: len(relays[1].subscriptions) == 2 and lists[1][0].asked, 20)
+                await until(
+                    lambda: len(relays[1].subscriptions) == 2 and lists[1][0].requested_versions, 20
+                )
                 self.assertIsNone(program.poll())
                 program.send_signal(signal.SIGTERM)
                 await until(lambda: program.poll() is not None, 20)
@@ -149,15 +154,15 @@
                 ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:x"}', "discovery"),
             ):
                 path.write_text(text)
-                ended = subprocess.run(
+                completed = subprocess.run(
                     [sys.executable, "-m", "indigodeck", "edge"],
                     capture_output=True,
                     text=True,
                     timeout=30,
                     env=dict(os.environ, EDGE_CONFIG=str(path)),
                 )
-                self.assertEqual(ended.returncode, 2)
-                self.assertIn(word, ended.stderr)
+                self.assertEqual(completed.returncode, 2)
+                self.assertIn(word, completed.stderr)
 
 
 class ProgramEndingsTest(AsyncTestCase):
@@ -211,16 +216,16 @@
     async def test_a_drain_that_waits_behind_a_call_is_sent_before_the_end(self):
         """SIGTERM waits for the call in flight and what is behind it."""
         changed = Event()
-        relay = HoldingRelay()
+        relay = DelayingRelay()
         discovery = ScriptedDiscovery(
             list_answer(list_entry("s-1"), list_entry("s-2")),
             changed,
             list_answer(list_entry("s-1", state="DRAINING"), version=2, complete=False),
         )
-        address = relay.listen_somewhere()
+        address = relay.listen_on_free_port()
         self.path.write_text(self.configuration(discovery, address))
         program = self.start_program()
-        await until(lambda: relay.state.assignments and len(discovery.asked) == 2, 20)
+        await until(lambda: relay.state.assignments and len(discovery.requested_versions) == 2, 20)
         relay.release = Event()
         before = len(relay.calls)
         # A joining, so that a call is in flight.
@@ -229,7 +234,7 @@
         await until(lambda: len(relay.calls) > before, 20)
         changed.set()
         # The drain was read; its order waits behind that call.
-        await until(lambda: len(discovery.asked) > 2, 20)
+        await until(lambda: len(discovery.requested_versions) > 2, 20)
         program.send_signal(signal.SIGTERM)
         program.send_signal(signal.SIGTERM)
         await until(lambda: "planner_stopping" in self.logged(), 20)
@@ -245,7 +250,7 @@
         relay.state.apply = lambda line: pack(
             {"id": json.loads(line)["id"], "error": {"message": "throttled"}}
         )
-        self.path.write_text(self.configuration(ScriptedDiscovery(), relay.listen_somewhere()))
+        self.path.write_text(self.configuration(ScriptedDiscovery(), relay.listen_on_free_port()))
         program = self.start_program()
         await until(lambda: len(relay.calls) > 1, 20)
         program.send_signal(signal.SIGTERM)
@@ -258,7 +263,7 @@
     async def test_sighup_before_the_first_configuration_is_read_is_not_lost(self):
         """The new configuration is read once the program runs."""
         relays = [ScriptedRelay(), ScriptedRelay()]
-        addresses = [relay.listen_somewhere() for relay in relays]
+        addresses = [relay.listen_on_free_port() for relay in relays]
         os.mkfifo(self.path)  # reading it waits until it is written
 
         def write(number):
@@ -286,7 +291,7 @@
         """The first is rejected; of the second only the addresses count."""
         relays = [ScriptedRelay(), ScriptedRelay(), ScriptedRelay()]
         discovery = ScriptedDiscovery(list_answer(list_entry("s-1"), list_entry("s-2")))
-        addresses = [relay.listen_somewhere() for relay in relays]
+        addresses = [relay.listen_on_free_port() for relay in relays]
         self.path.write_text(self.configuration(discovery, addresses[0]))
         program = self.start_program()
         await until(lambda: relays[0].state.assignments, 20)
@@ -307,7 +312,7 @@
         await until(lambda: relays[2].state.assignments, 20)
         self.assertFalse(relays[1].subscriptions)
         # That address is the same, so its polls go on.
-        self.assertEqual(discovery.asked.count(None), 1)
+        self.assertEqual(discovery.requested_versions.count(None), 1)
         named = {
             route
             for call in relays[2].calls
--- a/tests/edge/test_relay_client.py
+++ b/tests/edge/test_relay_client.py
@@ -15,10 +15,10 @@
 from edge.stand_ins import (
     ACK,
     CODEC,
-    CallFate,
+    DelayingRelay,
     EventRecorder,
-    HoldingRelay,
     RecordingHost,
+    RelayBehavior,
     ScriptedRelay,
 )
 from indigodeck.assignment.seeded_random import SeededRandom
@@ -37,7 +37,7 @@
     )
 
 
-def completeness(client):
+def completeness_flags(client):
     """Return of each subscription whether it has reported all that stood at its beginning."""
     return [client.membership.is_complete(found) for found in client.subscriptions]
 
@@ -55,32 +55,32 @@
     def start_client(self, host):
         """Return a client that follows a scripted relay."""
         client = make_client(self.outbox, host, self.log)
-        client.start(self.relay.listen_somewhere())
+        client.start(self.relay.listen_on_free_port())
         return client
 
     @gen_test(timeout=30)
     async def test_lost_and_wrong_responses_lose_no_order(self):
         """The relay holds the newest orders whatever becomes of responses."""
-        self.relay.fates = [
-            CallFate.APPLIED_THEN_CLOSED,
-            CallFate.ACCEPTED,
-            CallFate.CLOSED,
-            CallFate.ACCEPTED,
-            CallFate.NO_RESPONSE,
-            CallFate.ACCEPTED,
-            CallFate.MALFORMED_RESPONSE,
-            CallFate.ACCEPTED,
+        self.relay.behaviors = [
+            RelayBehavior.APPLIED_THEN_CLOSED,
+            RelayBehavior.ACCEPTED,
+            RelayBehavior.CLOSED,
+            RelayBehavior.ACCEPTED,
+            RelayBehavior.NO_RESPONSE,
+            RelayBehavior.ACCEPTED,
+            RelayBehavior.MALFORMED_RESPONSE,
+            RelayBehavior.ACCEPTED,
         ]
         client = self.start_client(RecordingHost())
         for number in range(4):
             self.outbox.add([SetWeight(number, "s-1", 1.0), SetWeight(0, "s-2", float(number))])
             client.notify_orders_pending()
-            await until(lambda: self.outbox.is_settled)
+            await until(lambda: self.outbox.is_idle)
         self.assertEqual(
             self.relay.state.tables,
             {0: {"s-1": 1.0, "s-2": 3.0}, 1: {"s-1": 1.0}, 2: {"s-1": 1.0}, 3: {"s-1": 1.0}},
         )
-        self.assertEqual(self.outbox.unknown_calls, 4)
+        self.assertEqual(self.outbox.unknown_outcome_calls, 4)
 
     @gen_test(timeout=30)
     async def test_events_go_on_while_a_subscription_breaks_and_the_relay_moves(self):
@@ -91,7 +91,7 @@
         self.relay.subscriptions[0].close()
         await until(lambda: len(self.relay.subscriptions) == 3)
         elsewhere = ScriptedRelay()
-        client.move(elsewhere.listen_somewhere())
+        client.set_address(elsewhere.listen_on_free_port())
         await until(lambda: len(elsewhere.subscriptions) == 2)
         await asyncio.sleep(0.1)
         for stream in self.relay.connections:
@@ -146,7 +146,7 @@
         self.outbox = Outbox(now, self.log)
         host = RecordingHost()
         client = make_client(self.outbox, host, self.log)
-        client.start(script.listen_somewhere())
+        client.start(script.listen_on_free_port())
         return client, host
 
     def send_heartbeats(self, *scripts):
@@ -167,7 +167,7 @@
 
     async def settled(self):
         """Wait until no order waits and no call is in flight."""
-        await until(lambda: self.outbox.is_settled)
+        await until(lambda: self.outbox.is_idle)
 
     @gen_test(timeout=30)
     async def test_a_line_that_arrives_with_the_deadline_counts(self):
@@ -188,14 +188,14 @@
     @gen_test(timeout=30)
     async def test_a_call_that_is_lost_again_and_again_backs_off(self):
         """Each loss doubles the wait, a success resets it."""
-        script = ScriptedRelay([CallFate.CLOSED] * 4)
+        script = ScriptedRelay([RelayBehavior.CLOSED] * 4)
         client, _ = self.start_client(script)
         self.outbox.add([SetWeight(0, "s-1", 1.0)])
         client.notify_orders_pending()
         await until(lambda: len(script.calls) == 4)
-        self.assertGreaterEqual(client.calls.backoff.delay, 8 * connecting.MIN_BACKOFF)
+        self.assertGreaterEqual(client.call_sender.backoff.delay, 8 * connecting.MIN_BACKOFF)
         await self.settled()
-        self.assertEqual(client.calls.backoff.delay, connecting.MIN_BACKOFF)
+        self.assertEqual(client.call_sender.backoff.delay, connecting.MIN_BACKOFF)
 
     @gen_test(timeout=60)
     async def test_a_call_cut_at_any_byte_is_sent_again_and_stands_once(self):
@@ -217,27 +217,27 @@
         for number, length in enumerate(
             [1, 2, line_bytes // 3, line_bytes // 2, line_bytes - 2, line_bytes - 1]
         ):
-            client.calls.last_used = 0  # as after a rest: the next call connects
+            client.call_sender.last_used = 0  # as after a rest: the next call connects
             cut.append(length)
             self.outbox.add([SetWeight(0, "s-1", 10.0 + number)])
             client.notify_orders_pending()
             await self.settled()
             self.assertEqual(script.state.tables, {0: {"s-1": 10.0 + number}})
-        self.assertEqual(self.outbox.unknown_calls, 6)
+        self.assertEqual(self.outbox.unknown_outcome_calls, 6)
 
     @gen_test(timeout=30)
     async def test_a_move_during_a_call_neither_loses_nor_repeats_it(self):
         """The response is awaited at the old address, the next call goes to the new."""
-        first = HoldingRelay()
+        first = DelayingRelay()
         second = ScriptedRelay()
         released = Event()
         first.release = released
         client, _ = self.start_client(first)
-        address = second.listen_somewhere()
+        address = second.listen_on_free_port()
         self.outbox.add([SetWeight(0, "s-1", 1.0)])
         client.notify_orders_pending()
         await until(lambda: first.calls)
-        client.move(address)
+        client.set_address(address)
         self.outbox.add([SetWeight(0, "s-2", 2.0)])
         client.notify_orders_pending()
         await until(lambda: second.subscriptions)
@@ -253,7 +253,7 @@
         client, _ = self.start_client(script)
         await until(lambda: len(script.subscriptions) == 2)
         for number in range(5):
-            client.calls.last_used = now()
+            client.call_sender.last_used = now()
             self.outbox.add([SetWeight(0, "s-1", 1.0 + number)])
             client.notify_orders_pending()
             await self.settled()
@@ -269,12 +269,12 @@
         second = ScriptedRelay()
         client, host = self.start_client(first)
         self.send_heartbeats(first, second)
-        address = client.calls.address
-        other_address = second.listen_somewhere()
+        address = client.call_sender.address
+        other_address = second.listen_on_free_port()
         for turn in range(6):
-            await until(lambda: any(completeness(client)))
-            client.move(other_address if turn % 2 == 0 else address)
-        await until(lambda: all(completeness(client)))
+            await until(lambda: any(completeness_flags(client)))
+            client.set_address(other_address if turn % 2 == 0 else address)
+        await until(lambda: all(completeness_flags(client)))
         for script, most in ((first, 2), (second, 0)):
             await until(
                 lambda script=script, most=most: (
@@ -294,7 +294,7 @@
         client, host = self.start_client(first)
         await until(lambda: len(first.subscriptions) == 2)
         connect = relay_client.connect
-        address = client.calls.address
+        address = client.call_sender.address
 
         async def connect_late(where, timeout):
             stream = await connect(where, timeout)
@@ -307,8 +307,8 @@
         with unittest.mock.patch.object(relay_client, "connect", connect_late):
             first.subscriptions[0].close()
             await until(lambda: held)
-            client.move(second.listen_somewhere())
-            await until(lambda: all(completeness(client)))
+            client.set_address(second.listen_on_free_port())
+            await until(lambda: all(completeness_flags(client)))
             await until(lambda: not client.former_subscriptions)
             released.set()
             await until(lambda: held[0].closed())
