--- a/indigodeck/edge/__init__.py
+++ b/indigodeck/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The planner in service on the platform: one more host of the assigner, and its sockets."""
+"""The planner as a service on the platform: hosts the assigner and owns the network connections."""
--- a/indigodeck/edge/assigner_host.py
+++ b/indigodeck/edge/assigner_host.py
@@ -1,8 +1,9 @@
-"""The assigner's host on the platform, free of I/O: its calls become the platform's orders.
+"""Hosts the assigner on the platform: turns its calls into orders to the relay. Does no I/O.
 
-The platform's ids of servers become indices. An index is given up when nothing can name its server
-any more; it is never used again. The orders of one event are one call to the relay. A fault in the
-handling of one message is logged, and that message is lost, no more.
+Maps the platform's server ids to integer indices. An index is released once no order or report can
+name its server any more, and is never reused. The orders that one event causes are added to the
+outbox together, so that one call to the relay carries them. An exception during the handling of a
+message is logged and loses only that message.
 """
 
 import traceback
@@ -38,56 +39,59 @@
 )
 from .outbox import Outbox
 
-MAX_ACK_REQUESTS = 256  # the oldest is forgotten: some are never answered
-BUSY_RETRY_DELAY = 50_000  # microseconds between two looks whether the relay has caught up
+MAX_ACK_REQUESTS = 256  # beyond this the oldest is dropped: some are never answered
+BUSY_RETRY_DELAY = 50_000  # microseconds between checks whether the outbox has caught up
 
 
 class HealthCheckTarget(NamedTuple):
-    """Which process a health check is of: one server may be several, one after the other."""
+    """The server process that a health check is for.
+
+    A server that restarts keeps its index, so `started`, its start time, tells its processes apart.
+    """
 
     server: int
     started: int
 
 
 class KnownServer(NamedTuple):
-    """A server as the endpoint list last had it, and as the assigner was notified of it."""
+    """A server as the endpoint list last stated it, and as it was passed to the assigner."""
 
     endpoint: Endpoint
     server: Server
 
 
 class Environment(Protocol):
-    """What the host may ask of the program around it. Times are whole microseconds."""
+    """What the host needs from the program that runs it. Times are whole microseconds."""
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back, in Unix time."""
+        """Return Unix time, from a clock that never goes back."""
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
-        """Call back after `delay`, never from within this call."""
+        """Call `callback` after `delay`, never before this method returns."""
 
     def notify_orders_pending(self) -> None:
-        """Send what waits in the outbox."""
+        """Start to send the orders in the outbox."""
 
     def check_health(self, target: HealthCheckTarget, address: Address) -> None:
-        """Send a request, and report its end with `on_health_check`, given `target` back."""
+        """Send a health check to `address`; its result goes to `on_health_check` with `target`."""
 
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
-        """Send a datagram to another planner, or to all."""
+        """Send a datagram to another planner, or to all if `peer` is None."""
 
     def fetch_endpoints(self) -> None:
-        """Ask for the whole endpoint list."""
+        """Request the whole endpoint list."""
 
     def log(self, event: str, /, **fields: object) -> None:
         """Write an event to the log."""
 
     def trace(self, event: str, details: Sequence[Any]) -> None:
-        """Take an event or the orders of the assigner, to compare with what passes on sockets."""
+        """Record an event or the assigner's orders, to compare with the traffic on the sockets."""
 
 
 class EdgeAssignerHost:
-    """Hosts one assigner: platform messages in, orders into `outbox`.
+    """Hosts one assigner: passes it the platform's messages, and adds its orders to `outbox`.
 
-    Invariant: `index_by_name` and `servers` have the same servers.
+    Invariant: `index_by_name` and `servers` hold the same servers.
     """
 
     def __init__(
@@ -109,18 +113,19 @@
         self.ignored_messages = 0
         self.assigner = make_assigner(self, settings, seed)
 
-    # Events of the platform.
+    # Events from the platform.
 
     def on_endpoint_list(self, endpoint_list: EndpointList, cached: bool = False) -> None:
-        """Take an answer of discovery, or the list that was `cached` before this start."""
-        # Gone before it was ever known: nothing names it, so nothing would ever forget it.
+        """Handle an answer of discovery, or the list `cached` before this planner started."""
+        # Leaves out servers that were gone before they were known: no order or report names them,
+        # so the assigner would never ask to forget them.
         servers = [
             self._update_server(endpoint)
             for endpoint in endpoint_list.endpoints
             if endpoint.state != ServerState.GONE or endpoint.name in self.index_by_name
         ]
         if endpoint_list.complete:
-            # An entry that can't be read says nothing against the server it names.
+            # An entry that can't be parsed does not remove the server that it names.
             servers += [
                 self.servers[self.index_by_name[name]].server
                 for name in sorted(endpoint_list.unusable_names & self.index_by_name.keys())
@@ -132,16 +137,16 @@
         self._dispatch(self.assigner.on_endpoint_update, kind, servers)
 
     def on_proxy_joined(self, joined: ProxyJoined) -> None:
-        """Take a proxy that has connected to the relay."""
+        """Handle a proxy's connection to the relay."""
         self._dispatch(self.assigner.on_proxy_joined, *joined)
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Take a proxy that has disconnected from the relay."""
+        """Handle a proxy's disconnection from the relay."""
         self._outbox.drop_proxy(proxy)
         self._dispatch(self.assigner.on_proxy_left, proxy)
 
     def on_outcome_report(self, report: OutcomeReport) -> None:
-        """Take a collector's report; one of an unknown server is ignored."""
+        """Handle a collector's report of a server; ignore it if the server is unknown."""
         index = self.index_by_name.get(report.server)
         if index is None:
             self.ignored_messages += 1
@@ -158,11 +163,11 @@
         self._dispatch(self.assigner.on_load_report, load_report)
 
     def on_demand_report(self, report: DemandReport) -> None:
-        """Take a collector's report of the requests that came to a proxy."""
+        """Handle a collector's report of the requests that a proxy received."""
         self._dispatch(self.assigner.on_demand_report, report)
 
     def on_ack(self, ack: Ack) -> None:
-        """Take an acknowledgement; one that is older than its request can't be right."""
+        """Handle an acknowledgement; ignore one whose delay is longer than its request is old."""
         requested_at = self.ack_requested_at.get(ack.number)
         if requested_at is None or ack.delay > self._environment.now() - requested_at:
             self.ignored_messages += 1
@@ -176,26 +181,29 @@
         duration: int,
         load: dict[str, float] | None,
     ) -> None:
-        """Take the end of a health check.
+        """Handle the result of a health check.
 
-        What a former process answered says nothing of the one there now.
+        A result from before a restart is ignored: it says nothing about the current process.
         """
         known = self.servers.get(target.server)
         if known is not None and known.server.started == target.started:
             self._dispatch(self.assigner.on_health_check, target.server, outcome, duration, load)
 
     def on_peer_message(self, peer: int, data: bytes) -> None:
-        """Take a datagram of another planner."""
+        """Handle a datagram from another planner."""
         self._dispatch(self.assigner.on_peer_message, peer, data)
 
-    # The assigner's interface to its host (`AssignerHost`).
+    # What the assigner calls (`AssignerHost`).
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back."""
+        """Return the time, from a clock that never goes back."""
         return self._environment.now()
 
     def start_timer(self, delay: int, token: int) -> None:
-        """Call the assigner's `on_timer(token)` after `delay`, or once the relay has caught up."""
+        """Call the assigner's `on_timer(token)` after `delay`.
+
+        While the outbox is backlogged, the call is postponed.
+        """
         self._environment.call_later(delay, lambda: self._on_timer(token))
 
     def set_weight(self, table: int, server: int, weight: float) -> None:
@@ -207,19 +215,19 @@
         self._orders.append(ClearTable(table))
 
     def assign_table(self, proxy: int, table: int, classes: Sequence[int]) -> None:
-        """Put a joined proxy on a table for these classes."""
+        """Assign a table to a joined proxy for these classes."""
         self._orders.append(AssignTable(proxy, table, self._names_of(classes)))
 
     def eject_server(self, server: int) -> None:
-        """Keep all joined proxies off a server."""
+        """Stop all joined proxies from using a server."""
         self._orders.append(SetEjected(self.servers[server].endpoint.name, ejected=True))
 
     def uneject_server(self, server: int) -> None:
-        """Let proxies return to a server that was ejected."""
+        """Let proxies use an ejected server again."""
         self._orders.append(SetEjected(self.servers[server].endpoint.name, ejected=False))
 
     def forget_server(self, server: int) -> None:
-        """Uneject a server that nothing can name any more, and drop its index."""
+        """Uneject a server that no order or report can name any more, and release its index."""
         name = self.servers.pop(server).endpoint.name
         self._orders.append(SetEjected(name, ejected=False))
         del self.index_by_name[name]
@@ -227,12 +235,12 @@
     def set_admission(
         self, table: int, classes: Sequence[int], level: float, retry_policy: RetryPolicy
     ) -> None:
-        """Set how much of these classes is admitted; a negative table stands for all tables."""
+        """Set the admitted share of these classes; a negative `table` means all tables."""
         order_table = None if table < 0 else table
         self._orders.append(SetAdmission(order_table, self._names_of(classes), level, retry_policy))
 
     def request_ack(self, number: int, everyone: bool) -> None:
-        """Ask each proxy that the orders of this call reach, or everyone, for an answer."""
+        """Request acknowledgements from the proxies that this call's orders reach, or from all."""
         self.ack_requested_at.pop(number, None)
         self.ack_requested_at[number] = self._environment.now()
         if len(self.ack_requested_at) > MAX_ACK_REQUESTS:
@@ -240,29 +248,29 @@
         self._orders.append(RequestAck(number, everyone))
 
     def check_health(self, server: int) -> None:
-        """Send the server a request, and report its end to the assigner."""
+        """Send the server a health check; the assigner receives its result."""
         known = self.servers[server]
         target = HealthCheckTarget(server, known.server.started)
         self._environment.check_health(target, known.endpoint.address)
 
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
-        """Send a datagram to another planner, or to all."""
+        """Send a datagram to another planner, or to all if `peer` is None."""
         self._environment.send_to_peer(peer, data)
 
     def watch_endpoints(self, on: bool) -> None:
-        """Do nothing: the endpoint list is watched all the time."""
+        """Do nothing: discovery is polled for changes all the time."""
 
     def fetch_endpoints(self) -> None:
-        """Ask for the whole endpoint list once."""
+        """Request the whole endpoint list once."""
         self._environment.fetch_endpoints()
 
     def log(self, text: str) -> None:
-        """Write a line of the assigner's to the log."""
+        """Write a line to the log."""
         self._environment.log(text)
 
     def _on_timer(self, token: int) -> None:
         if self._outbox.is_backlogged():
-            # What can't be sent is not added to: the channel would get it all at once afterwards.
+            # Adds no orders to a backlog: the channel would receive them all at once afterwards.
             self._environment.call_later(BUSY_RETRY_DELAY, lambda: self._on_timer(token))
         else:
             self._dispatch(self.assigner.on_timer, token)
@@ -287,9 +295,9 @@
         return server
 
     def _start_time(self, index: int, endpoint: Endpoint) -> int:
-        """Return when a process started; never in the future, whatever its clock says.
+        """Return when a process started; a start time in the future counts as now.
 
-        The same start has the same time however often it is listed.
+        A process that is listed again keeps the start time it was first given.
         """
         known = self.servers.get(index)
         if known is not None and known.endpoint.started == endpoint.started:
@@ -300,12 +308,12 @@
         return tuple([self._class_names[index] for index in classes])
 
     def _dispatch(self, method: Callable[..., None], *arguments: Any) -> None:
-        """Hand an event to the assigner, and what it orders to the outbox."""
+        """Pass an event to the assigner, and add the orders it gives to the outbox."""
         self._environment.trace(method.__name__, arguments)
         try:
             method(*arguments)
         except Exception:
-            # The assigner's state may have changed halfway; what it ordered until then stands.
+            # The assigner may have changed part of its state, so its orders so far are still sent.
             self._environment.log("message_lost", traceback=traceback.format_exc(limit=-4))
         orders = self._orders
         self._orders = []
--- a/indigodeck/edge/bootstrap.py
+++ b/indigodeck/edge/bootstrap.py
@@ -1,4 +1,4 @@
-"""The configuration file that places a planner: addresses, limits, the last list and settings."""
+"""Reads a planner's configuration file: addresses, limits, cached endpoint list and settings."""
 
 import json
 import os
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerAddresses:
-    """Where planners exchange datagrams; `peers` are in the order of the planners' numbers."""
+    """The addresses on which planners exchange datagrams; `peers` is indexed by planner number."""
 
     listen: Address
     peers: tuple[Address, ...]
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Bootstrap:
-    """What a planner must know to start: addresses, limits and settings.
+    """What a planner needs to start: addresses, limits and settings.
 
     `cached_list` is the last known endpoint list; `descriptor_limit` is how many file descriptors
-    the planner may hold.
+    the planner may have open.
     """
 
     path: pathlib.Path
@@ -50,20 +50,22 @@
 
 
 def read_bootstrap(path: str | os.PathLike[str]) -> Bootstrap:
-    """Read a configuration file; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY stand in for its keys.
+    """Read a configuration file.
+
+    The variables EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY replace keys that the file lacks.
 
     Raises
     ------
     MalformedMessageError
-        If it is no JSON, or something in it can't be used; the message names the file and the key.
+        If it is not valid JSON, or a key in it is missing or invalid.
     OSError
-        If there is no file to read.
+        If the file can't be read.
     """
     return _Reader(pathlib.Path(path)).read()
 
 
 class _Reader:
-    """Reads one file; its errors name the file."""
+    """Reads one file; its own error messages begin with the path and name the key."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
@@ -95,9 +97,11 @@
         try:
             document = json.loads(data) if len(data) <= MAX_FILE_BYTES else None
         except (ValueError, RecursionError) as error:
-            raise MalformedMessageError(f"{self._path}: no JSON: {error}") from error
+            raise MalformedMessageError(f"{self._path}: not valid JSON: {error}") from error
         if not isinstance(document, dict):
-            raise MalformedMessageError(f"{self._path}: no JSON object")
+            raise MalformedMessageError(
+                f"{self._path}: not a JSON object of at most {MAX_FILE_BYTES} bytes"
+            )
         return document
 
     def _cached_list(self, document: Mapping[str, Any], codec: MessageCodec) -> EndpointList | None:
@@ -123,7 +127,7 @@
     def _section(self, document: Mapping[str, Any], name: str) -> dict[str, Any]:
         section = document.get(name)
         if not isinstance(section, dict):
-            raise MalformedMessageError(f"{self._path}: {name} is no object")
+            raise MalformedMessageError(f"{self._path}: {name} must be an object")
         return section
 
     def _address(self, document: Mapping[str, Any], name: str, variable: str = "") -> Address:
--- a/indigodeck/edge/codec.py
+++ b/indigodeck/edge/codec.py
@@ -1,8 +1,8 @@
-"""The platform's messages as they are written: reports, events, list entries and orders. No I/O.
+"""Decodes the platform's reports, events and list entries, and encodes orders. Does no I/O.
 
-Every field that is read is checked; what the protocol does not allow raises
-`MalformedMessageError`. The protocol's names of zones, machine types and classes become their
-indices in the settings.
+Every field that is read is validated; `MalformedMessageError` is raised for what the protocol does
+not allow. The protocol's names of zones, machine types and classes are converted to their indices
+in the settings.
 """
 
 from collections.abc import Mapping
@@ -35,13 +35,13 @@
     SetWeight,
 )
 
-MAX_COUNT = 1_000_000_000  # above any count that a report can hold
-MAX_SPAN_MS = 86_400_000  # a day
+MAX_COUNT = 1_000_000_000  # above any count in a valid report
+MAX_SPAN_MS = 86_400_000  # one day
 MAX_UNIX_TIME_MS = 1e14
-MAX_VERSION = 1 << 53  # the last whole number that every JSON reader keeps exactly
+MAX_VERSION = 1 << 53  # above it JSON parsers may lose precision
 MAX_CELL = 65535
 MAX_ACK_NUMBER = 65535
-MAX_PROXY_COUNT = 65535  # where the settings do not say how many there are
+MAX_PROXY_COUNT = 65535  # if the settings do not state the number of proxies
 
 ALL_TABLES = "*"
 STATE_NAMES = {
@@ -53,7 +53,7 @@
 
 
 class MessageCodec:
-    """Reads messages with the names that one deployment's settings know."""
+    """Decodes messages, with the names of zones, machine types and classes in `settings`."""
 
     def __init__(self, settings: DeploymentSettings) -> None:
         self.zones = {name: index for index, name in enumerate(settings.zone_names)}
@@ -64,18 +64,18 @@
             class_settings.name: index for index, class_settings in enumerate(settings.classes)
         }
         self._max_proxy = (settings.proxy_count or MAX_PROXY_COUNT) - 1
-        # No client waits longer than its deadline, so no mean of good answers is above it;
-        # reports blur their times, hence twice that.
+        # No client waits longer than its deadline, so no mean latency of successful requests is
+        # above it. Reported times are imprecise, hence twice that.
         self._max_mean_ms = (
             2 * max(class_settings.deadline for class_settings in settings.classes) / 1000
         )
 
     def read_introduction(self, fields: Mapping[str, Any]) -> int:
-        """Return the zone that a collector introduces itself with."""
+        """Return the zone that a collector's introduction names."""
         return read_choice(fields, "zone", self.zones)
 
     def read_outcomes(self, fields: Mapping[str, Any]) -> OutcomeReport:
-        """Read what the proxies of a zone met at one server."""
+        """Decode a report of the attempts that the proxies of a zone sent to one server."""
         attempts = read_count(fields, "tries", MAX_COUNT)
         failures = read_count(fields, "failed", attempts)
         if failures == attempts and fields.get("mean_ms") is None:
@@ -93,11 +93,11 @@
         )
 
     def read_load(self, fields: Any) -> dict[str, float] | None:
-        """Read a server's load report, or None where there is none; unknown fields are left out."""
+        """Decode a server's load report, if there is one; unknown fields are ignored."""
         if fields is None:
             return None
         if not isinstance(fields, dict):
-            raise MalformedMessageError("load is no object")
+            raise MalformedMessageError("load must be an object")
         return {
             LOAD_FIELDS[name]: float(read_number(fields, name, MAX_COUNT))
             for name in fields
@@ -105,7 +105,7 @@
         }
 
     def read_demand(self, fields: Mapping[str, Any]) -> DemandReport:
-        """Read the requests of one class that came to one proxy."""
+        """Decode a report of the requests of one class that one proxy received."""
         requests = read_count(fields, "tries", MAX_COUNT)
         return DemandReport(
             proxy=self.read_proxy(fields),
@@ -116,7 +116,7 @@
         )
 
     def read_proxy_joined(self, fields: Mapping[str, Any]) -> ProxyJoined:
-        """Read the relay's event that a proxy has connected."""
+        """Decode the relay's event that a proxy has connected."""
         return ProxyJoined(
             proxy=self.read_proxy(fields),
             zone=read_choice(fields, "zone", self.zones),
@@ -125,11 +125,11 @@
         )
 
     def read_proxy(self, fields: Mapping[str, Any]) -> int:
-        """Return the proxy that a message is about."""
+        """Return the number of the proxy that a message is about."""
         return read_count(fields, "proxy", self._max_proxy)
 
     def read_ack(self, fields: Mapping[str, Any]) -> Ack:
-        """Read a proxy's answer to a request for an acknowledgement."""
+        """Decode a proxy's acknowledgement."""
         return Ack(
             proxy=self.read_proxy(fields),
             number=read_count(fields, "mark", MAX_ACK_NUMBER),
@@ -137,9 +137,9 @@
         )
 
     def read_endpoint(self, fields: Any) -> Endpoint:
-        """Read one entry of the endpoint list."""
+        """Decode one entry of the endpoint list."""
         if not isinstance(fields, dict):
-            raise MalformedMessageError("a list entry is no object")
+            raise MalformedMessageError("a list entry must be an object")
         return Endpoint(
             name=read_name(fields, "host"),
             address=parse_address(read_field(fields, "dial")),
@@ -152,10 +152,10 @@
         )
 
     def read_endpoint_list(self, fields: Mapping[str, Any]) -> EndpointList:
-        """Read an answer of discovery; an entry that can't be used is left out alone."""
+        """Decode an answer of discovery; only the entries that are invalid are left out."""
         entries = read_field(fields, "hosts")
         if not isinstance(entries, list):
-            raise MalformedMessageError("hosts is no list")
+            raise MalformedMessageError("hosts must be a list")
         endpoints = []
         unusable_names = set()
         for entry in entries:
@@ -172,7 +172,7 @@
 
 
 def order_fields(order: Order) -> dict[str, Any]:
-    """Return an order as the relay's protocol writes it, before JSON."""
+    """Return the JSON object of an order in the relay's protocol."""
     match order:
         case SetWeight(table, server, weight):
             return {"do": "put", "group": table, "server": server, "weight": weight}
--- a/indigodeck/edge/collector_protocol.py
+++ b/indigodeck/edge/collector_protocol.py
@@ -1,15 +1,15 @@
-"""What is said at the planner's own address: JSON lines of collectors and health checks. No I/O."""
+"""The JSON lines of collectors and health checks at the planner's own address. Does no I/O."""
 
 from enum import StrEnum
 
 from .json_fields import pack
 
-HEALTH_CHECK_RESPONSE = b'{"type":"alive"}\n'  # the answer to the platform's health check
+HEALTH_CHECK_RESPONSE = b'{"type":"alive"}\n'  # to the platform's health check of the planner
 MAX_ERROR_CHARACTERS = 100
 
 
 class ClientMessageType(StrEnum):
-    """The types of messages that clients send; the values are the protocol's."""
+    """The types of messages that clients send; the values are those on the wire."""
 
     HEALTH_CHECK = "probe"
     INTRODUCTION = "agent"
@@ -18,5 +18,5 @@
 
 
 def error_line(reason: str) -> bytes:
-    """Return the line that a client is sent before it is disconnected."""
+    """Return the error line that a client receives before it is disconnected."""
     return pack({"type": "error", "text": reason[:MAX_ERROR_CHARACTERS]}) + b"\n"
--- a/indigodeck/edge/connecting.py
+++ b/indigodeck/edge/connecting.py
@@ -1,4 +1,4 @@
-"""Outgoing connections of a planner on the platform: numeric addresses, and an end to every wait.
+"""Outgoing connections of a planner: numeric addresses only, and a deadline for every operation.
 
 Times are whole microseconds.
 """
@@ -19,7 +19,7 @@
 from .event_log import EventLog
 from .messages import Address
 
-MAX_LINE_BYTES = 1 << 20  # of one message
+MAX_LINE_BYTES = 1 << 20  # one message per line
 MIN_BACKOFF = 50_000
 MAX_BACKOFF = SECOND
 CONNECTION_ERRORS = (OSError, StreamClosedError, DeadlineExceededError)
@@ -33,21 +33,21 @@
 
 
 class NumericResolver(Resolver):
-    """Takes addresses as they are; to look them up would cost a thread for each connection."""
+    """Resolves numeric addresses only; DNS look-ups would cost a thread for each connection."""
 
     async def resolve(
         self, host: str, port: int, family: socket.AddressFamily = socket.AF_UNSPEC
     ) -> list[tuple[int, Any]]:
-        """Return the one address that `host` is."""
+        """Return the numeric address `host` itself as the only result."""
         address = Address(host.strip("[]"), port)
         return [(address_family(address), address)]
 
 
 async def with_deadline(timeout: int, awaitable: Awaitable[Result]) -> Result:
-    """Return what is awaited, or raise `DeadlineExceededError` after `timeout`.
+    """Return the awaited result, or raise `DeadlineExceededError` after `timeout`.
 
-    A result that is there when the deadline is noticed counts: after a stall of this program both
-    are found at once, and the other side has done what it had to.
+    If the result is available when the timeout fires, the result is returned: after this program
+    has stalled, both are noticed at the same time although the other side answered in time.
     """
     awaited = convert_yielded(awaitable)
     try:
@@ -82,7 +82,7 @@
 
 
 async def keep_running(run: Callable[[], Awaitable[None]], log: EventLog) -> None:
-    """Run a loop that no fault may end: one is logged, and the loop begins anew."""
+    """Run `run` to its end; after an exception, log it, wait and run again."""
     while True:
         try:
             return await run()
@@ -92,18 +92,18 @@
 
 
 class Backoff:
-    """Waits between attempts: twice as long each time, and at random so that planners differ."""
+    """Exponential backoff between attempts, with jitter so that planners do not retry in step."""
 
     def __init__(self, random: SeededRandom) -> None:
         self._random = random
         self.delay = MIN_BACKOFF
 
     def reset(self) -> None:
-        """Start again from the shortest wait, after a success."""
+        """Return to the shortest delay, after a success."""
         self.delay = MIN_BACKOFF
 
     async def wait(self) -> None:
-        """Wait from half to one and a half times the delay."""
+        """Wait a random time from 0.5 to 1.5 times the delay, which doubles up to `MAX_BACKOFF`."""
         delay = self.delay
         self.delay = min(2 * delay, MAX_BACKOFF)
         await sleep((delay // 2 + self._random.below(delay)) / SECOND)
--- a/indigodeck/edge/discovery.py
+++ b/indigodeck/edge/discovery.py
@@ -1,8 +1,8 @@
-"""The endpoint list, watched at discovery's address by long polls.
+"""Follows the endpoint list by long polls of the platform's discovery service.
 
-Polls are short: a connection that falls silent is found out soon, and the agent that answers them
-does so at no cost. A list that is older than the last, or has lost all servers, is asked for again
-before it is believed. Times are whole microseconds.
+Each poll is short, so that a silent connection is noticed soon; polls cost the agent that answers
+them nothing. A list that is older than the last one, or that has lost all servers, is requested
+again before it is accepted. Times are whole microseconds.
 """
 
 from collections.abc import Callable
@@ -22,17 +22,17 @@
 from .messages import Address, EndpointList
 
 PATH = "/catalog/members"
-POLL_WAIT = SECOND  # discovery answers a poll within it, with what has changed if anything has
-RESPONSE_TIMEOUT = SECOND  # beyond the poll's own time, and for a whole list
+POLL_WAIT = SECOND  # discovery answers a poll within this time, even if nothing has changed
+RESPONSE_TIMEOUT = SECOND  # in addition to POLL_WAIT; on its own for a whole list
 MAX_LIST_BYTES = 8 << 20
-MAX_CLIENTS = 4  # polls at once: those under way at former addresses count
-MAX_REJECTIONS = 3  # times in a row that a doubtful list is asked for again
+MAX_CLIENTS = 4  # concurrent polls, including those still open at former addresses
+MAX_REJECTIONS = 3  # consecutive times that a suspect list is requested again
 
 
 class DiscoveryClient:
-    """Polls discovery; `on_list` is called for each answer that is believed.
+    """Polls discovery; `on_list` is called with each answer that is accepted.
 
-    `has_servers`: whether the list that was known before the start names any.
+    `has_servers`: whether the endpoint list from before the start names any server.
     """
 
     def __init__(
@@ -50,8 +50,9 @@
         self._log = log
         self._has_servers = has_servers
         self._backoff = Backoff(random)
-        self._generation = 0  # of the loop: a move begins another
-        self._poll_version: int | None = None  # the next poll asks for what came after it
+        self._generation = 0  # of the polling loop: each start begins a new one
+        # The next poll requests the changes after this version, or the whole list if it is None.
+        self._poll_version: int | None = None
         self._last_version: int | None = None
         self._rejections = 0
         self._client = SimpleAsyncHTTPClient(
@@ -62,20 +63,20 @@
         )
 
     def start(self) -> None:
-        """Begin to poll, in place of any loop before."""
+        """Start to poll; this replaces a polling loop that was started before."""
         self._generation += 1
         generation = self._generation
         IOLoop.current().add_callback(keep_running, lambda: self._run(generation), self._log)
 
     def set_address(self, address: Address) -> None:
-        """Go on at another address: the whole list there first, whatever the old one answers."""
+        """Poll another address from now on, beginning with its whole list."""
         if address != self._address:
             self._address = address
             self._poll_version = None
             self.start()
 
     def fetch(self) -> None:
-        """Ask for the whole list with the next poll."""
+        """Request the whole list with the next poll."""
         self._poll_version = None
 
     async def _run(self, generation: int) -> None:
@@ -96,12 +97,12 @@
                 self._poll_version = None
                 await self._backoff.wait()
                 continue
-            if self._poll_version == asked_version:  # else the whole list was asked for meanwhile
+            if self._poll_version == asked_version:  # else `fetch` was called during the poll
                 self._poll_version = answer.version
             self._accept(answer)
 
     async def _poll(self, after: int | None) -> EndpointList:
-        """Ask for the whole list, or for what changed after a version."""
+        """Request the whole list, or the changes after a version."""
         query = ""
         timeout = RESPONSE_TIMEOUT
         if after is not None:
@@ -116,20 +117,22 @@
         return self._codec.read_endpoint_list(read_object(response.body))
 
     def _accept_late_answer(self, answer: EndpointList) -> None:
-        """Take an answer of a former address.
+        """Accept an answer from the former address, unless a newer one was accepted before.
 
-        It was written to this planner before it moved, so this planner counts as notified of it.
-        What the new address has said may be newer.
+        The former address sent the answer to this planner, so discovery counts this planner as
+        notified of it.
         """
         if self._last_version is None or answer.version > self._last_version:
             self._accept(answer)
 
     def _is_rejected(self, answer: EndpointList) -> bool:
-        """Whether to ask for a list again before it is believed.
+        """Return whether an answer must be requested again before it is accepted.
 
-        An older list may come from a replica that lags, and an empty one from one that has only
-        started: to believe either would bring back what drains, or take every server away. One
-        that says so again and again has restarted.
+        An older list may come from a replica that lags behind, and an empty one from a replica
+        that has just started. Accepting the first could put draining servers back into service;
+        accepting the second would remove every server. After `MAX_REJECTIONS` such lists in a row
+        the next one is accepted: discovery has restarted. An older answer that is not a whole list
+        is always rejected.
         """
         is_older = self._last_version is not None and answer.version < self._last_version
         has_lost_all = answer.complete and self._has_servers and answer.is_empty
--- a/indigodeck/edge/event_log.py
+++ b/indigodeck/edge/event_log.py
@@ -1,10 +1,10 @@
-"""Log events: a snake_case verb with key=value facts, at a bounded pace."""
+"""Log events: a snake_case event name with key=value fields, at a limited rate."""
 
 import logging
 from collections.abc import Mapping
 from typing import Any, Protocol
 
-MAX_LINES = 200  # within one window, so that a fault that repeats can't fill the platform's log
+MAX_LINES = 200  # per window, so that a repeated fault can't fill the platform's log
 WINDOW_S = 10
 
 
@@ -12,17 +12,20 @@
     """Writes one event to the log."""
 
     def __call__(self, event: str, /, **fields: object) -> None:
-        """Write `event` and its facts."""
+        """Write `event` and its fields."""
 
 
 def format_event(event: str, fields: Mapping[str, object]) -> str:
-    """Return one line: the event, then its facts as key=value; texts with spaces are quoted."""
+    """Return one line: the event, then its fields as key=value; values with spaces are quoted."""
     pairs = (f"{name}={_format_value(value)}" for name, value in fields.items())
     return " ".join((event, *pairs))
 
 
 class LineRateFilter(logging.Filter):
-    """Lets so many lines pass in each window, and says how many were left out."""
+    """Passes at most `MAX_LINES` records in each window of `WINDOW_S` seconds.
+
+    The first record of the next window states how many were left out.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -31,7 +34,7 @@
         self._suppressed_lines = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether a record is written."""
+        """Return whether to write a record."""
         if record.created - self._window_start > WINDOW_S:
             if self._suppressed_lines:
                 record.msg = f"{record.msg} left_out_lines={self._suppressed_lines}"
@@ -46,4 +49,4 @@
 
 def _format_value(value: Any) -> str:
     text = str(value)
-    return repr(text) if not text or any(mark.isspace() for mark in text) else text
+    return repr(text) if not text or any(character.isspace() for character in text) else text
--- a/indigodeck/edge/health_checks.py
+++ b/indigodeck/edge/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of servers from this planner; the answer's body is the server's load report."""
+"""Health checks of servers by this planner; the response body is the server's load report."""
 
 from collections import deque
 from collections.abc import Callable
@@ -25,21 +25,21 @@
 
 
 class QueuedCheck(NamedTuple):
-    """A health check that has not begun."""
+    """A health check that has not started."""
 
     target: HealthCheckTarget
     address: Address
 
 
 class HealthCheckClient(HttpHostClient):
-    """A health check as the platform's servers answer it."""
+    """An HTTP client for the health checks of the platform's servers."""
 
     def __init__(self, codec: MessageCodec) -> None:
         super().__init__(PATH)
         self._codec = codec
 
     def read_report(self, answer: Any) -> Load | None:
-        """Return the load report that an answer carries, or None."""
+        """Return the load report in a response, or None if it is missing or invalid."""
         if answer.code != 200 or not answer.body:
             return None
         try:
@@ -49,9 +49,9 @@
 
 
 class HealthChecker:
-    """Runs health checks, some at once; `on_health_check` is called once for each.
+    """Runs at most `MAX_CONCURRENT` health checks at once; `on_health_check` is called for each.
 
-    One too many is reported as never answered.
+    If more than `MAX_QUEUED` are waiting, the oldest is dropped and reported as unanswered.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self._running = 0
 
     def check(self, target: HealthCheckTarget, address: Address) -> None:
-        """Check a server as soon as there is room."""
+        """Queue a health check; it is sent when fewer than `MAX_CONCURRENT` are running."""
         if len(self._queue) >= MAX_QUEUED:
             dropped = self._queue.popleft()
             IOLoop.current().add_callback(
@@ -84,7 +84,7 @@
                 load: Load | None
                 try:
                     outcome, load = await self._http.check(address, TIMEOUT / SECOND)
-                except Exception:  # a check that is never reported would be the server's last
+                except Exception:  # the assigner never repeats a check that was not reported
                     outcome = HealthCheckOutcome.ERROR
                     load = None
                 self._on_health_check(target, outcome, self._now() - start_time, load)
--- a/indigodeck/edge/json_fields.py
+++ b/indigodeck/edge/json_fields.py
@@ -1,4 +1,4 @@
-"""Checked reading of JSON objects that anybody may have written: each field is what it must be."""
+"""Reads JSON objects from untrusted senders, and validates the type and range of each field."""
 
 import json
 from collections.abc import Mapping
@@ -16,21 +16,21 @@
 
 
 def pack(value: Any) -> bytes:
-    """Return compact JSON."""
+    """Encode a value as compact JSON."""
     return _ENCODER.encode(value).encode()
 
 
 def read_object(data: bytes) -> dict[str, Any]:
-    """Read one JSON object from bytes, whatever these are.
+    """Parse one JSON object from arbitrary bytes.
 
     Raises
     ------
     MalformedMessageError
-        If they are no JSON object; NaN and infinities count as no JSON.
+        If they are not a JSON object; NaN and infinities are not valid JSON here.
     """
     try:
         value = json.loads(str(data, "utf-8"), parse_constant=_reject_constant)
-    except (ValueError, RecursionError) as error:  # a deep nesting must not end the program
+    except (ValueError, RecursionError) as error:  # RecursionError: nested too deeply
         raise MalformedMessageError(f"no JSON: {type(error).__name__}") from error
     if not isinstance(value, dict):
         raise MalformedMessageError("no JSON object")
@@ -38,7 +38,7 @@
 
 
 def read_field(fields: Mapping[str, Any], name: str) -> Any:
-    """Return a field that must be there."""
+    """Return a required field."""
     try:
         return fields[name]
     except KeyError:
@@ -48,13 +48,13 @@
 def read_number(fields: Mapping[str, Any], name: str, most: float, least: float = 0) -> Any:
     """Return a number from `least` to `most`.
 
-    Truth values count as numbers in Python, and not here; NaN and infinities lie outside every
-    range.
+    Booleans are rejected, although they are numbers in Python. NaN and infinities are outside
+    every range.
     """
     value = read_field(fields, name)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not least <= value <= most:
-        raise MalformedMessageError(f"{name} is no number from {least} to {most}")
+        raise MalformedMessageError(f"{name} must be a number from {least} to {most}")
     return value
 
 
@@ -62,28 +62,30 @@
     """Return a whole number from `least` to `most`."""
     value = read_number(fields, name, most, least)
     if value != int(value):
-        raise MalformedMessageError(f"{name} is no whole number")
+        raise MalformedMessageError(f"{name} must be a whole number")
     return int(value)
 
 
 def read_name(fields: Mapping[str, Any], name: str) -> str:
-    """Return an id: a text that is neither empty nor too long."""
+    """Return an id: a string of 1 to `MAX_NAME_CHARACTERS` characters."""
     value = read_field(fields, name)
     if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_CHARACTERS:
-        raise MalformedMessageError(f"{name} is no name")
+        raise MalformedMessageError(
+            f"{name} must be a string of 1 to {MAX_NAME_CHARACTERS} characters"
+        )
     return value
 
 
 def read_flag(fields: Mapping[str, Any], name: str) -> bool:
-    """Return true or false."""
+    """Return a boolean."""
     value = read_field(fields, name)
     if not isinstance(value, bool):
-        raise MalformedMessageError(f"{name} is neither true nor false")
+        raise MalformedMessageError(f"{name} must be true or false")
     return value
 
 
 def read_choice(fields: Mapping[str, Any], name: str, choices: Mapping[str, Named]) -> Named:
-    """Return what `choices` has for the name in a field."""
+    """Return the entry of `choices` that a field names."""
     value = read_field(fields, name)
     if not isinstance(value, str) or value not in choices:
         raise MalformedMessageError(f"{name} names nothing that exists")
@@ -91,13 +93,13 @@
 
 
 def parse_address(text: Any) -> Address:
-    """Read "ADDRESS:PORT", where an IPv6 address may stand in brackets."""
+    """Parse "ADDRESS:PORT"; an IPv6 address may be in brackets."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     is_port = port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT
     if not (colon and host and is_port):
-        raise MalformedMessageError("no ADDRESS:PORT")
+        raise MalformedMessageError("must be ADDRESS:PORT")
     return Address(host.strip("[]"), int(port))
 
 
 def _reject_constant(text: str) -> None:
-    raise ValueError(f"{text} is no number")
+    raise ValueError(f"{text} is not valid JSON")
--- a/indigodeck/edge/listener.py
+++ b/indigodeck/edge/listener.py
@@ -1,9 +1,10 @@
-"""The planner's own address: collectors that introduce themselves, health checks, and strangers.
+"""Serves the planner's own address: reports of collectors, and the platform's health checks.
 
-A client that has not introduced itself within a second is disconnected, and first of all when
-descriptors run short: strangers may come by the hundreds, and neither collectors nor the
-platform's health checks may wait for them. Nothing is ever written to a collector. Times are whole
-microseconds.
+A collector is a process of one zone that reports requests and their outcomes; it introduces itself
+with its first message. Until then a client is unidentified. An unidentified client is disconnected
+after `INTRODUCTION_TIMEOUT`, or earlier if there are too many: hundreds of other clients may
+connect, and must not delay collectors or health checks. Nothing is ever written to a collector.
+Times are whole microseconds.
 """
 
 from collections.abc import Callable, Mapping
@@ -23,20 +24,20 @@
 from .json_fields import read_object
 from .messages import Address
 
-INTRODUCTION_TIMEOUT = 12 * SECOND // 10  # and after each health check
+INTRODUCTION_TIMEOUT = 12 * SECOND // 10  # restarts with each health check
 MAX_INTRODUCTION_BYTES = 4096
-# A collector that says nothing has vanished, or has nothing to say: it may come back.
+# A collector that is silent for so long has vanished or has nothing to report; it may reconnect.
 COLLECTOR_IDLE_TIMEOUT = 30 * SECOND
-MAX_COLLECTORS_PER_ZONE = 8  # of one zone; the longest silent is disconnected for another
-RESERVED_DESCRIPTORS = 48  # for everything but this address
+MAX_COLLECTORS_PER_ZONE = 8  # the longest silent one is disconnected for a new one
+RESERVED_DESCRIPTORS = 48  # for everything but connections at this address
 MIN_UNIDENTIFIED_DESCRIPTORS = 8
-LINES_BETWEEN_YIELDS = 64  # of one connection, so that a flood gives way to the others
+LINES_BETWEEN_YIELDS = 64  # of one connection, so that a flood of lines does not block the others
 BACKLOG = 1024
 READ_CHUNK_BYTES = 16 << 10
 
 
 class Connection:
-    """One connection; `zone` is None until it has introduced itself as a collector."""
+    """One client's connection; `zone` is None until the client introduces itself as a collector."""
 
     def __init__(self, listener: "CollectorListener", stream: IOStream) -> None:
         self._listener = listener
@@ -45,7 +46,7 @@
         self.last_received_at = listener.now()
 
     async def run(self) -> None:
-        """Read lines until either side closes."""
+        """Read lines until either side closes the connection."""
         line_count = 0
         try:
             while True:
@@ -73,7 +74,7 @@
             self.stream.write(error_line(reason))
 
     def _handle_line(self, data: bytes) -> None:
-        message = read_object(data)  # what can't be read ends the connection, a collector's too
+        message = read_object(data)  # a line that can't be parsed closes any connection
         message_type = message.get("type")
         if self.zone is not None:
             self.last_received_at = self._listener.now()
@@ -89,9 +90,9 @@
 
 
 class CollectorListener(TCPServer):
-    """Accepts connections at the planner's own address; `host` is notified of reports.
+    """Accepts connections at the planner's own address, and passes collectors' reports to `host`.
 
-    `descriptor_limit`: how many the whole planner may hold.
+    `descriptor_limit`: how many file descriptors the whole planner may have open.
     """
 
     def __init__(
@@ -107,7 +108,7 @@
         self._host = host
         self.codec = codec
         self.now = now
-        self.unidentified: dict[Connection, None] = {}  # the oldest first
+        self.unidentified: dict[Connection, None] = {}  # oldest first
         self.collectors: dict[int, list[Connection]] = {zone: [] for zone in codec.zones.values()}
         collector_descriptors = MAX_COLLECTORS_PER_ZONE * len(self.collectors)
         remaining = descriptor_limit - RESERVED_DESCRIPTORS - collector_descriptors
@@ -119,7 +120,7 @@
         self.add_sockets(bind_sockets(address.port, address.host, backlog=BACKLOG))
 
     async def handle_stream(self, stream: IOStream, address: Any) -> None:
-        """Serve one connection; the oldest stranger gives way if there are too many."""
+        """Serve one connection; close the oldest unidentified one if there are too many."""
         connection = Connection(self, stream)
         self.unidentified[connection] = None
         if len(self.unidentified) > self.max_unidentified:
@@ -134,7 +135,7 @@
                 self.collectors[connection.zone].remove(connection)
 
     def on_introduced(self, connection: Connection, zone: int) -> None:
-        """Take a connection as a collector's; the longest silent one may give way to it."""
+        """Register a collector; close the longest silent one of its zone if there are too many."""
         self.unidentified.pop(connection, None)
         collectors = self.collectors[zone]
         collectors.append(connection)
@@ -144,13 +145,13 @@
             longest_silent.stream.close()
 
     def on_report(self, message_type: Any, message: Mapping[str, Any]) -> None:
-        """Take a collector's report; one that can't be used is ignored alone."""
+        """Handle a collector's report; an invalid one is counted and ignored."""
         try:
             if message_type == ClientMessageType.OUTCOME_REPORT:
                 self._host.on_outcome_report(self.codec.read_outcomes(message))
             elif message_type == ClientMessageType.DEMAND_REPORT:
                 self._host.on_demand_report(self.codec.read_demand(message))
             else:
-                raise MalformedMessageError("no report")
+                raise MalformedMessageError("not a report")
         except MalformedMessageError:
             self.ignored_reports += 1
--- a/indigodeck/edge/membership.py
+++ b/indigodeck/edge/membership.py
@@ -1,10 +1,10 @@
-"""Which proxies are joined, from events that come over more than one connection. Free of I/O.
+"""Tracks which proxies are joined to the relay, from events of redundant connections. No I/O.
 
-Each connection reports the same events, beginning with the proxies that are joined when it opens,
-and may break, lag or be cut in the middle. Each joining of a proxy has a number; a connection's
-view says which joining it reports. So what two connections report is taken once, and as long as one
-of them lasts, no proxy has to be taken for newly joined when another opens again. Times are whole
-microseconds.
+Every connection reports the same events, beginning with the proxies that are joined when it opens.
+A connection may break at any point, or lag behind the others. The joins of each proxy are numbered,
+and for each connection it is recorded which join of a proxy it has reported last. So a join that
+two connections report is handled once, and while one connection lasts, another can reconnect
+without its proxies being treated as newly joined. Times are whole microseconds.
 """
 
 from collections.abc import Callable, Hashable, Set
@@ -13,25 +13,25 @@
 
 from .messages import ProxyJoined
 
-# A connection with an event within this time is live: heartbeats come every second.
+# A connection is live if its last event is more recent than this: heartbeats come every second.
 MAX_HEARTBEAT_AGE = 1_500_000
 
 
 class MembershipListener(Protocol):
-    """Who is notified of proxies that join and leave."""
+    """Is notified when proxies join and leave."""
 
     def on_proxy_joined(self, joined: ProxyJoined) -> None:
-        """Take a proxy that is new, or has a new connection with no table of ours."""
+        """Handle a proxy that has connected; it has no table from this planner yet."""
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Take the departure of a proxy that was joined."""
+        """Handle the departure of a joined proxy."""
 
 
 @dataclass(slots=True)
 class ConnectionView:
     """What one connection has reported.
 
-    It is complete once all proxies that were joined when it opened have been reported.
+    `complete`: whether it has reported all proxies that were joined when it opened.
     """
 
     last_event_at: int
@@ -41,7 +41,7 @@
 
 
 class ProxyMembership:
-    """Merges the views of all connections; `listener` is notified of each change once."""
+    """Merges the events of all connections; `listener` is notified of each change once."""
 
     def __init__(self, listener: MembershipListener, now: Callable[[], int]) -> None:
         self._listener = listener
@@ -51,11 +51,11 @@
         self.views: dict[Hashable, ConnectionView] = {}
 
     def on_connected(self, connection: Hashable) -> None:
-        """Take the opening of a connection."""
+        """Handle the opening of a connection."""
         self.views[connection] = ConnectionView(self._now())
 
     def on_heartbeat(self, connection: Hashable) -> None:
-        """Take a heartbeat; the first one completes the view."""
+        """Handle a heartbeat; the first one means that all joined proxies have been reported."""
         view = self.views[connection]
         view.last_event_at = self._now()
         if view.complete:
@@ -66,11 +66,11 @@
             self._record_leave(self._joined - view.joined.keys())
 
     def is_complete(self, connection: Hashable) -> bool:
-        """Whether a connection has reported all proxies that were joined when it opened."""
+        """Return whether a connection has reported all proxies that were joined when it opened."""
         return connection in self.views and self.views[connection].complete
 
     def on_proxy_joined(self, connection: Hashable, joined: ProxyJoined) -> None:
-        """Take a joining that a connection reports."""
+        """Handle a join that a connection reports."""
         view = self.views[connection]
         view.last_event_at = self._now()
         proxy = joined.proxy
@@ -78,9 +78,9 @@
         if view.complete or proxy in view.joined:
             number = view.join_numbers.get(proxy, 0) + 1
         elif self._is_joined_elsewhere(connection, proxy):
-            number = known_number  # the joining that another connection has reported
+            number = known_number  # the join that another connection has already reported
         else:
-            number = known_number + 1  # a joining that was missed
+            number = known_number + 1  # a join that no live connection has reported
         view.join_numbers[proxy] = number
         view.joined[proxy] = joined
         if number > known_number:
@@ -88,7 +88,7 @@
             self._record_join(joined)
 
     def on_proxy_left(self, connection: Hashable, proxy: int) -> None:
-        """Take a departure that a connection reports."""
+        """Handle a departure that a connection reports."""
         view = self.views[connection]
         view.last_event_at = self._now()
         if view.joined.pop(proxy, None) is None:
@@ -97,10 +97,10 @@
             self._record_leave({proxy})
 
     def on_disconnected(self, connection: Hashable) -> None:
-        """Take the end of a connection.
+        """Handle the end of a connection.
 
-        The others decide what they know better; without any, what it reported stands until the
-        next one opens.
+        The proxies that other complete connections report become the joined ones. Without such a
+        connection nothing changes until the next one has reported all joined proxies.
         """
         self.views.pop(connection, None)
         complete = [view for view in self.views.values() if view.complete]
@@ -127,7 +127,7 @@
 
     def _record_join(self, joined: ProxyJoined) -> None:
         if joined.proxy in self._joined:
-            # Its connection is a new one, which holds no table of ours.
+            # The proxy has reconnected, and no longer has a table from this planner.
             self._listener.on_proxy_left(joined.proxy)
         self._joined.add(joined.proxy)
         self._listener.on_proxy_joined(joined)
--- a/indigodeck/edge/messages.py
+++ b/indigodeck/edge/messages.py
@@ -1,7 +1,7 @@
-"""The messages that a planner exchanges with the platform, apart from how they are written.
+"""The messages that a planner exchanges with the platform, independent of their encoding.
 
-Servers are named by their ids in the endpoint list, classes by their names; proxies, zones, cells
-and machine types are small numbers. Times are whole microseconds.
+Servers are identified by their ids in the endpoint list, classes by their names, and proxies,
+zones, cells and machine types by small numbers. Times are whole microseconds.
 """
 
 from typing import NamedTuple, TypeAlias
@@ -21,10 +21,10 @@
 
 
 class OutcomeReport(NamedTuple):
-    """What the proxies of a zone met at one server over `span`.
+    """The attempts that the proxies of a zone sent to one server during `span`.
 
-    `mean_latency` is of the attempts that did not fail; `load` is the server's own load report
-    where it sent one.
+    `mean_latency` covers the attempts that did not fail; `load` is the server's own load report,
+    if it sent one.
     """
 
     zone: int
@@ -37,7 +37,7 @@
 
 
 class ProxyJoined(NamedTuple):
-    """A proxy has connected to the relay; `fresh`: it has just started and has no table at all."""
+    """A proxy has connected to the relay; `fresh`: it has just started and has no table."""
 
     proxy: int
     zone: int
@@ -54,7 +54,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One server of the endpoint list; `started` is Unix time, 0 for long ago."""
+    """One server of the endpoint list; `started` is Unix time, or 0 for long ago."""
 
     name: str
     address: Address
@@ -69,7 +69,7 @@
 class EndpointList(NamedTuple):
     """An answer of discovery: all servers if `complete`, else only those that changed.
 
-    `unusable_names` are those of entries that could not be read, "" for one without a name.
+    `unusable_names` holds the server names of invalid entries, and "" for an entry without a name.
     """
 
     version: int
@@ -79,7 +79,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether the list names no server, not even in an entry that could not be read."""
+        """Whether the list has no entries, not even invalid ones."""
         return not (self.endpoints or self.unusable_names)
 
 
@@ -92,13 +92,13 @@
 
 
 class ClearTable(NamedTuple):
-    """Remove all lines of a table, and its admission levels."""
+    """Remove all lines and admission levels of a table."""
 
     table: int
 
 
 class AssignTable(NamedTuple):
-    """Put a proxy on a table for the named classes, or for all if none is named."""
+    """Assign a table to a proxy for the named classes, or for all if none is named."""
 
     proxy: int
     table: int
@@ -106,14 +106,14 @@
 
 
 class SetEjected(NamedTuple):
-    """Keep all proxies off a server, or let them return to it."""
+    """Stop all proxies from using a server, or let them use it again."""
 
     server: str
     ejected: bool
 
 
 class SetAdmission(NamedTuple):
-    """Set which share of the named classes a table's proxies admit; table None means all tables."""
+    """Set the share of the named classes that a table's proxies admit; None means all tables."""
 
     table: int | None
     class_names: tuple[str, ...]
@@ -122,7 +122,7 @@
 
 
 class RequestAck(NamedTuple):
-    """Ask the proxies that earlier orders of the same call reach, or everyone, for an `Ack`."""
+    """Request an `Ack` from the proxies that earlier orders of the same call reach, or from all."""
 
     number: int
     everyone: bool
@@ -133,7 +133,7 @@
 
 
 def order_key(order: Order) -> OrderKey:
-    """Return what an order sets: only the newest order for a key matters."""
+    """Return the key of what an order sets; a newer order replaces an older one of the same key."""
     match order:
         case SetWeight(table, server):
             return SetWeight, table, server
--- a/indigodeck/edge/outbox.py
+++ b/indigodeck/edge/outbox.py
@@ -1,13 +1,14 @@
-"""Orders on their way to the relay: what waits, what may have arrived, and what to send again.
+"""The queue of orders to the relay: pending orders, the call in flight, and what to send again.
 
-Orders set absolute values, so repeating one does no harm as long as nothing newer for the same
-thing has gone before it. Each order therefore has a key, what it sets; an older order for a key is
-dropped where a newer one waits, and the rest keep their sequence. One call is in flight at a time:
-while its fate is not known, nothing that could overtake it is sent. Orders that were surely taken
-are not kept: they are what the assigner believes already.
+Orders set absolute values, so an order can be repeated safely unless a newer one for the same key
+has been sent since; the key identifies what the order sets. A newer order replaces a pending one
+of the same key, and the others keep their sequence. One call is in flight at a time: while its
+result is unknown, no other call is sent, because it could overtake the first. Orders that the relay
+has confirmed are not kept: the assigner already assumes that they are in force.
 
-What may wait is bounded by its keys: lines of tables, admission levels, proxies' tables, servers'
-ejections, one request for acknowledgement. Free of I/O; times are whole microseconds.
+The number of pending orders is bounded by the number of keys: lines of tables, admission levels,
+tables of proxies, ejections of servers, and one acknowledgement request. Does no I/O; times are
+whole microseconds.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -25,22 +26,25 @@
     read_call_result,
 )
 
-MAX_PENDING_TIME = 300_000  # when an order has waited this long, the assigner's timers wait as well
-MIN_BACKOFF = 50_000  # after a call was rejected
+MAX_PENDING_TIME = 300_000  # beyond this the assigner's timers are postponed
+MIN_BACKOFF = 50_000  # after a rejected call
 MAX_BACKOFF = 400_000
 
 
 class SentOrder(NamedTuple):
-    """An order of the call in flight; None: it counts in the answer, but is not sent again."""
+    """An order of the call in flight.
+
+    `order` is None if it must not be sent again; the relay's response still counts it.
+    """
 
     key: OrderKey
     order: Order | None
 
 
 class Outbox:
-    """The orders that the relay has not surely taken.
+    """The orders that the relay has not confirmed.
 
-    Invariant: no key of `_pending` has an older value that could still be sent after it.
+    Invariant: after the pending order of a key, no older order of that key can be sent.
     """
 
     def __init__(self, now: Callable[[], int], log: EventLog) -> None:
@@ -53,27 +57,29 @@
         self._backoff = MIN_BACKOFF
         self._next_call_at = 0
         self.call_number = 0
-        self.unknown_outcome_calls = 0  # those whose fate was never known
+        self.unknown_outcome_calls = 0  # calls whose result was never received
 
     @property
     def is_idle(self) -> bool:
-        """Whether no order waits and no call is in flight."""
+        """Whether no order is pending and no call is in flight."""
         return not self._pending and self._in_flight is None
 
     def add(self, orders: Sequence[Order]) -> None:
-        """Take the orders of one event of the assigner."""
+        """Add the orders that one event caused."""
         pending = self._pending
         for order in orders:
             if isinstance(order, ClearTable):
                 self._drop_orders_of_table(order.table)
             key = order_key(order)
-            pending.pop(key, None)  # it moves to the end: the sequence is that of the newest orders
+            pending.pop(
+                key, None
+            )  # moves the key to the end: the sequence is that of the newest orders
             pending[key] = order
         if orders and self._pending_since is None:
             self._pending_since = self._now()
 
     def drop_proxy(self, proxy: int) -> None:
-        """Drop the orders for a proxy that has left: the relay would stop at one that names it."""
+        """Drop the orders for a proxy that has left: the relay would stop a call at one of them."""
         for key in [key for key in self._pending if key[:2] == (AssignTable, proxy)]:
             del self._pending[key]
         if self._in_flight is not None:
@@ -83,12 +89,12 @@
             ]
 
     def is_backlogged(self) -> bool:
-        """Whether orders have waited for so long that nothing should be added to them."""
+        """Return whether orders have been pending for more than `MAX_PENDING_TIME`."""
         since = self._pending_since
         return since is not None and self._now() - since > MAX_PENDING_TIME
 
     def time_until_call(self) -> int | None:
-        """Return the time until a call may be sent; None if there is none to send yet."""
+        """Return the time until the next call may be sent, or None if there is no call to send."""
         if self._in_flight is not None or not self._pending:
             return None
         return max(0, self._next_call_at - self._now())
@@ -110,12 +116,12 @@
         return commit_call(self.call_number, orders)
 
     def on_response(self, data: bytes) -> None:
-        """Take the answer to the call in flight.
+        """Handle the response to the call in flight.
 
         Raises
         ------
         MalformedMessageError
-            If it can't be read; the call then counts as lost.
+            If it can't be parsed; the call then counts as lost.
         """
         sent_orders = self._in_flight or []
         try:
@@ -136,7 +142,7 @@
         self._pending_since = self._now() if self._pending else None
 
     def on_call_lost(self) -> None:
-        """Send the call in flight again before anything newer: nobody knows its fate."""
+        """Send the orders of the call in flight again first: they may not have been applied."""
         if self._in_flight is not None:
             sent_orders = self._in_flight
             self._in_flight = None
@@ -153,7 +159,7 @@
             del self._pending[key]
 
     def _on_rejected(self, error: str) -> None:
-        """Send the orders of a call that was not carried out again, later each time."""
+        """Send the orders of a rejected call again, after a delay that doubles each time."""
         sent_orders = self._in_flight or []
         self._in_flight = None
         if error == UNREADABLE_CALL and len(sent_orders) == 1:
@@ -166,7 +172,7 @@
         self._backoff = min(2 * self._backoff, MAX_BACKOFF)
 
     def _halved_size_limit(self, sent_orders: Sequence[SentOrder]) -> int:
-        """Return half the size of a call: smaller ones find the order that can't be read."""
+        """Return half the size of a call: smaller calls isolate an order the relay can't read."""
         size = _array_size(sent.order for sent in sent_orders)
         return max(1, min(self._max_call_bytes, size) // 2)
 
@@ -182,6 +188,6 @@
 
 
 def _array_size(orders: Iterable[Order | None]) -> int:
-    """Return the bytes of a JSON array of orders, where one that was dropped stands as null."""
+    """Return the bytes of a JSON array of orders, in which a dropped order is written as null."""
     sizes = [len("null,") if order is None else order_size(order) for order in orders]
     return len("[]") + sum(sizes) - (1 if sizes else 0)
--- a/indigodeck/edge/peers.py
+++ b/indigodeck/edge/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between planners."""
+"""The datagram socket over which planners exchange messages."""
 
 import socket
 from collections.abc import Callable, Sequence
@@ -9,15 +9,15 @@
 from .event_log import EventLog
 from .messages import Address
 
-MAX_DATAGRAM_BYTES = 256  # a longer one is against the platform's rules and would end the run
-MAX_CONSECUTIVE_READS = 64  # datagrams read in a row, so that a flood gives way to the rest
+MAX_DATAGRAM_BYTES = 256  # the platform forbids longer ones, and ends the run
+MAX_CONSECUTIVE_READS = 64  # datagrams per callback, so that a flood does not block the loop
 
 
 class PeerSocket:
-    """A datagram socket to the planners at `peers`, in the order of their numbers.
+    """A datagram socket to the planners at `peers`, which is indexed by planner number.
 
-    `on_message(number, data)` is called for what comes from one of them; other senders are
-    ignored. `broadcast_address` reaches all of them.
+    `on_message(number, data)` is called for each datagram from one of them; other senders are
+    ignored. `broadcast_address` reaches all planners.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         IOLoop.current().add_handler(self._socket, self._read, IOLoop.READ)
 
     def send(self, peer: int | None, data: bytes) -> None:
-        """Send a datagram to one planner, or to all if `peer` is None; it may get lost."""
+        """Send a datagram to one planner, or to all if `peer` is None; it may be lost."""
         address = self._address_of(peer)
         if address is None or len(data) > MAX_DATAGRAM_BYTES:
             self._log("datagram_not_sent", peer=peer, bytes=len(data))
--- a/indigodeck/edge/relay_client.py
+++ b/indigodeck/edge/relay_client.py
@@ -1,4 +1,4 @@
-"""The connections to the relay: one for calls, two for events, so that one of these may break.
+"""The connections to the relay: one for calls, and two for events in case one of them breaks.
 
 Times are whole microseconds.
 """
@@ -23,16 +23,16 @@
 from .relay_protocol import Event, EventKind, read_event, subscribe_call
 
 CONNECT_TIMEOUT = SECOND // 2
-# The relay answers within 50 ms or never; the rest is for this planner's own stalls.
+# The relay answers within 50 ms or never; the rest allows for stalls of this planner.
 RESPONSE_TIMEOUT = SECOND // 5
-# The relay closes idle connections, and what is sent into that moment is lost.
+# The relay closes idle connections; a call sent at that moment is lost.
 MAX_IDLE_TIME = SECOND
-EVENT_TIMEOUT = 3 * SECOND  # heartbeats come every second
+EVENT_TIMEOUT = 3 * SECOND  # heartbeats arrive every second
 SUBSCRIPTION_COUNT = 2
 
 
 class CallSender:
-    """Sends what waits in the outbox, one call at a time; `address` may change at any time."""
+    """Sends the orders in the outbox, one call at a time; `address` may change at any time."""
 
     def __init__(
         self, outbox: Outbox, now: Callable[[], int], log: EventLog, random: SeededRandom
@@ -49,13 +49,13 @@
         self.last_used = 0
 
     def notify_orders_pending(self) -> None:
-        """Wake the sender: the outbox has orders."""
+        """Wake the sending loop: the outbox has orders."""
         self.idle.clear()
         self._orders_pending.set()
 
     async def run(self) -> None:
-        """Send calls for good."""
-        self._outbox.on_call_lost()  # after a restart of this loop a call's fate may be unknown
+        """Send calls forever."""
+        self._outbox.on_call_lost()  # if this loop was restarted, a call may still be in flight
         while True:
             delay = self._outbox.time_until_call()
             if delay is None:
@@ -75,7 +75,7 @@
             await self.backoff.wait()
             return
         try:
-            # Made now, with what stands by now: much may have been ordered during the connecting.
+            # Composed only now, so that it includes orders that were added while connecting.
             await with_deadline(RESPONSE_TIMEOUT, stream.write(self._outbox.next_call()))
             self._outbox.on_response(await read_line(stream, RESPONSE_TIMEOUT))
             self.backoff.reset()
@@ -84,7 +84,7 @@
             self._outbox.on_call_lost()
             stream.close()
             self._log("call_response_lost", address=self._connected_address, error=repr(error))
-            # What can't pass now would be written again as fast as this program can.
+            # Without this delay, a call that keeps failing would be sent again in a busy loop.
             await self.backoff.wait()
 
     async def _connected_stream(self) -> IOStream:
@@ -103,10 +103,10 @@
 
 
 class Subscription:
-    """One connection for events at one address, connected again until it is retired.
+    """A connection for events at one address, which reconnects until it is retired.
 
     `on_heartbeat` is called after each heartbeat. A retired subscription ends when the relay
-    closes it; one that is ended closes at once.
+    closes it; `shut_down` closes it at once.
     """
 
     def __init__(
@@ -131,11 +131,13 @@
         self.retired = False
 
     async def run(self) -> None:
-        """Follow the relay's events until retired."""
+        """Handle the relay's events; reconnect until retired."""
         while not self.retired:
             try:
                 self._stream = await connect(self._address, CONNECT_TIMEOUT)
-                if self._is_shut_down:  # while it was connecting: there was no stream to close then
+                if (
+                    self._is_shut_down
+                ):  # by `shut_down` during the connect, when there was no stream to close
                     return
                 await with_deadline(CONNECT_TIMEOUT, self._stream.write(subscribe_call()))
                 await self._read_events(self._stream)
@@ -148,7 +150,7 @@
                 await self._backoff.wait()
 
     def shut_down(self) -> None:
-        """Close the connection: its successors report all that it would."""
+        """Retire and close the connection: newer subscriptions report the same events."""
         self.retired = True
         self._is_shut_down = True
         self._close()
@@ -187,7 +189,7 @@
 
 
 class RelayClient:
-    """All connections to the relay, and their moves to another address."""
+    """All connections to the relay, whose address may change."""
 
     def __init__(
         self,
@@ -209,14 +211,15 @@
         self.former_subscriptions: list[Subscription] = []
 
     def start(self, address: Address) -> None:
-        """Begin to send calls and to follow events at `address`."""
+        """Start to send calls and to receive events at `address`."""
         IOLoop.current().add_callback(keep_running, self.call_sender.run, self._log)
         self.set_address(address)
 
     def set_address(self, address: Address) -> None:
-        """Go on at another address.
+        """Use another address for the next calls and for new subscriptions.
 
-        The old one closes by itself; until then its subscriptions bridge the beginning of the new.
+        Subscriptions at the former address stay open until the relay closes them or a new one is
+        complete, so that no event is missed in between.
         """
         if address == self.call_sender.address:
             return
@@ -229,7 +232,7 @@
             IOLoop.current().add_callback(keep_running, subscription.run, self._log)
 
     def notify_orders_pending(self) -> None:
-        """Send what waits in the outbox."""
+        """Start to send the orders in the outbox."""
         self.call_sender.notify_orders_pending()
 
     def _subscription(self, address: Address) -> Subscription:
@@ -244,10 +247,10 @@
         )
 
     def _shut_down_former_subscriptions(self) -> None:
-        """End what bridged a move, once a new subscription is complete.
+        """Shut down the subscriptions at former addresses once a new one is complete.
 
-        One that the relay leaves open, as after a move to and fro, would stay for good, and the
-        relay holds so many of a planner's, no more.
+        The relay may leave a former one open, for example if the address changes and then changes
+        back. It would stay open forever, and the relay limits the subscriptions of a planner.
         """
         if any(self.membership.is_complete(subscription) for subscription in self.subscriptions):
             for subscription in self.former_subscriptions:
--- a/indigodeck/edge/service.py
+++ b/indigodeck/edge/service.py
@@ -1,4 +1,4 @@
-"""Puts a planner on the platform together, and runs it until it is stopped."""
+"""Assembles a planner for the platform, and runs it until it is stopped."""
 
 import asyncio
 import json
@@ -28,21 +28,21 @@
 from .peers import PeerSocket
 from .relay_client import RelayClient
 
-# For orders that wait when the program is stopped, in microseconds; a planner that does not
-# end is killed after 0.7 s.
+# How long to wait at shutdown for pending orders to be sent, in microseconds. The platform kills a
+# planner that has not exited after 0.7 s.
 SHUTDOWN_TIMEOUT = SECOND // 2
-TRACE_VARIABLE = "INDIGODECK_TRACE"  # set: each event and order of the assigner is written out
+TRACE_VARIABLE = "INDIGODECK_TRACE"  # if set, the assigner's events and orders are traced
 EXIT_INVALID_CONFIGURATION = 2
 
 
 class EdgeService:
-    """Everything that one planner runs; the `Environment` of its assigner host."""
+    """All components of one planner; also the `Environment` of its assigner host."""
 
     def __init__(self, bootstrap: Bootstrap) -> None:
         self._bootstrap = bootstrap
         self._logger = logging.getLogger("indigodeck")
-        # Unix time as it was at the start, and grown steadily since: what the endpoint list says
-        # of starts is in Unix time.
+        # Unix time at the start plus monotonic time since then: start times in the endpoint list
+        # are Unix times, and the clock must not go back.
         self._clock_offset = wall_clock_offset()
         self._trace_enabled = bool(os.environ.get(TRACE_VARIABLE))
         codec = bootstrap.codec
@@ -70,31 +70,31 @@
         )
         self._peers = self._open_peer_socket(bootstrap)
 
-    # What the assigner host may ask (`Environment`).
+    # What the assigner host calls (`Environment`).
 
     def now(self) -> int:
-        """Return Unix time in microseconds, on a clock that never goes back."""
+        """Return Unix time in microseconds, from a clock that never goes back."""
         return now() + self._clock_offset
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
-        """Call back after `delay` microseconds."""
+        """Call `callback` after `delay` microseconds."""
         IOLoop.current().call_later(delay / SECOND, callback)
 
     def notify_orders_pending(self) -> None:
-        """Send what waits in the outbox."""
+        """Start to send the orders in the outbox."""
         self._relay.notify_orders_pending()
 
     def check_health(self, target: HealthCheckTarget, address: Address) -> None:
-        """Send a request, and report its end to the assigner host."""
+        """Send a health check; the assigner host receives its result."""
         self._health_checker.check(target, address)
 
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
-        """Send a datagram to another planner, or to all."""
+        """Send a datagram to another planner, or to all if `peer` is None."""
         if self._peers is not None:
             self._peers.send(peer, data)
 
     def fetch_endpoints(self) -> None:
-        """Ask for the whole endpoint list."""
+        """Request the whole endpoint list."""
         self._discovery.fetch()
 
     def log(self, event: str, /, **fields: object) -> None:
@@ -102,16 +102,16 @@
         self._logger.info(format_event(event, fields))
 
     def trace(self, event: str, details: Sequence[Any]) -> None:
-        """Write an event or the orders of the assigner as a JSON line, if that is asked for."""
+        """Write an event or the assigner's orders as a JSON line to stderr, if tracing is on."""
         if self._trace_enabled:
             is_orders = event == "orders"
             fields = [order_fields(order) for order in details] if is_orders else details
             print(json.dumps([self.now(), event, fields], default=repr), file=sys.stderr)
 
-    # From the start to the end.
+    # Start, reload and stop.
 
     def start(self) -> None:
-        """Open all sockets, beginning with the endpoint list that was known before."""
+        """Apply the cached endpoint list, then open all connections."""
         bootstrap = self._bootstrap
         if bootstrap.cached_list is not None:
             cached_list = bootstrap.cached_list._replace(complete=True)
@@ -122,32 +122,36 @@
         self.log("planner_listening", name=bootstrap.name, address=bootstrap.listen)
 
     def reload(self) -> None:
-        """Read the configuration again: discovery and the relay may be elsewhere.
+        """Read the configuration again, and apply the addresses of discovery and the relay.
 
-        One that can't be used leaves the old one in force.
+        An invalid configuration, or one for another planner, is ignored; all other changes have no
+        effect either.
         """
         current = self._bootstrap
         try:
             reloaded = read_bootstrap(current.path)
         except Exception as error:
-            # Whatever is wrong with a file, it must not end a planner that serves.
+            # No fault in a file may end a running planner.
             self.log("configuration_rejected", error=error)
             return
         if (reloaded.name, reloaded.listen) != (current.name, current.listen):
-            self.log("configuration_rejected", error=f"it is of planner {reloaded.name}")
+            self.log(
+                "configuration_rejected",
+                error=f"the file is for planner {reloaded.name} at {reloaded.listen}",
+            )
             return
         if reloaded.settings != current.settings:
-            # Tables made by others would not go with them.
+            # The tables in use were made with the old settings, and would not match new ones.
             self.log("settings_change_ignored")
         self.log("configuration_reloaded", discovery=reloaded.discovery, relay=reloaded.relay)
         self._discovery.set_address(reloaded.discovery)
         self._relay.set_address(reloaded.relay)
 
     async def stop(self) -> None:
-        """Send the orders that wait.
+        """Send the pending orders before the planner exits.
 
-        They are owed to proxies, which keep their tables until they join elsewhere, and a drain in
-        them too.
+        Proxies keep their tables until they join another planner. Without these orders they would
+        keep outdated ones, and could go on to use a server that drains.
         """
         self.log("planner_stopping")
         try:
@@ -167,7 +171,7 @@
 async def serve(bootstrap: Bootstrap, reload_at_once: bool) -> None:
     """Run a planner until SIGTERM or SIGINT.
 
-    `reload_at_once`: a new configuration was announced before anything could read it.
+    `reload_at_once`: whether SIGHUP arrived before its handler was installed.
     """
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
@@ -183,9 +187,9 @@
 
 
 def main() -> int:
-    """Return the exit code: 0 stopped by a signal, 2 the configuration can't be used."""
+    """Return the exit code: 0 after SIGTERM or SIGINT, 2 if the configuration is unusable."""
     early_signals: list[int] = []
-    # The default action would end the program.
+    # By default SIGHUP would end the program.
     signal.signal(signal.SIGHUP, lambda number, _frame: early_signals.append(number))
     _configure_logging()
     try:
