--- a/indigodeck/edge/discovery.py
+++ b/indigodeck/edge/discovery.py
@@ -1,7 +1,7 @@
 """Follows the endpoint list by long polls of the platform's discovery service.
 
-Each poll is short, so that a silent connection is noticed soon; polls cost the agent that answers
-them nothing. A list that is older than the last one, or that has lost all servers, is requested
+Each poll is short, so that a silent connection is noticed soon; the agent that answers polls does
+so at no cost. A list that is older than the last one, or that has lost all servers, is requested
 again before it is accepted. Times are whole microseconds.
 """
 
@@ -81,9 +81,9 @@
 
     async def _run(self, generation: int) -> None:
         while generation == self._generation:
-            asked_version = self._poll_version
+            requested_version = self._poll_version
             try:
-                answer = await self._poll(asked_version)
+                answer = await self._poll(requested_version)
             except (*CONNECTION_ERRORS, HTTPClientError, MalformedMessageError) as error:
                 if generation == self._generation:
                     self._log("endpoint_list_poll_failed", error=repr(error))
@@ -97,7 +97,7 @@
                 self._poll_version = None
                 await self._backoff.wait()
                 continue
-            if self._poll_version == asked_version:  # else `fetch` was called during the poll
+            if self._poll_version == requested_version:  # else `fetch` was called during the poll
                 self._poll_version = answer.version
             self._accept(answer)
 
--- a/indigodeck/edge/json_fields.py
+++ b/indigodeck/edge/json_fields.py
@@ -45,22 +45,22 @@
         raise MalformedMessageError(f"{name} is missing") from None
 
 
-def read_number(fields: Mapping[str, Any], name: str, most: float, least: float = 0) -> Any:
-    """Return a number from `least` to `most`.
+def read_number(fields: Mapping[str, Any], name: str, maximum: float, minimum: float = 0) -> Any:
+    """Return a number from `minimum` to `maximum`.
 
     Booleans are rejected, although they are numbers in Python. NaN and infinities are outside
     every range.
     """
     value = read_field(fields, name)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not is_number or not least <= value <= most:
-        raise MalformedMessageError(f"{name} must be a number from {least} to {most}")
+    if not is_number or not minimum <= value <= maximum:
+        raise MalformedMessageError(f"{name} must be a number from {minimum} to {maximum}")
     return value
 
 
-def read_count(fields: Mapping[str, Any], name: str, most: int, least: int = 0) -> int:
-    """Return a whole number from `least` to `most`."""
-    value = read_number(fields, name, most, least)
+def read_count(fields: Mapping[str, Any], name: str, maximum: int, minimum: int = 0) -> int:
+    """Return a whole number from `minimum` to `maximum`."""
+    value = read_number(fields, name, maximum, minimum)
     if value != int(value):
         raise MalformedMessageError(f"{name} must be a whole number")
     return int(value)
--- a/indigodeck/edge/listener.py
+++ b/indigodeck/edge/listener.py
@@ -1,10 +1,10 @@
 """Serves the planner's own address: reports of collectors, and the platform's health checks.
 
-A collector is a process of one zone that reports requests and their outcomes; it introduces itself
-with its first message. Until then a client is unidentified. An unidentified client is disconnected
-after `INTRODUCTION_TIMEOUT`, or earlier if there are too many: hundreds of other clients may
-connect, and must not delay collectors or health checks. Nothing is ever written to a collector.
-Times are whole microseconds.
+A collector belongs to a zone, and reports requests and their outcomes. Before its first report it
+introduces itself; until then a client counts as unidentified. An unidentified client is
+disconnected after `INTRODUCTION_TIMEOUT`, or earlier if file descriptors run short: hundreds of
+unknown clients may connect, and must not delay collectors or the platform's health checks. Nothing
+is ever written to a collector. Times are whole microseconds.
 """
 
 from collections.abc import Callable, Mapping
@@ -74,7 +74,7 @@
             self.stream.write(error_line(reason))
 
     def _handle_line(self, data: bytes) -> None:
-        message = read_object(data)  # a line that can't be parsed closes any connection
+        message = read_object(data)  # if it can't be parsed, the connection is closed
         message_type = message.get("type")
         if self.zone is not None:
             self.last_received_at = self._listener.now()
--- a/indigodeck/edge/peers.py
+++ b/indigodeck/edge/peers.py
@@ -9,7 +9,7 @@
 from .event_log import EventLog
 from .messages import Address
 
-MAX_DATAGRAM_BYTES = 256  # the platform forbids longer ones, and ends the run
+MAX_DATAGRAM_BYTES = 256  # the platform's rules forbid longer ones; one would end the run
 MAX_CONSECUTIVE_READS = 64  # datagrams per callback, so that a flood does not block the loop
 
 
--- a/tests/edge/stand_ins.py
+++ b/tests/edge/stand_ins.py
@@ -106,9 +106,9 @@
         """Do nothing: the tests fetch the orders from the outbox."""
         pass
 
-    def check_health(self, checked, address):
+    def check_health(self, target, address):
         """Record the health check."""
-        self.note(f"check server {checked.server} at {address}")
+        self.note(f"check server {target.server} at {address}")
 
     def send_to_peer(self, peer, data):
         """Record the datagram."""
--- a/tests/edge/test_assigner_host.py
+++ b/tests/edge/test_assigner_host.py
@@ -151,7 +151,7 @@
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1", started_ms=5000)), cached=True)
         self.host.check_health(0)
         self.host.on_endpoint_list(endpoint_list(list_entry("s-1", started_ms=9000), version=2))
-        self.host.assigner.on_health_check = lambda *found: results.append(found)
+        self.host.assigner.on_health_check = lambda *result: results.append(result)
         self.host.check_health(0)
         self.host.on_health_check(targets[0], HealthCheckOutcome.SILENT, 500_000, None)
         self.assertEqual(results, [])
--- a/tests/edge/test_codec.py
+++ b/tests/edge/test_codec.py
@@ -58,20 +58,20 @@
         """With any value in one field, a message is rejected or all its values are in range."""
         read, valid = kind
         name = data.draw(st.sampled_from(sorted(valid)))
-        wrong = dict(valid)
+        invalid = dict(valid)
         if data.draw(st.booleans()):
-            del wrong[name]
+            del invalid[name]
         else:
-            wrong[name] = data.draw(ODD_VALUES)
+            invalid[name] = data.draw(ODD_VALUES)
         try:
-            fields = read(wrong)
+            fields = read(invalid)
         except MalformedMessageError:
             return
         for value in fields:  # the assigner relies on these ranges
-            self.assertFalse(isinstance(value, float) and not 0 <= value <= 1e9, (name, wrong))
+            self.assertFalse(isinstance(value, float) and not 0 <= value <= 1e9, (name, invalid))
             self.assertFalse(
                 isinstance(value, int) and not isinstance(value, bool) and not 0 <= value <= 1e17,
-                (name, wrong),
+                (name, invalid),
             )
 
     def test_outcomes_out_of_range_are_rejected(self):
@@ -121,22 +121,22 @@
 
     def test_only_invalid_list_entries_are_left_out(self):
         """Valid entries are decoded; the names of invalid entries are kept if they have one."""
-        found = endpoint_list(
+        answer = endpoint_list(
             list_entry("s-1"),
             dict(list_entry("s-2"), share=-1),
             "no entry",
             dict(list_entry("s-3"), site="nowhere"),
         )
-        self.assertEqual([server.name for server in found.endpoints], ["s-1"])
-        self.assertEqual(found.unusable_names, {"s-2", "s-3", ""})
-        for wrong in (
+        self.assertEqual([server.name for server in answer.endpoints], ["s-1"])
+        self.assertEqual(answer.unusable_names, {"s-2", "s-3", ""})
+        for invalid in (
             {},
             {"seq": 1, "whole": True},
             {"seq": -1, "whole": True, "hosts": []},
             {"seq": 1, "whole": 1, "hosts": []},
         ):
             with self.assertRaises(MalformedMessageError):
-                CODEC.read_endpoint_list(wrong)
+                CODEC.read_endpoint_list(invalid)
 
     def test_call_results_are_read_or_rejected(self):
         """Results and errors of the call in flight are accepted, and anything else is rejected."""
@@ -148,7 +148,7 @@
         self.assertEqual(answer(id=8, error="throttled"), (0, "throttled"))
         self.assertEqual(answer(id=8, error={"code": 1, "message": "invalid"}), (0, "invalid"))
         self.assertEqual(answer(id=None, error={"code": 1, "message": "invalid"}), (0, "invalid"))
-        for wrong in (
+        for invalid in (
             dict(id=9, result={"accepted": 2}),
             dict(id=8, result={"accepted": 4}),
             dict(id=8, result={"accepted": -1}),
@@ -161,5 +161,5 @@
             dict(error="invalid"),
             dict(id=9, error="invalid"),
         ):
-            with self.assertRaises(MalformedMessageError, msg=wrong):
-                answer(**wrong)
+            with self.assertRaises(MalformedMessageError, msg=invalid):
+                answer(**invalid)
--- a/tests/edge/test_discovery.py
+++ b/tests/edge/test_discovery.py
@@ -33,51 +33,53 @@
         client.start()
         return client
 
-    def on_list(self, found):
+    def on_list(self, answer):
         """Record a list that was accepted."""
-        names = [endpoint.name for endpoint in found.endpoints]
-        self.lists.append((found.version, found.complete, names))
+        names = [endpoint.name for endpoint in answer.endpoints]
+        self.lists.append((answer.version, answer.complete, names))
 
     @gen_test(timeout=30)
     async def test_an_answer_in_flight_during_an_address_change_is_accepted(self):
         """A change that the former address reports after the address change is handled."""
         written = Event()
         silent = Event()
-        old = ScriptedDiscovery(
+        former_discovery = ScriptedDiscovery(
             list_answer(list_entry("s-1"), list_entry("s-2")),
             written,
             list_answer(list_entry("s-1", state="DRAINING"), version=2, complete=False),
         )
-        new = ScriptedDiscovery(
+        new_discovery = ScriptedDiscovery(
             silent, list_answer(list_entry("s-1", state="DRAINING"), list_entry("s-2"), version=2)
         )
-        client = self.start_client(old)
-        await until(lambda: len(old.requested_versions) == 2)
-        client.set_address(new.address)
-        await until(lambda: new.requested_versions)
+        client = self.start_client(former_discovery)
+        await until(lambda: len(former_discovery.requested_versions) == 2)
+        client.set_address(new_discovery.address)
+        await until(lambda: new_discovery.requested_versions)
         written.set()
         await until(lambda: len(self.lists) == 2)
         self.assertEqual(self.lists[1], (2, False, ["s-1"]))
         silent.set()
         await until(lambda: len(self.lists) == 3)
-        self.assertEqual(new.requested_versions[0], None)
+        self.assertEqual(new_discovery.requested_versions[0], None)
 
     @gen_test(timeout=30)
     async def test_an_older_answer_of_the_former_address_is_ignored(self):
         """A late answer does not undo a newer answer from the new address."""
         written = Event()
-        old = ScriptedDiscovery(
+        former_discovery = ScriptedDiscovery(
             list_answer(list_entry("s-1")),
             written,
             list_answer(list_entry("s-9"), version=2, complete=False),
         )
-        new = ScriptedDiscovery(list_answer(list_entry("s-1"), list_entry("s-2"), version=3))
-        client = self.start_client(old)
-        await until(lambda: len(old.requested_versions) == 2)
-        client.set_address(new.address)
-        await until(lambda: len(self.lists) == 2 and len(new.requested_versions) > 1)
+        new_discovery = ScriptedDiscovery(
+            list_answer(list_entry("s-1"), list_entry("s-2"), version=3)
+        )
+        client = self.start_client(former_discovery)
+        await until(lambda: len(former_discovery.requested_versions) == 2)
+        client.set_address(new_discovery.address)
+        await until(lambda: len(self.lists) == 2 and len(new_discovery.requested_versions) > 1)
         written.set()
-        await until(lambda: len(new.requested_versions) > 2)
+        await until(lambda: len(new_discovery.requested_versions) > 2)
         self.assertEqual(self.lists, [(1, True, ["s-1"]), (3, True, ["s-1", "s-2"])])
 
     @gen_test(timeout=30)
@@ -169,5 +171,5 @@
         client.fetch()
         written.set()
         await until(lambda: len(self.lists) == 3)
-        self.assertEqual([found[:2] for found in self.lists], [(1, True), (2, False), (3, True)])
+        self.assertEqual([answer[:2] for answer in self.lists], [(1, True), (2, False), (3, True)])
         self.assertEqual(discovery.requested_versions[2], None)
--- a/tests/edge/test_listener.py
+++ b/tests/edge/test_listener.py
@@ -71,9 +71,7 @@
         self.assertFalse(collector_listener.collectors[0])
 
     @gen_test(timeout=60)
-    async def test_hundreds_of_unidentified_clients_do_not_block_other_clients(
-        self,
-    ):
+    async def test_hundreds_of_unidentified_clients_do_not_block_other_clients(self):
         """Health checks and collectors are served; the oldest unidentified clients are dropped."""
         host = RecordingHost()
         collector_listener, address = self.open_listener(host)
--- a/tests/edge/test_membership.py
+++ b/tests/edge/test_membership.py
@@ -117,9 +117,7 @@
     @given(
         st.lists(
             st.tuples(
-                st.sampled_from(["turn", "break", "ping"]),
-                st.integers(0, 3),
-                st.sampled_from("AB"),
+                st.sampled_from(["turn", "break", "ping"]), st.integers(0, 3), st.sampled_from("AB")
             ),
             max_size=40,
         )
@@ -146,8 +144,8 @@
             else:
                 membership.on_disconnected(connection)
                 membership.on_connected(connection)
-                for known in sorted(joined):
-                    membership.on_proxy_joined(connection, ProxyJoined(known, 0, 1.0, False))
+                for joined_proxy in sorted(joined):
+                    membership.on_proxy_joined(connection, ProxyJoined(joined_proxy, 0, 1.0, False))
         for connection in "AB":
             membership.on_heartbeat(connection)
         notified = set()
--- a/tests/edge/test_program.py
+++ b/tests/edge/test_program.py
@@ -314,12 +314,12 @@
         self.assertFalse(relays[1].subscriptions)
         # Discovery's address is unchanged, so its polls were not restarted.
         self.assertEqual(discovery.requested_versions.count(None), 1)
-        named = {
+        route_names = {
             route
             for call in relays[2].calls
             for order in call["params"]["ops"]
             for route in order.get("routes", ())
         }
         self.assertLessEqual(
-            named, {class_settings["name"] for class_settings in PLATFORM_SETTINGS["classes"]}
+            route_names, {class_settings["name"] for class_settings in PLATFORM_SETTINGS["classes"]}
         )
--- a/tests/edge/test_relay_client.py
+++ b/tests/edge/test_relay_client.py
@@ -39,7 +39,7 @@
 
 def completeness_flags(client):
     """Return for each subscription whether it has reported all proxies joined at its start."""
-    return [client.membership.is_complete(found) for found in client.subscriptions]
+    return [client.membership.is_complete(subscription) for subscription in client.subscriptions]
 
 
 class RelayClientFaultsTest(AsyncTestCase):
@@ -141,23 +141,20 @@
         super().setUp()
         self.log = EventRecorder()
 
-    def start_client(self, script):
+    def start_client(self, relay):
         """Start a client of a scripted relay; return it and its recording host."""
         self.outbox = Outbox(now, self.log)
         host = RecordingHost()
         client = make_client(self.outbox, host, self.log)
-        client.start(script.listen_on_free_port())
+        client.start(relay.listen_on_free_port())
         return client, host
 
-    def send_heartbeats(self, *scripts):
+    def send_heartbeats(self, *relays):
         """Send heartbeats to all subscriptions, so that they do not time out."""
 
         def send():
             for stream in [
-                stream
-                for script in scripts
-                for stream in script.subscriptions
-                if not stream.closed()
+                stream for relay in relays for stream in relay.subscriptions if not stream.closed()
             ]:
                 IOLoop.current().add_callback(ScriptedRelay.send_event, stream, "ping", {})
 
@@ -188,11 +185,11 @@
     @gen_test(timeout=30)
     async def test_a_call_that_is_lost_repeatedly_backs_off(self):
         """Each loss doubles the delay, and a success resets it."""
-        script = ScriptedRelay([RelayBehavior.CLOSED] * 4)
-        client, _ = self.start_client(script)
+        relay = ScriptedRelay([RelayBehavior.CLOSED] * 4)
+        client, _ = self.start_client(relay)
         self.outbox.add([SetWeight(0, "s-1", 1.0)])
         client.notify_orders_pending()
-        await until(lambda: len(script.calls) == 4)
+        await until(lambda: len(relay.calls) == 4)
         self.assertGreaterEqual(client.call_sender.backoff.delay, 8 * connecting.MIN_BACKOFF)
         await self.wait_until_idle()
         self.assertEqual(client.call_sender.backoff.delay, connecting.MIN_BACKOFF)
@@ -200,87 +197,90 @@
     @gen_test(timeout=60)
     async def test_a_call_cut_at_any_byte_is_sent_again_and_applied_once(self):
         """The connection is closed at six positions, from after one byte to before the newline."""
-        script = ScriptedRelay()
-        client, _ = self.start_client(script)
-        cut = []
+        relay = ScriptedRelay()
+        client, _ = self.start_client(relay)
+        cut_lengths = []
         line_bytes = len(commit_call(1, [SetWeight(0, "s-1", 10.0)]))
 
         async def cut_connection(stream, address):
-            if not cut:
-                return await ScriptedRelay.handle_stream(script, stream, address)
+            if not cut_lengths:
+                return await ScriptedRelay.handle_stream(relay, stream, address)
             with contextlib.suppress(StreamClosedError):
-                await stream.read_bytes(cut.pop())
+                await stream.read_bytes(cut_lengths.pop())
             stream.close()
 
-        script.handle_stream = cut_connection
-        await until(lambda: len(script.subscriptions) == 2)
+        relay.handle_stream = cut_connection
+        await until(lambda: len(relay.subscriptions) == 2)
         for number, length in enumerate(
             [1, 2, line_bytes // 3, line_bytes // 2, line_bytes - 2, line_bytes - 1]
         ):
             client.call_sender.last_used = (
                 0  # as if idle for long, so that the next call reconnects
             )
-            cut.append(length)
+            cut_lengths.append(length)
             self.outbox.add([SetWeight(0, "s-1", 10.0 + number)])
             client.notify_orders_pending()
             await self.wait_until_idle()
-            self.assertEqual(script.state.tables, {0: {"s-1": 10.0 + number}})
+            self.assertEqual(relay.state.tables, {0: {"s-1": 10.0 + number}})
         self.assertEqual(self.outbox.unknown_outcome_calls, 6)
 
     @gen_test(timeout=30)
     async def test_an_address_change_during_a_call_neither_loses_nor_repeats_it(self):
         """The response still comes from the old address; the next call goes to the new one."""
-        first = DelayingRelay()
-        second = ScriptedRelay()
+        former_relay = DelayingRelay()
+        new_relay = ScriptedRelay()
         released = Event()
-        first.release = released
-        client, _ = self.start_client(first)
-        address = second.listen_on_free_port()
+        former_relay.release = released
+        client, _ = self.start_client(former_relay)
+        address = new_relay.listen_on_free_port()
         self.outbox.add([SetWeight(0, "s-1", 1.0)])
         client.notify_orders_pending()
-        await until(lambda: first.calls)
+        await until(lambda: former_relay.calls)
         client.set_address(address)
         self.outbox.add([SetWeight(0, "s-2", 2.0)])
         client.notify_orders_pending()
-        await until(lambda: second.subscriptions)
+        await until(lambda: new_relay.subscriptions)
         released.set()
         await self.wait_until_idle()
-        self.assertEqual([len(first.calls), len(second.calls)], [1, 1])
-        self.assertEqual([order["server"] for order in second.calls[0]["params"]["ops"]], ["s-2"])
+        self.assertEqual([len(former_relay.calls), len(new_relay.calls)], [1, 1])
+        self.assertEqual(
+            [order["server"] for order in new_relay.calls[0]["params"]["ops"]], ["s-2"]
+        )
 
     @gen_test(timeout=30)
     async def test_a_connection_closed_as_a_call_is_written_loses_nothing(self):
         """The relay may close an idle connection while the next call is being written."""
-        script = ScriptedRelay()
-        client, _ = self.start_client(script)
-        await until(lambda: len(script.subscriptions) == 2)
+        relay = ScriptedRelay()
+        client, _ = self.start_client(relay)
+        await until(lambda: len(relay.subscriptions) == 2)
         for number in range(5):
             client.call_sender.last_used = now()
             self.outbox.add([SetWeight(0, "s-1", 1.0 + number)])
             client.notify_orders_pending()
             await self.wait_until_idle()
-            for stream in script.connections:
-                if stream not in script.subscriptions:
+            for stream in relay.connections:
+                if stream not in relay.subscriptions:
                     stream.close()  # as the relay does when idle; the next call may be in flight
-        self.assertEqual(script.state.tables, {0: {"s-1": 5.0}})
+        self.assertEqual(relay.state.tables, {0: {"s-1": 5.0}})
 
     @gen_test(timeout=60)
     async def test_address_changes_back_and_forth_leave_no_connection_open(self):
         """Former subscriptions are closed once a new one is complete."""
-        first = ScriptedRelay()
-        second = ScriptedRelay()
-        client, host = self.start_client(first)
-        self.send_heartbeats(first, second)
+        first_relay = ScriptedRelay()
+        second_relay = ScriptedRelay()
+        client, host = self.start_client(first_relay)
+        self.send_heartbeats(first_relay, second_relay)
         address = client.call_sender.address
-        other_address = second.listen_on_free_port()
+        other_address = second_relay.listen_on_free_port()
         for turn in range(6):
             await until(lambda: any(completeness_flags(client)))
             client.set_address(other_address if turn % 2 == 0 else address)
         await until(lambda: all(completeness_flags(client)))
-        for script, most in ((first, 2), (second, 0)):
+        for relay, expected_count in ((first_relay, 2), (second_relay, 0)):
             await until(
-                lambda script=script, most=most: (
-                    len([stream for stream in script.subscriptions if not stream.closed()]) == most
+                lambda relay=relay, expected_count=expected_count: (
+                    len([stream for stream in relay.subscriptions if not stream.closed()])
+                    == expected_count
                 )
             )
         self.assertEqual(len(client.membership.views), 2)
@@ -289,31 +289,32 @@
     @gen_test(timeout=60)
     async def test_a_former_subscription_that_connects_late_is_closed(self):
         """The subscription was still connecting when it was shut down."""
-        first = ScriptedRelay()
-        second = ScriptedRelay()
+        former_relay = ScriptedRelay()
+        new_relay = ScriptedRelay()
         released = Event()
-        held = []
-        client, host = self.start_client(first)
-        await until(lambda: len(first.subscriptions) == 2)
+        late_streams = []
+        client, host = self.start_client(former_relay)
+        await until(lambda: len(former_relay.subscriptions) == 2)
         connect = relay_client.connect
         address = client.call_sender.address
 
         async def connect_late(where, timeout):
             stream = await connect(where, timeout)
             if where == address:
-                held.append(stream)
+                late_streams.append(stream)
                 await released.wait()
             return stream
 
-        self.send_heartbeats(first, second)
+        self.send_heartbeats(former_relay, new_relay)
         with unittest.mock.patch.object(relay_client, "connect", connect_late):
-            first.subscriptions[0].close()
-            await until(lambda: held)
-            client.set_address(second.listen_on_free_port())
+            former_relay.subscriptions[0].close()
+            await until(lambda: late_streams)
+            client.set_address(new_relay.listen_on_free_port())
             await until(lambda: all(completeness_flags(client)))
             await until(lambda: not client.former_subscriptions)
             released.set()
-            await until(lambda: held[0].closed())
-        self.assertEqual(len(held), 1)
-        self.assertEqual(len(first.subscriptions), 2)  # the late connection did not subscribe
+            await until(lambda: late_streams[0].closed())
+        self.assertEqual(len(late_streams), 1)
+        # The late connection did not subscribe.
+        self.assertEqual(len(former_relay.subscriptions), 2)
         self.assertEqual(len(client.membership.views), 2)
