--- a/indigodeck/edge/outbox.py
+++ b/indigodeck/edge/outbox.py
@@ -71,9 +71,7 @@
             if isinstance(order, ClearTable):
                 self._drop_orders_of_table(order.table)
             key = order_key(order)
-            pending.pop(
-                key, None
-            )  # moves the key to the end: the sequence is that of the newest orders
+            pending.pop(key, None)  # moves the key to the end: newest orders define the sequence
             pending[key] = order
         if orders and self._pending_since is None:
             self._pending_since = self._now()
