--- a/tests/edge/test_relay_client.py
+++ b/tests/edge/test_relay_client.py
@@ -1,4 +1,4 @@
-"""The connections to the relay, against a scripted one on loopback."""
+"""Tests of the connections to the relay, against a scripted relay on loopback."""
 
 import asyncio
 import contextlib
@@ -15,10 +15,10 @@
 from edge.stand_ins import (
     ACK,
     CODEC,
-    CallFate,
+    DelayingRelay,
     EventRecorder,
-    HoldingRelay,
     RecordingHost,
+    RelayBehavior,
     ScriptedRelay,
 )
 from indigodeck.assignment.seeded_random import SeededRandom
@@ -31,73 +31,73 @@
 
 
 def make_client(outbox, host, log):
-    """Return a client that is not started."""
+    """Return a client without starting it."""
     return relay_client.RelayClient(
         outbox, ProxyMembership(host, now), host, CODEC, now, log, SeededRandom(1)
     )
 
 
-def completeness(client):
-    """Return of each subscription whether it has reported all that stood at its beginning."""
-    return [client.membership.is_complete(found) for found in client.subscriptions]
+def completeness_flags(client):
+    """Return for each subscription whether it has reported all proxies joined at its start."""
+    return [client.membership.is_complete(subscription) for subscription in client.subscriptions]
 
 
 class RelayClientFaultsTest(AsyncTestCase):
-    """Responses, events and handlers that fail."""
+    """Faults in responses, events and handlers."""
 
     def setUp(self):
-        """Make a log."""
+        """Create a relay, a log and an outbox."""
         super().setUp()
         self.relay = ScriptedRelay()
         self.log = EventRecorder()
         self.outbox = Outbox(now, self.log)
 
     def start_client(self, host):
-        """Return a client that follows a scripted relay."""
+        """Start and return a client of the scripted relay."""
         client = make_client(self.outbox, host, self.log)
-        client.start(self.relay.listen_somewhere())
+        client.start(self.relay.listen_on_free_port())
         return client
 
     @gen_test(timeout=30)
-    async def test_lost_and_wrong_responses_lose_no_order(self):
-        """The relay holds the newest orders whatever becomes of responses."""
-        self.relay.fates = [
-            CallFate.APPLIED_THEN_CLOSED,
-            CallFate.ACCEPTED,
-            CallFate.CLOSED,
-            CallFate.ACCEPTED,
-            CallFate.NO_RESPONSE,
-            CallFate.ACCEPTED,
-            CallFate.MALFORMED_RESPONSE,
-            CallFate.ACCEPTED,
+    async def test_lost_and_malformed_responses_lose_no_order(self):
+        """Lost and malformed responses do not change which orders the relay ends with."""
+        self.relay.behaviors = [
+            RelayBehavior.APPLIED_THEN_CLOSED,
+            RelayBehavior.ACCEPTED,
+            RelayBehavior.CLOSED,
+            RelayBehavior.ACCEPTED,
+            RelayBehavior.NO_RESPONSE,
+            RelayBehavior.ACCEPTED,
+            RelayBehavior.MALFORMED_RESPONSE,
+            RelayBehavior.ACCEPTED,
         ]
         client = self.start_client(RecordingHost())
         for number in range(4):
             self.outbox.add([SetWeight(number, "s-1", 1.0), SetWeight(0, "s-2", float(number))])
             client.notify_orders_pending()
-            await until(lambda: self.outbox.is_settled)
+            await until(lambda: self.outbox.is_idle)
         self.assertEqual(
             self.relay.state.tables,
             {0: {"s-1": 1.0, "s-2": 3.0}, 1: {"s-1": 1.0}, 2: {"s-1": 1.0}, 3: {"s-1": 1.0}},
         )
-        self.assertEqual(self.outbox.unknown_calls, 4)
+        self.assertEqual(self.outbox.unknown_outcome_calls, 4)
 
     @gen_test(timeout=30)
-    async def test_events_go_on_while_a_subscription_breaks_and_the_relay_moves(self):
-        """No proxy joins anew by a break or a move."""
+    async def test_events_continue_through_a_broken_subscription_and_an_address_change(self):
+        """Neither counts as a new join of a proxy."""
         host = RecordingHost()
         client = self.start_client(host)
         await until(lambda: len(self.relay.subscriptions) == 2 and len(host.membership_events) == 4)
         self.relay.subscriptions[0].close()
         await until(lambda: len(self.relay.subscriptions) == 3)
-        elsewhere = ScriptedRelay()
-        client.move(elsewhere.listen_somewhere())
-        await until(lambda: len(elsewhere.subscriptions) == 2)
+        new_relay = ScriptedRelay()
+        client.set_address(new_relay.listen_on_free_port())
+        await until(lambda: len(new_relay.subscriptions) == 2)
         await asyncio.sleep(0.1)
         for stream in self.relay.connections:
             stream.close()
-        elsewhere.state.joined.discard(2)
-        for stream in elsewhere.subscriptions:
+        new_relay.state.joined.discard(2)
+        for stream in new_relay.subscriptions:
             await ScriptedRelay.send_event(stream, "bye", {"proxy": 2})
         await until(lambda: ("left", 2) in host.membership_events)
         self.assertEqual(
@@ -106,8 +106,8 @@
         )
 
     @gen_test(timeout=30)
-    async def test_wrong_acks_are_ignored_alone(self):
-        """The ack behind them counts."""
+    async def test_only_invalid_acks_are_ignored(self):
+        """The valid ack after them is handled."""
         host = RecordingHost()
         self.start_client(host)
         await until(lambda: len(self.relay.subscriptions) == 2)
@@ -117,14 +117,14 @@
         self.assertEqual(host.acks, [(17, 905, 310_400)])
 
     @gen_test(timeout=30)
-    async def test_a_fault_restarts_the_loop(self):
-        """An exception in a handler is logged, and the subscription begins again."""
+    async def test_an_exception_restarts_the_subscription(self):
+        """An exception in a handler is logged, and the subscription is opened again."""
         host = RecordingHost()
 
         def fail_at_second(joined):
             host.membership_events.append(joined.proxy)
             if len(host.membership_events) == 2:
-                raise KeyError("what any fault looks like")
+                raise KeyError("a fault in a handler")
 
         host.on_proxy_joined = fail_at_second
         client = self.start_client(host)
@@ -134,30 +134,27 @@
 
 
 class RelayClientEndingsTest(AsyncTestCase):
-    """Connections that end, break and move, with the crossing forced (docs/edge.md)."""
+    """Connections that close, break and change address, in a forced order (docs/edge.md)."""
 
     def setUp(self):
-        """Make a log."""
+        """Create a log."""
         super().setUp()
         self.log = EventRecorder()
 
-    def start_client(self, script):
-        """Return a client that follows a scripted relay."""
+    def start_client(self, relay):
+        """Start a client of a scripted relay; return it and its recording host."""
         self.outbox = Outbox(now, self.log)
         host = RecordingHost()
         client = make_client(self.outbox, host, self.log)
-        client.start(script.listen_somewhere())
+        client.start(relay.listen_on_free_port())
         return client, host
 
-    def send_heartbeats(self, *scripts):
-        """Send heartbeats to every subscription, or silence would end them."""
+    def send_heartbeats(self, *relays):
+        """Send heartbeats to all subscriptions, so that they do not time out."""
 
         def send():
             for stream in [
-                stream
-                for script in scripts
-                for stream in script.subscriptions
-                if not stream.closed()
+                stream for relay in relays for stream in relay.subscriptions if not stream.closed()
             ]:
                 IOLoop.current().add_callback(ScriptedRelay.send_event, stream, "ping", {})
 
@@ -165,13 +162,13 @@
         heartbeats.start()
         self.addCleanup(heartbeats.stop)
 
-    async def settled(self):
-        """Wait until no order waits and no call is in flight."""
-        await until(lambda: self.outbox.is_settled)
+    async def wait_until_idle(self):
+        """Wait until no order is pending and no call is in flight."""
+        await until(lambda: self.outbox.is_idle)
 
     @gen_test(timeout=30)
     async def test_a_line_that_arrives_with_the_deadline_counts(self):
-        """After a stall both are found at once, and the line wins."""
+        """If a stall makes a line and its time-out noticed at the same time, the line is read."""
         accepting, port = bind_unused_port()
         stream = await connecting.connect(("127.0.0.1", port), SECOND)
         other, _ = accepting.accept()
@@ -180,138 +177,144 @@
         other.sendall(b"answer\n")
         end = time.monotonic() + 0.1
         while time.monotonic() < end:
-            pass  # a stall of this program: the answer and the time-out are found at once
+            pass  # stalls the loop, so that it finds the line and the time-out at the same time
         self.assertEqual(await waiting, b"answer\n")
         other.close()
         accepting.close()
 
     @gen_test(timeout=30)
-    async def test_a_call_that_is_lost_again_and_again_backs_off(self):
-        """Each loss doubles the wait, a success resets it."""
-        script = ScriptedRelay([CallFate.CLOSED] * 4)
-        client, _ = self.start_client(script)
+    async def test_a_call_that_is_lost_repeatedly_backs_off(self):
+        """Each loss doubles the delay, and a success resets it."""
+        relay = ScriptedRelay([RelayBehavior.CLOSED] * 4)
+        client, _ = self.start_client(relay)
         self.outbox.add([SetWeight(0, "s-1", 1.0)])
         client.notify_orders_pending()
-        await until(lambda: len(script.calls) == 4)
-        self.assertGreaterEqual(client.calls.backoff.delay, 8 * connecting.MIN_BACKOFF)
-        await self.settled()
-        self.assertEqual(client.calls.backoff.delay, connecting.MIN_BACKOFF)
+        await until(lambda: len(relay.calls) == 4)
+        self.assertGreaterEqual(client.call_sender.backoff.delay, 8 * connecting.MIN_BACKOFF)
+        await self.wait_until_idle()
+        self.assertEqual(client.call_sender.backoff.delay, connecting.MIN_BACKOFF)
 
     @gen_test(timeout=60)
-    async def test_a_call_cut_at_any_byte_is_sent_again_and_stands_once(self):
-        """Six places from the first byte to the last."""
-        script = ScriptedRelay()
-        client, _ = self.start_client(script)
-        cut = []
+    async def test_a_call_cut_at_any_byte_is_sent_again_and_applied_once(self):
+        """The connection is closed at six positions, from after one byte to before the newline."""
+        relay = ScriptedRelay()
+        client, _ = self.start_client(relay)
+        cut_lengths = []
         line_bytes = len(commit_call(1, [SetWeight(0, "s-1", 10.0)]))
 
         async def cut_connection(stream, address):
-            if not cut:
-                return await ScriptedRelay.handle_stream(script, stream, address)
+            if not cut_lengths:
+                return await ScriptedRelay.handle_stream(relay, stream, address)
             with contextlib.suppress(StreamClosedError):
-                await stream.read_bytes(cut.pop())
+                await stream.read_bytes(cut_lengths.pop())
             stream.close()
 
-        script.handle_stream = cut_connection
-        await until(lambda: len(script.subscriptions) == 2)
+        relay.handle_stream = cut_connection
+        await until(lambda: len(relay.subscriptions) == 2)
         for number, length in enumerate(
             [1, 2, line_bytes // 3, line_bytes // 2, line_bytes - 2, line_bytes - 1]
         ):
-            client.calls.last_used = 0  # as after a rest: the next call connects
-            cut.append(length)
+            client.call_sender.last_used = (
+                0  # as if idle for long, so that the next call reconnects
+            )
+            cut_lengths.append(length)
             self.outbox.add([SetWeight(0, "s-1", 10.0 + number)])
             client.notify_orders_pending()
-            await self.settled()
-            self.assertEqual(script.state.tables, {0: {"s-1": 10.0 + number}})
-        self.assertEqual(self.outbox.unknown_calls, 6)
+            await self.wait_until_idle()
+            self.assertEqual(relay.state.tables, {0: {"s-1": 10.0 + number}})
+        self.assertEqual(self.outbox.unknown_outcome_calls, 6)
 
     @gen_test(timeout=30)
-    async def test_a_move_during_a_call_neither_loses_nor_repeats_it(self):
-        """The response is awaited at the old address, the next call goes to the new."""
-        first = HoldingRelay()
-        second = ScriptedRelay()
+    async def test_an_address_change_during_a_call_neither_loses_nor_repeats_it(self):
+        """The response still comes from the old address; the next call goes to the new one."""
+        former_relay = DelayingRelay()
+        new_relay = ScriptedRelay()
         released = Event()
-        first.release = released
-        client, _ = self.start_client(first)
-        address = second.listen_somewhere()
+        former_relay.release = released
+        client, _ = self.start_client(former_relay)
+        address = new_relay.listen_on_free_port()
         self.outbox.add([SetWeight(0, "s-1", 1.0)])
         client.notify_orders_pending()
-        await until(lambda: first.calls)
-        client.move(address)
+        await until(lambda: former_relay.calls)
+        client.set_address(address)
         self.outbox.add([SetWeight(0, "s-2", 2.0)])
         client.notify_orders_pending()
-        await until(lambda: second.subscriptions)
+        await until(lambda: new_relay.subscriptions)
         released.set()
-        await self.settled()
-        self.assertEqual([len(first.calls), len(second.calls)], [1, 1])
-        self.assertEqual([order["server"] for order in second.calls[0]["params"]["ops"]], ["s-2"])
+        await self.wait_until_idle()
+        self.assertEqual([len(former_relay.calls), len(new_relay.calls)], [1, 1])
+        self.assertEqual(
+            [order["server"] for order in new_relay.calls[0]["params"]["ops"]], ["s-2"]
+        )
 
     @gen_test(timeout=30)
     async def test_a_connection_closed_as_a_call_is_written_loses_nothing(self):
-        """An idle connection may close under the next call."""
-        script = ScriptedRelay()
-        client, _ = self.start_client(script)
-        await until(lambda: len(script.subscriptions) == 2)
+        """The relay may close an idle connection while the next call is being written."""
+        relay = ScriptedRelay()
+        client, _ = self.start_client(relay)
+        await until(lambda: len(relay.subscriptions) == 2)
         for number in range(5):
-            client.calls.last_used = now()
+            client.call_sender.last_used = now()
             self.outbox.add([SetWeight(0, "s-1", 1.0 + number)])
             client.notify_orders_pending()
-            await self.settled()
-            for stream in script.connections:
-                if stream not in script.subscriptions:
-                    stream.close()  # idle, says the relay; the next call may already be on its way
-        self.assertEqual(script.state.tables, {0: {"s-1": 5.0}})
+            await self.wait_until_idle()
+            for stream in relay.connections:
+                if stream not in relay.subscriptions:
+                    stream.close()  # as the relay does when idle; the next call may be in flight
+        self.assertEqual(relay.state.tables, {0: {"s-1": 5.0}})
 
     @gen_test(timeout=60)
-    async def test_moves_to_and_fro_leave_no_connection_behind(self):
-        """Former subscriptions end once a new one is complete."""
-        first = ScriptedRelay()
-        second = ScriptedRelay()
-        client, host = self.start_client(first)
-        self.send_heartbeats(first, second)
-        address = client.calls.address
-        other_address = second.listen_somewhere()
+    async def test_address_changes_back_and_forth_leave_no_connection_open(self):
+        """Former subscriptions are closed once a new one is complete."""
+        first_relay = ScriptedRelay()
+        second_relay = ScriptedRelay()
+        client, host = self.start_client(first_relay)
+        self.send_heartbeats(first_relay, second_relay)
+        address = client.call_sender.address
+        other_address = second_relay.listen_on_free_port()
         for turn in range(6):
-            await until(lambda: any(completeness(client)))
-            client.move(other_address if turn % 2 == 0 else address)
-        await until(lambda: all(completeness(client)))
-        for script, most in ((first, 2), (second, 0)):
+            await until(lambda: any(completeness_flags(client)))
+            client.set_address(other_address if turn % 2 == 0 else address)
+        await until(lambda: all(completeness_flags(client)))
+        for relay, expected_count in ((first_relay, 2), (second_relay, 0)):
             await until(
-                lambda script=script, most=most: (
-                    len([stream for stream in script.subscriptions if not stream.closed()]) == most
+                lambda relay=relay, expected_count=expected_count: (
+                    len([stream for stream in relay.subscriptions if not stream.closed()])
+                    == expected_count
                 )
             )
         self.assertEqual(len(client.membership.views), 2)
         self.assertEqual(host.membership_events, [("joined", proxy) for proxy in range(4)])
 
     @gen_test(timeout=60)
-    async def test_a_subscription_that_connects_after_its_successors_is_ended(self):
-        """It was still connecting when it was ended."""
-        first = ScriptedRelay()
-        second = ScriptedRelay()
+    async def test_a_former_subscription_that_connects_late_is_closed(self):
+        """The subscription was still connecting when it was shut down."""
+        former_relay = ScriptedRelay()
+        new_relay = ScriptedRelay()
         released = Event()
-        held = []
-        client, host = self.start_client(first)
-        await until(lambda: len(first.subscriptions) == 2)
+        late_streams = []
+        client, host = self.start_client(former_relay)
+        await until(lambda: len(former_relay.subscriptions) == 2)
         connect = relay_client.connect
-        address = client.calls.address
+        address = client.call_sender.address
 
         async def connect_late(where, timeout):
             stream = await connect(where, timeout)
             if where == address:
-                held.append(stream)
+                late_streams.append(stream)
                 await released.wait()
             return stream
 
-        self.send_heartbeats(first, second)
+        self.send_heartbeats(former_relay, new_relay)
         with unittest.mock.patch.object(relay_client, "connect", connect_late):
-            first.subscriptions[0].close()
-            await until(lambda: held)
-            client.move(second.listen_somewhere())
-            await until(lambda: all(completeness(client)))
+            former_relay.subscriptions[0].close()
+            await until(lambda: late_streams)
+            client.set_address(new_relay.listen_on_free_port())
+            await until(lambda: all(completeness_flags(client)))
             await until(lambda: not client.former_subscriptions)
             released.set()
-            await until(lambda: held[0].closed())
-        self.assertEqual(len(held), 1)
-        self.assertEqual(len(first.subscriptions), 2)  # it subscribed no more
+            await until(lambda: late_streams[0].closed())
+        self.assertEqual(len(late_streams), 1)
+        # The late connection did not subscribe.
+        self.assertEqual(len(former_relay.subscriptions), 2)
         self.assertEqual(len(client.membership.views), 2)
