--- a/indigodeck/__main__.py
+++ b/indigodeck/__main__.py
@@ -1,4 +1,4 @@
-"""Run by `python -m indigodeck`: the same as the command `indigodeck`."""
+"""Runs the `indigodeck` command for `python -m indigodeck`."""
 
 import sys
 
@@ -6,7 +6,7 @@
 def main() -> None:
     """Run the command line, or the planner on the platform without loading the command line."""
     if sys.argv[1:] == ["edge"]:
-        # On the platform memory is short: what the other commands need is not even loaded.
+        # Memory is limited on the platform, so modules of the other commands are not imported.
         from .edge.service import main as run_edge
 
         sys.exit(run_edge())
--- a/indigodeck/assignment/__init__.py
+++ b/indigodeck/assignment/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: which servers serve which class of requests. No I/O, standard library only."""
+"""The assignment logic: which servers serve which class. No I/O, standard library only."""
--- a/indigodeck/assignment/admission.py
+++ b/indigodeck/assignment/admission.py
@@ -1,7 +1,8 @@
-"""Admission control: how much of the demand is admitted, and when proxies may retry.
+"""Admission control: which share of requests is admitted, and when proxies may retry.
 
-`AdmissionController` decides it for servers that share load; `AdmissionLevels` keeps one of these
-for the fleet and one for each zone with zone-bound classes, and turns them into levels of classes.
+`AdmissionController` computes the admitted share for a set of servers that share load.
+`AdmissionLevels` keeps one controller for the whole fleet and one for each zone with zone-bound
+classes, and derives the admission level of each class from them.
 """
 
 from collections import deque
@@ -16,78 +17,89 @@
 from .state import AssignerState
 from .tables import Table
 
-# After any failure, retries would double the work, and take effect twice: so only on proof.
+# Retries after any failure would double the work and could execute a request twice, so a proxy
+# retries only when the first attempt is proven not to have been executed.
 RETRY_POLICY = RetryPolicy.ONCE_IF_NOT_EXECUTED
 
-BUSY = 0.5  # latency over its objective, above which admission is cut
-CALM = 0.4  # below which it is raised
-FULL_FLEET_RATIO = 1.2  # latency over the lowest seen, above which classes are not kept apart
-NO_ANSWER_LATENCY_RATIO = 2.0  # no answer at all is the deepest overload
-SUSTAINABLE_PART = 0.9  # of the rate that servers have shown: a little less, to let queues drain
-RATES_KEPT = 32
+# A latency ratio is a latency divided by the latency objective.
+CUT_LATENCY_RATIO = 0.5  # above it, admission is cut
+RAISE_LATENCY_RATIO = 0.4  # below it, admission is raised
+# Latency over the lowest seen above which classes are no longer kept on separate servers.
+SATURATION_RATIO = 1.2
+NO_ANSWER_LATENCY_RATIO = 2.0  # assumed when no request completes: the deepest overload
+# Of the highest rate that servers have sustained: slightly less, so that queues drain.
+SUSTAINABLE_RATE_FACTOR = 0.9
+COMPLETION_RATES_KEPT = 32
 LATENCY_RATIOS_KEPT = 3
-UNKNOWN_LATENCY_RATIO = 9.0  # before any is seen: above any that matters
-HIGHEST_FAILURE_CUT = 0.15  # of all: cut by all that failed, levels stayed low after an overload
-DEMAND_FLOOR = 0.6  # of the target rate over the demand before: a cut goes no lower
-WORSE_FAILURE_SHARE = 0.15  # above that at the last cut, to cut again before reports can show it
-FAILURE_FACTOR = 4  # how much failures beside higher latencies raise the pressure
-MOST_FAILURE_SHARE = 0.1  # that counts for the pressure
-MOST_EXTRAPOLATED = 0.15  # of the latency ratio
-SLOWER_RATIO = 1.25  # latency over the lowest seen, that is no chance
-NOTABLE_FAILURE_SHARE = 0.02
-HIGH_LATENCY_RATIO = 0.6  # high, whatever the lowest was
-LEAST_RAISE = 1.06  # of the target rate and of the admitted share
-BEYOND_DEMAND_RAISE = 1.15  # of the admitted share, where demand is met already
-MOST_RAISE = 1.5  # of the admitted share
-OVERLOAD_QUANTILE = 0.6  # two of five high latencies tell an overload from a few outliers
-WORSE_ZONE = 1.5  # a zone's latency over the fleet's, to cut the zone while the fleet is cut
-LEAST_ADMITTED_SHARE = 0.1
-MOST_REFUSED_OF_A_CLASS = 0.95
-UNLIMITED_RATE = 1e6  # requests a second for each proxy
-LEAST_RATE = 0.1  # requests a second for each proxy
+UNKNOWN_LATENCY_RATIO = 9.0  # initial lowest ratio, above every ratio that occurs
+# Of the sustainable rate. When cuts subtracted the whole failure share, levels stayed low long
+# after an overload had ended.
+MAX_FAILURE_CUT = 0.15
+DEMAND_FLOOR = 0.6  # a cut admits at least this share of the target rate over the earlier demand
+# Rise of the failure share since the last cut that allows another cut before reports can show the
+# effect of the last one.
+FAILURE_SHARE_RISE = 0.15
+FAILURE_PRESSURE_FACTOR = 4  # weight of failures in the pressure, when latencies rise as well
+MAX_COUNTED_FAILURE_SHARE = 0.1  # a higher failure share adds no more pressure
+MAX_EXTRAPOLATION = 0.15  # of the latency ratio
+SLOWDOWN_RATIO = 1.25  # latency over the lowest seen that is more than random variation
+SIGNIFICANT_FAILURE_SHARE = 0.02
+HIGH_LATENCY_RATIO = 0.6  # high whatever the lowest ratio seen was
+MIN_RAISE = 1.06  # factor on the target rate and on the admitted share
+MAX_RAISE_ABOVE_DEMAND = 1.15  # factor on the admitted share once it covers the demand
+MAX_RAISE = 1.5  # factor on the admitted share
+# If at least two in five samples have a high latency it is an overload, not a few outliers.
+OVERLOAD_QUANTILE = 0.6
+# Latency of a zone over that of the fleet, above which the zone is cut although the fleet is too.
+ZONE_CUT_RATIO = 1.5
+MIN_ADMITTED_SHARE = 0.1
+MAX_REFUSED_CLASS_SHARE = 0.95
+UNLIMITED_RATE = 1e6  # requests per second for each proxy
+MIN_RATE = 0.1  # requests per second for each proxy
 
 
 class LoadMeasurement(NamedTuple):
-    """What reports say of servers that share load.
+    """What load reports say about a set of servers that share load.
 
-    `latency_ratio` is their latency over its objective; `attempted` and `completed` are requests a
-    second; `weight` is what the servers may have of their listed weight.
+    `latency_ratio` is their latency over the latency objective. `attempt_rate` and
+    `completion_rate` are in requests per second. `weight` is the sum of their listed weights, each
+    reduced during slow start.
     """
 
     latency_ratio: float
     failure_share: float
-    attempted: float
-    completed: float
+    attempt_rate: float
+    completion_rate: float
     weight: float
 
 
 class AdmissionController:
-    """How much is admitted to servers that share load.
+    """Controls which share of the demand is admitted to a set of servers that share load.
 
-    Latencies tell: they rise before failures do.
+    The main signal is latency, because it rises before requests fail.
 
     Attributes
     ----------
     admitted_share
-        The part of demand that is admitted, from 0.1 to 1.
+        The share of the demand that is admitted, from 0.1 to 1.
     target_rate
-        The requests a second that the last change aimed at.
+        The rate, in requests per second, that the last change aimed at.
     demand_before_cut
-        The requests a second that came while all were admitted.
+        The request rate while everything was admitted, in requests per second.
     failure_share_at_cut
-        The part of attempts that failed at the last cut; 0 after a raise.
-    lost_share
-        The part of attempts that failed lately.
+        The share of attempts that failed at the last cut; 0 after a raise.
+    overall_failure_share
+        The share of attempts that failed at the last update, over all servers.
     changed_at
-        When the share was changed last, in microseconds.
+        When the admitted share was last changed, in microseconds.
     last_was_cut
-        The last change was a cut.
+        Whether the last change was a cut.
     lowest_latency_ratio
-        The lowest latency over its objective that lasted for some updates.
+        The lowest latency ratio that held for several updates.
     completion_rates
-        Requests completed a second for each unit of weight, of the last updates.
+        Completed requests per second and unit of weight, one entry for each recent update.
     latency_ratios
-        Latencies over their objective, of the last updates.
+        Latency ratios, one for each recent update.
     """
 
     def __init__(self) -> None:
@@ -95,11 +107,11 @@
         self.target_rate = 0.0
         self.demand_before_cut = 0.0
         self.failure_share_at_cut = 0.0
-        self.lost_share = 0.0
+        self.overall_failure_share = 0.0
         self.changed_at = 0
         self.last_was_cut = False
         self.lowest_latency_ratio = UNKNOWN_LATENCY_RATIO
-        self.completion_rates: deque[float] = deque(maxlen=RATES_KEPT)
+        self.completion_rates: deque[float] = deque(maxlen=COMPLETION_RATES_KEPT)
         self.latency_ratios: deque[float] = deque(maxlen=LATENCY_RATIOS_KEPT)
 
     def update(
@@ -110,90 +122,102 @@
         lowest_latency_ratio: float,
         may_cut: bool,
     ) -> bool:
-        """Take in a measurement, and return whether the admitted share has changed.
+        """Process a measurement and return whether the admitted share has changed.
 
-        `lowest_latency_ratio` is the lowest that any controller has seen, `feedback_delay` the
-        microseconds until reports can show a change.
+        `lowest_latency_ratio` is the lowest of all controllers. `feedback_delay` is how many
+        microseconds pass until reports can show the effect of a change.
         """
         latency_ratio = measured.latency_ratio
         before = self.admitted_share
-        self.completion_rates.append(measured.completed / measured.weight)
-        self.lost_share = 1 - measured.completed / measured.attempted
-        sustainable_rate = self.shown_rate() * measured.weight
+        self.completion_rates.append(measured.completion_rate / measured.weight)
+        self.overall_failure_share = 1 - measured.completion_rate / measured.attempt_rate
+        sustainable_rate = self.sustained_rate() * measured.weight
         self.latency_ratios.append(latency_ratio)
         self.lowest_latency_ratio = min(self.lowest_latency_ratio, max(self.latency_ratios))
         pressure = self._pressure(measured, lowest_latency_ratio)
-        if self.admitted_share == 1 and (pressure < CALM or not self.demand_before_cut):
-            self.demand_before_cut = measured.attempted  # later, retries would count as demand
-        # One period ahead: what is ordered now takes effect only then.
-        pressure += min(MOST_EXTRAPOLATED, max(0.0, latency_ratio - self.latency_ratios[0]))
+        if self.admitted_share == 1 and (
+            pressure < RAISE_LATENCY_RATIO or not self.demand_before_cut
+        ):
+            # Only without a cut: once admission is cut, attempts also include retries.
+            self.demand_before_cut = measured.attempt_rate
+        # Extrapolate by one period, because an order given now takes effect only then.
+        pressure += min(MAX_EXTRAPOLATION, max(0.0, latency_ratio - self.latency_ratios[0]))
         settled = now >= self.changed_at + feedback_delay
-        much_worse = measured.failure_share > self.failure_share_at_cut + WORSE_FAILURE_SHARE
+        much_worse = measured.failure_share > self.failure_share_at_cut + FAILURE_SHARE_RISE
         may_raise = self.last_was_cut or now >= self.changed_at + feedback_delay // 2
-        if pressure > BUSY and self._is_slower(measured) and may_cut and (settled or much_worse):
+        if (
+            pressure > CUT_LATENCY_RATIO
+            and self._is_slower(measured)
+            and may_cut
+            and (settled or much_worse)
+        ):
             self._cut(measured, sustainable_rate)
-        elif self.admitted_share < 1 and latency_ratio < CALM and may_raise:
+        elif self.admitted_share < 1 and latency_ratio < RAISE_LATENCY_RATIO and may_raise:
             self._raise(measured, sustainable_rate)
         if self.admitted_share == before:
             return False
         self.changed_at = now
         return True
 
-    def shown_rate(self) -> float:
-        """Return the completions a second for each unit of weight that were surely shown.
+    def sustained_rate(self) -> float:
+        """Return a rate, per second and unit of weight, that the servers have proven to complete.
 
-        The best lately but for two: in an overload less is completed, and levels cut to that would
-        never end it.
+        This is the third highest of the recent rates. The latest rate would be wrong: an
+        overloaded fleet completes less than it can, and cutting admission to that would never end
+        the overload.
         """
         return sorted(self.completion_rates)[-min(3, len(self.completion_rates))]
 
-    def is_full(self) -> bool:
-        """Whether less than all is admitted, or latencies stay well above the lowest."""
+    def is_saturated(self) -> bool:
+        """Return whether admission is cut, or latencies stay well above the lowest seen."""
         return self.admitted_share < 1 or (
             len(self.latency_ratios) > 2
-            and min(self.latency_ratios) > FULL_FLEET_RATIO * self.lowest_latency_ratio
+            and min(self.latency_ratios) > SATURATION_RATIO * self.lowest_latency_ratio
         )
 
     def _pressure(self, measured: LoadMeasurement, lowest_latency_ratio: float) -> float:
-        # Failures tell of overload only beside higher latencies: clients that cancel early, and
-        # servers that fail quickly, leave the latencies of the rest as they are.
+        # Failures indicate overload only together with higher latencies: clients that cancel early
+        # and servers that fail quickly do not slow down the remaining requests.
         lowest = min(lowest_latency_ratio, self.lowest_latency_ratio)
         slowdown = min(1.0, max(0.0, measured.latency_ratio / lowest - 1))
-        failures = FAILURE_FACTOR * min(measured.failure_share, MOST_FAILURE_SHARE)
+        failures = FAILURE_PRESSURE_FACTOR * min(measured.failure_share, MAX_COUNTED_FAILURE_SHARE)
         return measured.latency_ratio + failures * slowdown
 
     def _is_slower(self, measured: LoadMeasurement) -> bool:
         return (
-            measured.latency_ratio > SLOWER_RATIO * self.lowest_latency_ratio
-            or measured.failure_share > NOTABLE_FAILURE_SHARE
+            measured.latency_ratio > SLOWDOWN_RATIO * self.lowest_latency_ratio
+            or measured.failure_share > SIGNIFICANT_FAILURE_SHARE
             or measured.latency_ratio > HIGH_LATENCY_RATIO
         )
 
     def _cut(self, measured: LoadMeasurement, sustainable_rate: float) -> None:
-        part = SUSTAINABLE_PART - min(HIGHEST_FAILURE_CUT, measured.failure_share)
-        self.target_rate = part * sustainable_rate
+        factor = SUSTAINABLE_RATE_FACTOR - min(MAX_FAILURE_CUT, measured.failure_share)
+        self.target_rate = factor * sustainable_rate
         self.failure_share_at_cut = measured.failure_share
         self.last_was_cut = True
         share = max(
-            self.admitted_share * self.target_rate / measured.attempted,
+            self.admitted_share * self.target_rate / measured.attempt_rate,
             DEMAND_FLOOR * self.target_rate / self.demand_before_cut,
         )
-        self.admitted_share = max(LEAST_ADMITTED_SHARE, min(self.admitted_share, share))
+        self.admitted_share = max(MIN_ADMITTED_SHARE, min(self.admitted_share, share))
 
     def _raise(self, measured: LoadMeasurement, sustainable_rate: float) -> None:
-        # A step, no further than demand: while proxies recover few accept, and twice the rate is
-        # too much for these.
-        self.target_rate = max(self.target_rate * LEAST_RAISE, SUSTAINABLE_PART * sustainable_rate)
+        # Raise in limited steps and not beyond the demand: while proxies recover, only few servers
+        # accept requests, and twice the rate would be too much for these.
+        self.target_rate = max(
+            self.target_rate * MIN_RAISE, SUSTAINABLE_RATE_FACTOR * sustainable_rate
+        )
         self.failure_share_at_cut = 0.0
         self.last_was_cut = False
         share = min(
-            self.admitted_share * self.target_rate / measured.attempted,
+            self.admitted_share * self.target_rate / measured.attempt_rate,
             max(
-                self.admitted_share * BEYOND_DEMAND_RAISE, self.target_rate / self.demand_before_cut
+                self.admitted_share * MAX_RAISE_ABOVE_DEMAND,
+                self.target_rate / self.demand_before_cut,
             ),
         )
-        share = max(self.admitted_share * LEAST_RAISE, share)
-        self.admitted_share = min(1.0, MOST_RAISE * self.admitted_share, share)
+        share = max(self.admitted_share * MIN_RAISE, share)
+        self.admitted_share = min(1.0, MAX_RAISE * self.admitted_share, share)
 
 
 class AdmissionLevels:
@@ -202,11 +226,11 @@
     Attributes
     ----------
     controllers
-        By zone; None is the fleet's.
+        The controllers by zone; the one for the whole fleet is under None.
     class_levels
-        The part of each class that the fleet's controller admits.
+        The share of each class's requests that the controller of the fleet admits.
     demand_shares
-        The part of each class in demand, while all was admitted.
+        The share of each class in the demand, measured while everything was admitted.
     """
 
     def __init__(self, state: AssignerState) -> None:
@@ -221,26 +245,29 @@
         self.demand_shares = dict.fromkeys(class_order, 1 / len(class_order))
 
     def level(self, table: Table) -> float:
-        """Return the part of a table's demand that is admitted."""
+        """Return the share of a table's demand that is admitted."""
         level = self.class_levels[table.class_index]
         if table.zone_bound:
             return level * self.controllers[table.zone].admitted_share
         return level
 
     def admitted_rate(self, table: Table, rates: Mapping[int, float]) -> float:
-        """Return the requests a second that a table's servers get, of the rates by table number."""
+        """Return the admitted requests per second of a table; `rates` is demand by table number."""
         return self.level(table) * rates[table.number]
 
-    def stated_level(self, table: Table, level: float) -> float:
-        """Return a level as the deployment's proxies understand it: a share, or a rate for each."""
+    def proxy_level(self, table: Table, level: float) -> float:
+        """Convert a level to what the proxies expect: a share, or a request rate for each proxy."""
         if self.state.settings.admission_mode != AdmissionMode.RATE:
             return level
         rates = self.state.proxies.table_rates(self.state.host.now())
         rate = self.admitted_rate(table, rates) * level / self.level(table)
-        return UNLIMITED_RATE if level >= 1 else max(LEAST_RATE, rate / max(1, len(table.proxies)))
+        return UNLIMITED_RATE if level >= 1 else max(MIN_RATE, rate / max(1, len(table.proxies)))
 
     def record_demand(self, rates: Mapping[int, float]) -> None:
-        """Take in the rates by table number; while less than all is admitted they hold retries."""
+        """Update the demand shares from rates by table number.
+
+        Rates are ignored while admission is cut, because they include retries then.
+        """
         total = sum(rates.values())
         if self.fleet.admitted_share != 1 or not total:
             return
@@ -255,7 +282,7 @@
         }
 
     def update(self, summary: ReportSummary) -> None:
-        """Let all controllers take in the reports of one evaluation."""
+        """Update all controllers from the reports of one evaluation."""
         for zone, controller in self.controllers.items():
             self._update_controller(zone, controller, summary)
 
@@ -266,21 +293,23 @@
         failure_shares = [
             share for index, share in summary.failure_shares.items() if index in ready
         ]
-        attempted, completed = self._request_rates(ready)
+        attempt_rate, completion_rate = self._request_rates(ready)
         weight = sum(
             server.weight * warm_up_factor(self.state, server) for server in ready.values()
         )
-        # Without proxies nothing is admitted: cut by what other planners' proxies bring, levels
-        # would refuse those who join later.
-        if not (weight and attempted and failure_shares and self.state.proxies.joined()):
+        # Without joined proxies this planner admits nothing. Cutting its levels because of load
+        # from the proxies of other planners would refuse requests of proxies that join later.
+        if not (weight and attempt_rate and failure_shares and self.state.proxies.joined()):
             return
         samples = [sample for sample in summary.samples if sample.server in ready]
-        current = self._begun_after_last_change(controller, samples)
+        current = self._samples_after_last_change(controller, samples)
         enough_current = 2 * len(current) >= len(samples)
         latency_ratio = NO_ANSWER_LATENCY_RATIO
         if samples:
-            told = current if enough_current else samples
-            latency_ratio = weighted_quantile(OVERLOAD_QUANTILE, told) / summary.latency_objective
+            considered = current if enough_current else samples
+            latency_ratio = (
+                weighted_quantile(OVERLOAD_QUANTILE, considered) / summary.latency_objective
+            )
         may_cut = (enough_current or controller.admitted_share == 1) and (
             zone is None
             or 2 * len(failure_shares) >= len(ready)
@@ -288,48 +317,51 @@
         )
         lowest = min(other.lowest_latency_ratio for other in self.controllers.values())
         measured = LoadMeasurement(
-            latency_ratio, median(failure_shares), attempted, completed, weight
+            latency_ratio, median(failure_shares), attempt_rate, completion_rate, weight
         )
         now = self.state.host.now()
         if controller.update(now, self.state.feedback_delay(), measured, lowest, may_cut):
-            self._shed_cheapest_first()
+            self._shed_lowest_priority_first()
             self.state.host.log(
                 f"admission_changed zone={zone} admitted_share={controller.admitted_share:.2f}"
-                f" latency_ratio={latency_ratio:.2f} attempts_per_second={attempted:.0f}"
+                f" latency_ratio={latency_ratio:.2f} attempts_per_second={attempt_rate:.0f}"
             )
 
     def _request_rates(self, ready: dict[int, Server]) -> tuple[float, float]:
         now = self.state.host.now()
         period = self.state.settings.report_period
         rates = [self.state.health[index].request_rates(now, period) for index in ready]
-        return sum(attempted for attempted, _ in rates), sum(completed for _, completed in rates)
+        return sum(attempt_rate for attempt_rate, _ in rates), sum(
+            completion_rate for _, completion_rate in rates
+        )
 
-    def _begun_after_last_change(
+    def _samples_after_last_change(
         self, controller: AdmissionController, samples: list[LatencySample]
     ) -> list[LatencySample]:
-        # Reports begun before the last change arrived tell of the time before it: levels that were
-        # cut by them fell twice.
+        # A report whose period began before the last change reached the proxies describes the time
+        # before that change. Using such reports cut levels twice for the same overload.
         arrived_at = (
             controller.changed_at
             + self.state.settings.channel.max_delivery_delay
             + self.state.channel.lateness(self.state.host.now())
         )
-        return [sample for sample in samples if sample.begun_at > arrived_at]
+        return [sample for sample in samples if sample.started_at > arrived_at]
 
     def _may_cut_zone(self, latency_ratio: float, fleet_latency_ratio: float) -> bool:
-        # In an overload the fleet's controller decides, unless a zone is far worse.
+        # While the fleet is cut its controller decides, unless a zone is far worse than the fleet.
         return self.fleet.admitted_share == 1 or (
-            fleet_latency_ratio < BUSY and latency_ratio > WORSE_ZONE * fleet_latency_ratio
+            fleet_latency_ratio < CUT_LATENCY_RATIO
+            and latency_ratio > ZONE_CUT_RATIO * fleet_latency_ratio
         )
 
-    def _shed_cheapest_first(self) -> None:
-        """Refuse what the fleet does not admit, of the lowest priority weight first."""
+    def _shed_lowest_priority_first(self) -> None:
+        """Refuse what exceeds the fleet's admitted share, lowest priority weight first."""
         classes = self.state.settings.classes
-        to_refuse = 1 - self.fleet.admitted_share
+        remaining_refusal = 1 - self.fleet.admitted_share
         for class_index in sorted(
             self.state.class_order, key=lambda index: (classes[index].priority_weight, index)
         ):
             share = self.demand_shares[class_index]
-            refused = min(to_refuse, share * MOST_REFUSED_OF_A_CLASS)
-            to_refuse -= refused
+            refused = min(remaining_refusal, share * MAX_REFUSED_CLASS_SHARE)
+            remaining_refusal -= refused
             self.class_levels[class_index] = 1 - refused / share if share else 1.0
--- a/indigodeck/assignment/channel_account.py
+++ b/indigodeck/assignment/channel_account.py
@@ -1,4 +1,4 @@
-"""The channel to the proxies: what waits in it, how late it is, who was written to."""
+"""Accounting of the channel to the proxies: queued lines, lateness, and messages to each proxy."""
 
 from collections.abc import Set
 from typing import NamedTuple
@@ -7,36 +7,38 @@
 from ..settings import DeploymentSettings
 from .demand import Proxy, ProxyRegistry
 
-HIGHEST_ACK_NUMBER = 65535  # then they start again from 1
-PENDING_ACKS_KEPT = 256  # older requests are given up: their proxies have left
-SLOWEST_PACE = 0.05  # of the stated lines a second; a wrong acknowledgement must not stop all
+MAX_ACK_NUMBER = 65535  # the next number after it is 1
+MAX_PENDING_ACKS = 256  # older requests are dropped: their proxies have left
+# Of the configured lines per second; a wrong acknowledgement must not stop all deliveries.
+MIN_THROUGHPUT_RATIO = 0.05
 
 
 class PendingAck(NamedTuple):
-    """A request for acknowledgement that waits for its first answer.
+    """A request for acknowledgement that has not been answered yet.
 
-    Orders up to it should take at most `promised` microseconds; `lines_ordered` is the sum of all
-    lines ordered until then.
+    The orders before it should be delivered within `expected_delay` microseconds. `lines_ordered`
+    is the total of all lines ordered up to the request.
     """
 
     ordered_at: int
-    promised: float
+    expected_delay: float
     lines_ordered: float
 
 
 class ChannelAccount:
-    """The planner's own account of one channel, kept up from orders and acknowledgements.
+    """The planner's estimate of the state of one channel, from its orders and acknowledgements.
 
-    `pace` is the part of the stated lines a second that the channel shows. `reached` holds the
-    proxies that the orders of the present call go to: a further line to them starts no message.
-    A request that nobody answers counts for `give_up_after` microseconds.
+    `throughput_ratio` is the measured throughput over the configured lines per second.
+    `call_recipients` are the proxies that already receive orders of the current call: further lines
+    to them go into the same message. An unanswered request for acknowledgement is taken into
+    account for `ack_timeout` microseconds.
     """
 
-    def __init__(self, settings: DeploymentSettings, now: int, give_up_after: int) -> None:
+    def __init__(self, settings: DeploymentSettings, now: int, ack_timeout: int) -> None:
         self.settings = settings
-        self.give_up_after = give_up_after
-        self.pace = 1.0
-        self.reached: set[int] = set()
+        self.ack_timeout = ack_timeout
+        self.throughput_ratio = 1.0
+        self.call_recipients: set[int] = set()
         self.pending_acks: dict[int, PendingAck] = {}
         self.last_ack_number = 0
         self.lines_waiting = 0.0
@@ -47,12 +49,12 @@
         self.last_ack_at = now
 
     def queued_lines(self, now: int) -> float:
-        """Return the lines that wait, by the pace shown.
+        """Return the number of lines waiting in the channel, estimated from its throughput.
 
-        While acknowledgements are overdue, these are all lines that none has accounted for.
+        While acknowledgements are overdue, every line that is not acknowledged counts as waiting.
         """
-        stated_rate = self.settings.channel.lines_per_second
-        sent = (now - self.lines_waiting_at) * stated_rate * self.pace / SECOND
+        configured_rate = self.settings.channel.lines_per_second
+        sent = (now - self.lines_waiting_at) * configured_rate * self.throughput_ratio / SECOND
         self.lines_waiting = max(0.0, self.lines_waiting - sent)
         self.lines_waiting_at = now
         if self.lateness(now) > self.settings.channel.max_delivery_delay:
@@ -60,40 +62,40 @@
         return self.lines_waiting
 
     def lateness(self, now: int) -> float:
-        """Return how many microseconds longer than promised orders take.
+        """Return by how many microseconds orders exceed their expected delay.
 
-        Told by the last acknowledgement and by requests that still wait for one.
+        The estimate uses the last acknowledgement and the requests that are still unanswered.
         """
-        waits = (
-            now - pending.ordered_at - pending.promised
+        overdue_times = (
+            now - pending.ordered_at - pending.expected_delay
             for pending in self.pending_acks.values()
-            if now - pending.ordered_at < self.give_up_after
+            if now - pending.ordered_at < self.ack_timeout
         )
-        return max(0, self.last_lateness - (now - self.last_ack_at), *waits)
+        return max(0, self.last_lateness - (now - self.last_ack_at), *overdue_times)
 
     def cost(self, proxies: Set[int], lines: int) -> float:
-        """Return what so many lines to each proxy cost, with the overhead of new messages."""
+        """Return the cost, in lines, of `lines` to each proxy including new messages' overhead."""
         return (
             len(proxies) * lines
-            + len(proxies - self.reached) * self.settings.channel.message_overhead_lines
+            + len(proxies - self.call_recipients) * self.settings.channel.message_overhead_lines
         )
 
     def record_orders(
         self, registry: ProxyRegistry, proxies: Set[int], lines: int, now: int
     ) -> None:
-        """Enter so many lines ordered to each of the proxies."""
+        """Record that `lines` have been ordered to each of the proxies."""
         self.queued_lines(now)
         cost = self.cost(proxies, lines)
         self.lines_waiting += cost
         self.lines_ordered += cost
-        for number in proxies - self.reached:
+        for number in proxies - self.call_recipients:
             registry[number].message_times.append(now)
-        self.reached |= proxies
+        self.call_recipients |= proxies
 
-    def messages_written(self, proxy: Proxy, now: int) -> int:
-        """Return how many messages a proxy was written within the window they are counted over.
+    def recent_message_count(self, proxy: Proxy, now: int) -> int:
+        """Return how many messages were sent to a proxy within the limit's time window.
 
-        One that is under way in this call may not be among them.
+        The message of the current call is not counted until an order to the proxy is recorded.
         """
         window_start = now - self.settings.channel.message_window
         while proxy.message_times and proxy.message_times[0] < window_start:
@@ -101,30 +103,33 @@
         return len(proxy.message_times)
 
     def new_ack_request(self, now: int) -> int:
-        """Enter a request to acknowledge all orders until now, and return its number."""
-        self.last_ack_number = self.last_ack_number % HIGHEST_ACK_NUMBER + 1
-        promised = (
+        """Register a request to acknowledge all orders so far, and return its number."""
+        self.last_ack_number = self.last_ack_number % MAX_ACK_NUMBER + 1
+        expected_delay = (
             self.lines_waiting / self.settings.channel.lines_per_second * SECOND
             + self.settings.channel.max_delivery_delay
         )
-        self.pending_acks[self.last_ack_number] = PendingAck(now, promised, self.lines_ordered)
-        oldest = self.last_ack_number + HIGHEST_ACK_NUMBER - PENDING_ACKS_KEPT
-        self.pending_acks.pop(oldest % (HIGHEST_ACK_NUMBER + 1), None)
+        self.pending_acks[self.last_ack_number] = PendingAck(
+            now, expected_delay, self.lines_ordered
+        )
+        oldest = self.last_ack_number + MAX_ACK_NUMBER - MAX_PENDING_ACKS
+        self.pending_acks.pop(oldest % (MAX_ACK_NUMBER + 1), None)
         return self.last_ack_number
 
-    def on_ack(self, number: int, took: int, now: int) -> None:
-        """Take in an acknowledgement that came `took` microseconds after its orders.
+    def on_ack(self, number: int, delay: int, now: int) -> None:
+        """Process an acknowledgement, sent `delay` microseconds after its orders.
 
-        The first for a request tells what has left; those after it add the proxies' own stalls.
+        Only the first answer to a request counts: it shows how far the channel has delivered, while
+        later ones also contain stalls of individual proxies.
         """
         if number not in self.pending_acks:
             return
-        _, promised, self.lines_delivered = self.pending_acks[number]
+        _, expected_delay, self.lines_delivered = self.pending_acks[number]
         self.pending_acks = {
             other: pending
             for other, pending in self.pending_acks.items()
             if pending.lines_ordered > self.lines_delivered
         }
-        self.last_lateness = took - promised
+        self.last_lateness = delay - expected_delay
         self.last_ack_at = now
-        self.pace = max(SLOWEST_PACE, min(1.0, promised / max(took, 1)))
+        self.throughput_ratio = max(MIN_THROUGHPUT_RATIO, min(1.0, expected_delay / max(delay, 1)))
--- a/indigodeck/assignment/delivery.py
+++ b/indigodeck/assignment/delivery.py
@@ -1,7 +1,8 @@
-"""Delivery: what proxies are written, and when, within the limits of the channel.
+"""Delivery: which orders are sent to proxies, and when, within the limits of the channel.
 
-Ejections and what the rules need come first, then the largest changes, as many as the channel
-takes; joined proxies are assigned their tables as there is room.
+Ejections and changes that the deployment's rules require are sent first, then the largest other
+changes, as many as the channel can take. Joined proxies are assigned their tables when the channel
+has room.
 """
 
 from collections.abc import Iterable, Iterator
@@ -9,78 +10,84 @@
 
 from .admission import RETRY_POLICY, AdmissionLevels
 from .interface import Server
-from .server_health import LONGEST_EJECTION
-from .state import REMEMBER_DEPARTED, TURN, AssignerState
+from .server_health import MAX_EJECTION_TIME
+from .state import DEPARTED_RETENTION, TICK_INTERVAL, AssignerState
 from .tables import Table
 
-QUEUE_SHARE = 0.45  # of the lines that may wait in the channel, which this planner may fill
-TURN_SECONDS = 0.25  # seconds of the channel that ordinary lines of one turn may take
-WEIGHT_CHANGE = 0.1  # of the larger weight; smaller changes are not written
-LEVEL_CHANGE = 0.03
-WEIGHT_DIGITS = 4
-LEVEL = -1  # in place of a server, in a change of a table's level
-LEVEL_SIZE = 9e9  # as a size of change: a level goes before all weights
-# Messages to each proxy that are left for more urgent orders, beside the one that is written.
-SPARE_AFTER_EJECTION = 1
-SPARE_AFTER_URGENT = 3
-SPARE_AFTER_ORDINARY = 5
+MAX_QUEUE_SHARE = 0.45  # of the channel's queue capacity, which this planner may fill
+# Deferrable changes are sent only while the queue, with them, takes at most this long to deliver.
+DEFERRABLE_QUEUE_SECONDS = 0.25
+MIN_WEIGHT_CHANGE = 0.1  # of the larger weight; smaller changes are not sent
+MIN_LEVEL_CHANGE = 0.03
+WEIGHT_DECIMALS = 4
+LEVEL_ENTRY = -1  # stands in for the server in a change of a table's level
+LEVEL_CHANGE_SIZE = 9e9  # sorts a change of level before all changes of weight
+# Messages to each proxy that stay available for more urgent orders after the one being sent.
+RESERVE_AFTER_EJECTION = 1
+RESERVE_AFTER_URGENT = 3
+RESERVE_AFTER_DEFERRABLE = 5
 
 
 class TableChange(NamedTuple):
-    """A line to write; its first four fields give the order of writing."""
+    """A table line to send; changes are sent in the order of the first four fields."""
 
-    ordinary: bool  # no rule needs it: it may wait
+    deferrable: bool  # no rule requires it, so it may wait
     negative_size: float
     table_number: int
-    server: int  # or LEVEL
+    server: int  # or LEVEL_ENTRY
     value: float
     table: Table
 
 
 class Delivery:
-    """Writes orders to proxies, and keeps to the limits of the channel and of messages.
+    """Sends orders to proxies within the limits on the channel's queue and on messages per proxy.
 
-    `joining` are proxies that wait for their tables; until then they hold older ones.
+    `joining` are proxies that wait for their tables; until then they may hold older tables.
     """
 
     def __init__(self, state: AssignerState, admission: AdmissionLevels) -> None:
         self.state = state
         self.admission = admission
         self.joining: list[int] = []
-        self.published_at = -LONGEST_EJECTION
+        self.published_at = -MAX_EJECTION_TIME
 
     def begin_call(self) -> None:
-        """Start the orders of one call; the first line to each proxy starts a message."""
-        self.state.channel.reached = set()
+        """Start the orders of one call; the first line to each proxy starts a new message."""
+        self.state.channel.call_recipients = set()
 
     def end_call(self) -> None:
-        """Ask the proxies that this call's orders reach for an acknowledgement."""
+        """Request an acknowledgement from the proxies that received orders in this call."""
         channel = self.state.channel
-        if channel.reached:
-            channel.record_orders(self.state.proxies, channel.reached, 1, self.state.host.now())
+        if channel.call_recipients:
+            channel.record_orders(
+                self.state.proxies, channel.call_recipients, 1, self.state.host.now()
+            )
             number = channel.new_ack_request(self.state.host.now())
             self.state.host.request_ack(number, False)
 
     def publish(self) -> None:
-        """Write ejections and the changes of tables, as the channel allows."""
+        """Send ejections and table changes, as far as the limits allow."""
         now = self.state.host.now()
         ready = self.state.ready_servers()
         ejections_written = self.update_ejections(ready)
         changes = list(self._changes(ready, now))
-        urgent = ejections_written or any(not change.ordinary for change in changes)
-        if changes and now - self.published_at < self._least_gap(urgent, ejections_written):
+        urgent = ejections_written or any(not change.deferrable for change in changes)
+        if changes and now - self.published_at < self._min_publish_interval(
+            urgent, ejections_written
+        ):
             return
         for change in sorted(changes, key=lambda change: change[:4]):
             if self._has_room(change, now):
                 self._write(change, now)
-        if self.state.channel.reached:
+        if self.state.channel.call_recipients:
             self.published_at = now
 
     def update_ejections(self, ready: dict[int, Server]) -> bool:
-        """Order proxies off servers that are not ready, and back to those that are again.
+        """Eject servers that are not ready and uneject those that are ready again.
 
-        Returns whether any such order was written. Those that hold a server, or may, are written
-        to; a proxy that can't be written holds back the ejections from its own tables alone.
+        Returns whether any order was sent. The orders go to proxies that hold the server in a
+        table, or may hold it. A proxy at its message limit delays only the ejections that concern
+        its own tables.
         """
         state = self.state
         joined = state.proxies.joined()
@@ -92,7 +99,7 @@
             holders = joined.intersection(self.joining).union(
                 *(table.proxies for table in state.tables if server in table.published_weights)
             )
-            if not self._may_write(holders, SPARE_AFTER_EJECTION):
+            if not self._within_message_limit(holders, RESERVE_AFTER_EJECTION):
                 continue
             if server in ready:
                 state.host.uneject_server(server)
@@ -105,14 +112,16 @@
         return written
 
     def assign_joining(self) -> None:
-        """Put joined proxies on their tables as the channel has room, the busiest first."""
+        """Assign joined proxies their tables while the channel has room, highest rate first."""
         state = self.state
         now = state.host.now()
         channel = state.channel
         limit = self.queue_limit()
         waiting = {proxy for proxy in self.joining if state.proxies[proxy].joined}
-        left: list[int] = []
-        for proxy in sorted(waiting, key=lambda proxy: (-state.proxies[proxy].stated_rate, proxy)):
+        still_waiting: list[int] = []
+        for proxy in sorted(
+            waiting, key=lambda proxy: (-state.proxies[proxy].declared_rate, proxy)
+        ):
             tables = state.proxies.tables_of(proxy)
             lines = sum(
                 2
@@ -121,42 +130,44 @@
                 for table in tables
             )
             queued = channel.queued_lines(now)
-            if left or queued and queued + channel.cost({proxy}, lines) > limit:
-                left.append(proxy)
+            if still_waiting or queued and queued + channel.cost({proxy}, lines) > limit:
+                still_waiting.append(proxy)
                 continue
             for table in tables:
                 table.proxies.add(proxy)
                 state.host.assign_table(proxy, table.number, [table.class_index])
             channel.record_orders(state.proxies, {proxy}, lines, now)
-        self.joining = left
+        self.joining = still_waiting
 
     def forget_departed(self, now: int) -> None:
-        """Forget ejected servers that were gone for long.
+        """Forget ejected servers that have been gone for a while.
 
-        No table names them any more, and no late report can: a planner that runs for long keeps
-        nothing of them.
+        No table names them any more and no late report can, so that the state of a long-running
+        planner does not grow with every server that ever existed.
         """
         if self.joining:
             return
         state = self.state
         for server in sorted(state.ejected - state.servers.keys()):
-            long_gone = now - state.health[server].next_check_at > REMEMBER_DEPARTED
+            long_gone = now - state.health[server].next_check_at > DEPARTED_RETENTION
             if long_gone and not any(server in table.published_weights for table in state.tables):
                 state.ejected.remove(server)
                 del state.health[server]
                 state.host.forget_server(server)
 
     def queue_limit(self) -> float:
-        """Return how many lines this planner lets wait in the channel."""
-        return self.state.settings.channel.max_waiting_lines * QUEUE_SHARE
+        """Return how many lines this planner may queue in the channel."""
+        return self.state.settings.channel.max_waiting_lines * MAX_QUEUE_SHARE
 
     def _changes(self, ready: dict[int, Server], now: int) -> Iterator[TableChange]:
         for table in self.state.tables:
             yield from self._weight_changes(table, ready, now)
             level = min(table.cold_level, self.admission.level(table))
             if _level_differs(level, table.published_level):
-                ordinary = level >= (table.published_level or 0)
-                yield TableChange(ordinary, -LEVEL_SIZE, table.number, LEVEL, level, table)
+                deferrable = level >= (table.published_level or 0)
+                yield TableChange(
+                    deferrable, -LEVEL_CHANGE_SIZE, table.number, LEVEL_ENTRY, level, table
+                )
 
     def _weight_changes(
         self, table: Table, ready: dict[int, Server], now: int
@@ -166,43 +177,43 @@
         target = table.target_weights
         for server in published.keys() | target.keys():
             old = published.get(server, 0.0)
-            new = round(target.get(server, 0.0), WEIGHT_DIGITS)
-            if abs(new - old) <= WEIGHT_CHANGE * max(new, old):
+            new = round(target.get(server, 0.0), WEIGHT_DECIMALS)
+            if abs(new - old) <= MIN_WEIGHT_CHANGE * max(new, old):
                 continue
             cold = server in ready and now - ready[server].started < warm_up_time
-            ordinary = server in ready and not (cold and new < old)
-            yield TableChange(ordinary, -abs(new - old), table.number, server, new, table)
+            deferrable = server in ready and not (cold and new < old)
+            yield TableChange(deferrable, -abs(new - old), table.number, server, new, table)
 
-    def _least_gap(self, urgent: bool, ejections_written: bool) -> int:
-        """Return the least microseconds between two publications.
+    def _min_publish_interval(self, urgent: bool, ejections_written: bool) -> int:
+        """Return the minimum number of microseconds between two publications.
 
-        Weights of cold servers and levels move with each join: written at once, they spent the
-        messages that an ejection needed then.
+        Levels and the weights of cold servers change with every proxy that joins. Sending each
+        change at once used up the messages that were needed for a following ejection.
         """
         channel = self.state.settings.channel
-        gap = 0
+        interval = 0
         if channel.max_messages and not ejections_written:
-            gap = channel.message_window // channel.max_messages
-        return gap if urgent else max(TURN, 2 * gap)
+            interval = channel.message_window // channel.max_messages
+        return interval if urgent else max(TICK_INTERVAL, 2 * interval)
 
     def _has_room(self, change: TableChange, now: int) -> bool:
         proxies = change.table.proxies
         channel = self.state.channel
         room = self.queue_limit()
-        spare = SPARE_AFTER_URGENT
-        if change.ordinary:
+        reserve = RESERVE_AFTER_URGENT
+        if change.deferrable:
             lines_per_second = self.state.settings.channel.lines_per_second
-            room = min(room, lines_per_second * channel.pace * TURN_SECONDS)
-            spare = SPARE_AFTER_ORDINARY
+            room = min(room, lines_per_second * channel.throughput_ratio * DEFERRABLE_QUEUE_SECONDS)
+            reserve = RESERVE_AFTER_DEFERRABLE
         queued = channel.queued_lines(now) + channel.cost(proxies, 1)
-        return not proxies or queued <= room and self._may_write(proxies, spare)
+        return not proxies or queued <= room and self._within_message_limit(proxies, reserve)
 
     def _write(self, change: TableChange, now: int) -> None:
         table = change.table
         self.state.channel.record_orders(self.state.proxies, table.proxies, 1, now)
-        if change.server == LEVEL:
+        if change.server == LEVEL_ENTRY:
             table.published_level = change.value
-            level = self.admission.stated_level(table, change.value)
+            level = self.admission.proxy_level(table, change.value)
             self.state.host.set_admission(table.number, [table.class_index], level, RETRY_POLICY)
             return
         self.state.host.set_weight(table.number, change.server, change.value)
@@ -210,19 +221,19 @@
         if not change.value:
             del table.published_weights[change.server]
 
-    def _may_write(self, proxies: Iterable[int], spare: int) -> bool:
-        """Whether a message, and so many more, keep below what each proxy may be written."""
-        most = self.state.settings.channel.max_messages
+    def _within_message_limit(self, proxies: Iterable[int], reserve: int) -> bool:
+        """Return whether a message to each proxy leaves `reserve` more below the message limit."""
+        max_messages = self.state.settings.channel.max_messages
         now = self.state.host.now()
         channel = self.state.channel
-        return not most or all(
-            channel.messages_written(self.state.proxies[proxy], now) + spare < most
+        return not max_messages or all(
+            channel.recent_message_count(self.state.proxies[proxy], now) + reserve < max_messages
             for proxy in proxies
-            if proxy not in channel.reached
+            if proxy not in channel.call_recipients
         )
 
 
 def _level_differs(level: float, published: float | None) -> bool:
-    if published is None or abs(level - published) > LEVEL_CHANGE:
+    if published is None or abs(level - published) > MIN_LEVEL_CHANGE:
         return True
     return level == 1.0 and published != 1.0
--- a/indigodeck/assignment/interface.py
+++ b/indigodeck/assignment/interface.py
@@ -1,9 +1,9 @@
 """The interface between the assigner and the program that hosts it, and the types they share.
 
-The assigner is a sans-I/O core: its host calls the `on_...` methods for events, and the assigner
-answers by calling the methods of `AssignerHost`. Times are whole microseconds. Servers, proxies,
+The assigner performs no I/O: the host calls its `on_...` methods for events, and the assigner
+responds by calling the methods of `AssignerHost`. Times are whole microseconds. Servers, proxies,
 classes, zones and machine types are small indices to which the host maps its own ids. A table is
-a number that the assigner chooses.
+identified by a number that the assigner chooses.
 """
 
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 class ServerState(StrEnum):
-    """What the endpoint list says of a server."""
+    """The state of a server in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -20,29 +20,29 @@
 
 
 class UpdateKind(StrEnum):
-    """How an endpoint update relates to what was known before."""
+    """What the servers in an endpoint update are."""
 
-    FULL = "whole"  # all servers there are
-    INCREMENTAL = "changes"  # only those that changed
-    CACHED = "cached"  # all that were known before this planner started
+    FULL = "whole"  # all servers
+    INCREMENTAL = "changes"  # only the servers that changed
+    CACHED = "cached"  # all servers that were known before this planner started
 
 
 class HealthCheckOutcome(StrEnum):
-    """How a health check ended."""
+    """The result of a health check."""
 
     OK = "ok"
     ERROR = "error"
-    OVERLOADED = "full"  # the server refused it, for it is at its limit
-    TIMED_OUT = "silent"  # no answer in time
+    OVERLOADED = "full"  # the server refused the check because it is at its limit
+    TIMED_OUT = "silent"  # no response in time
     UNREACHABLE = "unreachable"
-    CONNECTION_LOST = "broken"  # the connection ended before the answer
+    CONNECTION_LOST = "broken"  # the connection ended before the response
 
 
 class RetryPolicy(IntEnum):
-    """When a proxy may send a request again, to another server."""
+    """When a proxy may retry a request, on another server."""
 
     NEVER = 0
-    ONCE_IF_NOT_EXECUTED = 1  # after proof that the first attempt was never executed
+    ONCE_IF_NOT_EXECUTED = 1  # if the first attempt is proven not to have been executed
     ONCE = 2  # after any failure
     TWICE = 3  # after any failure
 
@@ -50,11 +50,11 @@
 class Server(NamedTuple):
     """One entry of the endpoint list.
 
-    `stable_id` is the id as the host knows it, used only to sort and to seed by. `started` is when
-    its process started, on the host's clock; 0 means long ago.
+    `stable_id` is the host's own id of the server, used only for sorting and as a random seed.
+    `started` is when its process started, on the host's clock; 0 means long ago.
     """
 
-    index: int  # type: ignore[assignment]  # hides tuple.index, which no entry needs
+    index: int  # type: ignore[assignment]  # hides tuple.index, which is not needed here
     stable_id: bytes
     cell: int
     machine_type: int
@@ -65,10 +65,10 @@
 
 
 class LoadReport(NamedTuple):
-    """What the proxies of a zone met at one server over `span`.
+    """What the proxies of a zone measured at one server over the last `span` microseconds.
 
-    `mean_latency` is of the attempts that did not fail; `load` is the server's own load report
-    where the host has one.
+    `mean_latency` is that of the attempts that did not fail. `load` is the server's own load
+    report, if the host has one.
     """
 
     zone: int
@@ -81,7 +81,7 @@
 
 
 class DemandReport(NamedTuple):
-    """The requests of one class that came to one proxy over `span`, and how many of them failed."""
+    """The requests of one class that a proxy received over `span`, and how many of them failed."""
 
     proxy: int
     class_index: int
@@ -91,51 +91,57 @@
 
 
 class AssignerHost(Protocol):
-    """What the assigner may do. Orders given while one call lasts may travel together."""
+    """The operations available to the assigner.
+
+    The host may send the orders given during one call to the assigner in one message.
+    """
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back."""
+        """Return the time of a clock that never goes back."""
 
     def start_timer(self, delay: int, token: int) -> None:
         """Call `on_timer(token)` after `delay`, never from within this call."""
 
     def set_weight(self, table: int, server: int, weight: float) -> None:
-        """Set one line of a table; weight 0 removes it."""
+        """Set one line of a table; a weight of 0 removes it."""
 
     def clear_table(self, table: int) -> None:
         """Remove all lines of a table."""
 
     def assign_table(self, proxy: int, table: int, classes: Sequence[int]) -> None:
-        """Put a joined proxy on a table for these classes."""
+        """Make a joined proxy use a table for these classes."""
 
     def eject_server(self, server: int) -> None:
-        """Keep all joined proxies off a server, whatever their tables say."""
+        """Make all joined proxies stop using a server, whatever their tables say."""
 
     def uneject_server(self, server: int) -> None:
-        """Let proxies return to a server that was ejected."""
+        """Allow proxies to use an ejected server again."""
 
     def forget_server(self, server: int) -> None:
-        """Uneject a server that no table names and no report can name, and drop its index."""
+        """Uneject a server that no table or later report can name, and release its index."""
 
     def set_admission(
         self, table: int, classes: Sequence[int], level: float, retry_policy: RetryPolicy
     ) -> None:
-        """Set how much of these classes is admitted, and when proxies may retry."""
+        """Set the admission level of these classes, and when proxies may retry."""
 
     def request_ack(self, number: int, all_proxies: bool) -> None:
-        """Ask each proxy that this call's orders reach, or everyone, to answer with `on_ack`."""
+        """Request an acknowledgement (`on_ack`) from the proxies this call's orders go to, or all.
+
+        With `all_proxies` every joined proxy is asked.
+        """
 
     def check_health(self, server: int) -> None:
-        """Send the server a request, and report its end with `on_health_check`."""
+        """Send a health check to a server, and report its outcome with `on_health_check`."""
 
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
-        """Send a datagram to another planner, or to all."""
+        """Send a datagram to another planner, or to all if `peer` is None."""
 
     def watch_endpoints(self, enabled: bool) -> None:
-        """Subscribe to changes of the endpoint list, where it must be asked for, or stop that."""
+        """Start or stop the subscription to the endpoint list, where the host needs one."""
 
     def fetch_endpoints(self) -> None:
-        """Ask for the whole endpoint list once."""
+        """Request the full endpoint list once."""
 
     def log(self, text: str) -> None:
         """Write a line to the log."""
--- a/indigodeck/assignment/key_ranges.py
+++ b/indigodeck/assignment/key_ranges.py
@@ -1,4 +1,4 @@
-"""Key ranges: each keeps its server until that drains or goes, and is drawn another then."""
+"""Key ranges: each stays on its server until that drains or is gone, and then gets another one."""
 
 from .delivery import Delivery
 from .interface import Server
@@ -9,8 +9,8 @@
 class KeyRanges:
     """The key ranges that this planner assigns, and their servers.
 
-    `servers_of` holds, by table number, the servers that a range is known to be at. A range's
-    demand moves nothing.
+    `servers_of` holds the servers known to have each key range, by table number. Key ranges do not
+    move because of their demand.
     """
 
     def __init__(self, state: AssignerState, delivery: Delivery) -> None:
@@ -18,26 +18,26 @@
         self.delivery = delivery
         self.servers_of: dict[int, set[int]] = {}
 
-    def set_assigned(self, table: int, on: bool) -> None:
-        """Begin to assign a key range, with no server known, or end that."""
+    def set_assigned(self, table: int, assigned: bool) -> None:
+        """Start assigning a key range, without any known server, or stop assigning it."""
         self.servers_of.pop(table, None)
-        if on:
+        if assigned:
             self.servers_of[table] = set()
 
     def add_server(self, table: int, server: int, weight: float) -> None:
-        """Take in that a key range is at a server."""
+        """Record that a server holds a key range."""
         if table in self.servers_of and weight > 0:
             self.servers_of[table].add(server)
 
     def update(self) -> None:
-        """Eject servers that are not ready, and name new ones for the ranges that were at these."""
+        """Eject servers that are not ready, and move their key ranges to other servers."""
         now = self.state.host.now()
         ready = self.state.ready_servers()
         self.delivery.update_ejections(ready)
-        in_order = sorted(ready.values(), key=lambda server: server.stable_id)
+        ordered_servers = sorted(ready.values(), key=lambda server: server.stable_id)
         for table, servers in sorted(self.servers_of.items()):
-            if self._needs_server(servers, ready, now) and in_order and self._has_room(now):
-                self._move(table, servers, in_order, now)
+            if self._needs_server(servers, ready, now) and ordered_servers and self._has_room(now):
+                self._reassign(table, servers, ordered_servers, now)
 
     def _needs_server(self, servers: set[int], ready: dict[int, Server], now: int) -> bool:
         handover_delay = self._handover_delay()
@@ -46,7 +46,7 @@
         )
 
     def _handover_delay(self) -> int:
-        """Return the microseconds until no write can be on its way to a single owner any more."""
+        """Return the delay after which no write can still reach the previous exclusive owner."""
         settings = self.state.settings
         if not settings.exclusive_ownership:
             return 0
@@ -55,10 +55,12 @@
     def _has_room(self, now: int) -> bool:
         return self.state.channel.queued_lines(now) < self.delivery.queue_limit()
 
-    def _move(self, table: int, servers: set[int], in_order: list[Server], now: int) -> None:
-        ids = [server.stable_id for server in in_order]
+    def _reassign(
+        self, table: int, servers: set[int], ordered_servers: list[Server], now: int
+    ) -> None:
+        ids = [server.stable_id for server in ordered_servers]
         random = SeededRandom(seed_from(str(table), ids))
-        drawn = in_order[random.randbelow(len(in_order))].index
+        drawn = ordered_servers[random.randbelow(len(ordered_servers))].index
         self.servers_of[table] = {drawn}
         if not self.state.settings.exclusive_ownership:
             for server in sorted(servers):
--- a/indigodeck/assignment/outlier_detection.py
+++ b/indigodeck/assignment/outlier_detection.py
@@ -1,7 +1,7 @@
 """Outlier detection: which servers are ejected from the classes' shards, and when they return.
 
-A failing server leaves all shards, a slow one a single shard. All is judged against medians: where
-most servers are bad the cause is common, and moving work would spread it.
+A failing server is ejected from all shards, a slow one from a single shard. Servers are compared
+with medians: if most servers are bad, they have a common cause, and moving work would spread it.
 """
 
 from collections import defaultdict
@@ -10,23 +10,25 @@
 from typing import NamedTuple
 
 from ..clock import SECOND
-from .admission import BUSY
+from .admission import CUT_LATENCY_RATIO
 from .interface import HealthCheckOutcome, Server
-from .load_reports import ENOUGH_ATTEMPTS, ReportSummary, weighted_quantile
-from .server_health import EJECTION_TIME, LONGEST_EJECTION, ReceivedReport, ServerHealth
+from .load_reports import SUFFICIENT_ATTEMPTS, ReportSummary, weighted_quantile
+from .server_health import BASE_EJECTION_TIME, MAX_EJECTION_TIME, ReceivedReport, ServerHealth
 from .shards import ShardPlanner
 from .state import AssignerState
 from .tables import total_weight
 
-SLOW_RATIO = 2.2  # latency over that of its peers
-LEAST_SLOW_LATENCY = 0.4  # of the least latency objective; below that nothing is slow
-FAILING_SHARE = 0.25  # of attempts, above twice what is usual
-DEAD_SHARE = 0.85  # of attempts; it is failing, however slow its answers
-LEAST_PEER_SAMPLES = 2  # to compare latencies with
-MOST_WEIGHT_SLOW = 0.2  # share of listed weight that may be ejected when a slow server is
-MOST_WEIGHT_FAILED = 0.5  # share of listed weight that may be ejected for any other cause
-SUSPECT_CHECK_EVERY = SECOND  # a server that the list calls gone, perhaps wrongly
-RETRY_HEALTH_CHECK_AFTER = EJECTION_TIME // 2
+SLOW_RATIO = 2.2  # latency of a slow server over that of its peers
+MIN_SLOW_LATENCY = 0.4  # of the lowest latency objective; lower latencies are never slow
+FAILING_FAILURE_SHARE = 0.25  # of attempts, in excess of twice the median
+DEAD_FAILURE_SHARE = 0.85  # of attempts; such a server is failing even if its responses are slow
+MIN_PEER_SAMPLES = 2  # needed for a comparison of latencies
+# Share of the listed weight that may be ejected in total when a server is ejected as slow, and when
+# one is ejected for any other cause.
+MAX_SLOW_EJECTED_WEIGHT = 0.2
+MAX_FAILED_EJECTED_WEIGHT = 0.5
+SUSPECT_CHECK_INTERVAL = SECOND  # for a server that the list, perhaps wrongly, calls gone
+HEALTH_CHECK_RETRY_DELAY = BASE_EJECTION_TIME // 2
 
 
 class EjectionCause(StrEnum):
@@ -38,25 +40,25 @@
 
 
 class LatencyComparison(NamedTuple):
-    """A server's latency over that of its peers, and the same in microseconds; 0 without peers."""
+    """The latency of a server over that of its peers, and in microseconds; 0 without peers."""
 
     ratio: float
     latency: float
 
 
 class OutlierDetector:
-    """Ejects servers and lets them return; the health it decides by is the shared state's."""
+    """Ejects and unejects servers, based on the server health in the shared state."""
 
     def __init__(self, state: AssignerState, shards: ShardPlanner) -> None:
         self.state = state
         self.shards = shards
 
     def evaluate_reports(self, summary: ReportSummary) -> None:
-        """Judge all servers by the reports of one evaluation, and eject outliers."""
+        """Evaluate the recent reports on all servers, and eject outliers."""
         causes = {}
-        usual_failures = _UsualFailures(summary)
-        for index, reports in summary.recent.items():
-            cause = _cause(index, reports, summary, usual_failures)
+        median_failures = _MedianFailureShares(summary)
+        for index, reports in summary.recent_reports.items():
+            cause = _ejection_cause(index, reports, summary, median_failures)
             if cause:
                 causes[index] = cause
             elif reports:
@@ -74,48 +76,50 @@
     def eject(
         self, server: int, classes: list[int], cause: EjectionCause, ready: dict[int, Server]
     ) -> None:
-        """Eject a server from the shards of these classes, unless too much weight is ejected."""
+        """Eject a server from these classes' shards, unless too much weight would be ejected."""
         health = self.state.health[server]
         ejected_weight = total_weight(
             other
             for index, other in ready.items()
             if self.state.health[index].ejected_classes or index == server
         )
-        most = MOST_WEIGHT_SLOW if cause == EjectionCause.SLOW else MOST_WEIGHT_FAILED
-        if ejected_weight > total_weight(ready.values()) * most:
+        max_ejected_weight = (
+            MAX_SLOW_EJECTED_WEIGHT if cause == EjectionCause.SLOW else MAX_FAILED_EJECTED_WEIGHT
+        )
+        if ejected_weight > total_weight(ready.values()) * max_ejected_weight:
             return
         health.ejected_classes |= frozenset(classes)
         health.unejected_at = 0
         health.consecutive_failures = 0
         health.fully_ejected = cause != EjectionCause.SLOW
         health.next_check_at = self.state.host.now() + health.ejection_time
-        names = ",".join(str(class_index) for class_index in classes)
-        self.state.host.log(f"server_ejected server={server} classes={names} cause={cause}")
+        class_list = ",".join(str(class_index) for class_index in classes)
+        self.state.host.log(f"server_ejected server={server} classes={class_list} cause={cause}")
 
     def uneject(self, health: ServerHealth) -> None:
-        """Let a server return to all shards, with slow start; older reports say nothing of it."""
+        """Return a server to all shards, with slow start; older reports no longer count."""
         health.ejected_classes = frozenset()
         health.fully_ejected = False
         health.consecutive_failures = 0
         health.unejected_at = self.state.host.now()
-        health.judged_from = health.unejected_at + self.state.feedback_delay()
+        health.reports_valid_from = health.unejected_at + self.state.feedback_delay()
 
     def eject_restarted(self, server: int, health: ServerHealth, earlier_restarts: int) -> None:
-        """Eject a server that started again before it was warm, longer after each such restart.
+        """Eject a server that restarted before it was warm, for longer after each such restart.
 
-        It would never get warm, and lose what it is sent each time.
+        Without this it would lose the requests sent to it at each restart and never get warm.
         """
         health.restarts = earlier_restarts + 1
-        health.ejection_time = min(LONGEST_EJECTION, EJECTION_TIME << health.restarts)
+        health.ejection_time = min(MAX_EJECTION_TIME, BASE_EJECTION_TIME << health.restarts)
         ready = self.state.ready_servers()
         self.eject(server, self.state.class_order, EjectionCause.RESTARTED, ready)
 
     def on_health_check(self, server: int, outcome: HealthCheckOutcome) -> bool:
-        """Take in how a health check ended, and return whether it removed the server."""
+        """Process the outcome of a health check, and return whether the server was removed."""
         health = self.state.health[server]
         health.health_check_pending = False
-        pause = SUSPECT_CHECK_EVERY if health.suspect else RETRY_HEALTH_CHECK_AFTER
-        health.next_check_at = self.state.host.now() + pause
+        check_delay = SUSPECT_CHECK_INTERVAL if health.suspect else HEALTH_CHECK_RETRY_DELAY
+        health.next_check_at = self.state.host.now() + check_delay
         if health.suspect and outcome not in (HealthCheckOutcome.OK, HealthCheckOutcome.OVERLOADED):
             self.state.servers.pop(server, None)
             return True
@@ -124,9 +128,10 @@
         return False
 
     def check_due_servers(self) -> None:
-        """Check the health of servers whose ejection ends, and of those that may be gone.
+        """Check the health of servers whose ejection ends, and of suspect servers.
 
-        Without health checks the former return, and the latter stay while they complete requests.
+        Where health checks are not allowed, the former are unejected, and the latter stay listed
+        while they complete requests.
         """
         now = self.state.host.now()
         for index, health in self.state.health.items():
@@ -139,7 +144,7 @@
                     self.state.host.check_health(index)
             elif not health.suspect:
                 self.uneject(health)
-            elif not health.request_rates(now, SUSPECT_CHECK_EVERY)[1]:
+            elif not health.request_rates(now, SUSPECT_CHECK_INTERVAL)[1]:
                 self.state.servers.pop(index)
 
     def _record_outlier(self, index: int, cause: EjectionCause, summary: ReportSummary) -> None:
@@ -152,20 +157,23 @@
             if class_index not in health.ejected_classes
         ]
         if slow:
-            classes = self._class_to_leave(index, classes, summary.latency_ratio > BUSY)
-        needed = 2 if slow and not health.unejected_at else 1
-        if health.consecutive_failures < needed or not classes:
+            classes = self._class_to_eject_from(
+                index, classes, summary.latency_ratio > CUT_LATENCY_RATIO
+            )
+        required_evaluations = 2 if slow and not health.unejected_at else 1
+        if health.consecutive_failures < required_evaluations or not classes:
             return
-        longer = EJECTION_TIME
+        next_ejection_time = BASE_EJECTION_TIME
         if health.unejected_at:
-            longer = min(LONGEST_EJECTION, health.ejection_time * 2)
-        health.ejection_time = LONGEST_EJECTION if slow else longer
+            next_ejection_time = min(MAX_EJECTION_TIME, health.ejection_time * 2)
+        health.ejection_time = MAX_EJECTION_TIME if slow else next_ejection_time
         self.eject(index, classes, cause, summary.ready)
 
-    def _class_to_leave(self, server: int, classes: list[int], all_busy: bool) -> list[int]:
-        """Return the one class whose shard a slow server leaves, if any.
+    def _class_to_eject_from(self, server: int, classes: list[int], all_busy: bool) -> list[int]:
+        """Return the one class from whose shard a slow server is ejected, or an empty list.
 
-        It still works: another server must take its place, and none leaves while all are busy.
+        A slow server still does work, so another server must be able to replace it, and it stays
+        while the whole fleet is busy.
         """
         if all_busy or len(classes) < 2:
             return []
@@ -176,58 +184,63 @@
         ][:1]
 
 
-class _UsualFailures:
-    """The median part of attempts that fail, in the fleet and in each zone."""
+class _MedianFailureShares:
+    """The median share of failed attempts, in the fleet and in each zone."""
 
     def __init__(self, summary: ReportSummary) -> None:
         shares = summary.failure_shares
-        self.of_fleet = median(shares.values()) if shares else 0.0
+        self.fleet_share = median(shares.values()) if shares else 0.0
         by_zone = defaultdict(list)
         for index, share in shares.items():
             by_zone[summary.ready[index].zone].append(share)
-        self.by_zone = {zone: median(of_zone) for zone, of_zone in by_zone.items()}
+        self.by_zone = {zone: median(zone_shares) for zone, zone_shares in by_zone.items()}
 
-    def around(self, server: Server) -> float:
-        """Return the higher of the two medians for a server."""
-        return max(self.of_fleet, self.by_zone.get(server.zone, 0))
+    def for_server(self, server: Server) -> float:
+        """Return the higher of the fleet's median and that of the server's zone."""
+        return max(self.fleet_share, self.by_zone.get(server.zone, 0))
 
 
-def _cause(
+def _ejection_cause(
     index: int,
     reports: list[tuple[int, ReceivedReport]],
     summary: ReportSummary,
-    usual_failures: _UsualFailures,
+    median_failures: _MedianFailureShares,
 ) -> EjectionCause | None:
     """Return why a server is an outlier, or None.
 
-    Failures with high latencies mean too much work; with low ones, or without answers, a server
-    fails of itself.
+    Failures with high latencies indicate overload. With low latencies, or when hardly any attempt
+    is answered, the server itself is at fault.
     """
     completed = sum(report.attempts - report.failures for _, report in reports)
-    compared = _compare_latency(index, reports, completed, summary)
-    failed = summary.failure_shares.get(index, 0)
-    usual = usual_failures.around(summary.ready[index])
-    if failed > max(DEAD_SHARE, 2 * usual_failures.of_fleet):
+    comparison = _compare_latency(index, reports, completed, summary)
+    failure_share = summary.failure_shares.get(index, 0)
+    usual_share = median_failures.for_server(summary.ready[index])
+    if failure_share > max(DEAD_FAILURE_SHARE, 2 * median_failures.fleet_share):
         return EjectionCause.FAILING
-    if failed > FAILING_SHARE + 2 * usual and compared.ratio < SLOW_RATIO / 1.5:
+    if (
+        failure_share > FAILING_FAILURE_SHARE + 2 * usual_share
+        and comparison.ratio < SLOW_RATIO / 1.5
+    ):
         return EjectionCause.FAILING
-    least_latency = summary.latency_objective * LEAST_SLOW_LATENCY
-    slow = compared.ratio > SLOW_RATIO and compared.latency > least_latency
-    return EjectionCause.SLOW if slow and completed >= ENOUGH_ATTEMPTS else None
+    least_latency = summary.latency_objective * MIN_SLOW_LATENCY
+    slow = comparison.ratio > SLOW_RATIO and comparison.latency > least_latency
+    return EjectionCause.SLOW if slow and completed >= SUFFICIENT_ATTEMPTS else None
 
 
 def _compare_latency(
     index: int, reports: list[tuple[int, ReceivedReport]], completed: int, summary: ReportSummary
 ) -> LatencyComparison:
-    """Compare with other servers' latencies for proxies of the same zone, weighed by requests."""
+    """Compare a server's latencies with its peers', for each zone, weighted by requests."""
     ratio = 0.0
     latency = 0.0
     for zone, report in reports:
-        here = report.attempts - report.failures
-        if here <= 0 or not report.mean_latency:
+        completed_in_zone = report.attempts - report.failures
+        if completed_in_zone <= 0 or not report.mean_latency:
             continue
         peers = summary.peers_of(index, zone)
-        if len(peers) >= LEAST_PEER_SAMPLES:
-            ratio += here / completed * report.mean_latency / weighted_quantile(0.5, peers)
-            latency += here / completed * report.mean_latency
+        if len(peers) >= MIN_PEER_SAMPLES:
+            ratio += (
+                completed_in_zone / completed * report.mean_latency / weighted_quantile(0.5, peers)
+            )
+            latency += completed_in_zone / completed * report.mean_latency
     return LatencyComparison(ratio, latency)
--- a/indigodeck/assignment/server_health.py
+++ b/indigodeck/assignment/server_health.py
@@ -1,4 +1,4 @@
-"""What is known of one server's health: its load reports, and from which classes it is ejected."""
+"""The health of one server: its recent load reports and its ejections."""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass, field
@@ -7,13 +7,13 @@
 
 from ..clock import SECOND
 
-REPORTS_KEPT = 4  # of each zone
-EJECTION_TIME = 8 * SECOND  # of a first ejection; each that follows at once takes twice as long
-LONGEST_EJECTION = 40 * SECOND
+REPORTS_KEPT = 4  # per zone
+BASE_EJECTION_TIME = 8 * SECOND  # of the first ejection; doubled for each further one
+MAX_EJECTION_TIME = 40 * SECOND
 
 
 class ReceivedReport(NamedTuple):
-    """What the proxies of one zone met at a server over `span` microseconds before it came."""
+    """What the proxies of one zone measured at a server over the `span` before `received_at`."""
 
     received_at: int
     attempts: int
@@ -28,38 +28,38 @@
 
 @dataclass(slots=True)
 class ServerHealth:
-    """The health of one process of a server, as far as this planner knows. Times in microseconds.
+    """The health of one server process as known to this planner; times are in microseconds.
 
     Attributes
     ----------
     started
-        When its process started.
-    judged_from
-        Reports that came before this say nothing of it.
+        When the process started.
+    reports_valid_from
+        Reports received before this time do not count.
     ejection_time
-        How long its present or next ejection lasts.
+        The duration of the current or next ejection.
     restarts
-        How often it has started again before it was warm.
+        How many times in a row the server restarted before it was warm.
     consecutive_failures
-        Evaluations in a row that found it an outlier.
+        The number of evaluations in a row that found it an outlier.
     next_check_at
-        When its ejection ends or its next health check is due; at the moment that its proxies are
-        ordered off it, or back to it, it is that moment.
+        When its ejection ends or its next health check is due. An order to eject or uneject the
+        server sets this to the time of the order.
     unejected_at
-        When its last ejection ended, 0 if there was none.
+        When its last ejection ended, 0 if it was never ejected.
     ejected_classes
-        The classes whose shards it has left.
+        The classes from whose shards it is ejected.
     fully_ejected
-        It serves no class.
+        Whether it serves no class at all.
     suspect
-        The endpoint list says that it is gone, and may be wrong in that.
+        Whether the endpoint list calls it gone, perhaps wrongly.
     health_check_pending
-        A health check was sent and has not ended.
+        Whether a health check has been sent and has not ended.
     """
 
     started: int = 0
-    judged_from: float = 0
-    ejection_time: int = EJECTION_TIME
+    reports_valid_from: float = 0
+    ejection_time: int = BASE_EJECTION_TIME
     restarts: int = 0
     reports: ReportsByZone = field(default_factory=_empty_reports)
     consecutive_failures: int = 0
@@ -71,8 +71,8 @@
     health_check_pending: bool = False
 
     def reports_since(self, moment: int) -> list[tuple[int, ReceivedReport]]:
-        """Return reports later than `moment` that can reflect the last order, with their zones."""
-        earliest = max(moment, self.judged_from)
+        """Return the valid reports received after `moment`, each with its zone."""
+        earliest = max(moment, self.reports_valid_from)
         return [
             (zone, report)
             for zone, reports in self.reports.items()
@@ -81,12 +81,12 @@
         ]
 
     def request_rates(self, now: int, grace: int) -> tuple[float, float]:
-        """Return attempts and completions a second, by the last report of each zone.
+        """Return attempts and completions per second, from the latest report of each zone.
 
-        A report counts for twice its span and `grace` microseconds.
+        A report counts until it is older than twice its span plus `grace` microseconds.
         """
-        last = [reports[-1] for reports in self.reports.values() if reports]
-        fresh = [report for report in last if now - report.received_at < 2 * report.span + grace]
+        latest = [reports[-1] for reports in self.reports.values() if reports]
+        fresh = [report for report in latest if now - report.received_at < 2 * report.span + grace]
         return (
             sum(report.attempts * SECOND / report.span for report in fresh),
             sum((report.attempts - report.failures) * SECOND / report.span for report in fresh),
--- a/indigodeck/assignment/shards.py
+++ b/indigodeck/assignment/shards.py
@@ -1,7 +1,8 @@
 """Shards: the random combination of servers that serves each table (see docs/design.md).
 
-A shard's size follows its class's share of demand. It is drawn at random once, capped in its
-overlap with others; then single members are replaced, added or removed, and the others stay.
+The size of a shard follows its class's share of the demand. A shard is drawn at random once, with
+a limited overlap with other shards; afterwards single members are replaced, added or removed while
+the others stay.
 """
 
 from collections import defaultdict
@@ -11,29 +12,31 @@
 from ..clock import SECOND
 from .admission import AdmissionLevels
 from .interface import Server
-from .shard_draws import LEAST_SERVERS, ShardSide, draw_shard, fill_shard
+from .shard_draws import MIN_SHARD_SIZE, ZoneTarget, draw_shard, fill_shard
 from .state import AssignerState
-from .tables import TINY, ServerGroup, Table, total_weight
+from .tables import EPSILON, ServerSubset, Table, total_weight
 
-SIZE_FACTOR = 3.0  # a shard's share of listed weight, over its class's share of demand
-SIZE_FACTOR_GROUPED = 2.0  # for groups whose proxies never avoid a failing server themselves
-RESIZE_EVERY = 10 * SECOND  # each change of size closes connections
+SHARD_SIZE_FACTOR = 3.0  # a shard's share of the listed weight over its class's share of demand
+GROUPED_SHARD_SIZE_FACTOR = 2.0  # for proxy groups whose proxies do not avoid failing servers
+RESIZE_INTERVAL = 10 * SECOND  # minimum time between changes of size, which close connections
 RESIZE_THRESHOLD = 0.08  # change of a class's share of demand
-REMOVE_SURPLUS_EVERY = RESIZE_EVERY // 4
-# Planned load by zone-bound shards, over the fleet's mean, that keeps a server out of others, and
-# below which it is taken again.
-HOT = 1.15
-COOL = 0.95
-FAR_STEPS = 8  # the part of far servers moves in so many steps, for demand is never steady
-NEGLIGIBLE_LOAD = 1e-6  # requests a second
+SURPLUS_REMOVAL_INTERVAL = RESIZE_INTERVAL // 4
+# Planned load from zone-bound shards, over the mean load of the fleet, above which other shards
+# drop a server, and below which they may take it again.
+HOT_LOAD_RATIO = 1.15
+COOL_LOAD_RATIO = 0.95
+# The weight share of remote servers changes in steps of 1/8, because demand is never steady.
+REMOTE_SHARE_STEPS = 8
+NEGLIGIBLE_LOAD = 1e-6  # requests per second
 
 
 @dataclass(slots=True)
-class _Round:
-    """Sums over all tables for one update: with hundreds of tables they can't be done for each.
+class _UpdateContext:
+    """Sums over all tables, computed once per update.
 
-    `loads` is the planned requests a second of each server, `zone_bound_loads` those that
-    zone-bound tables bring. `mean_load` is for a unit of weight.
+    With hundreds of tables, computing them again for each table would take too long. `loads` are
+    the planned requests per second of each server, `zone_bound_loads` those of zone-bound tables
+    only. `mean_load` is for one unit of weight.
     """
 
     now: int
@@ -47,169 +50,183 @@
         default_factory=lambda: defaultdict(float)
     )
     pools: dict[tuple[int, int | None], dict[int, Server]] = field(default_factory=dict)
-    sides: dict[tuple[int, int], tuple[ServerGroup, ServerGroup]] = field(default_factory=dict)
+    zone_targets: dict[tuple[int, int], tuple[ServerSubset, ServerSubset]] = field(
+        default_factory=dict
+    )
 
 
 class ShardPlanner:
-    """Draws and keeps the shards; a table's `members` are changed here alone.
+    """Draws and maintains the shards; only this class changes the `members` of a table.
 
-    `class_shares` is each class's share of demand, as shards are sized by at present.
+    `class_shares` are the classes' shares of demand by which shards are currently sized.
     """
 
     def __init__(self, state: AssignerState, admission: AdmissionLevels) -> None:
         self.state = state
         self.admission = admission
         self.class_shares: dict[int, float] = {}
-        self.sized_at = 0
+        self.shares_updated_at = 0
 
     def resume(self, published: Mapping[int, Sequence[int]]) -> None:
-        """Go on with the servers by table number that were published before a start or takeover."""
+        """Start from the shards, by table number, that were published before this planner started.
+
+        That was by an earlier process, or by the planner that this one takes over from.
+        """
         for table in self.state.tables:
             table.members = list(published.get(table.number, ()))
             table.drawn = table.number in published
 
     def eligible_servers(self, table: Table) -> dict[int, Server]:
-        """Return the servers that a table's shard may hold.
+        """Return the servers that a table's shard may contain.
 
-        Where most of the weight is ejected, ejected servers beat too few: those left would be next.
+        If more than half of the weight is ejected, ejected servers are eligible too: the few
+        others would be overloaded and ejected next.
         """
         ready = self.state.ready_servers(table.zone if table.zone_bound else None)
-        keep_out = not self.admission.fleet.is_full()
+        respect_ejections = not self.admission.fleet.is_saturated()
         health = self.state.health
         eligible = {
             index: server
             for index, server in ready.items()
             if not health[index].fully_ejected
-            and not (keep_out and table.class_index in health[index].ejected_classes)
+            and not (respect_ejections and table.class_index in health[index].ejected_classes)
         }
         enough = 2 * total_weight(eligible.values()) >= total_weight(ready.values())
         return eligible if enough else ready
 
     def has_substitute(self, server: int, class_index: int) -> bool:
-        """Whether another near server could take a server's place in some shard of the class."""
+        """Return whether another server in the zone could replace a server in a shard of the class.
+
+        For a table that serves all zones, a server of any zone will do.
+        """
         return any(
             server in table.members
-            and table.near(self.eligible_servers(table)).keys() - set(table.members)
+            and table.in_zone(self.eligible_servers(table)).keys() - set(table.members)
             for table in self.state.tables
             if table.class_index == class_index
         )
 
-    def update_sizes(self) -> None:
-        """Take over the classes' shares of demand, if they have moved far enough."""
+    def update_class_shares(self) -> None:
+        """Adopt the classes' current shares of demand, if one has changed enough."""
         now = self.state.host.now()
         shares = self.admission.demand_shares
-        moved = max(
+        largest_change = max(
             abs(shares[class_index] - self.class_shares.get(class_index, 0))
             for class_index in self.state.class_order
         )
-        due = moved > RESIZE_THRESHOLD and now - self.sized_at > RESIZE_EVERY
+        due = largest_change > RESIZE_THRESHOLD and now - self.shares_updated_at > RESIZE_INTERVAL
         if not self.class_shares or due:
             self.class_shares = shares
-            self.sized_at = now
+            self.shares_updated_at = now
 
     def update(self, rates: Mapping[int, float]) -> None:
-        """Bring all shards in line with the servers, their health and the planned rates."""
-        this_round = self._start_round(rates)
+        """Update all shards for the current servers, their health and the planned rates."""
+        context = self._new_context(rates)
         for table in self.state.tables:
-            self._update_table(table, this_round)
-        self._use_all_servers(this_round)
+            self._update_table(table, context)
+        self._use_all_servers(context)
 
-    def _start_round(self, rates: Mapping[int, float]) -> _Round:
+    def _new_context(self, rates: Mapping[int, float]) -> _UpdateContext:
         fleet_weight = total_weight(self.state.ready_servers().values())
-        this_round = _Round(self.state.host.now(), rates, fleet_weight)
+        context = _UpdateContext(self.state.host.now(), rates, fleet_weight)
         for table in self.state.tables:
-            self._add_load(table, rates, this_round.loads)
+            self._add_load(table, rates, context.loads)
             if table.zone_bound:
-                self._add_load(table, rates, this_round.zone_bound_loads)
-            this_round.class_rates[table.class_index] += rates[table.number]
+                self._add_load(table, rates, context.zone_bound_loads)
+            context.class_rates[table.class_index] += rates[table.number]
             admitted_rate = self.admission.admitted_rate(table, rates)
-            this_round.admitted_rates[table.zone, table.zone_bound] += admitted_rate
+            context.admitted_rates[table.zone, table.zone_bound] += admitted_rate
         total_rate = sum(self.admission.admitted_rate(table, rates) for table in self.state.tables)
-        this_round.mean_load = total_rate / max(TINY, fleet_weight)
-        return this_round
+        context.mean_load = total_rate / max(EPSILON, fleet_weight)
+        return context
 
     def _add_load(
         self, table: Table, rates: Mapping[int, float], loads: dict[int, float], sign: int = 1
     ) -> None:
-        """Add a shard's planned load on each of its servers, by listed weight, or take it off."""
+        """Add a shard's planned load to its servers by listed weight; with `sign` -1, remove it."""
         servers = self.state.servers
         members = [servers[member] for member in table.members if member in servers]
-        rate = sign * self.admission.admitted_rate(table, rates) / max(TINY, total_weight(members))
+        rate = (
+            sign * self.admission.admitted_rate(table, rates) / max(EPSILON, total_weight(members))
+        )
         for server in members:
             loads[server.index] += rate * server.weight
 
-    def _update_table(self, table: Table, this_round: _Round) -> None:
-        key = _pool_key(table)
-        pool = this_round.pools.get(key) or self.eligible_servers(table)
-        this_round.pools[key] = pool
+    def _update_table(self, table: Table, context: _UpdateContext) -> None:
+        pool_key = _pool_key(table)
+        pool = context.pools.get(pool_key) or self.eligible_servers(table)
+        context.pools[pool_key] = pool
         if not pool:
             table.members = []
             return
-        loads = this_round.loads
-        self._add_load(table, this_round.rates, loads, -1)
+        loads = context.loads
+        self._add_load(table, context.rates, loads, -1)
         if table.zone is None:
-            pool = _without_hot_servers(table, pool, this_round)
-        sides = self._sides(table, pool, this_round)
+            pool = _without_hot_servers(table, pool, context)
+        zone_targets = self._zone_targets(table, pool, context)
         if not table.drawn:
-            table.members = draw_shard(table, self.state.tables, pool, sides, loads)
+            table.members = draw_shard(table, self.state.tables, pool, zone_targets, loads)
             table.drawn = True
         table.members = [member for member in table.members if member in pool]
-        fill_shard(table, table.members, sides, loads)
-        if this_round.now - table.resized_at > REMOVE_SURPLUS_EVERY:
-            for side in sides:
-                _remove_surplus(table, side, pool, this_round)
-        self._add_load(table, this_round.rates, loads)
-
-    def _sides(
-        self, table: Table, pool: dict[int, Server], this_round: _Round
-    ) -> tuple[ShardSide, ShardSide]:
-        """Return what a shard should hold of near servers, and of far ones.
-
-        Far ones get what is above that which near ones do at the fleet's mean load.
+        fill_shard(table, table.members, zone_targets, loads)
+        if context.now - table.resized_at > SURPLUS_REMOVAL_INTERVAL:
+            for zone_target in zone_targets:
+                _remove_surplus(table, zone_target, pool, context)
+        self._add_load(table, context.rates, loads)
+
+    def _zone_targets(
+        self, table: Table, pool: dict[int, Server], context: _UpdateContext
+    ) -> tuple[ZoneTarget, ZoneTarget]:
+        """Return the targets for local servers (the table's zone) and for remote servers.
+
+        Remote servers get the load above what local servers take at the mean load of the fleet.
         """
-        near, far = self._near_and_far(table, pool, this_round)
-        needed = self._needed_weight(table, near, far, this_round)
-        near_part = 1.0
+        local, remote = self._split_by_zone(table, pool, context)
+        needed = self._needed_weight(table, local, remote, context)
+        local_share = 1.0
         if not (table.zone_bound or table.zone is None):
-            bound_rate = this_round.admitted_rates[table.zone, True]
-            free_rate = max(TINY, this_round.admitted_rates[table.zone, False])
-            near_part = (this_round.mean_load * near.weight - bound_rate) / free_rate
-            near_part = round(max(0.0, min(1.0, near_part)) * FAR_STEPS) / FAR_STEPS
+            zone_bound_rate = context.admitted_rates[table.zone, True]
+            unbound_rate = max(EPSILON, context.admitted_rates[table.zone, False])
+            local_share = (context.mean_load * local.weight - zone_bound_rate) / unbound_rate
+            local_share = (
+                round(max(0.0, min(1.0, local_share)) * REMOTE_SHARE_STEPS) / REMOTE_SHARE_STEPS
+            )
         return (
-            ShardSide(near.servers, near.weight, needed * near_part),
-            ShardSide(far.servers, far.weight, needed * (1 - near_part)),
+            ZoneTarget(local.servers, local.weight, needed * local_share),
+            ZoneTarget(remote.servers, remote.weight, needed * (1 - local_share)),
         )
 
-    def _near_and_far(
-        self, table: Table, pool: dict[int, Server], this_round: _Round
-    ) -> tuple[ServerGroup, ServerGroup]:
+    def _split_by_zone(
+        self, table: Table, pool: dict[int, Server], context: _UpdateContext
+    ) -> tuple[ServerSubset, ServerSubset]:
         if table.zone is None:
-            return table.near_and_far(pool)
-        key = table.class_index, table.zone
-        known = this_round.sides.get(key)
-        if known is None:
-            known = this_round.sides[key] = table.near_and_far(pool)
-        return known
+            return table.split_by_zone(pool)
+        pool_key = table.class_index, table.zone
+        partition = context.zone_targets.get(pool_key)
+        if partition is None:
+            partition = context.zone_targets[pool_key] = table.split_by_zone(pool)
+        return partition
 
     def _needed_weight(
-        self, table: Table, near: ServerGroup, far: ServerGroup, this_round: _Round
+        self, table: Table, local: ServerSubset, remote: ServerSubset, context: _UpdateContext
     ) -> float:
-        everything = near.weight if table.zone_bound else near.weight + far.weight
-        if self.admission.fleet.is_full() and self.state.group_count == 1:
-            # Too busy to keep classes apart: some servers would idle beside overloaded ones.
-            return everything
-        class_rate = max(TINY, this_round.class_rates[table.class_index])
-        share = self.class_shares[table.class_index] * this_round.rates[table.number] / class_rate
-        # Larger shards are evener; where proxies can't avoid a failing server, smaller groups keep
-        # the failure from one another.
-        factor = SIZE_FACTOR
+        available_weight = local.weight if table.zone_bound else local.weight + remote.weight
+        if self.admission.fleet.is_saturated() and self.state.group_count == 1:
+            # The fleet is too busy to keep classes on separate servers: some would be idle while
+            # others are overloaded.
+            return available_weight
+        class_rate = max(EPSILON, context.class_rates[table.class_index])
+        share = self.class_shares[table.class_index] * context.rates[table.number] / class_rate
+        # Larger shards spread load more evenly. Where proxies cannot avoid a failing server
+        # themselves, smaller shards limit a failure to fewer proxy groups.
+        factor = SHARD_SIZE_FACTOR
         if self.state.grouped and not self.state.settings.proxy_failure_limit:
-            factor = SIZE_FACTOR_GROUPED
-        whole = this_round.fleet_weight if table.zone is not None else everything
-        return min(everything, factor * share * whole)
+            factor = GROUPED_SHARD_SIZE_FACTOR
+        base_weight = context.fleet_weight if table.zone is not None else available_weight
+        return min(available_weight, factor * share * base_weight)
 
-    def _use_all_servers(self, this_round: _Round) -> None:
-        """Add each server that is in no shard to the one with the most load for its weight."""
+    def _use_all_servers(self, context: _UpdateContext) -> None:
+        """Add each server that is in no shard to the shard with the highest load per weight."""
         used = set().union(*(table.members for table in self.state.tables))
         unused = [
             server for index, server in self.state.ready_servers().items() if index not in used
@@ -218,56 +235,60 @@
             tables = [
                 table
                 for table in self.state.tables
-                if server.index in this_round.pools[_pool_key(table)]
+                if server.index in context.pools[_pool_key(table)]
             ]
             if tables:
-                neediest = max(tables, key=lambda table: self._need(table, server, this_round))
-                neediest.members.append(server.index)
+                most_loaded = max(tables, key=lambda table: self._load_rank(table, server, context))
+                most_loaded.members.append(server.index)
 
-    def _need(self, table: Table, server: Server, this_round: _Round) -> tuple[bool, float]:
+    def _load_rank(
+        self, table: Table, server: Server, context: _UpdateContext
+    ) -> tuple[bool, float]:
         weight = total_weight(self.state.servers[member] for member in table.members)
-        rate = self.admission.admitted_rate(table, this_round.rates)
-        return table.zone in (None, server.zone), rate / max(TINY, weight)
+        rate = self.admission.admitted_rate(table, context.rates)
+        return table.zone in (None, server.zone), rate / max(EPSILON, weight)
 
 
 def _pool_key(table: Table) -> tuple[int, int | None]:
-    """Return what tables with the same eligible servers have in common."""
+    """Return a key that is equal for tables with the same eligible servers."""
     return table.class_index, table.zone if table.zone_bound else None
 
 
 def _without_hot_servers(
-    table: Table, pool: dict[int, Server], this_round: _Round
+    table: Table, pool: dict[int, Server], context: _UpdateContext
 ) -> dict[int, Server]:
-    """Leave out servers that zone-bound shards alone load above the mean, if enough are left.
+    """Leave out servers that zone-bound shards alone load above the mean, if enough remain.
 
-    A zone-bound class can't move, so a class that may be served anywhere does.
+    A zone-bound class cannot move to other zones, so a class that may be served anywhere does.
     """
-    cooler = {}
+    cool_servers = {}
     for index, server in pool.items():
-        limit = HOT if index in table.members else COOL
-        most = limit * this_round.mean_load * server.weight
-        if this_round.zone_bound_loads[index] <= most:
-            cooler[index] = server
-    half_left = 2 * total_weight(cooler.values()) >= total_weight(pool.values())
-    return cooler if len(cooler) >= LEAST_SERVERS and half_left else pool
+        limit = HOT_LOAD_RATIO if index in table.members else COOL_LOAD_RATIO
+        max_load = limit * context.mean_load * server.weight
+        if context.zone_bound_loads[index] <= max_load:
+            cool_servers[index] = server
+    half_left = 2 * total_weight(cool_servers.values()) >= total_weight(pool.values())
+    return cool_servers if len(cool_servers) >= MIN_SHARD_SIZE and half_left else pool
 
 
 def _remove_surplus(
-    table: Table, side: ShardSide, pool: dict[int, Server], this_round: _Round
+    table: Table, zone_target: ZoneTarget, pool: dict[int, Server], context: _UpdateContext
 ) -> None:
-    """Remove the most loaded server of a side that holds more than it should."""
-    loads = this_round.loads
-    members = [member for member in table.members if member in side.servers]
-    spare = side.weight / len(side.servers) / 2 if side.needed_weight else 0
-    if not members or len(table.members) <= LEAST_SERVERS:
+    """Remove the most loaded server of a zone target if the shard holds more than it needs."""
+    loads = context.loads
+    members = [member for member in table.members if member in zone_target.servers]
+    tolerance = (
+        zone_target.weight / len(zone_target.servers) / 2 if zone_target.needed_weight else 0
+    )
+    if not members or len(table.members) <= MIN_SHARD_SIZE:
         return
-    hottest = max(
+    most_loaded = max(
         members,
         key=lambda member: (loads[member] / pool[member].weight, pool[member].stable_id),
     )
-    if side.needed_weight and loads[hottest] <= NEGLIGIBLE_LOAD:
+    if zone_target.needed_weight and loads[most_loaded] <= NEGLIGIBLE_LOAD:
         return
-    surplus = total_weight(side.servers[member] for member in members) - spare
-    if surplus - pool[hottest].weight > side.needed_weight - TINY:
-        table.members.remove(hottest)
-        table.resized_at = this_round.now
+    surplus = total_weight(zone_target.servers[member] for member in members) - tolerance
+    if surplus - pool[most_loaded].weight > zone_target.needed_weight - EPSILON:
+        table.members.remove(most_loaded)
+        table.resized_at = context.now
--- a/indigodeck/assignment/slow_start.py
+++ b/indigodeck/assignment/slow_start.py
@@ -1,28 +1,33 @@
-"""Slow start: how much of its weight a server that was started or unejected lately may have."""
+"""Slow start: the weight and load of servers that were started or unejected recently."""
 
 from .interface import Server
 from .state import AssignerState
 
 FIRST_WARM_UP_FACTOR = 0.25  # of the listed weight
-WARM_UP_DOUBLINGS = 3  # spread over the stated warm-up time
-OVERLOAD_MARGIN = 0.4  # part of what would overload a cold server that is planned for
+WARM_UP_DOUBLINGS = 3  # spread over the configured warm-up time
+OVERLOAD_MARGIN = 0.4  # planned load of a cold server, as a share of what would overload it
 
 
 def warm_up_factor(state: AssignerState, server: Server) -> float:
-    """Return the part of its listed weight that a server may have now; it doubles up to 1."""
+    """Return the share of its listed weight that a server may have now; it doubles up to 1."""
     now = state.host.now()
-    began = max(server.started, state.health[server.index].unejected_at)
-    doublings = (now - began) // (state.settings.warm_up_time // WARM_UP_DOUBLINGS)
-    return min(1.0, FIRST_WARM_UP_FACTOR * 2**doublings) if began and now >= began else 1.0
+    warm_up_started_at = max(server.started, state.health[server.index].unejected_at)
+    doublings = (now - warm_up_started_at) // (state.settings.warm_up_time // WARM_UP_DOUBLINGS)
+    return (
+        min(1.0, FIRST_WARM_UP_FACTOR * 2**doublings)
+        if warm_up_started_at and now >= warm_up_started_at
+        else 1.0
+    )
 
 
 def cold_budgets(
     state: AssignerState, ready: dict[int, Server], rate_per_weight: float
 ) -> dict[int, float]:
-    """Return the requests a second that each cold server may be planned for, by index.
+    """Return the requests per second that may be planned for each cold server, by index.
 
-    `rate_per_weight` is what a warm server surely does for its weight. A cold server starts with
-    the stated share of that, which grows evenly; a part of what would overload it is planned for.
+    `rate_per_weight` is what a warm server is known to handle per unit of weight. The capacity of
+    a cold server starts at the configured share of that and grows linearly; the budget is a
+    fraction of the load that would overload the server.
     """
     now = state.host.now()
     settings = state.settings
--- a/indigodeck/assignment/state.py
+++ b/indigodeck/assignment/state.py
@@ -1,7 +1,8 @@
-"""What all parts of one assigner share: servers and their health, proxies, tables, the channel.
+"""The state shared by all components of one assigner.
 
-The parts (endpoints, admission, outlier detection, shards, weights, delivery, key ranges) keep
-what is theirs alone; what several of them read or change is kept here.
+It holds servers and their health, proxies, tables and the channel. The components (endpoints,
+admission, outlier detection, shards, weights, delivery, key ranges) keep private state themselves;
+what several of them read or change is kept here.
 """
 
 from collections import defaultdict, deque
@@ -16,30 +17,33 @@
 from .server_health import ServerHealth
 from .tables import Table
 
-TURN = SECOND // 4  # between two looks at reports, shards and the channel
-REMEMBER_DEPARTED = 20 * SECOND  # a proxy's demand, a server's ejection, an unanswered request
-PROXIES_PER_GROUP = 10  # of a zone that share a table, where there are so many
+TICK_INTERVAL = SECOND // 4  # between two updates from reports, shards and the channel
+# For the demand of a departed proxy, the ejection of a removed server, and an unanswered request
+# for acknowledgement.
+DEPARTED_RETENTION = 20 * SECOND
+PROXIES_PER_GROUP = 10  # proxies of a zone that share a table, where there are that many
 REPORT_SPANS_KEPT = 64
 
 
 class AssignerState:
-    """The state that the parts of one assigner share.
+    """The state that the components of one assigner share.
 
     Attributes
     ----------
     class_order
-        Class indices in order of class name: the order of draws, the same at every planner.
+        Class indices sorted by class name. Shards are drawn in this order, which is the same at
+        every planner.
     servers
-        The servers that are ready or draining, or whose removal is doubted, by index.
+        The servers by index that are ready, draining, or suspected to be gone.
     health
-        What is known of each server, also of some that are not listed any more.
+        The health of each server, including some that are no longer listed.
     ejected
-        The servers that joined proxies are ordered off.
+        The servers that joined proxies are ordered not to use.
     grouped
-        The proxies of a zone are parted into `group_count` groups with tables of their own; where
-        proxies are many, one table for all would mean too many connections.
+        Whether the proxies of a zone are divided into `group_count` groups with separate tables.
+        With many proxies, one table for all of them would mean too many connections.
     report_spans
-        The times that the last load reports covered, in microseconds.
+        The lengths of the periods covered by the latest load reports, in microseconds.
     """
 
     def __init__(self, host: AssignerHost, settings: DeploymentSettings) -> None:
@@ -50,8 +54,8 @@
         self.servers: dict[int, Server] = {}
         self.health: defaultdict[int, ServerHealth] = defaultdict(ServerHealth)
         self.ejected: set[int] = set()
-        self.proxies = ProxyRegistry(settings, REMEMBER_DEPARTED)
-        self.channel = ChannelAccount(settings, host.now(), REMEMBER_DEPARTED)
+        self.proxies = ProxyRegistry(settings, DEPARTED_RETENTION)
+        self.channel = ChannelAccount(settings, host.now(), DEPARTED_RETENTION)
         self.report_spans: deque[int] = deque(maxlen=REPORT_SPANS_KEPT)
         group_size = settings.zone_count * PROXIES_PER_GROUP
         self.grouped = settings.proxy_count >= group_size
@@ -83,7 +87,7 @@
         return class_digit * (self.settings.zone_count + 1) + zone_digit
 
     def ready_servers(self, zone: int | None = None) -> dict[int, Server]:
-        """Return the servers listed as ready, of one zone or of all."""
+        """Return the servers listed as ready, in one zone or in all."""
         return {
             index: server
             for index, server in self.servers.items()
@@ -91,19 +95,20 @@
         }
 
     def report_interval(self) -> int:
-        """Return how many microseconds reports cover.
+        """Return how many microseconds a report covers.
 
-        Where more reports come than are let in a second, this is several periods.
+        This is several report periods where more reports are sent than the rate limit admits.
         """
-        covered = round(median(self.report_spans)) if self.report_spans else 0
-        return max(self.settings.report_period, covered)
+        report_coverage = round(median(self.report_spans)) if self.report_spans else 0
+        return max(self.settings.report_period, report_coverage)
 
     def feedback_delay(self) -> float:
-        """Return how many microseconds pass until reports can show what is ordered now.
+        """Return how many microseconds pass until reports can show the effect of an order.
 
-        Levels that were cut again before the last cut had arrived refused half of all requests.
+        Without this wait, levels were cut again before the last cut had reached the proxies, and
+        half of all requests were refused.
         """
-        on_the_way = self.settings.channel.max_delivery_delay + self.channel.lateness(
+        delivery_delay = self.settings.channel.max_delivery_delay + self.channel.lateness(
             self.host.now()
         )
-        return on_the_way + self.settings.report_period + self.report_interval()
+        return delivery_delay + self.settings.report_period + self.report_interval()
--- a/indigodeck/assignment/tables.py
+++ b/indigodeck/assignment/tables.py
@@ -1,27 +1,27 @@
-"""Tables: which servers the proxies of one class use, and what these proxies already hold of it."""
+"""Tables: which servers proxies use for a class, and what was already published to them."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
 from .interface import Server
 
-TINY = 1e-9  # against a division by no weight or rate, and in comparisons of sums
+EPSILON = 1e-9  # avoids division by a zero weight or rate, and is the tolerance in comparisons
 
 
-class ServerGroup(NamedTuple):
-    """Some servers by index, and the sum of their listed weights."""
+class ServerSubset(NamedTuple):
+    """A subset of the servers by index, and the sum of their listed weights."""
 
     servers: dict[int, Server]
     weight: float
 
 
 class Table:
-    """The table of one class, or of the class's proxies of one zone or group.
+    """The table of one class, for all proxies or for those of one zone or group.
 
-    `zone` is that of its proxies, None for all; a `zone_bound` table holds servers of that zone
-    only. `name` seeds its draws. `members` is its shard; `target_weights` is what its proxies
-    should hold, `published_weights` and `published_level` what they were last sent. `cold_level`
-    is the level that keeps its cold servers from overload.
+    `zone` is the zone of its proxies, or None for all zones; a `zone_bound` table contains only
+    servers of that zone. `name` seeds its draws. `members` is its shard. `target_weights` are the
+    weights that its proxies should have, `published_weights` and `published_level` what they were
+    last sent. `cold_level` is the admission level that keeps its cold servers from overload.
     """
 
     def __init__(
@@ -41,19 +41,19 @@
         self.drawn = False
         self.resized_at = 0
 
-    def near(self, servers: Mapping[int, Server]) -> dict[int, Server]:
-        """Return those of the servers that are in the zone of the table's proxies."""
+    def in_zone(self, servers: Mapping[int, Server]) -> dict[int, Server]:
+        """Return the servers that are in the zone of the table's proxies."""
         return {
             index: server for index, server in servers.items() if self.zone in (None, server.zone)
         }
 
-    def near_and_far(self, servers: Mapping[int, Server]) -> tuple[ServerGroup, ServerGroup]:
-        """Part the servers into those of the zone of the table's proxies and the others."""
-        near = self.near(servers)
-        far = {index: servers[index] for index in servers if index not in near}
+    def split_by_zone(self, servers: Mapping[int, Server]) -> tuple[ServerSubset, ServerSubset]:
+        """Split the servers into those in the zone of the table's proxies and the others."""
+        local = self.in_zone(servers)
+        remote = {index: servers[index] for index in servers if index not in local}
         return (
-            ServerGroup(near, total_weight(near.values())),
-            ServerGroup(far, total_weight(far.values())),
+            ServerSubset(local, total_weight(local.values())),
+            ServerSubset(remote, total_weight(remote.values())),
         )
 
 
--- a/indigodeck/assignment/weights.py
+++ b/indigodeck/assignment/weights.py
@@ -1,33 +1,34 @@
-"""Table weights: as listed, but for slow start and the bound on the load of cold servers."""
+"""Table weights: as listed, except for slow start and the load limit of cold servers."""
 
 from collections import defaultdict
 from collections.abc import Mapping
 
 from .admission import AdmissionLevels
 from .interface import Server
-from .shard_draws import LEAST_SERVERS
+from .shard_draws import MIN_SHARD_SIZE
 from .slow_start import cold_budgets, warm_up_factor
 from .state import AssignerState
-from .tables import TINY, Table, total_weight
+from .tables import EPSILON, Table, total_weight
 
-LOST_SHARE_COLD_WAITS = 0.125  # of attempts, above which cold servers wait where proxies avoid some
-LOWERING_ROUNDS = 6  # each lowers what is too much, and so raises what is left
+# Share of failed attempts above which cold servers wait where proxies avoid failing servers.
+COLD_WAIT_FAILURE_SHARE = 0.125
+MAX_LOWERING_ROUNDS = 6  # each lowers the servers over budget, which raises the load of the others
 BUDGET_TOLERANCE = 1.02
-LEVEL_TOLERANCE = 0.9  # a smaller excess is no cause to lower a table's level
+LEVEL_TOLERANCE = 0.9  # a reduction closer to 1 does not lower a table's level
 
 
 class WeightPlanner:
-    """Works out the weights that tables should have."""
+    """Computes the target weights of all tables."""
 
     def __init__(self, state: AssignerState, admission: AdmissionLevels) -> None:
         self.state = state
         self.admission = admission
 
     def update(self, rates: Mapping[int, float]) -> None:
-        """Set all tables' target weights and cold levels, by requests a second by table number.
+        """Set all tables' target weights and cold levels; `rates` are requests per second.
 
-        Weights in slow start are relative: so the load on each cold server is bounded too, and
-        levels keep out what is over.
+        `rates` is keyed by table number. Slow start only makes weights smaller relative to others,
+        so the load on each cold server is limited as well, and levels refuse the excess.
         """
         ready = self.state.ready_servers()
         budgets = cold_budgets(self.state, ready, self._rate_per_weight(ready))
@@ -36,43 +37,47 @@
             for index, server in ready.items()
         }
         for table in self.state.tables:
-            members = self._members_to_use(table, ready, budgets)
+            members = self._usable_members(table, ready, budgets)
             table.target_weights = {member: warm_weights[member] for member in members}
-        excess = self._lower_cold_servers(budgets, rates)
+        reductions = self._lower_cold_servers(budgets, rates)
         for table in self.state.tables:
-            # Only proportions count: as near to slow start's weights as they allow, or lines would
-            # change for ever.
+            # Only the proportions of weights matter. Scale them back up to the slow-start weights
+            # as far as possible, because otherwise lines would keep changing.
             highest = max(
-                (weight / warm_weights[m] for m, weight in table.target_weights.items()),
+                (weight / warm_weights[member] for member, weight in table.target_weights.items()),
                 default=1.0,
             )
             table.target_weights = {
                 member: weight / highest for member, weight in table.target_weights.items()
             }
             levels = [
-                excess[m] for m in table.target_weights if excess.get(m, 1.0) < LEVEL_TOLERANCE
+                reductions[member]
+                for member in table.target_weights
+                if reductions.get(member, 1.0) < LEVEL_TOLERANCE
             ]
             table.cold_level = min([1.0, *levels])
 
     def _rate_per_weight(self, ready: dict[int, Server]) -> float:
-        """Return the requests a second that a warm server surely does for a unit of weight.
+        """Return the requests per second that a warm server is known to handle per unit of weight.
 
-        That is what the fleet has lately completed; before anything is reported, half of what
-        proxies say: a planner may start over in an overload, where retries swell that.
+        This is the rate that the fleet has recently completed. Before any report, it is half of
+        the rate that proxies declare: a planner may restart during an overload, when retries
+        inflate the declared rates.
         """
         if self.admission.fleet.completion_rates:
-            return self.admission.fleet.shown_rate()
-        stated = sum(proxy.stated_rate for proxy in self.state.proxies.values())
-        return stated / max(TINY, 2 * total_weight(ready.values()))
+            return self.admission.fleet.sustained_rate()
+        stated = sum(proxy.declared_rate for proxy in self.state.proxies.values())
+        return stated / max(EPSILON, 2 * total_weight(ready.values()))
 
-    def _members_to_use(
+    def _usable_members(
         self, table: Table, ready: dict[int, Server], budgets: Mapping[int, float]
     ) -> list[int]:
-        """Return a shard's members, without cold ones that wait.
+        """Return a shard's members without the cold ones that must wait.
 
-        Beside few warm servers, or while less than all is admitted, a cold one waits for half of
-        its warm-up: were the warm ones lost or ejected, it would be sent all that they had before
-        a report tells. Proxies avoid servers themselves where many attempts are lost.
+        With few warm servers, or while admission is cut, a cold server waits for half of its
+        warm-up time: if the warm servers were lost or ejected, it would get all of their load
+        before any report shows it. The same holds when many attempts fail and proxies avoid
+        failing servers on their own.
         """
         now = self.state.host.now()
         half_warm = self.state.settings.warm_up_time // 2
@@ -83,34 +88,37 @@
         ]
         fleet = self.admission.fleet
         proxies_avoid_servers = (
-            self.state.settings.proxy_failure_limit and fleet.lost_share > LOST_SHARE_COLD_WAITS
+            self.state.settings.proxy_failure_limit
+            and fleet.overall_failure_share > COLD_WAIT_FAILURE_SHARE
         )
-        cold_wait = len(warm) < LEAST_SERVERS or fleet.admitted_share < 1 or proxies_avoid_servers
-        return warm if warm and cold_wait else table.members
+        hold_back_cold = (
+            len(warm) < MIN_SHARD_SIZE or fleet.admitted_share < 1 or proxies_avoid_servers
+        )
+        return warm if warm and hold_back_cold else table.members
 
     def _lower_cold_servers(
         self, budgets: Mapping[int, float], rates: Mapping[int, float]
     ) -> dict[int, float]:
-        """Lower the weights of servers above their budget; return by what factor some still are."""
+        """Lower the weights of servers over their budget; return the reductions still needed."""
         tables = [
             table for table in self.state.tables if table.target_weights.keys() & budgets.keys()
         ]
-        excess = self._excess(tables, budgets, rates)
-        for _ in range(LOWERING_ROUNDS):
-            if not excess:
+        reductions = self._reductions(tables, budgets, rates)
+        for _ in range(MAX_LOWERING_ROUNDS):
+            if not reductions:
                 break
             for table in tables:
                 table.target_weights = {
-                    member: weight * excess.get(member, 1.0)
+                    member: weight * reductions.get(member, 1.0)
                     for member, weight in table.target_weights.items()
                 }
-            excess = self._excess(tables, budgets, rates)
-        return excess
+            reductions = self._reductions(tables, budgets, rates)
+        return reductions
 
-    def _excess(
+    def _reductions(
         self, tables: list[Table], budgets: Mapping[int, float], rates: Mapping[int, float]
     ) -> dict[int, float]:
-        """Return, of servers planned for more than their budget, the part that is within it."""
+        """Return the budget over the planned load, for each server that exceeds its budget."""
         loads: defaultdict[int, float] = defaultdict(float)
         for table in tables:
             weight = sum(table.target_weights.values())
--- a/indigodeck/errors.py
+++ b/indigodeck/errors.py
@@ -1,17 +1,17 @@
-"""The base of all errors that this package raises, and those that several packages share."""
+"""The base class of all errors that this package raises, and errors that subpackages share."""
 
 
 class IndigodeckError(Exception):
-    """Base class of all errors raised on purpose by this package."""
+    """Base class of all errors that this package raises deliberately."""
 
 
 class MalformedMessageError(IndigodeckError):
-    """Input that its protocol does not allow; the message says what is wrong and where."""
+    """Input that violates its protocol; the message says what is wrong and where."""
 
 
 class LimitExceededError(IndigodeckError):
-    """A peer asks for more than a stated bound allows; the message names the bound."""
+    """A peer exceeds a limit; the message names the limit."""
 
 
 class RejectedError(IndigodeckError):
-    """A request or message that is understood but not accepted; the message gives the reason."""
+    """A request or message that is well-formed but not accepted; the message gives the reason."""
--- a/indigodeck/id_registry.py
+++ b/indigodeck/id_registry.py
@@ -1,19 +1,19 @@
-"""Ids as the deployment knows them, mapped to the small indices that the assigner works with."""
+"""Maps the deployment's own ids to the small indices that the assigner uses."""
 
 from collections.abc import Hashable
 
 
 class IdRegistry:
-    """A two-way map of ids and indices. An index is never used for a second id."""
+    """A two-way map between ids and indices; an index is never reused for another id."""
 
     def __init__(self) -> None:
         self.index_of: dict[Hashable, int] = {}
         self.id_of: list = []
 
-    def index(self, name: Hashable) -> int:
+    def index(self, external_id: Hashable) -> int:
         """Return the index of an id; a new id gets the next one."""
-        found = self.index_of.get(name)
-        if found is None:
-            found = self.index_of[name] = len(self.id_of)
-            self.id_of.append(name)
-        return found
+        index = self.index_of.get(external_id)
+        if index is None:
+            index = self.index_of[external_id] = len(self.id_of)
+            self.id_of.append(external_id)
+        return index
--- a/indigodeck/json_documents.py
+++ b/indigodeck/json_documents.py
@@ -1,4 +1,4 @@
-"""JSON documents, read and checked against schemas; errors name the place in the document."""
+"""Reading JSON documents and validating them against schemas; errors name the place in them."""
 
 import json
 import pathlib
@@ -8,52 +8,52 @@
 
 from .errors import IndigodeckError
 
-MOST_ERRORS_TOLD = 20
+MAX_ERRORS_REPORTED = 20
 
 
 class InvalidDocumentError(IndigodeckError):
-    """A document that cannot be used: each line names a place and what was expected there."""
+    """A document that is not valid; each line of the message names a place and what is wrong."""
 
 
 def load_schema(module_file: str, name: str) -> dict:
-    """Return a schema that ships in the package, beside the module that uses it."""
+    """Return a schema file from the folder of the module that uses it."""
     return json.loads((pathlib.Path(module_file).parent / name).read_text())
 
 
 def schema_errors(document: Any, schema: dict) -> list[str]:
-    """Return all that a schema has against a document, a line each; none if it fits."""
-    found = jsonschema.Draft202012Validator(schema).iter_errors(document)
-    lines = ("/".join(map(str, error.absolute_path)) + ": " + error.message for error in found)
+    """Return all violations of a schema, one line each; the list is empty for a valid document."""
+    violations = jsonschema.Draft202012Validator(schema).iter_errors(document)
+    lines = ("/".join(map(str, error.absolute_path)) + ": " + error.message for error in violations)
     return sorted(line.removeprefix(": ") for line in lines)
 
 
 def parse_document(text: str | bytes, schema: dict, name: str = "the document") -> Any:
-    """Return the document in a text.
+    """Parse and validate a document.
 
     Raises
     ------
     InvalidDocumentError
-        If the text is no JSON, or does not fit the schema; `name` begins each line.
+        If the text is not JSON or violates the schema; each line of the message starts with `name`.
     """
     try:
         document = json.loads(text)
     except ValueError as error:
-        raise InvalidDocumentError(f"{name}: no JSON: {error}") from error
+        raise InvalidDocumentError(f"{name}: no JSON document: {error}") from error
     errors = schema_errors(document, schema)
     if errors:
         raise InvalidDocumentError(
-            "\n".join(f"{name}: {line}" for line in errors[:MOST_ERRORS_TOLD])
+            "\n".join(f"{name}: {line}" for line in errors[:MAX_ERRORS_REPORTED])
         )
     return document
 
 
 def load_document(path: str | pathlib.Path, schema: dict) -> Any:
-    """Return the document in a file.
+    """Read and validate the document in a file.
 
     Raises
     ------
     InvalidDocumentError
-        If the file cannot be read, is no JSON, or does not fit the schema.
+        If the file cannot be read, is not JSON, or violates the schema.
     """
     path = pathlib.Path(path)
     try:
--- a/indigodeck/settings.py
+++ b/indigodeck/settings.py
@@ -1,8 +1,8 @@
-"""Deployment settings: the facts that a deployment states once, at the start of a planner.
+"""Deployment settings: fixed properties of a deployment, given once at the start of a planner.
 
-The simulator and the platform hand over the same settings object; `settings_from_object` is the
-only place that knows its keys. The planner's own configuration file (`planner/planner_settings.py`)
-yields the same `DeploymentSettings`. Times are whole microseconds. Standard library only.
+The simulator and the platform pass the same settings object, whose keys are known only to
+`settings_from_object`. The planner's own settings file (`planner/planner_settings.py`) is read into
+the same `DeploymentSettings`. Times are whole microseconds. Standard library only.
 """
 
 import json
@@ -15,34 +15,34 @@
 from .clock import MILLISECOND
 from .errors import MalformedMessageError
 
-LONGEST_MILLISECONDS = 1e15  # a longer time is taken for none, so that sums stay exact integers
-LARGEST_NUMBER = 1e18  # a larger figure is no setting that anybody means
+MAX_MILLISECONDS = 1e15  # a longer time counts as 0, so that sums stay exact integers
+MAX_NUMBER = 1e18  # no sensible setting is larger
 
 
 class AdmissionMode(StrEnum):
-    """How a deployment's proxies understand an admission level."""
+    """How a deployment's proxies interpret an admission level."""
 
-    SHARE = "share"  # the part of requests that is admitted, 0 to 1
-    RATE = "rate"  # requests a second for each proxy
+    SHARE = "share"  # the share of requests that is admitted, from 0 to 1
+    RATE = "rate"  # requests per second for each proxy
     NONE = "none"  # levels are not supported
 
 
 class Idempotency(StrEnum):
-    """Whether a request of a class may be executed again."""
+    """Whether a request of a class may be executed more than once."""
 
-    SAFE = "safe"  # it has no effect
-    KEYED = "keyed"  # it carries an idempotency key
+    SAFE = "safe"  # requests have no side effects
+    KEYED = "keyed"  # requests carry an idempotency key
     NEVER = "never"
 
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """What is stated of one traffic class.
+    """The settings of one traffic class.
 
-    A response within `latency_objective` earns `priority_weight`; one that is later, but within
-    `deadline`, earns `late_weight_factor` times that. `idempotency_window` is how long a key is
-    remembered, within `deduplication_scope` ("all", or the cell or zone of a server).
-    `zone_bound` classes are served only by servers of the proxy's own zone.
+    A response within `latency_objective` is worth `priority_weight`; a later one within `deadline`
+    is worth `late_weight_factor` times that. An idempotency key is remembered for
+    `idempotency_window`, within `deduplication_scope` ("all", or the cell or zone of a server).
+    Requests of `zone_bound` classes are served only in the proxy's own zone.
     """
 
     name: str
@@ -60,9 +60,9 @@
 class ChannelSettings:
     """The limits of the channel from one planner to its proxies.
 
-    The channel carries `lines_per_second` table lines; at most `max_waiting_lines` may wait in it.
-    A message to one proxy costs `message_overhead_lines` beside its lines. Each proxy may be
-    written `max_messages` messages (0: no limit) within any `message_window`.
+    The channel delivers `lines_per_second` table lines, and at most `max_waiting_lines` may wait in
+    it. Each message to a proxy costs `message_overhead_lines` in addition to its lines. At most
+    `max_messages` messages (0: no limit) may be sent to each proxy within any `message_window`.
     """
 
     lines_per_second: float
@@ -76,15 +76,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentSettings:
-    """What a deployment states, as the assigner knows it.
-
-    `planner_count` planners share the proxies; `planner_index` is this one's, from 0.
-    `proxy_count` proxies are expected over all planners. Each proxy avoids a server after
-    `proxy_failure_limit` failures of its own in a row (0: never). A server restarted less than
-    `warm_up_time` ago is cold: it starts with `cold_capacity_share` of its capacity, and is
-    overloaded for good by `overload_multiple` times what it can do, held for `overload_time`.
-    `removal_is_final`: a server that is listed as gone is gone, even if it still answers.
-    `write_settle_time`: how long a write may still take effect after its key range has moved.
+    """The settings of a deployment, as the assigner uses them.
+
+    `planner_count` planners share the proxies; `planner_index` is this planner's index, from 0.
+    `proxy_count` is the expected number of proxies of all planners. A proxy avoids a server after
+    `proxy_failure_limit` consecutive failures of its own requests (0: never). A server is cold for
+    `warm_up_time` after its start: it begins with `cold_capacity_share` of its capacity. Load of
+    `overload_multiple` times its capacity for `overload_time` overloads a server permanently.
+    If `removal_is_final`, a server listed as gone is gone even if it still answers. A write may
+    take effect up to `write_settle_time` after its key range has moved.
     """
 
     classes: tuple[ClassSettings, ...]
@@ -104,7 +104,8 @@
     proxy_failure_limit: int = 0
     key_range_count: int = 0
     write_settle_time: int = 0
-    first_attempt_wait: float = 1  # of the latency objective, before a retry after any failure
+    # Wait before a retry after any failure, as a multiple of the latency objective.
+    first_attempt_wait: float = 1
     worst_class_share: float = 0
     zone_names: tuple[str, ...] = ()
     machine_type_names: tuple[str, ...] = ()
@@ -138,14 +139,14 @@
 
 
 def microseconds_or_zero(milliseconds: float) -> int:
-    """Return whole microseconds; what is no number, or cannot be a time, counts as 0."""
-    if 0 < milliseconds < LONGEST_MILLISECONDS:
+    """Convert milliseconds to whole microseconds; NaN and values out of range count as 0."""
+    if 0 < milliseconds < MAX_MILLISECONDS:
         return to_microseconds(milliseconds)
     return 0
 
 
 def to_microseconds(milliseconds: float) -> int:
-    """Return whole microseconds of a time that has been checked."""
+    """Convert milliseconds that have been validated to whole microseconds."""
     return round(milliseconds * MILLISECOND)
 
 
@@ -155,26 +156,26 @@
     Raises
     ------
     MalformedMessageError
-        If the text is no JSON, or a setting is missing or of the wrong type.
+        If the text is not JSON, or a setting is missing or of the wrong type.
     """
     try:
-        given = json.loads(bytes(data))
+        document = json.loads(bytes(data))
     except (ValueError, RecursionError) as error:
-        raise MalformedMessageError(f"settings: {error}") from error
-    return settings_from_object(given)
+        raise MalformedMessageError(f"settings: not valid JSON: {error}") from error
+    return settings_from_object(document)
 
 
-def settings_from_object(given: Any) -> DeploymentSettings:
-    """Read the settings from the object that the JSON text holds.
+def settings_from_object(document: Any) -> DeploymentSettings:
+    """Read the settings from a decoded JSON object.
 
     Raises
     ------
     MalformedMessageError
-        If a setting is missing or of the wrong type; the message names its place.
+        If a setting is missing or of the wrong type; the message names the setting.
     """
-    if not isinstance(given, dict):
-        raise MalformedMessageError("settings: no JSON object")
-    top = _Section(given, "")
+    if not isinstance(document, dict):
+        raise MalformedMessageError("settings: not a JSON object")
+    top = _Section(document, "")
     domain, rules, blend, limits, load_info = (
         top.section(name) for name in ("domain", "rules", "blend", "limits", "loadInfo")
     )
@@ -211,13 +212,13 @@
         zone_names=zone_names,
         machine_type_names=machine_type_names,
         load_columns=_load_columns(load_info),
-        list_on_request=given.get("membershipMode") == "ask",
+        list_on_request=document.get("membershipMode") == "ask",
         health_checks_allowed=limits.flag("probes"),
         peer_messages_allowed=limits.flag("peers"),
         removal_is_final=not rules.flag("drainBindsAlone"),
         exclusive_ownership=domain.flag("exclusive"),
         admission_mode=ADMISSION_NAMES.get(domain.get("admission"), AdmissionMode.SHARE),
-        classes=_classes(given.get("classes"), domain.get("classOwnZone") or []),
+        classes=_classes(document.get("classes"), domain.get("classOwnZone") or []),
     )
 
 
@@ -226,17 +227,17 @@
     return tuple(LOAD_COLUMN_NAMES.get(name, name) for name in columns)
 
 
-def _classes(stated: Any, zone_bound: Iterable[Any]) -> tuple[ClassSettings, ...]:
-    if not isinstance(stated, list) or not stated:
-        raise MalformedMessageError("settings: classes is missing")
+def _classes(entries: Any, zone_bound: Iterable[Any]) -> tuple[ClassSettings, ...]:
+    if not isinstance(entries, list) or not entries:
+        raise MalformedMessageError("settings: classes is missing or empty")
     bound = list(zone_bound)
     classes = []
-    for index, given in enumerate(stated):
-        where = f"classes[{index}]."
-        if not isinstance(given, dict):
-            raise MalformedMessageError(f"settings: {where} is no object")
+    for index, entry in enumerate(entries):
+        prefix = f"classes[{index}]."
+        if not isinstance(entry, dict):
+            raise MalformedMessageError(f"settings: {prefix} is not an object")
         classes.append(
-            _class(index, _Section(given, where), index < len(bound) and bound[index] is True)
+            _class(index, _Section(entry, prefix), index < len(bound) and bound[index] is True)
         )
     return tuple(classes)
 
@@ -256,45 +257,47 @@
 
 
 class _Section:
-    """One object of the settings, read with the place of each key for error messages."""
+    """One object of the settings; `prefix` is its path, which error messages put before a key."""
 
-    def __init__(self, given: dict, where: str) -> None:
-        self._given = given
-        self._where = where
+    def __init__(self, values: dict, prefix: str) -> None:
+        self._values = values
+        self._prefix = prefix
 
     def get(self, key: str, default: Any = None) -> Any:
-        return self._given.get(key, default)
+        return self._values.get(key, default)
 
     def flag(self, key: str) -> bool:
-        return self._given.get(key) is True
+        return self._values.get(key) is True
 
     def section(self, key: str) -> "_Section":
-        found = self._given.get(key, {})
-        if not isinstance(found, dict):
-            raise MalformedMessageError(f"settings: {key} is no object")
-        return _Section(found, f"{key}.")
+        value = self._values.get(key, {})
+        if not isinstance(value, dict):
+            raise MalformedMessageError(f"settings: {key} is not an object")
+        return _Section(value, f"{key}.")
 
     def names(self, key: str) -> tuple[str, ...]:
-        found = self._given.get(key) or []
-        if not isinstance(found, list):
-            raise MalformedMessageError(f"settings: {key} is no list")
-        return tuple(str(name) for name in found)
+        value = self._values.get(key) or []
+        if not isinstance(value, list):
+            raise MalformedMessageError(f"settings: {key} is not a list")
+        return tuple(str(name) for name in value)
 
     def number(self, key: str, default: float | None = None) -> Any:
-        """Return a number; without a default the key must be there."""
-        value = self._given.get(key)
+        """Return a number; without a default the key is required."""
+        value = self._values.get(key)
         if value is None:
             if default is None:
-                raise MalformedMessageError(f"settings: {self._where}{key} is missing")
+                raise MalformedMessageError(f"settings: {self._prefix}{key} is missing")
             return default
         is_number = isinstance(value, int | float) and not isinstance(value, bool)
-        if not is_number or math.isnan(value) or abs(value) >= LARGEST_NUMBER:
-            raise MalformedMessageError(f"settings: {self._where}{key} is no number")
+        if not is_number or math.isnan(value) or abs(value) >= MAX_NUMBER:
+            raise MalformedMessageError(
+                f"settings: {self._prefix}{key} is not a number in the allowed range"
+            )
         return value
 
     def time(self, key: str, default: int | None = None) -> int:
-        """Return a time that is stated in milliseconds, in microseconds; `default` is in both."""
-        value = self._given.get(key)
+        """Return in microseconds a time given in milliseconds; `default` is in microseconds."""
+        value = self._values.get(key)
         if value is None and default is not None:
             return default
         return to_microseconds(self.number(key))
--- a/indigodeck/simulator/__init__.py
+++ b/indigodeck/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The assigner's host on the simulator's wire: batches of events in, batches of actions out."""
+"""Hosts assigners for the simulator: reads batches of events, writes batches of actions."""
--- a/indigodeck/simulator/__main__.py
+++ b/indigodeck/simulator/__main__.py
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    """Run until the input ends; return the exit code: 0 at its end, 2 for malformed input."""
+    """Run until the input ends; return 0, 1 if the output is closed, or 2 for malformed input."""
     adapter = Adapter()
     source = sys.stdin.buffer
     sink = sys.stdout.buffer
--- a/indigodeck/simulator/adapter.py
+++ b/indigodeck/simulator/adapter.py
@@ -1,7 +1,7 @@
-"""Turn the simulator's events into calls on assigners, and their orders into action records.
+"""Translates the simulator's events to calls of assigners, and their orders to action records.
 
-Many instances run in one process and share nothing. An event that is malformed ends the run; a
-fault in the decision code is reported over the wire, and the other instances go on.
+Many instances run in one process and share nothing. A malformed event ends the run. An exception
+in the assigner is reported in the reply, and the other instances continue.
 """
 
 from collections.abc import Callable, Sequence
@@ -24,49 +24,50 @@
 
 
 class Reply:
-    """The reply being written: action records, and the tail that some of them point into."""
+    """The reply being built: action records, and the tail that some of them point into."""
 
     def __init__(self) -> None:
-        self.clock = 0  # of the batch that is answered
+        self.clock = 0  # of the batch being processed
         self._records: list[bytes] = []
         self._tail = bytearray()
-        self._speaker: int | None = None
+        self._selected_instance: int | None = None
 
-    def add(self, speaker: int, record: bytes) -> None:
-        """Append an action of one instance."""
-        if speaker != self._speaker:
-            self._speaker = speaker
-            self._records.append(codec.pack_speaker(ActionCode.SPEAKER, speaker))
+    def add(self, instance: int, record: bytes) -> None:
+        """Append an action of one instance, after selecting the instance if that changes."""
+        if instance != self._selected_instance:
+            self._selected_instance = instance
+            self._records.append(codec.pack_select_instance(ActionCode.SELECT_INSTANCE, instance))
         self._records.append(record)
 
     def append_to_tail(self, data: bytes) -> tuple[int, int]:
-        """Append bytes to the tail; return their offset and length."""
+        """Append bytes to the tail, and return their offset and length."""
         offset = len(self._tail)
         self._tail += data
         return offset, len(data)
 
-    def take(self) -> bytes:
-        """Return the whole reply and begin a new one."""
+    def finish(self) -> bytes:
+        """Return the complete reply and start a new one."""
         body = b"".join(self._records) + bytes(self._tail)
         header = codec.REPLY_HEADER.pack(len(self._records), len(body))
         self._records = []
         self._tail = bytearray()
-        self._speaker = None
+        self._selected_instance = None
         return header + body
 
 
 class InstanceHost:
-    """The assigner's host for one instance; implements `AssignerHost`."""
+    """The host of one instance's assigner; implements `AssignerHost`."""
 
     def __init__(self, instance: int, settings: DeploymentSettings, reply: Reply) -> None:
         self.instance = instance
         self.settings = settings
-        self.assigner: Any = None  # set once it is made: it acts through this host at once
+        # Set after construction, because the assigner calls this host from its constructor.
+        self.assigner: Any = None
         self._reply = reply
         self._server_ids = IdRegistry()
 
     def server_index(self, server_id: bytes) -> int:
-        """Return the index of a server id; a new one gets the next index."""
+        """Return the index of a server id; a new id gets the next index."""
         return self._server_ids.index(server_id)
 
     def now(self) -> int:
@@ -74,65 +75,65 @@
         return self._reply.clock
 
     def start_timer(self, delay: int, token: int) -> None:
-        """Order a timer."""
+        """Request a timer event."""
         delay_ms = delay / MILLISECOND
         self._add(codec.pack_timer(ActionCode.TIMER, delay_ms, token))
 
     def set_weight(self, table: int, server: int, weight: float) -> None:
-        """Order one line of a table."""
+        """Set one line of a table."""
         self._add(
             codec.pack_weight(ActionCode.WEIGHT, table, self._server_ids.id_of[server], weight)
         )
 
     def clear_table(self, table: int) -> None:
-        """Order the removal of a table's lines."""
+        """Remove all lines of a table."""
         self._add(codec.pack_clear_table(ActionCode.CLEAR_TABLE, table))
 
     def assign_table(self, proxy: int, table: int, classes: Sequence[int]) -> None:
-        """Order a proxy onto a table."""
+        """Make a proxy use a table."""
         mask = _class_mask(classes)
         self._add(codec.pack_table_assignment(ActionCode.TABLE_ASSIGNMENT, proxy, table, mask))
 
     def eject_server(self, server: int) -> None:
-        """Order all proxies off a server."""
+        """Make all proxies stop using a server."""
         self._add(codec.pack_eject(ActionCode.EJECT, self._server_ids.id_of[server], True))
 
     def uneject_server(self, server: int) -> None:
-        """Let proxies return to a server."""
+        """Allow proxies to use a server again."""
         self._add(codec.pack_eject(ActionCode.EJECT, self._server_ids.id_of[server], False))
 
     def forget_server(self, server: int) -> None:
-        """Uneject a server that is gone; its index stays, for late events may still name it."""
+        """Uneject a server that is gone; its index is kept, as late events may still name it."""
         self.uneject_server(server)
 
     def set_admission(
         self, table: int, classes: Sequence[int], level: float, retry_policy: RetryPolicy
     ) -> None:
-        """Order the admission level and retry policy of classes; a negative table means all."""
-        number = codec.EVERY_TABLE if table < 0 else table
+        """Set the admission level and retry policy of classes; a negative table means all."""
+        number = codec.ALL_TABLES if table < 0 else table
         mask = _class_mask(classes)
         self._add(codec.pack_admission(ActionCode.ADMISSION, mask, retry_policy, number, level))
 
     def request_ack(self, number: int, all_proxies: bool) -> None:
-        """Ask for an acknowledgement of the orders up to here."""
+        """Request an acknowledgement of all orders so far."""
         self._add(codec.pack_ack_request(ActionCode.ACK_REQUEST, number & 0xFFFF, all_proxies))
 
     def check_health(self, server: int) -> None:
-        """Order a health check."""
+        """Request a health check."""
         self._add(codec.pack_health_check(ActionCode.HEALTH_CHECK, self._server_ids.id_of[server]))
 
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
-        """Send bytes to another planner, or to all."""
+        """Send a message to another planner, or to all."""
         receiver = codec.ALL_PEERS if peer is None else peer
         offset, length = self._reply.append_to_tail(data)
         self._add(codec.pack_peer_message(ActionCode.PEER_MESSAGE, receiver, offset, length))
 
     def watch_endpoints(self, enabled: bool) -> None:
-        """Subscribe to changes of the endpoint list, or stop that."""
+        """Start or stop the subscription to the endpoint list."""
         self._add(codec.pack_list_subscription(ActionCode.LIST_SUBSCRIPTION, enabled))
 
     def fetch_endpoints(self) -> None:
-        """Ask for the whole endpoint list."""
+        """Request the full endpoint list."""
         self._add(codec.pack_list_request(ActionCode.LIST_REQUEST))
 
     def log(self, text: str) -> None:
@@ -149,13 +150,13 @@
 
 
 class Adapter:
-    """Answer each batch of events with one reply; `make_assigner` may make another policy."""
+    """Answers each batch of events with one reply; `make_assigner` may create other policies."""
 
     def __init__(self, make_assigner: Callable[..., Any] = Assigner) -> None:
         self._make_assigner = make_assigner
         self._reply = Reply()
         self._hosts: dict[int, InstanceHost] = {}
-        self._lists: dict[int, list[ListEntry]] = {}  # by the number that events name them by
+        self._lists: dict[int, list[ListEntry]] = {}  # by the number that events refer to
         self._handlers: dict[EventCode, Callable[..., None]] = {
             EventCode.ENDPOINT_UPDATE: self._on_endpoint_update,
             EventCode.PROXY_LEFT: self._on_proxy_left,
@@ -177,7 +178,7 @@
         Raises
         ------
         MalformedMessageError
-            If a record is not what the wire allows; the message names it.
+            If a record is malformed; the message names the record.
         """
         self._reply.clock = frame.clock
         instance: int | None = None
@@ -189,11 +190,11 @@
                 self._process_event(frame, instance, code, fields)
             except MalformedMessageError as error:
                 raise MalformedMessageError(f"record {index}: {error}") from error
-            except Exception as error:  # a fault of the decision code must not end the others
+            except Exception as error:  # must not affect the other instances
                 where = f"record {index}, code {code.value}"
                 text = f"{type(error).__name__}: {error} ({where})"
                 self._report_crash(instance or 0, text)
-        return self._reply.take()
+        return self._reply.finish()
 
     def _process_event(
         self, frame: Frame, instance: int | None, code: EventCode, fields: tuple
@@ -202,14 +203,14 @@
             self._declare_list(frame, *fields)
             return
         if instance is None:
-            raise MalformedMessageError(f"code {code.value} before any instance was selected")
+            raise MalformedMessageError(f"code {code.value}: no instance has been selected")
         if code == EventCode.START:
             self._start(frame, instance, *fields)
             return
         host = self._hosts.get(instance)
         if host is None:
             raise MalformedMessageError(
-                f"code {code.value} for instance {instance}, which has not started"
+                f"code {code.value}: instance {instance} has not been started"
             )
         if code == EventCode.PEER_MESSAGE:
             self._on_peer_message(frame, host, *fields)
@@ -221,7 +222,7 @@
         self._reply.add(instance, codec.pack_crash(ActionCode.CRASH, offset, length))
 
     def _declare_list(self, frame: Frame, number: int, offset: int, count: int) -> None:
-        data = frame.tail(offset, count * codec.LIST_ENTRY.size, f"list {number}")
+        data = frame.tail(offset, count * codec.LIST_ENTRY.size, f"endpoint list {number}")
         self._lists[number] = list(codec.read_list_entries(data, count))
 
     def _start(self, frame: Frame, instance: int, seed: int, offset: int, length: int) -> None:
@@ -237,9 +238,9 @@
             host.assigner.on_endpoint_list_failed()
             return
         if kind not in codec.UPDATE_KINDS:
-            raise MalformedMessageError(f"unknown kind of list {kind}")
+            raise MalformedMessageError(f"unknown kind of endpoint update: {kind}")
         if number not in self._lists:
-            raise MalformedMessageError(f"list {number} was not declared")
+            raise MalformedMessageError(f"endpoint list {number} has not been declared")
         servers = [
             Server(
                 index=host.server_index(entry.server_id),
@@ -266,7 +267,7 @@
     def _on_peer_message(
         self, frame: Frame, host: InstanceHost, peer: int, offset: int, length: int
     ) -> None:
-        data = frame.tail(offset, length, "memo")
+        data = frame.tail(offset, length, "peer message")
         host.assigner.on_peer_message(peer, bytes(data))
 
     def _on_ack(self, host: InstanceHost, proxy: int, number: int, duration_ms: float) -> None:
@@ -346,4 +347,6 @@
 def _check_class(host: InstanceHost, class_index: int) -> None:
     count = len(host.settings.classes)
     if class_index >= count:
-        raise MalformedMessageError(f"class {class_index} of {count}")
+        raise MalformedMessageError(
+            f"class index {class_index} is out of range: the number of classes is {count}"
+        )
--- a/indigodeck/simulator/codec.py
+++ b/indigodeck/simulator/codec.py
@@ -1,7 +1,7 @@
-"""The simulator's binary frames: layouts, bounds, and the codes of events and actions.
+"""The simulator's binary frames: layouts, limits, and the codes of events and actions.
 
-A frame is a header, a number of records of one size and a tail that records point into. All
-numbers are little-endian; times are milliseconds on the wire and microseconds here.
+A frame consists of a header, records of a fixed size, and a tail that records point into. All
+numbers are little-endian. Times are milliseconds on the wire and microseconds in this package.
 """
 
 import struct
@@ -13,21 +13,21 @@
 from ..errors import MalformedMessageError
 from ..settings import microseconds_or_zero
 
-HEADER = struct.Struct("<IId")  # records, bytes after the header, clock
-REPLY_HEADER = struct.Struct("<II")  # records, bytes after the header
+HEADER = struct.Struct("<IId")  # number of records, bytes after the header, clock
+REPLY_HEADER = struct.Struct("<II")  # number of records, bytes after the header
 EVENT_SIZE = 56
 ACTION_SIZE = 24
-LARGEST_FRAME = 1 << 30
-LATEST_CLOCK_MS = 1e15
+MAX_FRAME_SIZE = 1 << 30
+MAX_CLOCK_MS = 1e15
 ALL_PEERS = 0xFFFFFFFF
-EVERY_TABLE = 65535
+ALL_TABLES = 65535
 
 LIST_ENTRY = struct.Struct("<HBf6sdBB")
-LOAD_FIGURES = struct.Struct("<4f")
+LOAD_VALUES = struct.Struct("<4f")
 
 
 class EventCode(IntEnum):
-    """What the simulator tells."""
+    """The codes of the simulator's events."""
 
     ENDPOINT_LIST = 1000
     ENDPOINT_UPDATE = 1010
@@ -80,7 +80,7 @@
 
 
 class Frame(NamedTuple):
-    """One batch of events at one moment, with the tail its records point into."""
+    """A batch of events at one time, with the tail that its records point into."""
 
     clock: int
     record_count: int
@@ -97,18 +97,18 @@
                 raise MalformedMessageError(f"record {index}: unknown code {number}") from None
             yield index, code, EVENT_LAYOUTS[code].unpack_from(self.body, offset + 2)
 
-    def tail(self, offset: int, length: int, what: str) -> bytes:
-        """Return a part of the tail; `what` names it in the error if it lies outside."""
+    def tail(self, offset: int, length: int, label: str) -> bytes:
+        """Return a part of the tail; `label` names it in the error message if it lies outside."""
         start = self.record_count * EVENT_SIZE + offset
         if start + length > len(self.body):
             raise MalformedMessageError(
-                f"{what}: bytes {offset} to {offset + length} lie outside the tail"
+                f"{label}: bytes {offset} to {offset + length} are outside the tail"
             )
         return self.body[start : start + length]
 
 
 class ListEntry(NamedTuple):
-    """One server as an endpoint list on the wire states it; `started` in microseconds."""
+    """One server of an endpoint list on the wire; `started` is in microseconds."""
 
     cell: int
     machine_type: int
@@ -125,25 +125,25 @@
     Raises
     ------
     MalformedMessageError
-        If the input ends within a frame, or its header cannot be true.
+        If the input ends within a frame, or the header's values are out of range.
     """
     first = stream.read(1)
     if not first:
         return None
     rest = _read_exactly(stream, HEADER.size - 1, "a header")
     count, length, clock_ms = HEADER.unpack(first + rest)
-    if length > LARGEST_FRAME or count * EVENT_SIZE > length:
-        raise MalformedMessageError(f"a header states {count} records in {length} bytes")
-    if not 0 <= clock_ms < LATEST_CLOCK_MS:
-        raise MalformedMessageError(f"a header states the clock as {clock_ms}")
+    if length > MAX_FRAME_SIZE or count * EVENT_SIZE > length:
+        raise MalformedMessageError(f"frame header: {count} records in {length} bytes")
+    if not 0 <= clock_ms < MAX_CLOCK_MS:
+        raise MalformedMessageError(f"frame header: clock {clock_ms} ms is out of range")
     body = _read_exactly(stream, length, f"a frame of {length} bytes")
     return Frame(microseconds_or_zero(clock_ms), count, body)
 
 
-def _read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
+def _read_exactly(stream: BinaryIO, size: int, label: str) -> bytes:
     data = stream.read(size)
     if len(data) != size:
-        raise MalformedMessageError(f"input ends within {what}: {len(data)} of {size} bytes")
+        raise MalformedMessageError(f"input ends within {label}: got {len(data)} of {size} bytes")
     return data
 
 
@@ -153,7 +153,7 @@
         fields = LIST_ENTRY.unpack_from(data, index * LIST_ENTRY.size)
         cell, machine_type, weight, server_id, started_ms, state, zone = fields
         if state not in SERVER_STATES:
-            raise MalformedMessageError(f"list entry {index}: unknown state {state}")
+            raise MalformedMessageError(f"endpoint list entry {index}: unknown state {state}")
         yield ListEntry(
             cell,
             machine_type,
@@ -166,30 +166,30 @@
 
 
 def read_load(columns: tuple[str, ...], data: bytes) -> dict[str, float] | None:
-    """Return a server's own load report by column, or None where it sent none."""
+    """Return a server's own load report by column, or None if it sent none."""
     count = data[0]
     if not count:
         return None
-    figures = LOAD_FIGURES.unpack_from(data, 1)[:count]
-    return dict(zip(columns, figures, strict=False))  # a report may hold more than is named
+    values = LOAD_VALUES.unpack_from(data, 1)[:count]
+    return dict(zip(columns, values, strict=False))  # a report may have more values than columns
 
 
 def _action(layout: str) -> Callable[..., bytes]:
-    """Return a function that packs one action record, zero-filled to its size."""
-    packed = struct.Struct("<" + layout)
-    padding = bytes(ACTION_SIZE - packed.size)
+    """Return a function that packs an action record and pads it with zeros to the record size."""
+    layout_struct = struct.Struct("<" + layout)
+    padding = bytes(ACTION_SIZE - layout_struct.size)
 
     def pack(*fields: Any) -> bytes:
-        return packed.pack(*fields) + padding
+        return layout_struct.pack(*fields) + padding
 
     return pack
 
 
-# Each starts with its code; offsets and lengths point into the reply's tail.
+# The first field is the action code; offsets and lengths refer to the reply's tail.
 pack_eject = _action("H6sB")
 pack_peer_message = _action("HIII")
 pack_ack_request = _action("HIB")
-pack_speaker = _action("HH")
+pack_select_instance = _action("HH")
 pack_timer = _action("HdQ")
 pack_crash = _action("HII")
 pack_list_request = _action("H")
@@ -203,12 +203,12 @@
 
 
 class ActionCode(IntEnum):
-    """What the assigner orders."""
+    """The codes of the actions in replies."""
 
     EJECT = 1000
     PEER_MESSAGE = 1010
     ACK_REQUEST = 1020
-    SPEAKER = 1030
+    SELECT_INSTANCE = 1030
     TIMER = 1040
     CRASH = 1050
     LIST_REQUEST = 1060
--- a/tests/assignment/__init__.py
+++ b/tests/assignment/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package `indigodeck.assignment`."""
+"""Tests of `indigodeck.assignment`."""
--- a/tests/assignment/scenarios.py
+++ b/tests/assignment/scenarios.py
@@ -1,4 +1,4 @@
-"""Fleets and deployments that several tests of the assigner start from."""
+"""Fleets and deployments that several tests of the assigner use."""
 
 import dataclasses
 
@@ -9,12 +9,15 @@
 
 
 def fleet(count=12, **stated):
-    """Return ready servers, from index 0 on."""
+    """Return `count` ready servers with indices from 0."""
     return [server(index, **stated) for index in range(count)]
 
 
 def zone_bound_host():
-    """Return two zones, the second class zone-bound; odd servers and proxy 1 are in zone 1."""
+    """Return a host with two zones whose second class is zone-bound.
+
+    The servers with odd indices and proxy 1 are in zone 1.
+    """
     read, write = deployment_settings().classes
     host = RecordingHost(
         deployment_settings(
@@ -26,7 +29,7 @@
 
 
 def large_deployment(joined=270, **stated):
-    """Return many proxies and servers in three zones, where groups of proxies have tables."""
+    """Return a host with many proxies and servers in three zones, and tables for proxy groups."""
     host = RecordingHost(
         deployment_settings(
             zone_count=3,
--- a/tests/assignment/test_admission.py
+++ b/tests/assignment/test_admission.py
@@ -1,4 +1,4 @@
-"""How much is admitted, of which class, and on what evidence."""
+"""Admission control: when admission is cut and raised, and for which classes."""
 
 import itertools
 
@@ -10,10 +10,10 @@
 
 
 class AdmissionTest(TraceTestCase):
-    """The fleet's admission controller."""
+    """Tests of the fleet's admission controller."""
 
     def test_overload_is_shed_by_priority_weight_and_admitted_again(self):
-        """The class of the lowest priority weight is cut; later all is admitted."""
+        """The class with the lowest priority weight is cut; later everything is admitted."""
         host = RecordingHost()
         host.start(fleet())
         host.run(6, lambda host: host.report())
@@ -23,7 +23,7 @@
         self.compare("flood", host)
 
     def test_planner_without_proxies_cuts_no_level(self):
-        """What other planners' proxies bring does not cut the levels of who joins later."""
+        """Load from other planners' proxies does not cut the levels of proxies that join later."""
         host = RecordingHost()
         host.start(fleet())
         for proxy in range(2):
@@ -36,7 +36,7 @@
         self.assertLess(host.assigner.admission.fleet.admitted_share, 1.0)
 
     def test_overload_without_any_answer_cuts_admission(self):
-        """No answer at all counts as the deepest overload."""
+        """If no request completes, this counts as the deepest overload."""
         host = RecordingHost()
         host.start(fleet())
         host.run(8, lambda host: host.report(failed=lambda index: 40, tries=40))
@@ -44,7 +44,7 @@
         self.assertTrue(levels)
 
     def test_admitted_share_rises_by_half_at_most_in_a_step(self):
-        """Steps upwards are bounded."""
+        """Each raise of the admitted share is limited."""
         host = RecordingHost()
         host.start(fleet())
         host.run(6, lambda host: host.report())
@@ -64,14 +64,14 @@
         )
 
     def test_a_level_is_cut_again_only_by_reports_begun_after_the_last_cut(self):
-        """Reports of the time before a cut do not cut twice."""
+        """Reports whose period began before a cut do not cause a second cut."""
         host = RecordingHost()
         span = 5 * SECOND
         cuts = []
 
         def reports(host):
-            # A few servers each second, as where more reports come than are let in; far worse
-            # from the first cut on.
+            # Each second only some servers are reported, as where the rate of reports is limited;
+            # from the first cut on the reports are far worse.
             cuts[:] = [
                 float(line.split()[0])
                 for line in host.printed
@@ -91,7 +91,7 @@
         self.assertGreater(cuts[1] - cuts[0], span / SECOND)
 
     def test_failures_with_low_latencies_cut_nothing(self):
-        """They are no sign of overload."""
+        """Failures alone are not a sign of overload."""
         host = RecordingHost()
         host.start(fleet())
         host.run(
@@ -100,7 +100,7 @@
         self.assertFalse([line for line in host.printed if "admission_changed" in line])
 
     def test_long_requests_are_not_taken_for_overload(self):
-        """Latencies that are always high do not cut admission."""
+        """Latencies that have always been high do not cut admission."""
         host = RecordingHost()
         host.start(fleet())
         host.run(3, lambda host: host.report(lambda index: 380_000))
@@ -108,7 +108,7 @@
         self.assertFalse([line for line in host.printed if "admitted_share=0" in line])
 
     def test_rising_latencies_are_extrapolated(self):
-        """A rise cuts admission one period ahead."""
+        """A rise of latencies cuts admission one period ahead."""
         host = RecordingHost()
         host.start(fleet())
         for latency in (200_000, 330_000, 460_000):
@@ -117,10 +117,10 @@
 
 
 class ZoneAdmissionTest(TraceTestCase):
-    """The controllers of zones with zone-bound classes."""
+    """Tests of the controllers of zones with zone-bound classes."""
 
     def test_overload_of_one_zone_does_not_cut_the_other(self):
-        """Only the levels of the overloaded zone go down."""
+        """Only the levels of the overloaded zone are cut."""
         host = zone_bound_host()
         host.run(6, lambda host: host.report())
         host.printed.clear()
@@ -134,7 +134,7 @@
         self.compare("one-zone", host)
 
     def test_reports_of_few_servers_do_not_cut_a_zone(self):
-        """Half of a zone's servers must have reports."""
+        """At least half of a zone's servers must have reports."""
         host = zone_bound_host()
 
         def reports(host):
--- a/tests/assignment/test_assigner.py
+++ b/tests/assignment/test_assigner.py
@@ -1,4 +1,4 @@
-"""Events with values that mean nothing."""
+"""Events with meaningless values."""
 
 import unittest
 
@@ -9,10 +9,10 @@
 
 
 class OddInputTest(unittest.TestCase):
-    """No event of odd content stops the assigner."""
+    """No event with meaningless content stops the assigner."""
 
     def test_zero_and_unknown_values_are_harmless(self):
-        """Zeros, unknown indices and odd numbers are passed over."""
+        """Zeros, unknown indices and out-of-range numbers raise no error."""
         host = RecordingHost()
         host.assigner.on_endpoint_update(
             UpdateKind.INCREMENTAL, [server(0, weight=0.0), server(1, weight=float("nan"))]
--- a/tests/assignment/test_channel_account.py
+++ b/tests/assignment/test_channel_account.py
@@ -1,4 +1,4 @@
-"""The account of the channel: lines that wait, lateness, pace."""
+"""Channel accounting: waiting lines, lateness and throughput."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 class StalledChannelTest(unittest.TestCase):
-    """A channel that stands still for ten seconds, and what is believed of it."""
+    """The account of a channel that delivers nothing for several seconds."""
 
     def new_account(self):
         """Return the account of a channel with one proxy."""
@@ -23,35 +23,35 @@
         self.proxies[1] = Proxy(Locality(0, 0), 1.0, {})
         return ChannelAccount(settings, 0, 20 * SECOND)
 
-    def order(self, channel, lines, now):
-        """Enter lines for the proxy, and return the number of the acknowledgement asked for."""
-        channel.reached = set()
+    def record_order(self, channel, lines, now):
+        """Record lines for the proxy, and return the number of the acknowledgement request."""
+        channel.call_recipients = set()
         channel.record_orders(self.proxies, {1}, lines, now)
         return channel.new_ack_request(now)
 
     def test_lines_without_acknowledgement_wait(self):
-        """While acknowledgements are overdue, all lines that none accounts for wait."""
+        """While acknowledgements are overdue, all unacknowledged lines count as waiting."""
         channel = self.new_account()
-        requests = [self.order(channel, 300, now * SECOND) for now in range(4)]
-        # At its stated pace all would have left; nobody has answered.
+        requests = [self.record_order(channel, 300, now * SECOND) for now in range(4)]
+        # At the configured rate all lines would have been delivered, but no proxy has answered.
         self.assertEqual(channel.queued_lines(4 * SECOND), 1200)
         self.assertEqual(channel.lateness(4 * SECOND), 4 * SECOND - 800_000)
         channel.on_ack(requests[1], 4 * SECOND, 5 * SECOND)
         self.assertEqual(channel.queued_lines(5 * SECOND), 600)
-        self.assertLess(channel.pace, 0.25)
+        self.assertLess(channel.throughput_ratio, 0.25)
         channel.on_ack(requests[3], SECOND // 2, 5 * SECOND)
         self.assertEqual(channel.queued_lines(6 * SECOND), 0)
-        self.assertEqual((channel.pace, channel.lateness(6 * SECOND)), (1.0, 0))
+        self.assertEqual((channel.throughput_ratio, channel.lateness(6 * SECOND)), (1.0, 0))
 
     def test_unanswered_requests_are_given_up(self):
-        """Proxies that left hold nothing up for ever."""
+        """Proxies that have left do not hold up the channel forever."""
         channel = self.new_account()
-        self.order(channel, 300, 0)
+        self.record_order(channel, 300, 0)
         self.assertEqual(channel.queued_lines(10 * SECOND), 300)
         self.assertEqual(channel.queued_lines(21 * SECOND), 0)
 
     def test_feedback_delay_grows_with_lateness(self):
-        """Reports are waited for as long as orders take."""
+        """The time until reports can show an order's effect includes the lateness of orders."""
         host = RecordingHost()
         host.start(fleet())
         host.run(4)
@@ -63,20 +63,20 @@
 
 
 class SlowChannelTest(unittest.TestCase):
-    """A channel slower than stated."""
+    """A channel that is slower than configured."""
 
-    def lines_written(self, took):
-        """Return how many lines are written after an acknowledgement that took so long."""
+    def lines_written(self, delay):
+        """Return how many lines are sent after an acknowledgement with this delay."""
         host = RecordingHost(deployment_settings(lines_per_second=60, max_waiting_lines=400))
         host.start(fleet())
         host.run(8)
         host.change(server(0, ServerState.DRAINING))
-        host.assigner.on_ack(0, host.assigner.state.channel.last_ack_number, took)
+        host.assigner.on_ack(0, host.assigner.state.channel.last_ack_number, delay)
         host.printed.clear()
         host.change(*[server(index, started=host.clock) for index in range(12, 24)])
         host.run(2)
         return len([line for line in host.printed if "table" in line])
 
     def test_slower_channel_gets_fewer_lines(self):
-        """Ordinary lines follow the pace shown."""
+        """Deferrable lines are limited by the measured throughput."""
         self.assertLess(self.lines_written(60 * SECOND), self.lines_written(SECOND // 2))
--- a/tests/assignment/test_delivery.py
+++ b/tests/assignment/test_delivery.py
@@ -1,4 +1,4 @@
-"""What proxies are written, within the channel's and the messages' limits."""
+"""Delivery of orders to proxies, within the limits of the channel and of messages."""
 
 import unittest
 
@@ -10,10 +10,10 @@
 
 
 class MessageLimitTest(TraceTestCase):
-    """Messages to one proxy."""
+    """The limit on messages to one proxy."""
 
     def test_messages_stay_under_the_limit(self):
-        """Changes at any pace stay below the messages allowed."""
+        """Even rapid changes stay below the allowed number of messages."""
         host = RecordingHost(deployment_settings(max_messages=8))
         host.start(fleet())
         host.printed.clear()
@@ -24,9 +24,9 @@
         self.assertLessEqual(len(moments) + 1, 8)
 
     def test_joins_among_cold_servers_leave_messages_for_the_next_drains(self):
-        """Changes of cold servers do not use up what ejections need."""
-        # Day h8334b8: a restarted planner, proxies that join one by one, cold servers, and servers
-        # that drain in waves.
+        """Changes of cold servers do not use up the messages that ejections need."""
+        # Simulated day h8334b8: the planner restarts, proxies join one by one, some servers are
+        # cold, and others drain in waves.
         host = RecordingHost(deployment_settings(max_messages=20, proxy_count=40))
         host.clock = 60 * SECOND
         host.assigner.on_endpoint_update(
@@ -48,7 +48,7 @@
         self.assertEqual(host.assigner.state.ejected, {4, 7, 9})
 
     def test_proxy_at_its_limit_holds_back_its_own_ejections_alone(self):
-        """Ejections that it does not need are written."""
+        """Ejections that do not concern its tables are sent."""
         host = RecordingHost(deployment_settings(max_messages=20, proxy_count=40))
         host.start(fleet(30), proxies=40)
         host.run(3)
@@ -67,10 +67,10 @@
 
 
 class JoinTest(unittest.TestCase):
-    """Proxies that join."""
+    """The assignment of tables to proxies that join."""
 
     def test_many_joins_wait_for_the_channel_and_all_are_assigned(self):
-        """The queue stays below its limit, and all get their tables."""
+        """The queue stays below its limit, and all proxies get their tables."""
         host = large_deployment()
         self.assertLess(host.assigner.state.channel.lines_waiting, 6800 / 2)
         host.run(6)
@@ -80,10 +80,10 @@
 
 
 class DepartedServerTest(unittest.TestCase):
-    """Servers that are gone."""
+    """The state of servers that are gone."""
 
     def test_server_long_gone_is_forgotten(self):
-        """Nothing is kept of it after a while."""
+        """After a while no state is kept about it."""
         host = RecordingHost()
         host.start(fleet())
         host.change(server(3, ServerState.GONE))
--- a/tests/assignment/test_endpoints.py
+++ b/tests/assignment/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: removals, wrong lists, and requests for it."""
+"""The endpoint list: removals, wrong lists, and requests for the list."""
 
 from harness import RecordingHost, TraceTestCase, deployment_settings, server
 
@@ -8,10 +8,10 @@
 
 
 class RemovalTest(TraceTestCase):
-    """Servers that drain or are gone."""
+    """Servers that are listed as draining or gone."""
 
     def test_draining_and_gone_servers_leave_at_once(self):
-        """They are ejected and out of all tables within the same call."""
+        """They are ejected and removed from all tables within the same call."""
         host = RecordingHost()
         host.start(fleet())
         host.run(1)
@@ -22,7 +22,7 @@
         self.compare("drain", host)
 
     def test_servers_wrongly_listed_as_gone_stay_while_they_answer(self):
-        """Where removal is not final, health checks decide."""
+        """Where removal is not final, health checks decide whether a server is removed."""
         host = RecordingHost(
             deployment_settings(removal_is_final=False, health_checks_allowed=True)
         )
@@ -42,7 +42,7 @@
         self.compare("wrong-list", host)
 
     def test_servers_listed_as_gone_stay_without_health_checks_while_they_complete(self):
-        """Without health checks, completed requests decide."""
+        """Where health checks are not allowed, completed requests decide."""
         host = RecordingHost(deployment_settings(removal_is_final=False))
         host.start(fleet())
         host.run(3, lambda host: host.report())
@@ -53,10 +53,10 @@
 
 
 class ListRequestTest(TraceTestCase):
-    """The list where it must be asked for."""
+    """Deployments in which the list must be requested."""
 
     def test_list_is_requested_again_later_after_each_failure(self):
-        """Pauses grow from a second on."""
+        """The retry delays grow, starting at about one second."""
         host = RecordingHost(deployment_settings(list_on_request=True))
         host.start(fleet(4))
         for _ in range(4):
--- a/tests/assignment/test_key_ranges.py
+++ b/tests/assignment/test_key_ranges.py
@@ -1,4 +1,4 @@
-"""Key ranges and the servers they are at."""
+"""Key ranges and the servers that hold them."""
 
 import unittest
 
@@ -10,10 +10,10 @@
 
 
 class KeyRangeTest(unittest.TestCase):
-    """Ranges move only when their server drains or goes."""
+    """Key ranges move only when their server drains or is gone."""
 
     def test_key_ranges_keep_their_server_until_it_goes(self):
-        """Load moves nothing."""
+        """Load and failures do not move a key range."""
         host = RecordingHost(deployment_settings(key_range_count=8))
         host.assigner.on_endpoint_update(UpdateKind.INCREMENTAL, fleet(4))
         host.assigner.on_key_range_assigned(2, True)
@@ -31,7 +31,7 @@
         self.assertEqual(len(host.tables[2]), 2)
 
     def test_single_owner_hands_over_after_a_delay(self):
-        """No write may be on its way to the old owner any more."""
+        """A new exclusive owner is named only when no write can still reach the old one."""
         host = RecordingHost(deployment_settings(key_range_count=8, exclusive_ownership=True))
         host.assigner.on_endpoint_update(UpdateKind.INCREMENTAL, fleet(4))
         host.assigner.on_key_range_assigned(2, True)
--- a/tests/assignment/test_outlier_detection.py
+++ b/tests/assignment/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which servers are ejected, and when they return."""
+"""Outlier detection: which servers are ejected, and when they return."""
 
 from harness import RecordingHost, TraceTestCase, server
 
@@ -7,10 +7,10 @@
 
 
 class EjectionTest(TraceTestCase):
-    """Failing servers leave all shards, slow ones a single shard."""
+    """Failing servers are ejected from all shards, slow ones from a single shard."""
 
-    def play(self, seconds, warm=6, **report):
-        """Play on after a warm-up, with reports as given."""
+    def run_with_reports(self, seconds, warm=6, **report):
+        """Return a host that has run for some seconds with these reports, after a warm-up."""
         host = RecordingHost()
         host.start(fleet())
         host.run(warm, lambda host: host.report())
@@ -19,8 +19,10 @@
         return host
 
     def test_failing_server_is_ejected_and_tried_again(self):
-        """It returns in slow start, and is ejected at once when it fails again."""
-        self.compare("failing", self.play(14, failed=lambda index: 15 if index == 4 else 0))
+        """It returns with slow start, and is ejected at once when it fails again."""
+        self.compare(
+            "failing", self.run_with_reports(14, failed=lambda index: 15 if index == 4 else 0)
+        )
 
     def test_slow_server_is_replaced_in_one_shard(self):
         """Another server takes its place, and it stays in its other shards."""
@@ -38,12 +40,12 @@
         self.compare("slow", host)
 
     def test_common_cause_ejects_no_server(self):
-        """Where most servers fail, moving work would spread it."""
-        host = self.play(5, failed=lambda index: 15 if index % 3 else 0)
+        """If most servers fail, no server is ejected: moving work would spread the failure."""
+        host = self.run_with_reports(5, failed=lambda index: 15 if index % 3 else 0)
         self.assertFalse([line for line in host.printed if "server_ejected" in line])
 
     def test_zone_keeps_ejected_servers_when_too_few_are_left(self):
-        """A zone-bound table goes on with ejected servers rather than with few."""
+        """A zone-bound table keeps ejected servers when too few others are left."""
         host = zone_bound_host()
         host.run(6, lambda host: host.report())
         host.run(
@@ -55,7 +57,7 @@
 
 
 class RestartTest(TraceTestCase):
-    """Servers that start again and again."""
+    """Servers that restart repeatedly."""
 
     def test_server_that_restarts_before_it_is_warm_is_ejected(self):
         """It is ejected for longer after each such restart."""
--- a/tests/assignment/test_shards.py
+++ b/tests/assignment/test_shards.py
@@ -1,4 +1,4 @@
-"""Which servers a table's shard holds."""
+"""The servers in the shards of tables."""
 
 import dataclasses
 import unittest
@@ -11,10 +11,10 @@
 
 
 class ShardDrawTest(TraceTestCase):
-    """Draws follow demand and the list of servers, and leave no server out."""
+    """Draws follow demand and the endpoint list, and use all servers."""
 
     def test_shards_cover_the_fleet_and_follow_demand(self):
-        """Each server is in a shard, and a class with more demand gets a larger one."""
+        """Every server is in a shard, and a class with more demand gets a larger one."""
         host = RecordingHost()
         host.start(fleet())
         host.run(8, lambda host: host.report(demand=(40, 10)))
@@ -23,7 +23,7 @@
         self.assertEqual(set().union(*host.tables.values()), set(range(12)))
 
     def test_many_classes_leave_no_server_out(self):
-        """All servers are used, also with many small shards."""
+        """All servers are used, even with many small shards."""
         read = deployment_settings().classes[0]
         classes = tuple(dataclasses.replace(read, name=f"class {k}") for k in range(9))
         host = RecordingHost(deployment_settings(classes=classes))
@@ -39,7 +39,7 @@
         self.assertEqual(one.printed, other.printed)
 
     def test_full_fleet_serves_every_class_on_every_server(self):
-        """While all servers are busy, classes are not kept apart."""
+        """While all servers are busy, classes are not kept on separate servers."""
         host = RecordingHost()
         host.start(fleet())
         host.run(16, lambda host: host.report(demand=(45, 5)))
@@ -49,7 +49,7 @@
         self.assertEqual(sum(1 for weight in host.tables[2].values() if weight), 12)
 
     def test_classes_leave_servers_that_a_zone_bound_class_loads(self):
-        """A class that may be served anywhere leaves a zone to the class that can't."""
+        """A class that may be served anywhere avoids a zone that a zone-bound class loads."""
         host = zone_bound_host()
 
         def reports(host):
@@ -62,10 +62,10 @@
 
 
 class ProxyGroupTest(unittest.TestCase):
-    """Groups of proxies of a large deployment have shards of their own zone."""
+    """The proxy groups of a large deployment have shards in their own zone."""
 
     def test_groups_are_served_in_their_zone_and_load_servers_evenly(self):
-        """Each group's shard is of its zone, and planned load is even."""
+        """Each group's shard has servers of its zone only, and planned load is even."""
         host = large_deployment()
         loads = [0.0] * 90
         for table in host.assigner.state.tables:
@@ -77,7 +77,7 @@
         self.assertLess(max(loads), 1.7 * sum(loads) / 90)
 
     def test_first_proxy_to_join_does_not_stand_for_all(self):
-        """Proxies that have not joined yet count as planned."""
+        """Proxies that have not joined yet count with the average demand."""
         host = large_deployment(joined=1)
         table = host.assigner.state.proxies.tables_of(0)[0]
         self.assertTrue(all(index % 3 == 0 for index in table.members))
--- a/tests/assignment/test_weights.py
+++ b/tests/assignment/test_weights.py
@@ -1,4 +1,4 @@
-"""Table weights: slow start, and the bound on the load of cold servers."""
+"""Table weights: slow start, and the load limit of cold servers."""
 
 from harness import RecordingHost, TraceTestCase, deployment_settings, server
 
@@ -8,10 +8,10 @@
 
 
 class SlowStartTest(TraceTestCase):
-    """A server that was just started gets its weight in steps."""
+    """A server that was just started receives its weight in steps."""
 
     def test_new_server_gets_its_weight_in_doublings(self):
-        """It starts at a quarter of its weight and doubles."""
+        """It starts at a quarter of its weight, which then doubles in steps."""
         host = RecordingHost()
         host.start(fleet())
         host.run(2)
@@ -22,10 +22,10 @@
 
 
 class ColdServerTest(TraceTestCase):
-    """Cold servers are planned for less than what would overload them."""
+    """The planned load of cold servers stays below what would overload them."""
 
     def test_cold_fleet_is_kept_below_overload(self):
-        """Levels go down while all servers are cold, and up as they warm."""
+        """Levels are cut while all servers are cold, and raised as they warm up."""
         host = RecordingHost()
         host.start(fleet())
         host.run(5, lambda host: host.report())
@@ -35,7 +35,7 @@
         self.compare("all-cold", host)
 
     def test_restarted_planner_is_careful_with_cold_servers(self):
-        """Before any report, half of what proxies say is planned for."""
+        """Before any report, cold servers are planned for half of the declared rates."""
         host = RecordingHost()
         host.clock = 60 * SECOND
         host.assigner.on_endpoint_update(
@@ -48,7 +48,7 @@
         self.compare("starting-over", host)
 
     def test_cold_zone_is_planned_for_the_peak_of_its_zone_bound_class(self):
-        """Levels go by the peak of the last demand reports."""
+        """Levels depend on the peak of the latest demand reports."""
         host = zone_bound_host()
         host.run(6, lambda host: host.report(demand=(30, 30 if host.clock // SECOND % 3 else 150)))
         host.printed.clear()
@@ -57,7 +57,7 @@
         self.compare("cold-zone", host)
 
     def test_cold_server_waits_beside_few_warm_ones(self):
-        """It gets nothing for half of its warm-up time."""
+        """It gets no load for half of its warm-up time."""
         host = RecordingHost()
         host.start(fleet(4))
         host.run(4)
@@ -67,7 +67,7 @@
         self.compare("few-warm", host)
 
     def test_cold_server_waits_while_less_than_all_is_admitted(self):
-        """It gets nothing while admission is cut."""
+        """It gets no load while admission is cut."""
         host = RecordingHost()
         host.start(fleet())
         host.run(6, lambda host: host.report())
@@ -79,9 +79,9 @@
         self.assertTrue(all(lines.get(12) for lines in host.tables.values()))
 
     def test_cold_server_waits_while_proxies_that_avoid_servers_lose_many_attempts(self):
-        """Where proxies avoid failing servers, it would get what others lose."""
-        # Day ha35910: reports came late, the median server was well, and cold ones got what others
-        # had lost.
+        """Where proxies avoid failing servers, a cold server would get the load of others."""
+        # Simulated day ha35910: reports were late and the median server was healthy, so cold
+        # servers received the load that failing servers had lost.
         for failure_limit, gets_weight in ((0, True), (3, False)):
             host = RecordingHost(deployment_settings(proxy_failure_limit=failure_limit))
             host.start(fleet())
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""Tests of the simulator's adapter: frames in, frames out, and errors for malformed input."""
+"""The simulator's adapter: frames in, frames out, and errors for malformed input."""
 
 import io
 import json
@@ -38,7 +38,7 @@
 
 
 def frame(*records, tail=b"", clock=1000.0):
-    """Return a frame of records."""
+    """Return a frame with these records."""
     body = b"".join(records) + tail
     return struct.pack("<IId", len(records), len(body), clock) + body
 
@@ -57,20 +57,20 @@
     )
 
 
-def play(adapter, data):
+def process_frame(adapter, data):
     """Return the adapter's reply to one frame."""
     return adapter.process(read_frame(io.BytesIO(data)))
 
 
 class AdapterTest(unittest.TestCase):
-    """The adapter, and the program around it."""
+    """The adapter, and the program that runs it."""
 
     def test_start_assigns_a_proxy_a_table_with_the_listed_server(self):
-        """The actions of a start and a join, by their codes, in order."""
+        """The replies to a start and a join contain these action codes in order."""
         adapter = Adapter()
         replies = [
-            play(adapter, start()),
-            play(adapter, frame(event(1150, "H", 3), event(1100, "Q", 2))),
+            process_frame(adapter, start()),
+            process_frame(adapter, frame(event(1150, "H", 3), event(1100, "Q", 2))),
         ]
         codes = [
             struct.unpack_from("<H", reply, 8 + 24 * k)[0]
@@ -80,40 +80,40 @@
         self.assertEqual(codes, [1030, 1040, 1040, 1030, 1070, 1120, 1090, 1020])
 
     def test_instances_share_nothing_and_start_anew(self):
-        """An instance that was stopped and started answers as the first time."""
+        """An instance that is stopped and started again gives the same replies."""
         adapter = Adapter()
-        first = play(adapter, start())
+        first = process_frame(adapter, start())
         stop = frame(event(1150, "H", 3), event(1030))
-        self.assertEqual(play(adapter, stop), struct.pack("<II", 0, 0))
-        self.assertEqual(play(adapter, start()), first)
+        self.assertEqual(process_frame(adapter, stop), struct.pack("<II", 0, 0))
+        self.assertEqual(process_frame(adapter, start()), first)
 
     def test_malformed_input_is_named(self):
         """Each kind of malformed input raises an error that names it."""
-        strange = dict(SETTINGS, rules={})
-        for data, words in (
+        incomplete = dict(SETTINGS, rules={})
+        for data, expected in (
             (frame(event(9)), "unknown code 9"),
-            (frame(event(1100, "Q", 1)), "selected"),
-            (frame(event(1150, "H", 3), event(1100, "Q", 1)), "not started"),
+            (frame(event(1100, "Q", 1)), "no instance has been selected"),
+            (frame(event(1150, "H", 3), event(1100, "Q", 1)), "instance 3 has not been started"),
             (frame(event(1000, "III", 0, 0, 9)), "outside the tail"),
-            (start(strange), "rules.coldMs is missing"),
+            (start(incomplete), "rules.coldMs is missing"),
             (start()[:90], "input ends"),
             (start()[:7], "input ends"),
             (struct.pack("<IId", 9, 1, 0.0), "9 records in 1"),
         ):
-            with self.subTest(words), self.assertRaisesRegex(MalformedMessageError, words):
-                play(Adapter(), data)
+            with self.subTest(expected), self.assertRaisesRegex(MalformedMessageError, expected):
+                process_frame(Adapter(), data)
 
-    def test_a_fault_of_the_decision_code_is_reported_over_the_wire(self):
-        """A fault of the assigner becomes a crash action."""
+    def test_exception_in_the_assigner_is_reported_over_the_wire(self):
+        """An exception in the assigner becomes a crash action."""
 
-        class Broken:
+        class BrokenAssigner:
             def __init__(self, host, settings, seed):
                 raise ValueError("no idea")
 
-        self.assertIn(b"ValueError: no idea", play(Adapter(Broken), start()))
+        self.assertIn(b"ValueError: no idea", process_frame(Adapter(BrokenAssigner), start()))
 
     def test_the_program_reports_malformed_input_and_writes_nothing_else(self):
-        """The exit code, and what stands on both outputs."""
+        """The exit code and both outputs are checked, for malformed and for empty input."""
         done = subprocess.run(
             [sys.executable, "-m", "indigodeck.simulator"], input=b"\1\2\3", capture_output=True
         )
