--- a/indigodeck/assignment/assigner.py
+++ b/indigodeck/assignment/assigner.py
@@ -80,7 +80,7 @@
         self.subscription.on_failure()
 
     def on_proxy_joined(self, proxy: int, zone: int, rate: float, fresh: bool) -> None:
-        """Register a proxy that declares to receive `rate` requests per second usually."""
+        """Register a proxy; `rate` is the requests per second that it declares as usual."""
         declared_rate = rate if 0 < rate < MAX_DECLARED_RATE else 1.0
         self.state.proxies.join(proxy, zone, declared_rate, self.state.group_count)
         if not self.delivery.joining:
--- a/indigodeck/assignment/delivery.py
+++ b/indigodeck/assignment/delivery.py
@@ -69,16 +69,14 @@
         """Send ejections and table changes, as far as the limits allow."""
         now = self.state.host.now()
         ready = self.state.ready_servers()
-        ejections_written = self.update_ejections(ready)
+        ejections_sent = self.update_ejections(ready)
         changes = list(self._changes(ready, now))
-        urgent = ejections_written or any(not change.deferrable for change in changes)
-        if changes and now - self.published_at < self._min_publish_interval(
-            urgent, ejections_written
-        ):
+        urgent = ejections_sent or any(not change.deferrable for change in changes)
+        if changes and now - self.published_at < self._min_publish_interval(urgent, ejections_sent):
             return
         for change in sorted(changes, key=lambda change: change[:4]):
             if self._has_room(change, now):
-                self._write(change, now)
+                self._send(change, now)
         if self.state.channel.call_recipients:
             self.published_at = now
 
@@ -94,7 +92,7 @@
         now = state.host.now()
         to_eject = state.health.keys() - ready.keys() - state.ejected
         to_uneject = state.ejected & ready.keys()
-        written = False
+        any_sent = False
         for server in sorted(to_eject | to_uneject):
             holders = joined.intersection(self.joining).union(
                 *(table.proxies for table in state.tables if server in table.published_weights)
@@ -108,8 +106,8 @@
             state.health[server].next_check_at = now
             state.channel.record_orders(state.proxies, holders, 1, now)
             state.ejected ^= {server}
-            written = True
-        return written
+            any_sent = True
+        return any_sent
 
     def assign_joining(self) -> None:
         """Assign joined proxies their tables while the channel has room, highest rate first."""
@@ -184,7 +182,7 @@
             deferrable = server in ready and not (cold and new < old)
             yield TableChange(deferrable, -abs(new - old), table.number, server, new, table)
 
-    def _min_publish_interval(self, urgent: bool, ejections_written: bool) -> int:
+    def _min_publish_interval(self, urgent: bool, ejections_sent: bool) -> int:
         """Return the minimum number of microseconds between two publications.
 
         Levels and the weights of cold servers change with every proxy that joins. Sending each
@@ -192,7 +190,7 @@
         """
         channel = self.state.settings.channel
         interval = 0
-        if channel.max_messages and not ejections_written:
+        if channel.max_messages and not ejections_sent:
             interval = channel.message_window // channel.max_messages
         return interval if urgent else max(TICK_INTERVAL, 2 * interval)
 
@@ -208,7 +206,7 @@
         queued = channel.queued_lines(now) + channel.cost(proxies, 1)
         return not proxies or queued <= room and self._within_message_limit(proxies, reserve)
 
-    def _write(self, change: TableChange, now: int) -> None:
+    def _send(self, change: TableChange, now: int) -> None:
         table = change.table
         self.state.channel.record_orders(self.state.proxies, table.proxies, 1, now)
         if change.server == LEVEL_ENTRY:
--- a/indigodeck/assignment/demand.py
+++ b/indigodeck/assignment/demand.py
@@ -56,8 +56,8 @@
         """
         samples = self.demand.get(class_index)
         if not samples:
-            stated = 0.0 if self.demand else self.declared_rate / class_count
-            return stated, stated
+            declared = 0.0 if self.demand else self.declared_rate / class_count
+            return declared, declared
         mean = sum(requests for requests, _ in samples) * SECOND / sum(span for _, span in samples)
         return mean, max(requests * SECOND / span for requests, span in samples)
 
--- a/indigodeck/assignment/key_ranges.py
+++ b/indigodeck/assignment/key_ranges.py
@@ -60,11 +60,11 @@
     ) -> None:
         ids = [server.stable_id for server in ordered_servers]
         random = SeededRandom(seed_from(str(table), ids))
-        drawn = ordered_servers[random.randbelow(len(ordered_servers))].index
-        self.servers_of[table] = {drawn}
+        new_server = ordered_servers[random.randbelow(len(ordered_servers))].index
+        self.servers_of[table] = {new_server}
         if not self.state.settings.exclusive_ownership:
             for server in sorted(servers):
                 self.state.host.set_weight(table, server, 0.0)
-        self.state.host.set_weight(table, drawn, 1.0)
+        self.state.host.set_weight(table, new_server, 1.0)
         joined = self.state.proxies.joined()
         self.state.channel.record_orders(self.state.proxies, joined, 2, now)
--- a/indigodeck/assignment/outlier_detection.py
+++ b/indigodeck/assignment/outlier_detection.py
@@ -20,7 +20,7 @@
 
 SLOW_RATIO = 2.2  # latency of a slow server over that of its peers
 MIN_SLOW_LATENCY = 0.4  # of the lowest latency objective; lower latencies are never slow
-FAILING_FAILURE_SHARE = 0.25  # of attempts, in excess of twice the median
+EXCESS_FAILURE_SHARE = 0.25  # of attempts, in excess of twice the median
 DEAD_FAILURE_SHARE = 0.85  # of attempts; such a server is failing even if its responses are slow
 MIN_PEER_SAMPLES = 2  # needed for a comparison of latencies
 # Share of the listed weight that may be ejected in total when a server is ejected as slow, and when
@@ -169,13 +169,13 @@
         health.ejection_time = MAX_EJECTION_TIME if slow else next_ejection_time
         self.eject(index, classes, cause, summary.ready)
 
-    def _class_to_eject_from(self, server: int, classes: list[int], all_busy: bool) -> list[int]:
+    def _class_to_eject_from(self, server: int, classes: list[int], fleet_busy: bool) -> list[int]:
         """Return the one class from whose shard a slow server is ejected, or an empty list.
 
         A slow server still does work, so another server must be able to replace it, and it stays
         while the whole fleet is busy.
         """
-        if all_busy or len(classes) < 2:
+        if fleet_busy or len(classes) < 2:
             return []
         return [
             class_index
@@ -218,12 +218,12 @@
     if failure_share > max(DEAD_FAILURE_SHARE, 2 * median_failures.fleet_share):
         return EjectionCause.FAILING
     if (
-        failure_share > FAILING_FAILURE_SHARE + 2 * usual_share
+        failure_share > EXCESS_FAILURE_SHARE + 2 * usual_share
         and comparison.ratio < SLOW_RATIO / 1.5
     ):
         return EjectionCause.FAILING
-    least_latency = summary.latency_objective * MIN_SLOW_LATENCY
-    slow = comparison.ratio > SLOW_RATIO and comparison.latency > least_latency
+    min_latency = summary.latency_objective * MIN_SLOW_LATENCY
+    slow = comparison.ratio > SLOW_RATIO and comparison.latency > min_latency
     return EjectionCause.SLOW if slow and completed >= SUFFICIENT_ATTEMPTS else None
 
 
--- a/indigodeck/assignment/server_health.py
+++ b/indigodeck/assignment/server_health.py
@@ -46,7 +46,7 @@
         When its ejection ends or its next health check is due. An order to eject or uneject the
         server sets this to the time of the order.
     unejected_at
-        When its last ejection ended, 0 if it was never ejected.
+        When its last ejection ended; 0 before the first ejection and during one.
     ejected_classes
         The classes from whose shards it is ejected.
     fully_ejected
@@ -70,9 +70,9 @@
     suspect: bool = False
     health_check_pending: bool = False
 
-    def reports_since(self, moment: int) -> list[tuple[int, ReceivedReport]]:
-        """Return the valid reports received after `moment`, each with its zone."""
-        earliest = max(moment, self.reports_valid_from)
+    def reports_since(self, since: int) -> list[tuple[int, ReceivedReport]]:
+        """Return the valid reports received after `since`, each with its zone."""
+        earliest = max(since, self.reports_valid_from)
         return [
             (zone, report)
             for zone, reports in self.reports.items()
--- a/indigodeck/assignment/shards.py
+++ b/indigodeck/assignment/shards.py
@@ -25,7 +25,8 @@
 # drop a server, and below which they may take it again.
 HOT_LOAD_RATIO = 1.15
 COOL_LOAD_RATIO = 0.95
-# The weight share of remote servers changes in steps of 1/8, because demand is never steady.
+# Number of steps for the share of remote servers. Demand is never steady, so without steps this
+# share would change all the time.
 REMOTE_SHARE_STEPS = 8
 NEGLIGIBLE_LOAD = 1e-6  # requests per second
 
@@ -50,7 +51,7 @@
         default_factory=lambda: defaultdict(float)
     )
     pools: dict[tuple[int, int | None], dict[int, Server]] = field(default_factory=dict)
-    zone_targets: dict[tuple[int, int], tuple[ServerSubset, ServerSubset]] = field(
+    zone_splits: dict[tuple[int, int], tuple[ServerSubset, ServerSubset]] = field(
         default_factory=dict
     )
 
@@ -201,11 +202,11 @@
     ) -> tuple[ServerSubset, ServerSubset]:
         if table.zone is None:
             return table.split_by_zone(pool)
-        pool_key = table.class_index, table.zone
-        partition = context.zone_targets.get(pool_key)
-        if partition is None:
-            partition = context.zone_targets[pool_key] = table.split_by_zone(pool)
-        return partition
+        split_key = table.class_index, table.zone
+        split = context.zone_splits.get(split_key)
+        if split is None:
+            split = context.zone_splits[split_key] = table.split_by_zone(pool)
+        return split
 
     def _needed_weight(
         self, table: Table, local: ServerSubset, remote: ServerSubset, context: _UpdateContext
--- a/indigodeck/assignment/weights.py
+++ b/indigodeck/assignment/weights.py
@@ -66,8 +66,8 @@
         """
         if self.admission.fleet.completion_rates:
             return self.admission.fleet.sustained_rate()
-        stated = sum(proxy.declared_rate for proxy in self.state.proxies.values())
-        return stated / max(EPSILON, 2 * total_weight(ready.values()))
+        declared_total = sum(proxy.declared_rate for proxy in self.state.proxies.values())
+        return declared_total / max(EPSILON, 2 * total_weight(ready.values()))
 
     def _usable_members(
         self, table: Table, ready: dict[int, Server], budgets: Mapping[int, float]
@@ -123,8 +123,8 @@
         for table in tables:
             weight = sum(table.target_weights.values())
             rate = self.admission.admitted_rate(table, rates)
-            for member, part in table.target_weights.items():
-                loads[member] += rate * part / weight
+            for member, member_weight in table.target_weights.items():
+                loads[member] += rate * member_weight / weight
         return {
             member: budget / loads[member]
             for member, budget in budgets.items()
--- a/indigodeck/simulator/adapter.py
+++ b/indigodeck/simulator/adapter.py
@@ -61,7 +61,7 @@
     def __init__(self, instance: int, settings: DeploymentSettings, reply: Reply) -> None:
         self.instance = instance
         self.settings = settings
-        # Set after construction, because the assigner calls this host from its constructor.
+        # Set when the assigner exists; its constructor already calls this host.
         self.assigner: Any = None
         self._reply = reply
         self._server_ids = IdRegistry()
--- a/tests/assignment/scenarios.py
+++ b/tests/assignment/scenarios.py
@@ -8,9 +8,9 @@
 from indigodeck.clock import SECOND
 
 
-def fleet(count=12, **stated):
+def fleet(count=12, **fields):
     """Return `count` ready servers with indices from 0."""
-    return [server(index, **stated) for index in range(count)]
+    return [server(index, **fields) for index in range(count)]
 
 
 def zone_bound_host():
@@ -28,7 +28,7 @@
     return host
 
 
-def large_deployment(joined=270, **stated):
+def large_deployment(joined=270, **settings):
     """Return a host with many proxies and servers in three zones, and tables for proxy groups."""
     host = RecordingHost(
         deployment_settings(
@@ -36,7 +36,7 @@
             proxy_count=270,
             lines_per_second=4500,
             max_waiting_lines=6800,
-            **stated,
+            **settings,
         )
     )
     host.assigner.on_endpoint_update(
--- a/tests/assignment/test_assigner.py
+++ b/tests/assignment/test_assigner.py
@@ -8,7 +8,7 @@
 from indigodeck.clock import SECOND
 
 
-class OddInputTest(unittest.TestCase):
+class MeaninglessInputTest(unittest.TestCase):
     """No event with meaningless content stops the assigner."""
 
     def test_zero_and_unknown_values_are_harmless(self):
--- a/tests/assignment/test_channel_account.py
+++ b/tests/assignment/test_channel_account.py
@@ -12,7 +12,7 @@
 
 
 class StalledChannelTest(unittest.TestCase):
-    """The account of a channel that delivers nothing for several seconds."""
+    """The account of a channel that delivers nothing for ten seconds."""
 
     def new_account(self):
         """Return the account of a channel with one proxy."""
--- a/tests/assignment/test_delivery.py
+++ b/tests/assignment/test_delivery.py
@@ -36,8 +36,10 @@
         for proxy in range(40):
             host.assigner.on_proxy_joined(proxy, 0, 2.0 + proxy % 7, False)
             host.run(0.1)
-        most = max(len(proxy.message_times) for proxy in host.assigner.state.proxies.values())
-        host.printed = [f"messages to one proxy while 40 joined: {most}"]
+        highest_count = max(
+            len(proxy.message_times) for proxy in host.assigner.state.proxies.values()
+        )
+        host.printed = [f"messages to one proxy while 40 joined: {highest_count}"]
         for index in (4, 7, 9):
             host.change(server(index, ServerState.DRAINING))
             host.run(0.4)
--- a/tests/assignment/test_shards.py
+++ b/tests/assignment/test_shards.py
@@ -76,7 +76,7 @@
                 ] / len(table.members)
         self.assertLess(max(loads), 1.7 * sum(loads) / 90)
 
-    def test_first_proxy_to_join_does_not_stand_for_all(self):
+    def test_planned_load_includes_proxies_that_have_not_joined(self):
         """Proxies that have not joined yet count with the average demand."""
         host = large_deployment(joined=1)
         table = host.assigner.state.proxies.tables_of(0)[0]
--- a/tests/assignment/test_weights.py
+++ b/tests/assignment/test_weights.py
@@ -34,7 +34,7 @@
         host.run(3)
         self.compare("all-cold", host)
 
-    def test_restarted_planner_is_careful_with_cold_servers(self):
+    def test_restarted_planner_limits_the_load_of_cold_servers(self):
         """Before any report, cold servers are planned for half of the declared rates."""
         host = RecordingHost()
         host.clock = 60 * SECOND
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -87,7 +87,7 @@
         self.assertEqual(process_frame(adapter, stop), struct.pack("<II", 0, 0))
         self.assertEqual(process_frame(adapter, start()), first)
 
-    def test_malformed_input_is_named(self):
+    def test_errors_name_the_malformed_input(self):
         """Each kind of malformed input raises an error that names it."""
         incomplete = dict(SETTINGS, rules={})
         for data, expected in (
