--- a/indigodeck/leadership/model.py
+++ b/indigodeck/leadership/model.py
@@ -56,7 +56,7 @@
         self.acquisitions: list[tuple[int, int, str]] = []  # unchecked: time, epoch, name
         self._highest_epoch = 0
         self._last_leader: tuple[str, int] | None = None
-        self._removed_by: dict[str, int] = {}  # by the number of which membership
+        self._removed_by: dict[str, int] = {}  # number of the last removal of each
         self.members: dict[str, SimulatedMember] = {}
         self.faults_until = self._end - RECOVERY_TIME
         for name in self.names:
@@ -200,16 +200,16 @@
 
     def _change_during_fault(self, member: SimulatedMember) -> None:
         """Request a membership change just as the leader is cut off or paused."""
-        is_isolated, is_paused = 1, 2  # 0: only the leader's incoming links are cut
+        isolated, paused = 1, 2  # 0: only the leader's incoming links are cut
         fault = self.random.below(3)
         leaders = self.leaders()
-        if fault != is_paused:
+        if fault != paused:
             for leader in leaders:
                 self.cut |= {(name, leader.name) for name in self.names}
-                if fault == is_isolated:
+                if fault == isolated:
                     self.cut |= {(leader.name, name) for name in self.names}
         self.change(member.name)
-        if fault == is_paused:
+        if fault == paused:
             for leader in leaders:
                 leader.is_paused = True
                 pause = 2 * LEASE + self.random.below(3 * LEASE)
