--- a/indigodeck/frontends/sasp/connection.py
+++ b/indigodeck/frontends/sasp/connection.py
@@ -153,7 +153,7 @@
             await self._write(data)
             await self._wait_for_tcp_ack()
         if update is not None and (data is not None or self.conversation.groups):
-            planner_host.on_delivered(update, by_program=False)
+            planner_host.on_delivered(update, by_application=False)
 
     async def _write(self, data: bytes) -> None:
         proxy = self.conversation.proxy
--- a/indigodeck/planner/__init__.py
+++ b/indigodeck/planner/__init__.py
@@ -1,9 +1,12 @@
-"""The live planner: hosts the assigner for real proxies, whichever protocol they speak.
+"""The planner for real proxies: hosts the assigner and serves proxies over several protocols.
 
-`service` puts the parts together. What the assigner orders is kept in `planner_host` and waits in
-`pending_updates`; `proxy_sessions` knows the proxies, `endpoint_directory` the hosts. Lists come
-through `endpoint_list_source` to `endpoint_list`, or from an earlier run (`cached_endpoint_list`).
-What hosts and proxies report goes through `health_checks`, `health_inference` and
-`demand_aggregation`. `leadership_hooks` and `version_hooks` are where the packages `leadership` and
-`versions` come in.
+`service` wires the modules together and runs them. `planner_host` implements the assigner's host
+interface, and `pending_updates` queues its orders until proxies can be written to. `proxy_sessions`
+tracks the connected proxies, `endpoint_directory` the hosts.
+
+`endpoint_list_source` reads the endpoint list from a file or a discovery service, and
+`endpoint_list` holds its newest version. `cached_endpoint_list` restores the list that an earlier
+run stored. `health_checks`, `health_inference` and `demand_aggregation` turn reports from hosts and
+proxies into reports to the assigner. `leadership_hooks` and `version_hooks` connect the packages
+`leadership` and `versions`.
 """
--- a/indigodeck/planner/demand_aggregation.py
+++ b/indigodeck/planner/demand_aggregation.py
@@ -1,9 +1,10 @@
-"""Sums of the proxies' own load reports, handed on at the assigner's rate; free of I/O.
+"""Aggregation of proxies' own load reports, forwarded at a limited rate; free of I/O.
 
-Proxies that report (xDS load reports) tell what they met at each server and what came to them. The
-assigner is handed at most so many reports a second, the oldest first; what has to wait adds up with
-what comes meanwhile, so nothing is lost and nothing is queued twice. Bounded by servers times zones
-and proxies times classes.
+Proxies that report their load (over xDS) state the attempts and failures they saw at each server
+and the requests they received. The assigner takes a limited number of reports a second, so reports
+are added up and the oldest sums are forwarded first. A sum that has to wait takes in later reports:
+nothing is lost, and no server or proxy is queued twice. Memory is bounded by servers times zones
+plus proxies times classes.
 """
 
 from collections.abc import Callable, Hashable, Iterable
@@ -13,26 +14,26 @@
 from ..assignment.interface import DemandReport, LoadReport
 from ..clock import SECOND
 
-MAX_COUNT = 1 << 31  # of requests in one report: more is no figure that anybody met
-SPAN_TOLERANCE_PERIODS = 3  # by which a stream's reports may run ahead of the time it was open
-REPORTS_STALE_AFTER_PERIODS = 4  # from when on a proxy counts as one that does not report
+MAX_COUNT = 1 << 31  # upper bound on the requests in one report; a larger count is not plausible
+SPAN_TOLERANCE_PERIODS = 3  # by which the time covered by reports may exceed the age of the stream
+REPORTS_STALE_AFTER_PERIODS = 4  # after which a proxy is regarded as not reporting
 
 
 class ReportSink(Protocol):
-    """What takes in the reports (`planner_host.PlannerHost`)."""
+    """The receiver of the aggregated reports (`planner_host.PlannerHost`)."""
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back."""
+        """Return the monotonic time in microseconds."""
 
     def on_load_report(self, report: LoadReport) -> None:
-        """Take in what proxies met at a server."""
+        """Process the attempts and failures that proxies saw at a server."""
 
     def on_demand_report(self, report: DemandReport) -> None:
-        """Take in what came to a proxy."""
+        """Process the requests that a proxy received."""
 
 
-class ServerFigures(NamedTuple):
-    """What a proxy met at one server; `mean_latency` is of the attempts that did not fail."""
+class ServerStats(NamedTuple):
+    """Attempts of one proxy at one server; `mean_latency` covers the successful ones."""
 
     server: int
     attempts: int
@@ -43,22 +44,22 @@
 class ProxyReport(NamedTuple):
     """One proxy's report on one class over `span`.
 
-    `rejected` requests were turned away by the proxy itself. `stream` stands for the connection
-    that brought the report.
+    `rejected` counts the requests that the proxy itself turned away. `stream` identifies the
+    connection that the report came over.
     """
 
     proxy: int
     zone: int
     class_index: int
     span: int
-    servers: tuple[ServerFigures, ...]
+    servers: tuple[ServerStats, ...]
     rejected: int
     stream: Hashable
 
 
 @dataclass(slots=True)
 class _ServerSum:
-    """What the proxies of a zone met at a server since the last report of it."""
+    """Attempts of the proxies of one zone at a server since its sum was last forwarded."""
 
     since: int
     attempts: int = 0
@@ -67,19 +68,19 @@
     timed_attempts: int = 0
     span: int = 0
 
-    def add(self, figures: ServerFigures, attempts: int, failures: int, span: int) -> None:
+    def add(self, stats: ServerStats, attempts: int, failures: int, span: int) -> None:
         self.attempts += attempts
         self.failures += failures
         self.span = max(self.span, span)
         successes = attempts - failures
-        if figures.mean_latency and successes > 0:
-            self.total_latency += figures.mean_latency * successes
+        if stats.mean_latency and successes > 0:
+            self.total_latency += stats.mean_latency * successes
             self.timed_attempts += successes
 
 
 @dataclass(slots=True)
 class _DemandSum:
-    """What came to a proxy for a class since the last report of it."""
+    """Requests that a proxy received for a class since its sum was last forwarded."""
 
     since: int
     requests: int = 0
@@ -88,17 +89,18 @@
 
 
 @dataclass(slots=True)
-class _StreamClock:
-    """How much time a stream's reports on one class cover, beside the time it has been open."""
+class _StreamCoverage:
+    """The time that the reports of one stream on one class cover, and when the stream opened."""
 
     opened_at: int
-    covered: int = 0
+    reported_span: int = 0
 
 
 class DemandAggregator:
-    """Adds reports up, and hands the sums to `sink` at most `reports_per_second`.
+    """Adds up reports and forwards the sums to `sink` at no more than `reports_per_second`.
 
-    `dropped` counts reports that were left out as sent twice or by a clock that runs fast.
+    `dropped` counts reports that were ignored because they were sent twice or came from a fast
+    coverage.
     """
 
     def __init__(self, sink: ReportSink, reports_per_second: float, report_period: int) -> None:
@@ -108,72 +110,75 @@
         self.dropped = 0
         self._server_sums: dict[tuple[int, int], _ServerSum] = {}  # by zone and server
         self._demand_sums: dict[tuple[int, int], _DemandSum] = {}  # by proxy and class
-        self._spent = 0.0  # reports of late, drained at the rate allowed
-        self._spent_at = sink.now()
-        self._stream_clocks: dict[tuple[Hashable, int], _StreamClock] = {}  # by stream and class
+        # forwarded reports, a leaky bucket that drains at `reports_per_second`
+        self._recent_reports = 0.0
+        self._recent_reports_at = sink.now()
+        self._stream_coverage: dict[
+            tuple[Hashable, int], _StreamCoverage
+        ] = {}  # by stream and class
         self._last_report_at: dict[int, int] = {}  # by proxy
 
     def on_proxy_report(self, report: ProxyReport) -> bool:
-        """Take in a report; return whether it counted.
+        """Add a report to the sums; return whether it was accepted.
 
-        The spans of one stream can't add up to more than the time that it has been open: what would
-        is a report sent twice, or a clock that runs fast, and is left out.
+        The reports of one stream cannot cover more time than the stream has been open. A report
+        beyond that was sent twice or comes from a clock that runs fast, and is ignored.
         """
         now = self.sink.now()
-        if not self._covers_new_time(report, now):
+        if not self._is_within_elapsed_time(report, now):
             self.dropped += 1
             return False
         requests = report.rejected
-        lost = 0
-        for figures in report.servers:
-            attempts = min(figures.attempts, MAX_COUNT)
-            failures = min(figures.failures, attempts, MAX_COUNT)
+        failed = 0
+        for stats in report.servers:
+            attempts = min(stats.attempts, MAX_COUNT)
+            failures = min(stats.failures, attempts, MAX_COUNT)
             requests += attempts
-            lost += failures
+            failed += failures
             if attempts:
-                key = (report.zone, figures.server)
+                key = (report.zone, stats.server)
                 server_sum = self._server_sums.setdefault(key, _ServerSum(now))
-                server_sum.add(figures, attempts, failures, report.span)
+                server_sum.add(stats, attempts, failures, report.span)
         demand = self._demand_sums.setdefault((report.proxy, report.class_index), _DemandSum(now))
         demand.requests += requests
-        demand.failures += lost
+        demand.failures += failed
         demand.span += report.span
         self._last_report_at[report.proxy] = now
         return True
 
-    def _covers_new_time(self, report: ProxyReport, now: int) -> bool:
-        clock = self._stream_clocks.setdefault(
-            (report.stream, report.class_index), _StreamClock(now)
+    def _is_within_elapsed_time(self, report: ProxyReport, now: int) -> bool:
+        coverage = self._stream_coverage.setdefault(
+            (report.stream, report.class_index), _StreamCoverage(now)
         )
-        allowed = now - clock.opened_at + SPAN_TOLERANCE_PERIODS * self.report_period
-        if report.span <= 0 or clock.covered + report.span > allowed:
+        allowed = now - coverage.opened_at + SPAN_TOLERANCE_PERIODS * self.report_period
+        if report.span <= 0 or coverage.reported_span + report.span > allowed:
             return False
-        clock.covered += report.span
+        coverage.reported_span += report.span
         return True
 
     def on_stream_ended(self, stream: Hashable) -> None:
-        """Forget a stream."""
-        for key in [key for key in self._stream_clocks if key[0] == stream]:
-            del self._stream_clocks[key]
+        """Remove the state of a stream."""
+        for key in [key for key in self._stream_coverage if key[0] == stream]:
+            del self._stream_coverage[key]
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Forget a proxy and what it brought; what it met at servers stays."""
+        """Remove a proxy and its demand; its attempts at servers stay in their sums."""
         self._last_report_at.pop(proxy, None)
         for key in [key for key in self._demand_sums if key[0] == proxy]:
             del self._demand_sums[key]
 
     def reports_recently(self, proxy: int) -> bool:
-        """Return whether a proxy reports for itself, so that nothing need be inferred of it."""
+        """Return whether a proxy reports its own demand, so that none needs to be inferred."""
         last = self._last_report_at.get(proxy, -SECOND * 1000)
         return self.sink.now() - last < REPORTS_STALE_AFTER_PERIODS * self.report_period
 
     def forward_reports(
         self, is_listed: Callable[[int], bool], recent_latency: Callable[[int], int] = lambda _: 0
     ) -> set[int]:
-        """Hand the oldest sums to the sink, as many as the rate allows.
+        """Forward the oldest sums to the sink, as many as the rate allows.
 
-        Sums of servers that are no longer listed are dropped. `recent_latency` is what a server
-        itself says its requests take, for proxies that count but don't time.
+        Sums of servers that are no longer listed are dropped. `recent_latency` returns the latency
+        that a server itself reports, used for proxies that count requests but do not time them.
 
         Returns
         -------
@@ -182,7 +187,7 @@
         now = self.sink.now()
         reported = set()
         for is_demand, key in self._oldest(self._budget(now)):
-            self._spent += 1
+            self._recent_reports += 1
             if is_demand:
                 self._report_demand(key)
                 continue
@@ -194,15 +199,15 @@
         return reported
 
     def _budget(self, now: int) -> int:
-        drained = (now - self._spent_at) * self.reports_per_second / SECOND
-        self._spent = max(0.0, self._spent - drained)
-        self._spent_at = now
+        drained = (now - self._recent_reports_at) * self.reports_per_second / SECOND
+        self._recent_reports = max(0.0, self._recent_reports - drained)
+        self._recent_reports_at = now
         per_period = self.reports_per_second * self.report_period / SECOND
-        return int(max(0.0, per_period - self._spent))
+        return int(max(0.0, per_period - self._recent_reports))
 
     def _oldest(self, count: int) -> Iterable[tuple[bool, tuple[int, int]]]:
-        waiting = [(one.since, False, key) for key, one in self._server_sums.items()]
-        waiting += [(one.since, True, key) for key, one in self._demand_sums.items()]
+        waiting = [(server_sum.since, False, key) for key, server_sum in self._server_sums.items()]
+        waiting += [(demand.since, True, key) for key, demand in self._demand_sums.items()]
         return [(is_demand, key) for _, is_demand, key in sorted(waiting)[:count]]
 
     def _report_demand(self, key: tuple[int, int]) -> None:
@@ -236,6 +241,6 @@
             )
         )
 
-    def waiting_count(self) -> int:
-        """Return how many sums wait to be handed on."""
+    def pending_count(self) -> int:
+        """Return how many sums wait to be forwarded."""
         return len(self._server_sums) + len(self._demand_sums)
--- a/indigodeck/planner/endpoint_directory.py
+++ b/indigodeck/planner/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The hosts of this planner: their ids, their addresses, and what lists say of them."""
+"""The hosts that a planner knows: their ids, addresses and entries in the endpoint list."""
 
 import contextlib
 from collections.abc import Callable, Iterator, Sequence
@@ -10,21 +10,21 @@
 from ..clock import SECOND, now
 from ..id_registry import IdRegistry
 from .cached_endpoint_list import CachedEndpointList
-from .endpoint_list import EndpointList, Entry
+from .endpoint_list import EndpointList, HostEntry
 from .host_client import Address
 
 if TYPE_CHECKING:
     from .service import PlannerService
 
-LIST_KEY = "roster"  # in the store
-STORE_INTERVAL = SECOND  # the list is stored once in so long at most
+LIST_KEY = "roster"  # key in the store
+SAVE_INTERVAL = SECOND  # minimum time between two saves of the list
 
 
 class EndpointDirectory:
-    """Takes in the endpoint list, and hands it on to assigner, health checks and frontends.
+    """Receives endpoint updates and forwards them to the assigner, health checks and frontends.
 
-    It is what `EndpointList` tells (`endpoint_list.Listener`) and what `CachedEndpointList` asks
-    (`cached_endpoint_list.Environment`).
+    Implements `endpoint_list.Listener` for `EndpointList` and `cached_endpoint_list.Environment`
+    for `CachedEndpointList`.
     """
 
     def __init__(self, service: "PlannerService") -> None:
@@ -37,19 +37,19 @@
             settings.machine_type_names,
             service.wall_clock_offset,
         )
-        # A list stored by an earlier run, used for as long as nothing newer has come.
+        # The list that an earlier run stored, used until a newer one arrives.
         self.cached_list: CachedEndpointList | None = None
         self._service = service
         self._stored_record: dict[str, Any] | None = None
         self._addresses: dict[int, Address] = {}
         self._server_at: dict[Address, int] = {}
-        # Servers that were not handed on to the assigner yet, in the order they came.
+        # Changed servers that have not been forwarded to the assigner yet, in order of arrival.
         self._pending_changes: list[Server] = []
-        self._is_store_scheduled = False
+        self._is_save_scheduled = False
         self._is_from_source = True
 
     def start(self, stored_record: dict[str, Any] | None) -> None:
-        """Use the list that an earlier run stored, if any, until its source gives a newer one."""
+        """Use the stored list of an earlier run, if any, until the source provides a newer one."""
         self._stored_record = stored_record
         if stored_record is None:
             return
@@ -58,7 +58,7 @@
             self, stored_record, self._service.settings.reports.checks_enabled
         )
 
-    # What frontends and health checks ask.
+    # Lookups by frontends and health checks.
 
     def endpoint_of(self, server: int) -> tuple[str, str, str, int] | None:
         """Return (zone name, id, address, port) of a server, or None if it was never listed."""
@@ -70,7 +70,7 @@
         return zone_name, host_id, *self._addresses[server]
 
     def server_at(self, address: Address) -> int | None:
-        """Return the server at an address: the newest one that was listed there."""
+        """Return the server that was most recently listed at an address."""
         return self._server_at.get(address)
 
     def address_of(self, server: int) -> Address | None:
@@ -78,18 +78,21 @@
         return self._addresses.get(server)
 
     def on_host_quiesced(self, address: Address, quiesced: bool) -> bool:
-        """Take a host's own word, which says nothing of the list; return whether it is listed."""
-        with self._not_from_source():
+        """Apply a host's own statement on whether it accepts new work; return whether it is listed.
+
+        The endpoint list itself does not change by it.
+        """
+        with self._local_update():
             is_listed = self.endpoint_list.set_quiesced(*address, quiesced)
-        self._schedule_store()
+        self._schedule_save()
         return is_listed
 
-    # What the endpoint list tells (`endpoint_list.Listener`).
+    # Notifications from the endpoint list (`endpoint_list.Listener`).
 
     def on_endpoint_update(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
-        """Take in what the list says now, or what changed in it."""
-        self._take_addresses()
-        self._tell_health_inference(kind, servers)
+        """Process a full or incremental update of the endpoint list."""
+        self._update_addresses()
+        self._update_health_inference(kind, servers)
         states = [server.state for server in servers]
         self._service.log_event(
             "endpoint_list_updated",
@@ -99,61 +102,63 @@
         )
         if self._is_from_source:
             if self.cached_list is not None:
-                self.cached_list.on_list(self.endpoint_list.entries)
-            self._schedule_store()
+                self.cached_list.on_newer_list(self.endpoint_list.entries)
+            self._schedule_save()
         if kind != UpdateKind.CHANGES:
-            self._pending_changes.clear()  # it stands for all that was about to be handed on
-            self._hand_on(kind, servers)
+            self._pending_changes.clear()  # a full update includes all pending changes
+            self._forward_update(kind, servers)
             return
         if not self._pending_changes:
-            IOLoop.current().add_callback(self._hand_on_changes)
-        # None is left out for a newer one: that it drains must be known, though it may have gone
-        # since.
+            IOLoop.current().add_callback(self._forward_pending_changes)
+        # Earlier changes of the same server are kept: the assigner must learn that a server
+        # drained, even if it is gone by now.
         self._pending_changes += servers
 
-    def on_stale_list(self, entries: dict[str, Entry]) -> None:
-        """Take note of a list that is older than the one that counts."""
+    def on_stale_list(self, entries: dict[str, HostEntry]) -> None:
+        """Pass a list that is older than the current one to the cached list."""
         if self.cached_list is not None:
             self.cached_list.on_stale_list(entries)
 
     def fetch_endpoint_list(self) -> None:
-        """Fetch the whole list: changes are missing."""
+        """Fetch the full list, because changes are missing."""
         self._service.list_source.fetch()
 
-    def log_event(self, event: str, **facts: Any) -> None:
-        """Write a line to the log."""
-        self._service.log_event(event, **facts)
+    def log_event(self, event: str, **fields: Any) -> None:
+        """Write an event to the log."""
+        self._service.log_event(event, **fields)
 
-    def _take_addresses(self) -> None:
+    def _update_addresses(self) -> None:
         for entry in self.endpoint_list.entries.values():
             server = self.server_ids.index(entry["id"])
             address = (entry["address"], entry["port"])
             if self._addresses.get(server) != address:
                 self._addresses[server] = address
-            # An address may be taken over by a new host; the newest one listed stands for it.
+            # A new host can reuse an address; the address then refers to the newest host.
             self._server_at[address] = server
 
-    def _tell_health_inference(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
+    def _update_health_inference(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
         inference = self._service.health_inference
         if kind != UpdateKind.CHANGES:
             for server in inference.hosts.keys() - {server.index for server in servers}:
                 inference.on_unlisted(server)
         inference.on_endpoint_update(servers)
 
-    def _hand_on_changes(self) -> None:
-        """Hand on the changes that came in one turn of the loop as one.
+    def _forward_pending_changes(self) -> None:
+        """Forward the changes that arrived in one iteration of the event loop as a single update.
 
-        A release at full size brings twenty at a time, and each of them alone kept the loop for a
-        quarter of a second before any frontend could write.
+        A release of a full-size deployment brings about twenty changes at a time. Forwarded one by
+        one, each of them blocked the loop for a quarter of a second before any frontend could
+        write.
         """
         servers = self._pending_changes
         self._pending_changes = []
         if servers:
-            self._hand_on(UpdateKind.CHANGES, servers)
+            self._forward_update(UpdateKind.CHANGES, servers)
 
-    def _hand_on(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
+    def _forward_update(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
         if kind == UpdateKind.CACHED:
-            # Who is named in what was published last is known from here on.
+            # The ids in the tables that were published before the restart can be resolved from here
+            # on.
             self._service.versions.resume_tables()
         self._service.planner_host.on_endpoint_update(kind, servers)
         changed = [
@@ -162,56 +167,56 @@
         for frontend in self._service.frontends:
             frontend.on_servers_changed(changed)
 
-    # What the cached list asks (`cached_endpoint_list.Environment`).
+    # Services for the cached list (`cached_endpoint_list.Environment`).
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back."""
+        """Return the monotonic time in microseconds."""
         return now()
 
     def wall_clock(self) -> int:
-        """Return the time of day, in microseconds since 1970."""
+        """Return the wall-clock time in microseconds since 1970."""
         return self._service.wall_clock()
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
-        """Call back after this time."""
+        """Call `callback` after `delay` microseconds."""
         self._service.call_later(delay, callback)
 
-    def check_cached_host(self, entry: Entry) -> None:
-        """Check a host's health, and tell the cached list the end."""
+    def check_cached_host(self, entry: HostEntry) -> None:
+        """Check a host in the background, and pass the outcome to the cached list."""
         IOLoop.current().add_callback(self._check_cached_host, entry)
 
-    def use_cached_entries(self, entries: list[Entry], is_first: bool) -> None:
+    def use_cached_entries(self, entries: list[HostEntry], is_first: bool) -> None:
         """Use these entries of the stored list."""
         assert self._stored_record is not None
-        with self._not_from_source():
+        with self._local_update():
             self.endpoint_list.restore(self._stored_record, entries, is_first)
 
-    async def _check_cached_host(self, entry: Entry) -> None:
+    async def _check_cached_host(self, entry: HostEntry) -> None:
         assert self.cached_list is not None
         address = (entry["address"], entry["port"])
         if await self._service.health_checker.is_alive(address):
-            self.cached_list.on_answer(entry["id"])
+            self.cached_list.on_check_succeeded(entry["id"])
         else:
-            self.cached_list.on_no_answer(entry["id"])
+            self.cached_list.on_check_failed(entry["id"])
 
     @contextlib.contextmanager
-    def _not_from_source(self) -> Iterator[None]:
-        """Take what is listed within this as the planner's own, not as the source's."""
+    def _local_update(self) -> Iterator[None]:
+        """Treat updates in this context as made by the planner, not by the source of the list."""
         self._is_from_source = False
         try:
             yield
         finally:
             self._is_from_source = True
 
-    # The stored list.
+    # Storage of the list.
 
-    def _schedule_store(self) -> None:
-        if self._service.versions.store is not None and not self._is_store_scheduled:
-            self._is_store_scheduled = True
-            self._service.call_later(STORE_INTERVAL, self._store_list)
+    def _schedule_save(self) -> None:
+        if self._service.versions.store is not None and not self._is_save_scheduled:
+            self._is_save_scheduled = True
+            self._service.call_later(SAVE_INTERVAL, self._save_list)
 
-    def _store_list(self) -> None:
-        self._is_store_scheduled = False
+    def _save_list(self) -> None:
+        self._is_save_scheduled = False
         store = self._service.versions.store
         if store is not None and not self._service.is_closing:
             record = {**self.endpoint_list.to_record(), "at": self._service.wall_clock()}
--- a/indigodeck/planner/endpoint_list.py
+++ b/indigodeck/planner/endpoint_list.py
@@ -1,7 +1,8 @@
-"""The endpoint list as a planner is given it, free of I/O: which list counts, and what it says.
+"""The current endpoint list, built from full and incremental updates; free of I/O.
 
-Lists come from a file or a service, whole or as changes, late, twice or out of order. A list older
-than the one held is left aside; changes that don't follow on it are asked for again as a whole.
+Updates come from a file or a discovery service and may arrive late, repeated or out of order. A
+list older than the current one is ignored. If changes do not directly follow the current version,
+the full list is fetched again.
 """
 
 from collections.abc import Iterable, Sequence
@@ -19,49 +20,50 @@
     "gone": ServerState.GONE,
 }
 
-Entry = dict[str, Any]  # a host as the document states it (`endpoint_list.schema.json`)
+HostEntry = dict[str, Any]  # a host in the format of `endpoint_list.schema.json`
 
 
 def parse_endpoint_list(text: str | bytes) -> dict[str, Any]:
-    """Read a list's document, {"version", "kind", "hosts": [..]}.
+    """Parse and validate an endpoint list document, {"version", "kind", "hosts": [..]}.
 
     Raises
     ------
     InvalidDocumentError
-        If it does not follow its schema, or names a host twice; the message names the place.
+        If the document violates its schema or names a host twice; the message names the place.
     """
     document = parse_document(text, SCHEMA, "roster")
     seen = set()
     for index, entry in enumerate(document["hosts"]):
         if entry["id"] in seen:
-            raise InvalidDocumentError(f"roster: hosts/{index}/id: {entry['id']!r} stands twice")
+            raise InvalidDocumentError(f"roster: hosts/{index}/id: duplicate id {entry['id']!r}")
         seen.add(entry["id"])
     return document
 
 
 class Listener(Protocol):
-    """What is told of the endpoint list."""
+    """The receiver of notifications about the endpoint list."""
 
     def on_endpoint_update(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
-        """Take in what the list says now, or what changed in it."""
+        """Process a full or incremental update of the endpoint list."""
 
-    def on_stale_list(self, entries: dict[str, Entry]) -> None:
-        """Take note of a list that is older than the one that counts, by ids."""
+    def on_stale_list(self, entries: dict[str, HostEntry]) -> None:
+        """Process a list older than the current one; `entries` are by host id."""
 
     def fetch_endpoint_list(self) -> None:
-        """Fetch the whole list: changes are missing."""
+        """Fetch the full list, because changes are missing."""
 
-    def log_event(self, event: str, **facts: Any) -> None:
-        """Write a line to the log."""
+    def log_event(self, event: str, **fields: Any) -> None:
+        """Write an event to the log."""
 
 
 class EndpointList:
-    """Holds the newest list and tells its listener what it says.
+    """Holds the newest list and notifies its listener of updates.
 
-    `zone_names` and `machine_type_names` are in the order of the settings. `wall_clock_offset` is
-    from the planner's own clock to the wall clock, in which lists state starts (microseconds).
-    `oldest_accepted` is the version and epoch of a list that was cached: an older one is no first
-    list either. `quiesced_ids` are hosts that say of themselves that they take no new work.
+    `zone_names` and `machine_type_names` are in the order of the settings. `wall_clock_offset`
+    (microseconds) converts the planner's monotonic clock to the wall clock, in which lists state
+    start times. `oldest_accepted` is the (version, epoch) of a cached list: even a first list that
+    is older is ignored. `quiesced_ids` are the hosts that reported themselves that they accept no
+    new work.
     """
 
     def __init__(
@@ -78,31 +80,33 @@
         self.version: int | None = None
         self.epoch = 0
         self.oldest_accepted: tuple[int, int] | None = None
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, HostEntry] = {}
         self.quiesced_ids: set[str] = set()
         self._zone_indices = {name: index for index, name in enumerate(zone_names)}
         self._machine_types = {name: index for index, name in enumerate(machine_type_names)}
 
     def apply(self, document: dict[str, Any]) -> None:
-        """Take in a document of either kind."""
+        """Apply a document of either kind."""
         if document.get("kind") == "changes":
-            self.apply_changes(document)
+            self.apply_incremental(document)
         else:
-            self.apply_whole(document)
+            self.apply_full(document)
 
-    def apply_whole(self, document: dict[str, Any]) -> None:
-        """Take in a list of all hosts, unless it is older than what is held."""
+    def apply_full(self, document: dict[str, Any]) -> None:
+        """Replace the current list, unless the given one is older."""
         version = document["version"]
         epoch = document.get("epoch", 0)
-        held_version, held_epoch = self._held()
-        # A service that starts again may count from the start again; its epoch says so.
-        if version < held_version and epoch <= held_epoch:
+        known_version, known_epoch = self._newest_known()
+        # A discovery service that restarts may number versions from the start; its epoch then
+        # grows.
+        if version < known_version and epoch <= known_epoch:
             self.listener.on_stale_list({entry["id"]: entry for entry in document["hosts"]})
             self.listener.log_event(
-                "endpoint_list_stale", version=version, held_version=held_version
+                "endpoint_list_stale", version=version, held_version=known_version
             )
             return
-        # The first list after a start says nothing of what changed: processes in it may be long up.
+        # After a planner starts, its first list does not show what changed: listed processes may
+        # have been running for long.
         kind = UpdateKind.CACHED if self.version is None else UpdateKind.WHOLE
         self.version = version
         self.epoch = epoch
@@ -112,14 +116,14 @@
         self.quiesced_ids &= self.entries.keys()
         self.listener.on_endpoint_update(kind, self._servers(self.entries.values()))
 
-    def apply_changes(self, document: dict[str, Any]) -> None:
-        """Take in changes that follow on the version held; others have the list fetched."""
+    def apply_incremental(self, document: dict[str, Any]) -> None:
+        """Apply changes that directly follow the current version; after a gap, fetch the list."""
         version = document["version"]
         if self.version is None or version > self.version + 1:
             self.listener.fetch_endpoint_list()
             return
         if version <= self.version:
-            return  # sent twice
+            return  # a repeated document
         self.version = version
         for entry in document["hosts"]:
             if entry["state"] == "gone":
@@ -128,13 +132,13 @@
                 self.entries[entry["id"]] = entry
         self.listener.on_endpoint_update(UpdateKind.CHANGES, self._servers(document["hosts"]))
 
-    def _held(self) -> tuple[int, int]:
+    def _newest_known(self) -> tuple[int, int]:
         if self.version is not None:
             return self.version, self.epoch
         return self.oldest_accepted or (-1, 0)
 
     def to_record(self) -> dict[str, Any]:
-        """Return what of the list outlasts a restart, as it is stored."""
+        """Return the part of the list that is stored for the next start."""
         return {
             "version": self.version,
             "epoch": self.epoch,
@@ -142,10 +146,10 @@
             "quiet": sorted(self.quiesced_ids),
         }
 
-    def restore(self, record: dict[str, Any], entries: Sequence[Entry], is_first: bool) -> None:
-        """Go by these entries of a stored record: all there are (`is_first`), or more of them.
+    def restore(self, record: dict[str, Any], entries: Sequence[HostEntry], is_first: bool) -> None:
+        """Use entries of a stored record: these alone if `is_first`, otherwise in addition.
 
-        Lists older than the record are left aside as ever.
+        Lists older than the record are still ignored.
         """
         self.version = record["version"]
         self.epoch = record["epoch"]
@@ -156,7 +160,7 @@
         self.listener.on_endpoint_update(kind, self._servers(entries))
 
     def set_quiesced(self, address: str, port: int, quiesced: bool) -> bool:
-        """Take a host's own word, sooner than any list, whether it takes new work.
+        """Apply a host's own statement on whether it accepts new work, ahead of any list.
 
         Returns
         -------
@@ -172,10 +176,10 @@
                 return True
         return False
 
-    def _servers(self, entries: Iterable[Entry]) -> list[Server]:
+    def _servers(self, entries: Iterable[HostEntry]) -> list[Server]:
         return [self._server(entry) for entry in entries]
 
-    def _server(self, entry: Entry) -> Server:
+    def _server(self, entry: HostEntry) -> Server:
         host_id = entry["id"]
         return Server(
             index=self.server_ids.index(host_id),
@@ -188,12 +192,12 @@
             state=self._state(entry),
         )
 
-    def _started(self, entry: Entry) -> int:
-        """Return when a host's process started, on the planner's clock; 0: before that began."""
+    def _started(self, entry: HostEntry) -> int:
+        """Return a host's start time on the planner's clock, or 0 if that clock started later."""
         started = entry.get("started_ms", 0) * MILLISECOND
         return max(0, started - self.wall_clock_offset) if started else 0
 
-    def _state(self, entry: Entry) -> ServerState:
+    def _state(self, entry: HostEntry) -> ServerState:
         state = SERVER_STATES[entry["state"]]
         if state == ServerState.READY and entry["id"] in self.quiesced_ids:
             return ServerState.DRAINING
--- a/indigodeck/planner/health_checks.py
+++ b/indigodeck/planner/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks and load reports of hosts; `health_inference` says whom to ask when."""
+"""Sends health checks to hosts and fetches their load reports, as `health_inference` schedules."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -11,20 +11,20 @@
 from .host_client import Address, CheckResult, HostClient
 from .planner_settings import PlannerSettings
 
-DUE_INTERVAL_MS = 50  # between two looks at which checks are due
-RECENT_PERIODS = 3  # a host that answered within so many report periods is there
-# A host answered a check, whatever it said.
-ANSWERS = (HealthCheckOutcome.OK, HealthCheckOutcome.ERROR, HealthCheckOutcome.FULL)
-# A host takes requests, though it may refuse one.
-ALIVE = (HealthCheckOutcome.OK, HealthCheckOutcome.FULL)
+SCHEDULE_INTERVAL_MS = 50  # between two polls of the check schedule
+RECENT_PERIODS = 3  # a host that answered within this many report periods counts as up
+# Outcomes of checks that the host answered, whatever the answer.
+ANSWERED_OUTCOMES = (HealthCheckOutcome.OK, HealthCheckOutcome.ERROR, HealthCheckOutcome.FULL)
+# Outcomes of hosts that serve requests, though an overloaded host may refuse one.
+ALIVE_OUTCOMES = (HealthCheckOutcome.OK, HealthCheckOutcome.FULL)
 
 
 class HealthChecker:
-    """Sends the checks of one planner and fetches the hosts' load reports.
+    """Sends the health checks of one planner and fetches load reports from hosts.
 
-    `address_of` gives a server's address or None. `on_assigner_check(server, outcome, latency,
-    load)` is called with the end of each check that the assigner asked for. `timeout` is how long
-    an answer is waited for (microseconds): the shortest deadline of all classes.
+    `address_of` returns a server's address or None. `on_assigner_check(server, outcome, latency,
+    load)` is called with the outcome of each check that the assigner requested. `timeout`
+    (microseconds) is how long a check waits for its answer: the shortest deadline of all classes.
     """
 
     def __init__(
@@ -36,19 +36,21 @@
         on_assigner_check: Callable[..., None],
     ) -> None:
         self.client = client
-        self.timeout = min(one.deadline for one in settings.deployment.classes)
+        self.timeout = min(
+            class_settings.deadline for class_settings in settings.deployment.classes
+        )
         self._inference = inference
         self._address_of = address_of
         self._on_assigner_check = on_assigner_check
         self._report_period = settings.deployment.report_period
         self._class_indices = {name: index for index, name in enumerate(settings.class_names)}
-        self._answered_at: dict[int, int] = {}
+        self._last_answered_at: dict[int, int] = {}
         self._timer: PeriodicCallback | None = None
         if settings.reports.checks_enabled:
-            self._timer = PeriodicCallback(self._check_due, DUE_INTERVAL_MS)
+            self._timer = PeriodicCallback(self._check_due, SCHEDULE_INTERVAL_MS)
 
     def start(self) -> None:
-        """Begin to send checks of the planner's own accord, where the settings allow any."""
+        """Start the planner's own periodic checks, if the settings allow any."""
         if self._timer is not None:
             self._timer.start()
 
@@ -59,21 +61,21 @@
         self.client.close()
 
     def check_for_assigner(self, server: int) -> None:
-        """Check a host; the assigner is told the end."""
-        self._spawn(self._check, server, self._end_assigner_check)
+        """Check a host, and pass the outcome to the assigner."""
+        self._spawn(self._check, server, self._finish_assigner_check)
 
     async def is_alive(self, address: Address) -> bool:
-        """Check a host that no list names yet; return whether it takes requests."""
+        """Check a host that no list names yet; return whether it serves requests."""
         result = await self.client.check(address, self.timeout / SECOND)
-        return result.outcome in ALIVE
+        return result.outcome in ALIVE_OUTCOMES
 
     def answered_recently(self, server: int) -> bool:
-        """Return whether a host has answered of late."""
-        last = self._answered_at.get(server, -10 * SECOND)
+        """Return whether a host answered a check or sent a load report recently."""
+        last = self._last_answered_at.get(server, -10 * SECOND)
         return now() - last < RECENT_PERIODS * self._report_period
 
     def fetch_reports(self) -> None:
-        """Ask all hosts for their load reports, spread over half of the report period."""
+        """Fetch the load reports of all hosts, spread over half of the report period."""
         servers = sorted(self._inference.hosts)
         period_s = self._report_period / SECOND
         for position, server in enumerate(servers):
@@ -81,27 +83,27 @@
             IOLoop.current().call_later(delay_s, self._spawn, self._fetch_report, server)
 
     def _check_due(self) -> None:
-        for server in self._inference.due(now()):
-            self._spawn(self._check, server, self._end_own_check)
+        for server in self._inference.take_due_checks(now()):
+            self._spawn(self._check, server, self._finish_own_check)
 
-    async def _check(self, server: int, on_end: Callable[..., None]) -> None:
+    async def _check(self, server: int, on_finished: Callable[..., None]) -> None:
         address = self._address_of(server)
         started_at = now()
         result = CheckResult(HealthCheckOutcome.UNREACHABLE)
         if address is not None:
             result = await self.client.check(address, self.timeout / SECOND)
         ended_at = now()
-        if result.outcome in ANSWERS:
-            self._answered_at[server] = ended_at
-        self._take_report(server, result.report, ended_at)
-        on_end(server, result.outcome, ended_at - started_at, ended_at)
+        if result.outcome in ANSWERED_OUTCOMES:
+            self._last_answered_at[server] = ended_at
+        self._record_report(server, result.report, ended_at)
+        on_finished(server, result.outcome, ended_at - started_at, ended_at)
 
-    def _end_assigner_check(
+    def _finish_assigner_check(
         self, server: int, outcome: HealthCheckOutcome, latency: int, ended_at: int
     ) -> None:
         self._on_assigner_check(server, outcome, latency, None)
 
-    def _end_own_check(
+    def _finish_own_check(
         self, server: int, outcome: HealthCheckOutcome, latency: int, ended_at: int
     ) -> None:
         self._inference.on_check(server, outcome, latency, ended_at)
@@ -114,10 +116,10 @@
         if report is None:
             self._inference.on_no_report(server)
             return
-        self._take_report(server, report, now())
-        self._answered_at[server] = now()
+        self._record_report(server, report, now())
+        self._last_answered_at[server] = now()
 
-    def _take_report(self, server: int, report: Any, at: int) -> None:
+    def _record_report(self, server: int, report: Any, at: int) -> None:
         if report is None:
             return
         by_class = {
--- a/indigodeck/planner/health_inference.py
+++ b/indigodeck/planner/health_inference.py
@@ -1,21 +1,22 @@
-"""Reports to the assigner that no protocol carries, inferred from hosts; free of I/O.
-
-A weight-advice protocol tells a planner neither what proxies met at a server nor what comes to
-them. What a planner can know: the load report that each host gives when asked (requests completed
-and failed a second, requests in flight, the time its work takes), and real requests that it sends
-itself. From these:
-
-- Time at a host is the longer of what it says its work takes and what it holds over what it
-  completes (Little's law, L = lambda W: J. D. C. Little, "A Proof for the Queuing Formula", 1961),
-  for the time that a host states leaves out waiting.
-- A host that holds requests and completes none, while checks of it go unanswered, fails what it
-  holds, whatever its other figures say: a hung host reports the least use of its cores of all.
-- What comes to proxies is what hosts complete and fail, by class where hosts tell, parted evenly
-  over proxies: which proxy brings how much is unknowable here, and so is what proxies reject or
-  give up.
-
-Times are whole microseconds, rates a second. Nothing here does I/O: the program asks `due` whom to
-check, tells what came back, and calls `report` once a period.
+"""Load and demand reports for the assigner, inferred from hosts; free of I/O.
+
+A weight-advice protocol reports neither the results of proxies' requests at a server nor the number
+of requests that proxies receive. A planner can observe two things: the load report that each host
+returns on request (requests completed and failed per second, requests in flight, time per request),
+and the outcome of real requests that it sends itself as health checks. From these it derives:
+
+- The latency at a host is the larger of the host's stated time per request and its requests in
+  flight divided by its completion rate (Little's law, L = lambda W: J. D. C. Little, "A Proof for
+  the Queuing Formula", 1961), because the stated time does not include queueing.
+- A host that has requests in flight and completes none, while its health checks time out, is
+  assumed to fail all requests in flight, whatever else it reports: a hung host reports the lowest
+  CPU utilization of all.
+- The demand of the proxies is what hosts complete and fail, by class if hosts report classes, and
+  split evenly over the proxies. The share of each proxy is unknown, and so is the number of
+  requests that proxies reject or abandon.
+
+Times are whole microseconds, rates are per second. The caller polls `take_due_checks` for the hosts
+to check, passes the results back, and calls `send_reports` once per period.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -35,22 +36,23 @@
 from .host_evidence import HostEvidence
 from .host_reports import HostReport
 
-# A suspect is checked so often in a period that one period suffices for the assigner, which judges
-# nobody by fewer than eight attempts.
+# The assigner judges no server by fewer than eight attempts. At this rate, a single period has
+# enough checks of a suspect.
 SUSPECT_CHECKS_PER_PERIOD = 12
-# The assigner judges by the median of servers that were checked so often, too: in an idle fleet a
-# suspect alone would be its own median, so some that answer are checked as closely.
+# The assigner compares a server with the median of servers that have as many attempts. In an idle
+# fleet a suspect would be compared with itself alone, so this many healthy hosts are checked as
+# often as suspects.
 CONTROL_COUNT = 2
-# `due` is asked far more often than this while the planner runs. Whatever was in flight when it was
-# not, has waited for the planner: one that had been stopped for 3 s read 3 s into every answer, and
-# closed its admission to a third.
+# `take_due_checks` is polled far more often than this while the planner runs. After a longer gap,
+# checks in flight measured the stall of the planner and are ignored: a planner that was stopped for
+# 3 s had 3 s added to all latencies, and reduced its admission to a third.
 STALL_THRESHOLD = SECOND // 4
 
 
 class DemandTotals(NamedTuple):
-    """What all hosts completed and failed a second, in all and by class.
+    """Requests that all hosts complete and fail per second, in total and by class.
 
-    `classified_rate` is what the classes add up to.
+    `classified_rate` is the sum over the classes.
     """
 
     rate: float
@@ -59,9 +61,9 @@
 
 
 class HealthInference:
-    """Hands `sink` load reports and demand reports worked out from hosts, and picks hosts to check.
+    """Sends inferred load and demand reports to `sink`, and schedules health checks.
 
-    At most `checks_per_second` are sent, and `checks_at_once` in flight.
+    At most `checks_per_second` are sent, and `max_concurrent_checks` are in flight.
     """
 
     def __init__(
@@ -69,23 +71,23 @@
         sink: ReportSink,
         settings: DeploymentSettings,
         checks_per_second: float,
-        checks_at_once: int,
+        max_concurrent_checks: int,
     ) -> None:
         self.sink = sink
         self.settings = settings
         self.checks_per_second = checks_per_second
-        self.checks_at_once = checks_at_once
+        self.max_concurrent_checks = max_concurrent_checks
         self.hosts: dict[int, HostEvidence] = {}
         self._proxies: list[int] = []
         self._reported_at = sink.now()
-        self._checks_spent = 0.0  # of late, drained at the rate allowed
-        self._due_asked_at = sink.now()
-        self._resumed_at = -(1 << 60)  # when the planner last went on after a stall
+        self._recent_checks = 0.0  # checks sent, a leaky bucket that drains at `checks_per_second`
+        self._last_polled_at = sink.now()
+        self._stall_ended_at = -(1 << 60)  # when the planner last resumed after a stall
 
-    # The fleet and the proxies, as they come and go.
+    # Hosts and proxies joining and leaving.
 
     def on_endpoint_update(self, servers: Iterable[Server]) -> None:
-        """Take in listed servers."""
+        """Add or remove servers according to their state in the list."""
         for server in servers:
             if server.state == ServerState.GONE:
                 self.hosts.pop(server.index, None)
@@ -93,78 +95,78 @@
                 self.hosts[server.index] = HostEvidence()
 
     def on_unlisted(self, server: int) -> None:
-        """Forget a server that a whole list does not name."""
+        """Remove a server that a full list no longer names."""
         self.hosts.pop(server, None)
 
     def on_proxy_joined(self, proxy: int) -> None:
-        """Count a proxy."""
+        """Add a proxy to those that demand is split over."""
         self._proxies.append(proxy)
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Count a proxy no more."""
+        """Remove a proxy from those that demand is split over."""
         self._proxies = [other for other in self._proxies if other != proxy]
 
-    # What comes back.
+    # Results of checks and report fetches.
 
     def on_host_report(self, server: int, report: HostReport, at: int) -> None:
-        """Take in a load report, which speaks of the moment `at`."""
+        """Record a load report, which describes the state of the host at time `at`."""
         host = self.hosts.get(server)
         if host is not None:
             host.add_report(report, at)
 
     def on_no_report(self, server: int) -> None:
-        """Take note that a host did not even give its report."""
+        """Record that a host did not return its load report."""
         host = self.hosts.get(server)
         if host is not None:
-            host.add_sign(False)
+            host.record_outcome(False)
 
     def on_check(self, server: int, outcome: HealthCheckOutcome, latency: int, at: int) -> None:
-        """Take note that a check that `due` chose has ended after `latency`."""
+        """Record the outcome of a check that `take_due_checks` scheduled."""
         host = self.hosts.get(server)
         if host is None:
             return
         host.checks_in_flight = max(0, host.checks_in_flight - 1)
-        was_sent_before_stall = at - latency < self._resumed_at
-        is_stalled = at - self._due_asked_at > STALL_THRESHOLD
+        was_sent_before_stall = at - latency < self._stall_ended_at
+        is_stalled = at - self._last_polled_at > STALL_THRESHOLD
         if was_sent_before_stall or is_stalled:
             return
         succeeded = outcome == HealthCheckOutcome.OK
         host.add_check(at, succeeded, latency)
 
-    # Whom to check.
+    # Schedule of checks.
 
-    def due(self, now: int) -> list[int]:
-        """Return the hosts to check now, within the budget.
+    def take_due_checks(self, now: int) -> list[int]:
+        """Return the hosts to check now, within the rate and concurrency limits.
 
-        Suspects and others take turns, each checked longest ago first: a fleet full of suspects
-        must not keep the others from being checked at all.
+        Suspects and other hosts alternate, and in each group the one checked longest ago comes
+        first, so that a fleet full of suspects does not prevent checks of the other hosts.
         """
-        self._drain_budget(now)
+        self._refill_budget(now)
         in_flight = sum(host.checks_in_flight for host in self.hosts.values())
         suspects, others = self._candidates(now)
         chosen: list[int] = []
-        for candidate in _by_turns(sorted(suspects), sorted(others)):
-            is_over_rate = self._checks_spent + 1 > max(1.0, self.checks_per_second)
-            if in_flight + len(chosen) >= self.checks_at_once or is_over_rate:
+        for candidate in _interleave(sorted(suspects), sorted(others)):
+            is_over_rate = self._recent_checks + 1 > max(1.0, self.checks_per_second)
+            if in_flight + len(chosen) >= self.max_concurrent_checks or is_over_rate:
                 break
             _, server = candidate
-            self._checks_spent += 1
+            self._recent_checks += 1
             self.hosts[server].checks_in_flight += 1
-            self.hosts[server].checked_at = now
+            self.hosts[server].last_check_at = now
             chosen.append(server)
         return chosen
 
-    def _drain_budget(self, now: int) -> None:
-        elapsed = now - self._due_asked_at
-        self._checks_spent = max(
-            0.0, self._checks_spent - elapsed * self.checks_per_second / SECOND
+    def _refill_budget(self, now: int) -> None:
+        elapsed = now - self._last_polled_at
+        self._recent_checks = max(
+            0.0, self._recent_checks - elapsed * self.checks_per_second / SECOND
         )
         if elapsed > STALL_THRESHOLD:
-            self._resumed_at = now
-        self._due_asked_at = now
+            self._stall_ended_at = now
+        self._last_polled_at = now
 
     def _candidates(self, now: int) -> tuple[list[tuple[int, int]], list[tuple[int, int]]]:
-        """Return suspects and others that are due, as (checked at, server)."""
+        """Return suspects and other hosts that are due, as (time of the last check, server)."""
         period = self.settings.report_period
         controls = self._controls()
         suspects: list[tuple[int, int]] = []
@@ -173,43 +175,45 @@
             is_close = host.is_suspect or server in controls
             interval = period // SUSPECT_CHECKS_PER_PERIOD if is_close else period
             may_overlap = is_close or not host.checks_in_flight
-            if now - host.checked_at < interval or not may_overlap:
+            if now - host.last_check_at < interval or not may_overlap:
                 continue
-            (suspects if host.is_suspect else others).append((host.checked_at, server))
+            (suspects if host.is_suspect else others).append((host.last_check_at, server))
         return suspects, others
 
     def _controls(self) -> list[int]:
-        """Return the hosts that are well and checked as closely as suspects, if there are any."""
+        """Return the healthy hosts to check as often as suspects; none without suspects."""
         if not any(host.is_suspect for host in self.hosts.values()):
             return []
-        return sorted(server for server, host in self.hosts.items() if host.good_signs)[
+        return sorted(server for server, host in self.hosts.items() if host.consecutive_successes)[
             :CONTROL_COUNT
         ]
 
-    # What the assigner is handed.
+    # Reports to the assigner.
 
     def recent_latency(self, server: int) -> int:
-        """Return how long requests lately took at a host; 0 if nothing tells."""
+        """Return the mean latency of recent requests at a host, or 0 if it is unknown."""
         host = self.hosts.get(server)
         if host is None:
             return 0
         now = self.sink.now()
-        report = host.fresh_report(now, self.settings.report_period)
-        return host.met(now - 2 * self.settings.report_period, SECOND, report).mean_latency
+        report = host.current_report(now, self.settings.report_period)
+        return host.request_stats(
+            now - 2 * self.settings.report_period, SECOND, report
+        ).mean_latency
 
-    def report(
+    def send_reports(
         self,
         reported_servers: Collection[int] = (),
         reports_for_itself: Callable[[int], bool] = lambda proxy: False,
     ) -> None:
-        """Once a period: hand over what each host met since, and what proxies are taken to bring.
+        """Report the load of each host and the demand of each proxy since the last call.
 
         Parameters
         ----------
         reported_servers
-            Those that proxies themselves reported on, who know it more nearly.
+            Servers that proxies reported on themselves, which is more accurate.
         reports_for_itself
-            Whether a proxy tells what comes to it.
+            Whether a proxy reports its own demand.
         """
         now = self.sink.now()
         since = self._reported_at
@@ -218,13 +222,15 @@
         if span <= 0:
             return
         for server, host in sorted(self.hosts.items()):
-            met = host.met(since, span, host.fresh_report(now, self.settings.report_period))
-            # Proxies notice a hung host only at their own deadline; failed checks are reported
-            # beside that.
-            has_failed_checks = host.is_suspect and met.failures
-            if met.attempts and (server not in reported_servers or has_failed_checks):
+            stats = host.request_stats(
+                since, span, host.current_report(now, self.settings.report_period)
+            )
+            # Proxies detect a hung host only at their own deadline, so failed checks are reported
+            # in addition.
+            has_failed_checks = host.is_suspect and stats.failures
+            if stats.attempts and (server not in reported_servers or has_failed_checks):
                 self.sink.on_load_report(
-                    LoadReport(self.settings.planner_zone, server, *met, span, host.last_load())
+                    LoadReport(self.settings.planner_zone, server, *stats, span, host.last_load())
                 )
         self._report_demand(self._demand_totals(now), span, reports_for_itself)
 
@@ -233,7 +239,7 @@
         rate_by_class: dict[int, float] = {}
         classified_rate = 0.0
         for _, host in sorted(self.hosts.items()):
-            report = host.fresh_report(now, self.settings.report_period)
+            report = host.current_report(now, self.settings.report_period)
             if report is None or report.completed is None:
                 continue
             rate += report.completed + report.failed
@@ -258,25 +264,25 @@
                     rate_of_class = totals.rate_by_class.get(class_index, 0.0)
                     share = rate_of_class / totals.classified_rate
                 requests = totals.rate * share * span / SECOND
-                # Whole requests, with the remainder going to the first ones, so that the sum is
-                # kept.
+                # Each proxy gets a whole number of requests, rounded so that their sum equals the
+                # total.
                 own_requests = int(requests * (position + 1) / proxy_count) - int(
                     requests * position / proxy_count
                 )
                 self.sink.on_demand_report(DemandReport(proxy, class_index, own_requests, 0, span))
 
     def _proxy_count(self) -> int:
-        """Return how many proxies the hosts' figures are parted over.
+        """Return the number of proxies that demand is split over.
 
-        With several planners hosts tell of all proxies, this planner's among them, so each proxy
-        counts as one of all that the settings state.
+        With several planners, hosts report the requests of all proxies, not only of this planner's.
+        The settings then state how many proxies there are in total.
         """
         if self.settings.planner_count == 1:
             return len(self._proxies)
         return max(len(self._proxies), self.settings.proxy_count)
 
 
-def _by_turns(
+def _interleave(
     first: list[tuple[int, int]], second: list[tuple[int, int]]
 ) -> Iterable[tuple[int, int]]:
     for pair in zip_longest(first, second):
--- a/indigodeck/planner/host_client.py
+++ b/indigodeck/planner/host_client.py
@@ -1,7 +1,7 @@
-"""How a planner reaches hosts over HTTP: a real request to check them, or a load report.
+"""HTTP access to hosts: real requests as health checks, and load reports.
 
-Reports are read in the JSON form of an ORCA header, `endpoint-load-metrics: JSON {..}`. For gRPC
-see `frontends.xds.health_checks`.
+Load reports are read from the JSON form of the ORCA response header, `endpoint-load-metrics: JSON
+{..}`. For gRPC see `frontends.xds.health_checks`.
 """
 
 import json
@@ -14,12 +14,12 @@
 from .host_reports import read_host_report
 
 REPORT_HEADER = "endpoint-load-metrics"
-JSON_FORM = "JSON"
+JSON_FORMAT = "JSON"
 PLANNER_HEADERS = {"Relay": "planner"}
 DEFAULT_LOAD_PATH = "/load"
-LONGEST_CONNECT_S = 1.0
-MAX_REQUESTS_AT_ONCE = 512
-MAX_ANSWER_BYTES = 1 << 20
+MAX_CONNECT_TIMEOUT_S = 1.0
+MAX_CONCURRENT_REQUESTS = 512
+MAX_RESPONSE_BYTES = 1 << 20
 FIRST_ERROR_STATUS = 400
 SERVICE_UNAVAILABLE = 503
 
@@ -27,14 +27,17 @@
 
 
 class CheckResult(NamedTuple):
-    """How a health check ended, and the load report that came with the answer, if any."""
+    """The outcome of a health check, and the load report in the answer, if any."""
 
     outcome: HealthCheckOutcome
     report: Any = None
 
 
 class HostClient(Protocol):
-    """How hosts are reached. Timeouts are seconds; neither method raises for what a host does."""
+    """A client for health checks and load reports of hosts.
+
+    Timeouts are in seconds. Failures of hosts are returned as results, not raised.
+    """
 
     async def check(self, address: Address, timeout: float) -> CheckResult:
         """Send a host one real request."""
@@ -47,19 +50,21 @@
 
 
 def authority(address: Address) -> str:
-    """Return an address as it stands in a URL; IPv6 goes in brackets."""
+    """Return the authority part of a URL for an address, with IPv6 addresses in brackets."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 class HttpHostClient:
-    """Reaches hosts over HTTP: a GET of `check_path`, or of `load_path` for the report alone."""
+    """Reaches hosts over HTTP; checks request `check_path`, load reports `load_path`."""
 
     def __init__(self, check_path: str, load_path: str = DEFAULT_LOAD_PATH) -> None:
         self.check_path = check_path
         self.load_path = load_path
         self.client = SimpleAsyncHTTPClient(
-            force_instance=True, max_clients=MAX_REQUESTS_AT_ONCE, max_body_size=MAX_ANSWER_BYTES
+            force_instance=True,
+            max_clients=MAX_CONCURRENT_REQUESTS,
+            max_body_size=MAX_RESPONSE_BYTES,
         )
 
     async def check(self, address: Address, timeout: float) -> CheckResult:
@@ -74,24 +79,24 @@
     async def _fetch(self, address: Address, path: str, timeout: float) -> CheckResult:
         request = HTTPRequest(
             f"http://{authority(address)}{path}",
-            connect_timeout=min(timeout, LONGEST_CONNECT_S),
+            connect_timeout=min(timeout, MAX_CONNECT_TIMEOUT_S),
             request_timeout=timeout,
             headers=PLANNER_HEADERS,
         )
         try:
-            answer = await self.client.fetch(request, raise_error=False)
+            response = await self.client.fetch(request, raise_error=False)
         except HTTPTimeoutError:
             return CheckResult(HealthCheckOutcome.SILENT)
         except HTTPStreamClosedError:
             return CheckResult(HealthCheckOutcome.BROKEN)
         except (OSError, HTTPClientError):
             return CheckResult(HealthCheckOutcome.UNREACHABLE)
-        return CheckResult(_outcome(answer.code), self.read_report(answer))
+        return CheckResult(_outcome(response.code), self.read_report(response))
 
-    def read_report(self, answer: HTTPResponse) -> Any:
-        """Return the load report that an answer carries, or None; unreadable ones say nothing."""
-        form, _, text = answer.headers.get(REPORT_HEADER, "").strip().partition(" ")
-        if form != JSON_FORM:
+    def read_report(self, response: HTTPResponse) -> Any:
+        """Return the load report in a response, or None if it is missing or invalid."""
+        format_name, _, text = response.headers.get(REPORT_HEADER, "").strip().partition(" ")
+        if format_name != JSON_FORMAT:
             return None
         try:
             fields = json.loads(text)
--- a/indigodeck/planner/host_evidence.py
+++ b/indigodeck/planner/host_evidence.py
@@ -1,4 +1,4 @@
-"""What is known of one host, and what it adds up to; free of I/O."""
+"""Recent health checks and load reports of one host, and the statistics they give; free of I/O."""
 
 from collections import deque
 from typing import NamedTuple
@@ -6,23 +6,23 @@
 from ..clock import SECOND
 from .host_reports import HostReport
 
-# So many good signs in a row clear a suspect.
-GOOD_SIGNS_TO_CLEAR = 4
-REPORT_FRESH_PERIODS = 3  # a report counts for so many periods; older, it tells of another day
-REPORTS_KEPT = 4
-CHECKS_KEPT = 32
+# Consecutive successes after which a host is no longer a suspect.
+SUCCESSES_TO_CLEAR = 4
+REPORT_VALID_PERIODS = 3  # report periods after which a report is too old to use
+MAX_REPORTS = 4
+MAX_CHECKS = 32
 
 
 class Check(NamedTuple):
-    """A health check that ended at this time, after `latency`."""
+    """The outcome of a health check that ended at `ended_at` and took `latency`."""
 
     ended_at: int
     succeeded: bool
     latency: int
 
 
-class Met(NamedTuple):
-    """What one host is taken to have done in a period; `mean_latency` is of the good attempts."""
+class RequestStats(NamedTuple):
+    """Estimated requests at a host in one period; `mean_latency` covers the successful ones."""
 
     attempts: int
     failures: int
@@ -30,44 +30,44 @@
 
 
 class HostEvidence:
-    """What is known of one host: its last reports, and the checks of this period and the last."""
+    """The last load reports of one host, and its health checks of the last two periods."""
 
     def __init__(self) -> None:
-        self.reports: deque[tuple[int, HostReport]] = deque(maxlen=REPORTS_KEPT)
-        self.checks: deque[Check] = deque(maxlen=CHECKS_KEPT)
+        self.reports: deque[tuple[int, HostReport]] = deque(maxlen=MAX_REPORTS)
+        self.checks: deque[Check] = deque(maxlen=MAX_CHECKS)
         self.is_suspect = False
-        self.good_signs = 0  # in a row
-        self.checked_at = -1
+        self.consecutive_successes = 0
+        self.last_check_at = -1
         self.checks_in_flight = 0
 
     def add_report(self, report: HostReport, at: int) -> None:
-        """Keep a report, unless it is older than what is held: it is late and says nothing new."""
+        """Add a report, unless it is older than the last one, which is then still the newest."""
         if not self.reports or at > self.reports[-1][0]:
             self.reports.append((at, report))
 
     def add_check(self, ended_at: int, succeeded: bool, latency: int) -> None:
-        """Keep a health check that ended."""
+        """Add a health check that has ended."""
         self.checks.append(Check(ended_at, succeeded, latency))
-        self.add_sign(succeeded)
+        self.record_outcome(succeeded)
 
-    def add_sign(self, is_good: bool) -> None:
-        """Count a sign of life, or the lack of one."""
-        self.good_signs = self.good_signs + 1 if is_good else 0
-        still_suspect = self.is_suspect and self.good_signs < GOOD_SIGNS_TO_CLEAR
-        self.is_suspect = not is_good or still_suspect
+    def record_outcome(self, succeeded: bool) -> None:
+        """Record whether the host answered, and update whether it is a suspect."""
+        self.consecutive_successes = self.consecutive_successes + 1 if succeeded else 0
+        still_suspect = self.is_suspect and self.consecutive_successes < SUCCESSES_TO_CLEAR
+        self.is_suspect = not succeeded or still_suspect
 
-    def fresh_report(self, now: int, report_period: int) -> HostReport | None:
-        """Return the last report if it still counts."""
-        if self.reports and now - self.reports[-1][0] < REPORT_FRESH_PERIODS * report_period:
+    def current_report(self, now: int, report_period: int) -> HostReport | None:
+        """Return the last report, or None if it is too old."""
+        if self.reports and now - self.reports[-1][0] < REPORT_VALID_PERIODS * report_period:
             return self.reports[-1][1]
         return None
 
     def last_load(self) -> dict[str, float] | None:
-        """Return the columns of the last report, however old."""
+        """Return the load columns of the last report, however old."""
         return self.reports[-1][1].load() if self.reports else None
 
-    def met(self, since: int, span: int, report: HostReport | None) -> Met:
-        """Work out what the host did over `span`, by its report and the checks since then."""
+    def request_stats(self, since: int, span: int, report: HostReport | None) -> RequestStats:
+        """Estimate the requests over `span` from a report and from the checks since `since`."""
         checks = [check for check in self.checks if check.ended_at > since]
         failed_checks = sum(not check.succeeded for check in checks)
         latencies = [check.latency for check in checks if check.succeeded]
@@ -79,17 +79,17 @@
             failed = round(report.failed * span / SECOND)
             latency = _reported_latency(report)
             if failed_checks and not latencies and not completed:
-                # It takes requests and gives nothing back: what it holds is lost, though it says it
-                # is idle.
+                # The host accepts requests and completes none: the requests in flight count as
+                # failed, though the host reports itself as idle.
                 failed += max(round(report.in_flight), 0)
         elif report is not None:
             latency = report.work_time
         succeeded = completed + len(latencies)
         failures = failed + failed_checks
         if not succeeded:
-            return Met(failures, failures, 0)
+            return RequestStats(failures, failures, 0)
         mean_latency = (latency * completed + sum(latencies)) // succeeded
-        return Met(succeeded + failures, failures, mean_latency)
+        return RequestStats(succeeded + failures, failures, mean_latency)
 
 
 def _reported_latency(report: HostReport) -> int:
--- a/indigodeck/planner/host_reports.py
+++ b/indigodeck/planner/host_reports.py
@@ -1,6 +1,6 @@
-"""A host's own load report, as the planner reads it.
+"""Load reports of hosts, in the format of ORCA.
 
-Its form is ORCA, the Open Request Cost Aggregation of Envoy and gRPC.
+ORCA is Open Request Cost Aggregation, the load report standard of Envoy and gRPC.
 """
 
 from collections.abc import Mapping
@@ -8,15 +8,15 @@
 
 from ..clock import MILLISECOND
 
-CLASS_RATE_PREFIX = "rps."  # of the named metrics that state a class's rate
-LARGEST_FIGURE = 1e9
+CLASS_RATE_PREFIX = "rps."  # prefix of the named metrics that hold request rates by class
+MAX_VALUE = 1e9
 
 
 class HostReport(NamedTuple):
-    """What a host says of itself.
+    """The load that a host reports.
 
-    `cores_busy` is a share; `work_time` is in microseconds; `completed` (None where the host does
-    not tell) and `failed` are rates per second, and so is `completed_by_class`.
+    `cores_busy` is CPU utilization as a fraction, `work_time` the time per request in microseconds.
+    `completed` (None if not reported), `failed` and `completed_by_class` are requests per second.
     """
 
     cores_busy: float
@@ -27,7 +27,7 @@
     completed_by_class: Mapping[Any, float] = {}
 
     def load(self) -> dict[str, float]:
-        """Return the columns that the assigner is handed with a load report."""
+        """Return the columns that are passed to the assigner with a load report."""
         return {
             "cores_busy": self.cores_busy,
             "in_flight": self.in_flight,
@@ -36,13 +36,13 @@
 
 
 def read_host_report(fields: Mapping[str, Any], named_metrics: Mapping[str, Any]) -> HostReport:
-    """Read a report from the fields of an ORCA load report and its named metrics.
+    """Parse the fields of an ORCA load report and its named metrics.
 
     Raises
     ------
     ValueError
-        If a figure is no number, or one that can't be; TypeError, AttributeError or OverflowError
-        if what the host sent is of another type altogether.
+        If a value is not a number, or out of range. TypeError, AttributeError or OverflowError is
+        raised if a field has the wrong type.
     """
     by_class = {
         name.removeprefix(CLASS_RATE_PREFIX): float(value)
@@ -55,9 +55,9 @@
     cores_busy = float(fields.get("cpu_utilization", 0.0))
     in_flight = float(named_metrics.get("inflight", 0.0))
     latency_ms = float(named_metrics.get("latency_ms", 0.0))
-    figures = (cores_busy, in_flight, latency_ms, failed, rate, *by_class.values())
-    if not all(0 <= figure < LARGEST_FIGURE for figure in figures):
-        raise ValueError("a figure that can't be")
+    values = (cores_busy, in_flight, latency_ms, failed, rate, *by_class.values())
+    if not all(0 <= value < MAX_VALUE for value in values):
+        raise ValueError(f"load report value out of range 0 to {MAX_VALUE:g}")
     return HostReport(
         cores_busy=cores_busy,
         in_flight=in_flight,
--- a/indigodeck/planner/join_admission.py
+++ b/indigodeck/planner/join_admission.py
@@ -1,9 +1,10 @@
-"""Which proxies may join now, as the channel takes their tables; free of I/O.
+"""Limits how fast proxies join, by the free capacity of the update channel; free of I/O.
 
-After a change of leader every proxy of a fleet dials the successor within a second, and each has a
-whole table coming. Admitted as they came, 303 of them put 15,500 lines into a channel that may hold
-4,500 (docs/leadership.md). A proxy that waits here holds its tables and goes on; what it sends
-meanwhile stays in its own socket. First come, first served.
+After a change of leader, all proxies of a fleet connect to the new leader within a second, and each
+must be sent a full table. When proxies were admitted on arrival, 303 of them queued 15,500 lines in
+a channel that may hold 4,500 (docs/leadership.md). A proxy that waits here continues with the
+tables it has, and what it sends meanwhile stays in its socket. Proxies are admitted in order of
+arrival.
 """
 
 from collections import OrderedDict
@@ -12,44 +13,46 @@
 
 from ..clock import SECOND
 
-# Of the lines that may wait: what joining proxies fill; the rest is for drains and replacements.
-JOIN_SHARE = 0.4
-# Between two looks at the queue while somebody waits. All that a look admits are one moment to the
-# assigner, which goes through all of its tables once for them: one by one, 303 xDS proxies were
-# admitted at 50 a second, and drains came late.
+# Share of the queue that joining proxies may fill. The rest is reserved for drains and replacements
+# of servers.
+MAX_JOIN_SHARE = 0.4
+# Time between two rounds of admission while proxies wait. The assigner processes all proxies of one
+# round together and scans its tables once for them. When proxies were admitted one by one, 303 xDS
+# proxies joined at 50 a second, and drains were delayed.
 ADMISSION_INTERVAL = SECOND // 20
-# A queue that a stalled proxy's lines keep long must not shut everybody out: one in this time may
-# join.
-ADMIT_ONE_EVERY = SECOND // 5
+# A stalled proxy can keep the queue long, which must not lock out all others: one proxy may join
+# after this time even so.
+FORCED_ADMISSION_INTERVAL = SECOND // 5
 MAX_WAITING_PROXIES = 65_535
 
 
 class Environment(Protocol):
-    """What join admission may ask of the program around it."""
+    """What join admission needs from the program that runs it."""
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back."""
+        """Return the monotonic time in microseconds."""
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
-        """Call back after this time."""
+        """Call `callback` after `delay` microseconds."""
 
     def waiting_lines(self) -> float:
-        """Return the lines that wait for all proxies."""
+        """Return the number of lines queued for all proxies."""
 
     def lines_per_join(self) -> float:
-        """Return the lines that one more proxy may have waiting at once."""
+        """Return how many lines one joining proxy can add to the queue."""
 
     def admit(self, candidate: Hashable) -> None:
         """Let a candidate join now."""
 
     def reject(self, candidate: Hashable) -> None:
-        """Turn a candidate away: too many wait."""
+        """Turn a candidate away, because too many are waiting."""
 
 
 class JoinAdmission:
-    """Holds candidates back until the channel has room; `max_waiting_lines` may wait in it.
+    """Queues candidates until the channel has capacity for them.
 
-    A candidate is whatever the program hands over, one object for each proxy that comes.
+    `max_waiting_lines` is the number of lines that the channel may queue. A candidate is any
+    hashable object that identifies one joining proxy.
     """
 
     def __init__(self, environment: Environment, max_waiting_lines: float) -> None:
@@ -57,45 +60,48 @@
         self.max_waiting_lines = max_waiting_lines
         self._candidates: OrderedDict[Hashable, bool] = OrderedDict()
         self._is_scheduled = False
-        self._last_admitted_at = environment.now() - ADMIT_ONE_EVERY
-        self._last_look_at = environment.now() - ADMISSION_INTERVAL
-        self._lines_of_this_look: float = 0
+        self._last_admitted_at = environment.now() - FORCED_ADMISSION_INTERVAL
+        self._last_round_at = environment.now() - ADMISSION_INTERVAL
+        self._lines_of_this_round: float = 0
 
     def on_arrival(self, candidate: Hashable) -> None:
-        """Line a candidate up; its admission or rejection follows."""
+        """Enqueue a candidate; it is admitted or rejected later, or rejected at once."""
         if len(self._candidates) >= MAX_WAITING_PROXIES:
             self.environment.reject(candidate)
             return
         self._candidates[candidate] = True
         if not self._is_scheduled:
             self._is_scheduled = True
-            next_look_at = self._last_look_at + ADMISSION_INTERVAL
-            self.environment.call_later(max(0, next_look_at - self.environment.now()), self._look)
+            next_round_at = self._last_round_at + ADMISSION_INTERVAL
+            self.environment.call_later(
+                max(0, next_round_at - self.environment.now()), self._admit_candidates
+            )
 
     def on_departure(self, candidate: Hashable) -> None:
-        """Forget a candidate that waits no more, whether it was admitted or not."""
+        """Remove a candidate that no longer waits, whether it was admitted or not."""
         self._candidates.pop(candidate, None)
 
-    def _look(self) -> None:
+    def _admit_candidates(self) -> None:
         now = self.environment.now()
-        # What the last look admitted shows in the queue by now, or has been written.
-        self._lines_of_this_look = 0
-        self._last_look_at = now
+        # By now, the lines of the last round are counted in the queue or have been written.
+        self._lines_of_this_round = 0
+        self._last_round_at = now
         while self._candidates and self._has_room(now):
             candidate, _ = self._candidates.popitem(last=False)
-            self._lines_of_this_look += self.environment.lines_per_join()
+            self._lines_of_this_round += self.environment.lines_per_join()
             self._last_admitted_at = now
             self.environment.admit(candidate)
         self._is_scheduled = bool(self._candidates)
         if self._is_scheduled:
-            self.environment.call_later(ADMISSION_INTERVAL, self._look)
+            self.environment.call_later(ADMISSION_INTERVAL, self._admit_candidates)
 
     def _has_room(self, now: int) -> bool:
-        waiting = self.environment.waiting_lines() + self._lines_of_this_look
+        waiting = self.environment.waiting_lines() + self._lines_of_this_round
         needed = self.environment.lines_per_join()
         if not waiting:
-            return True  # an empty channel takes anybody, however small it is stated to be
-        if waiting + needed <= JOIN_SHARE * self.max_waiting_lines:
+            # an empty channel admits any proxy, even if one join exceeds its stated capacity
             return True
-        is_overdue = now - self._last_admitted_at >= ADMIT_ONE_EVERY
+        if waiting + needed <= MAX_JOIN_SHARE * self.max_waiting_lines:
+            return True
+        is_overdue = now - self._last_admitted_at >= FORCED_ADMISSION_INTERVAL
         return is_overdue and waiting + needed <= self.max_waiting_lines
--- a/indigodeck/planner/planner_host.py
+++ b/indigodeck/planner/planner_host.py
@@ -1,9 +1,9 @@
-"""The assigner's host in a running planner: tables and pending updates; free of I/O.
+"""The assigner's host in a planner: holds tables and queues updates for proxies; free of I/O.
 
-`PlannerHost` decides no table. It keeps what the assigner orders, tells its environment which
-proxies have something waiting, and hands over the newest state when a proxy can be written to.
-Frontends read it through `take_updates`, `table_for`, `admission_for` and `endpoint`. Times are
-whole microseconds.
+`PlannerHost` makes no decisions about tables. It stores the assigner's orders, notifies its
+environment of proxies with pending updates, and returns the current state when a proxy can be
+written to. Frontends read it through `take_updates`, `table_for`, `admission_for` and `endpoint`.
+Times are whole microseconds.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -24,29 +24,29 @@
 
 
 class Environment(Protocol):
-    """What the host may ask of the program around it."""
+    """What `PlannerHost` needs from the program that runs it."""
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back."""
+        """Return the monotonic time in microseconds."""
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
-        """Call back after this time."""
+        """Call `callback` after `delay` microseconds."""
 
     def request_write(self, proxy: int) -> None:
-        """Have this proxy written to: something waits for it."""
+        """Schedule a write to a proxy that has a pending update."""
 
     def check_health(self, server: int) -> None:
-        """Send the server a request, and report its end with the host's `on_health_check`."""
+        """Send the server a request, and report the outcome to `on_health_check`."""
 
     def fetch_endpoint_list(self) -> None:
-        """Fetch the whole endpoint list, where its source must be asked."""
+        """Fetch the full endpoint list, if it is not pushed by its source."""
 
     def log_event(self, event: str) -> None:
-        """Write a line to the log."""
+        """Write an event to the log."""
 
 
 class Admission(NamedTuple):
-    """How much of a class a table's proxies admit, and when they may retry."""
+    """The fraction of a class that proxies of a table admit, and when they may retry."""
 
     level: float = 1.0
     retry_policy: RetryPolicy = RetryPolicy.NEVER
@@ -56,12 +56,12 @@
 
 
 class PlannerHost:
-    """Implements `assignment.interface.AssignerHost`, and keeps its orders for the proxies.
+    """Implements `assignment.interface.AssignerHost`, and holds the orders for the proxies.
 
-    Each `on_...` method ends with the orders of that call laid out for the proxies concerned: the
-    environment is asked once for each proxy. `publisher` numbers the versions of what is published,
-    where they are kept (`versions.publisher`). `make_assigner` builds another policy in the
-    assigner's place.
+    Each `on_...` method queues the orders of that call for the proxies concerned and requests a
+    single write for each proxy. `publisher` assigns version numbers to published tables, if
+    versions are stored (`versions.publisher`). `make_assigner` builds the assigner, or another
+    policy instead.
     """
 
     def __init__(
@@ -77,47 +77,48 @@
         self.tables: dict[int, dict[int, float]] = {}
         self.class_of_table: dict[int, int] = {}
         self.ejected_servers: set[int] = set()
-        self.endpoints: dict[int, Server] = {}  # the list's last entry for each server
+        self.endpoints: dict[int, Server] = {}  # the last list entry of each server
         self.updates = UpdateQueue(environment.now, settings.channel.message_overhead_lines)
-        self.has_changes = True  # whether the publisher has something to look at
+        self.has_changes = True  # whether anything changed since the last call of the publisher
         self.publisher: Any = None
         self._admissions: dict[tuple[int, int], Admission] = {}  # by table and class
         self._table_revisions: dict[int, int] = {}
         self._ejection_revision = 0
-        self.assigner: Any = None  # its constructor may give orders already
+        self.assigner: Any = None  # set first because the constructor can give orders
         self.assigner = make_assigner(self, settings, seed)
         self.flush_orders("start")
 
     # Events.
 
     def on_endpoint_update(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
-        """Take in the endpoint list, or changes of it."""
+        """Process a full or incremental update of the endpoint list."""
         self.endpoints.update((server.index, server) for server in servers)
-        self._ejection_revision += 1  # what proxies see of an ejected server follows the list
+        self._ejection_revision += 1  # entries of ejected servers can change with the list
         self.has_changes = True
         self.assigner.on_endpoint_update(kind, servers)
         self.flush_orders("a list")
 
     def on_endpoint_list_failed(self) -> None:
-        """Tell the assigner that the list could not be fetched."""
+        """Notify the assigner that the list could not be fetched."""
         self.assigner.on_endpoint_list_failed()
         self.flush_orders("no list")
 
     def on_proxy_joined(self, proxy: int, zone: int, rate: float, fresh: bool) -> None:
-        """Begin to serve a proxy.
+        """Start to serve a proxy.
 
-        It gets usually `rate` requests a second; `fresh`: it holds no table.
+        It usually receives `rate` requests a second. `fresh` means that it holds no table.
         """
         self.updates.on_proxy_joined(proxy)
         if self.ejected_servers:
-            # It may come with tables of an earlier stream: ejections bind it before any table does.
+            # The proxy may hold tables from an earlier connection. Ejections must apply to it even
+            # before it is assigned to a table.
             for class_index in self.class_indices:
                 self.updates.add(proxy, class_index, self.ejected_servers)
         self.assigner.on_proxy_joined(proxy, zone, rate, fresh)
         self.flush_orders("a relay joined")
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Drop a proxy and what waits for it."""
+        """Remove a proxy and its pending update."""
         if self.updates.on_proxy_left(proxy):
             self.assigner.on_proxy_left(proxy)
             if self.publisher is not None:
@@ -125,40 +126,40 @@
             self.flush_orders("a relay left")
 
     def on_load_report(self, report: LoadReport) -> None:
-        """Hand over what proxies met at a server; the assigner acts on it at its next timer."""
+        """Pass attempts at a server to the assigner, which acts on them at its next timer."""
         self.assigner.on_load_report(report)
 
     def on_demand_report(self, report: DemandReport) -> None:
-        """Hand over what came to a proxy; the assigner acts on it at its next timer."""
+        """Pass the demand at a proxy to the assigner, which acts on it at its next timer."""
         self.assigner.on_demand_report(report)
 
     def on_health_check(
         self, server: int, outcome: HealthCheckOutcome, latency: int, load: dict | None
     ) -> None:
-        """Hand over the end of a check that the assigner asked for."""
+        """Pass the outcome of a check to the assigner that requested it."""
         self.assigner.on_health_check(server, outcome, latency, load)
         self.flush_orders("a probe")
 
     def on_proxy_request(self, proxy: int) -> None:
-        """Take note that a proxy asked something: its program goes on since its last update."""
+        """Record a request of a proxy, which shows that its process runs since its last update."""
         if self.publisher is not None:
             self.publisher.relay_versions.on_request(proxy)
 
-    def on_delivered(self, update: TableUpdate, by_program: bool = True) -> None:
-        """Take note that a proxy has an update.
+    def on_delivered(self, update: TableUpdate, by_application: bool = True) -> None:
+        """Record that an update was delivered to a proxy.
 
-        `by_program`: its program has it, not its machine alone.
+        `by_application` is False if only the network stack of the proxy's machine confirmed it.
         """
         if update.proxy not in self.updates.by_proxy:
             return
         for number, requested_at in update.requested_acks:
             self.assigner.on_ack(update.proxy, number, self.environment.now() - requested_at)
         if self.publisher is not None:
-            self.publisher.relay_versions.on_taken(update.proxy, update.version, by_program)
+            self.publisher.relay_versions.on_taken(update.proxy, update.version, by_application)
         self.flush_orders("an answer")
 
     def flush_orders(self, event: str) -> None:
-        """Publish what the orders of one call changed, and tell the environment whom they reach."""
+        """Publish the changes of one call, and request writes to the proxies that they affect."""
         self._publish(event)
         for proxy in self.updates.flush():
             self.environment.request_write(proxy)
@@ -174,14 +175,14 @@
         self.assigner.on_timer(token)
         self.flush_orders("a turn")
 
-    # What frontends read.
+    # State for frontends.
 
     def waiting_lines(self) -> float:
-        """Return the lines that wait for all proxies, the overhead of messages included."""
+        """Return the number of queued lines for all proxies, including message overhead."""
         return self.updates.waiting_lines()
 
     def lines_per_join(self) -> float:
-        """Return the lines that one more proxy may have waiting at once.
+        """Return how many lines one joining proxy can add to the queue.
 
         These are a table and the ejected servers for each class.
         """
@@ -191,20 +192,21 @@
         return overhead + len(self.class_indices) * lines_per_class
 
     def has_pending(self, proxy: int) -> bool:
-        """Return whether something waits for a proxy."""
+        """Return whether an update is queued for a proxy."""
         return self.updates.has_pending(proxy)
 
     def take_updates(self, proxy: int) -> TableUpdate | None:
-        """Hand over what waits for a proxy, or None; from then on it waits no more."""
+        """Remove and return the pending update of a proxy, or None."""
         if not self.updates.has_pending(proxy):
             return None
         version = self.publisher.newest() if self.publisher is not None else None
         return self.updates.by_proxy[proxy].take(proxy, version)
 
     def table_for(self, proxy: int, class_index: int) -> dict[int, float] | None:
-        """Return the weights by server that a proxy should hold for a class.
+        """Return the weights by server that a proxy should use for a class.
 
-        None while it is bound to no table: it follows what it held before, ejected servers apart.
+        None means that the proxy is assigned to no table: it keeps the table that it has, without
+        ejected servers.
         """
         table = self.updates.bound_table(proxy, class_index)
         if table is None:
@@ -216,17 +218,17 @@
         }
 
     def published_weights(self, table: int) -> dict[int, float]:
-        """Return a table as it is published: the assigner's, or what an operator holds it at."""
+        """Return the published weights of a table: pinned by an operator, or from the assigner."""
         weights = self.tables.get(table, {})
         if self.publisher is None:
             return weights
         return self.publisher.rollback_pins.weights_of(table, weights)
 
     def revision_of(self, proxy: int, class_index: int) -> tuple[int, int, int] | None:
-        """Return what stands for the content of `table_for` and `admission_for`.
+        """Return a key of the content of `table_for` and `admission_for`.
 
-        It is equal where these are, for proxies that share a table as well; None while the proxy is
-        bound to no table.
+        Equal keys mean equal content, also between proxies that share a table. None means that the
+        proxy is assigned to no table.
         """
         table = self.updates.bound_table(proxy, class_index)
         if table is None:
@@ -234,25 +236,26 @@
         return table, self._table_revisions.get(table, 0), self._ejection_revision
 
     def admission_for(self, proxy: int, class_index: int) -> Admission:
-        """Return the admission of a proxy's table for a class; all where none is set."""
+        """Return the admission of a proxy's table for a class; by default all is admitted."""
         table = self.updates.bound_table(proxy, class_index)
         if table is None:
             return ADMIT_ALL
         return self._admissions.get((table, class_index), ADMIT_ALL)
 
-    # What the publisher of versions reads, and asks.
+    # Interface for the publisher of versions.
 
     def resume_tables(self, members: dict[int, list[int]]) -> None:
-        """Take up the servers of tables as published before a restart.
+        """Restore the servers of tables as they were published before a restart.
 
-        Only while no proxy holds anything, for then nothing moves by it.
+        This is done only while no proxy has joined, so that no traffic moves.
         """
-        has_shards = hasattr(self.assigner, "resume_tables")  # baselines have none
+        # baseline policies do not implement it
+        has_shards = hasattr(self.assigner, "resume_tables")
         if not self.updates.by_proxy and has_shards:
             self.assigner.resume_tables(members)
 
     def assigned_tables(self) -> dict[int, AssignedTable]:
-        """Return all tables that proxies were bound to, as the assigner has them."""
+        """Return all tables that proxies were assigned to, as the assigner has them."""
         tables = {}
         for table, class_index in self.class_of_table.items():
             admission = self._admissions.get((table, class_index), ADMIT_ALL)
@@ -266,31 +269,31 @@
         return tables
 
     def proxy_count(self, table: int) -> int:
-        """Return how many bindings of proxies to a table there are."""
+        """Return the number of (proxy, class) pairs assigned to a table."""
         return sum(1 for _ in self.updates.bindings(table))
 
     def tables_of(self, proxy: int) -> dict[int, int]:
-        """Return a proxy's tables by class."""
+        """Return the tables of a proxy by class."""
         pending = self.updates.by_proxy.get(proxy)
         return dict(pending.tables) if pending else {}
 
     def endpoint(self, server: int) -> Server | None:
-        """Return the list's last entry for a server, or None if it was never listed."""
+        """Return the last list entry of a server, or None if it was never listed."""
         return self.endpoints.get(server)
 
     def mark_changed(self, table: int, servers: Iterable[int]) -> None:
-        """Have these lines of a table told anew to all that are bound to it."""
-        self._revise(table)
+        """Queue these lines of a table again for all proxies assigned to it."""
+        self._increment_revision(table)
         self.updates.add_for_table(table, servers)
 
-    def _revise(self, table: int) -> None:
+    def _increment_revision(self, table: int) -> None:
         self._table_revisions[table] = self._table_revisions.get(table, 0) + 1
         self.has_changes = True
 
-    # What the assigner may do (`assignment.interface.AssignerHost`).
+    # Orders of the assigner (`assignment.interface.AssignerHost`).
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back."""
+        """Return the monotonic time in microseconds."""
         return self.environment.now()
 
     def start_timer(self, delay: int, token: int) -> None:
@@ -305,8 +308,9 @@
         else:
             weights.pop(server, None)
         if self.publisher is not None and table in self.publisher.rollback_pins.published_weights:
-            # It is published as an operator holds it; what follows for that is found on publishing.
-            self._revise(table)
+            # The published weights are pinned by an operator; the publisher works out whether this
+            # change affects them.
+            self._increment_revision(table)
         else:
             self.mark_changed(table, (server,))
 
@@ -320,30 +324,30 @@
         self.mark_changed(table, removed)
 
     def assign_table(self, proxy: int, table: int, classes: Sequence[int]) -> None:
-        """Put a joined proxy on a table for these classes; none stands for all."""
+        """Assign a joined proxy to a table for these classes, or for all if none is given."""
         if proxy not in self.updates.by_proxy:
             return
         for class_index in classes or self.class_indices:
             if table not in self.class_of_table:
-                # It is published from now on, though no line of it changes.
+                # The table is published from now on, though no line of it changes.
                 self.class_of_table[table] = class_index
                 self.has_changes = True
             self.updates.bind(proxy, class_index, table, self.published_weights(table))
 
     def eject_server(self, server: int) -> None:
-        """Keep all joined proxies off a server, whatever their tables say."""
+        """Exclude a server from all tables of all joined proxies."""
         self.ejected_servers.add(server)
         self._ejection_changed(server)
 
     def uneject_server(self, server: int) -> None:
-        """Let proxies return to a server that was ejected."""
+        """End the ejection of a server."""
         self.ejected_servers.discard(server)
         self._ejection_changed(server)
 
     def forget_server(self, server: int) -> None:
-        """Uneject a server, which reaches nobody.
+        """End the ejection of a server, which affects no proxy.
 
-        Its index stays: the endpoint list and the health inference may know it still.
+        Its index is kept, because the endpoint list and the health inference may still use it.
         """
         self.uneject_server(server)
 
@@ -359,32 +363,32 @@
     def set_admission(
         self, table: int, classes: Sequence[int], level: float, retry_policy: RetryPolicy
     ) -> None:
-        """Set how much of these classes (none: all) is admitted, and when proxies may retry."""
+        """Set the admission of these classes (all if none is given) in a table."""
         for class_index in classes or self.class_indices:
             self._admissions[table, class_index] = Admission(level, retry_policy)
         self.mark_changed(table, ())
 
     def request_ack(self, number: int, everyone: bool) -> None:
-        """Ask each proxy that the orders of this call reach, or everyone, to acknowledge them."""
+        """Request acknowledgement of the orders of this call, from affected proxies or from all."""
         self.updates.request_ack(number, everyone)
 
     def check_health(self, server: int) -> None:
-        """Send the server a request, and report its end with `on_health_check`."""
+        """Send the server a request, and report the outcome to `on_health_check`."""
         self.environment.check_health(server)
 
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
-        """Send nothing: planners share nothing here."""
+        """Do nothing: this kind of planner shares no state with its peers."""
 
     def watch_endpoints(self, on: bool) -> None:
-        """Fetch the list: its source decides whether it is followed."""
+        """Fetch the list; the source of the list decides whether it is watched."""
         self.environment.fetch_endpoint_list()
 
     def fetch_endpoints(self) -> None:
-        """Ask for the whole endpoint list once."""
+        """Fetch the full endpoint list once."""
         self.environment.fetch_endpoint_list()
 
     def log(self, text: str) -> None:
-        """Write a line to the log; the publisher states it as the cause of the next version."""
+        """Write to the log; the text is also recorded as a cause of the next version."""
         if self.publisher is not None:
             self.publisher.add_cause(text)
         self.environment.log_event(text)
--- a/indigodeck/planner/planner_settings.py
+++ b/indigodeck/planner/planner_settings.py
@@ -1,8 +1,8 @@
-"""The planner's settings file, checked once at start and read into typed settings.
+"""The planner's settings file, validated once at start and converted to typed settings.
 
-This is the only module that knows the keys of the file (`settings.schema.json` states its shape).
-Times are whole microseconds unless a name says otherwise; rates are per second. Relative paths are
-seen from the file's folder.
+Only this module knows the keys of the file, whose schema is `settings.schema.json`. Times are whole
+microseconds unless a name says otherwise; rates are per second. Relative paths are resolved from
+the folder of the file.
 """
 
 import pathlib
@@ -36,13 +36,13 @@
 
 SCHEMA = load_schema(__file__, "settings.schema.json")
 
-LOCAL_ADDRESS = "127.0.0.1"
+LOOPBACK_ADDRESS = "127.0.0.1"
 SASP_PORT = 3860
 XDS_PORT = 18000
 MEBIBYTE = 1 << 20
 SECONDS_PER_DAY = 86_400
-CHECKS_PER_SECOND = 20
-CHECKS_AT_ONCE = 16
+DEFAULT_CHECKS_PER_SECOND = 20
+DEFAULT_MAX_CONCURRENT_CHECKS = 16
 FILE_POLL_INTERVAL_MS = 200
 SERVICE_POLL_INTERVAL_MS = 1000
 CHANNEL_DEFAULTS = {
@@ -55,27 +55,27 @@
 
 
 def read_settings(path: str | pathlib.Path) -> "PlannerSettings":
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises
     ------
     InvalidDocumentError
-        If the file cannot be read, or does not follow its schema; one line for each fault.
+        If the file cannot be read or is invalid; the message has one line for each error.
     """
     path = pathlib.Path(path)
     return PlannerSettings(load_document(path, SCHEMA), path.parent, path.name)
 
 
 class PlannerSettings:
-    """The settings of one planner, by sections.
+    """The settings of one planner, by section.
 
-    `deployment` is what the assigner is handed. `frontends` keeps the order of the file. `document`
-    is the file's own object, for programs that write a changed copy of it.
+    `deployment` is the part that the assigner receives. `frontends` keeps the order of the file.
+    `document` is the parsed file, for programs that write a modified copy of it.
 
     Raises
     ------
     InvalidDocumentError
-        If the document does not follow its schema, or contradicts itself.
+        If the document violates its schema or contradicts itself.
     """
 
     def __init__(
@@ -84,16 +84,16 @@
         folder: str | pathlib.Path = pathlib.Path("."),
         name: str = "charter",
     ) -> None:
-        faults = schema_errors(document, SCHEMA) or list(_contradictions(document))
-        if faults:
-            raise InvalidDocumentError("\n".join(f"{name}: {fault}" for fault in faults))
+        errors = schema_errors(document, SCHEMA) or list(_consistency_errors(document))
+        if errors:
+            raise InvalidDocumentError("\n".join(f"{name}: {error}" for error in errors))
         self.document = document
         self.folder = pathlib.Path(folder)
         self.name: str = document.get("name", "planner")
         self.seed: int = document.get("seed", 1)
         self.zone_names: list[str] = document["halls"]
         self.machine_type_names: list[str] = document.get("kinds", [])
-        self.class_names: list[str] = [given["name"] for given in document["classes"]]
+        self.class_names: list[str] = [section["name"] for section in document["classes"]]
         self.reports = _reports(document.get("reports", {}))
         self.endpoint_list = _endpoint_list(document["roster"])
         self.frontends = _frontends(document["fronts"])
@@ -106,64 +106,73 @@
         self.proxy_defaults = self._proxy_defaults(document.get("relays", {}))
 
     def health_check_class(self) -> str:
-        """Return the class of which health checks are: one that may be executed twice, if any."""
+        """Return the class of health check requests: an idempotent one, if there is any."""
         idempotent = [
-            one.name for one in self.deployment.classes if one.idempotency == Idempotency.SAFE
+            class_settings.name
+            for class_settings in self.deployment.classes
+            if class_settings.idempotency == Idempotency.SAFE
         ]
         return (idempotent or self.class_names)[0]
 
     def _proxy_defaults(self, section: dict[str, Any]) -> ProxyDefaults:
-        usual_rate = section.get("rate", 1.0)
+        default_rate = section.get("rate", 1.0)
         rules = tuple(
             ProxyRule(
                 entry["prefix"],
                 self.zone_names.index(entry["hall"]),
-                entry.get("rate", usual_rate),
+                entry.get("rate", default_rate),
             )
             for entry in section.get("halls", [])
         )
-        return ProxyDefaults(rules, self.deployment.planner_zone, usual_rate)
+        return ProxyDefaults(rules, self.deployment.planner_zone, default_rate)
 
 
-def _contradictions(document: dict[str, Any]) -> Iterator[str]:
-    """Find what a schema can't express: names that must be stated elsewhere, and their like."""
-    yield from _zone_contradictions(document)
-    yield from _class_contradictions(document["classes"])
+def _consistency_errors(document: dict[str, Any]) -> Iterator[str]:
+    """Find errors that a schema cannot express, such as references to undefined names."""
+    yield from _zone_errors(document)
+    yield from _class_errors(document["classes"])
     planners = document.get("planners", {})
     if planners.get("number", 0) >= planners.get("many", 1):
-        yield f"planners/number: {planners['number']} of {planners.get('many', 1)}, counted from 0"
+        yield (
+            f"planners/number: {planners['number']} is not less than planners/many, "
+            f"{planners.get('many', 1)}; numbers start at 0"
+        )
     if document.get("takeover"):
-        yield from _leadership_contradictions(document["takeover"], document)
+        yield from _leadership_errors(document["takeover"], document)
     channel = document["channel"]
     if 0 < channel.get("messages_most", 0) <= channel.get("answers_most", 0):
-        yield "channel/answers_most: leaves no message for orders"
+        yield "channel/answers_most: must be less than messages_most, to leave messages for orders"
 
 
-def _zone_contradictions(document: dict[str, Any]) -> Iterator[str]:
+def _zone_errors(document: dict[str, Any]) -> Iterator[str]:
     zone_names = document["halls"]
     if document.get("hall", zone_names[0]) not in zone_names:
-        yield f"hall: {document['hall']!r} is none of the halls {zone_names}"
+        yield f"hall: {document['hall']!r} is not one of the halls {zone_names}"
     for index, entry in enumerate(document.get("relays", {}).get("halls", [])):
         if entry["hall"] not in zone_names:
-            yield f"relays/halls/{index}/hall: {entry['hall']!r} is none of the halls {zone_names}"
+            yield (
+                f"relays/halls/{index}/hall: {entry['hall']!r} is not one of the halls {zone_names}"
+            )
 
 
-def _class_contradictions(classes: list[dict[str, Any]]) -> Iterator[str]:
-    names = [given["name"] for given in classes]
-    for index, given in enumerate(classes):
-        if given["name"] in names[:index]:
-            yield f"classes/{index}/name: {given['name']!r} stands twice"
-        if given["patience_ms"] < given["agreed_time_ms"]:
-            yield f"classes/{index}/patience_ms: shorter than the agreed time"
+def _class_errors(classes: list[dict[str, Any]]) -> Iterator[str]:
+    names = [section["name"] for section in classes]
+    for index, section in enumerate(classes):
+        if section["name"] in names[:index]:
+            yield f"classes/{index}/name: duplicate name {section['name']!r}"
+        if section["patience_ms"] < section["agreed_time_ms"]:
+            yield f"classes/{index}/patience_ms: must not be less than agreed_time_ms"
 
 
-def _leadership_contradictions(section: dict[str, Any], document: dict[str, Any]) -> Iterator[str]:
+def _leadership_errors(section: dict[str, Any], document: dict[str, Any]) -> Iterator[str]:
     if section["me"] not in section["members"]:
-        yield f"takeover/me: {section['me']!r} is none of the members {sorted(section['members'])}"
+        yield (
+            f"takeover/me: {section['me']!r} is not one of the members {sorted(section['members'])}"
+        )
     if "record" not in section and "store" not in document:
-        yield "takeover/record: needed where there is no store"
+        yield "takeover/record: required without a store"
     if "operators" in document:
-        yield "operators: controllers hear operators where they hear each other"
+        yield "operators: not allowed with takeover, whose address also serves operators"
 
 
 def _reports(section: dict[str, Any]) -> ReportSettings:
@@ -172,29 +181,29 @@
         transport=HostTransport(section.get("over", "http")),
         load_path=section.get("path", "/load"),
         check_path=section.get("probe_path"),
-        checks_per_second=section.get("probes_per_s", CHECKS_PER_SECOND),
-        checks_at_once=section.get("probes_at_once", CHECKS_AT_ONCE),
+        checks_per_second=section.get("probes_per_s", DEFAULT_CHECKS_PER_SECOND),
+        max_concurrent_checks=section.get("probes_at_once", DEFAULT_MAX_CONCURRENT_CHECKS),
     )
 
 
 def _endpoint_list(section: dict[str, Any]) -> EndpointListSettings:
-    usual = FILE_POLL_INTERVAL_MS if "file" in section else SERVICE_POLL_INTERVAL_MS
+    default_interval_ms = FILE_POLL_INTERVAL_MS if "file" in section else SERVICE_POLL_INTERVAL_MS
     return EndpointListSettings(
         file=section.get("file"),
         service_url=section.get("service"),
         polled=section.get("asked", False),
-        poll_interval=whole_microseconds(section.get("look_every_ms", usual)),
+        poll_interval=whole_microseconds(section.get("look_every_ms", default_interval_ms)),
     )
 
 
 def _frontends(section: dict[str, Any]) -> dict[str, FrontendSettings]:
     readers = {"sasp": _sasp_frontend, "xds": _xds_frontend}
-    return {name: readers[name](given) for name, given in section.items()}
+    return {name: readers[name](options) for name, options in section.items()}
 
 
 def _sasp_frontend(section: dict[str, Any]) -> FrontendSettings:
     return SaspFrontendSettings(
-        address=section.get("address", LOCAL_ADDRESS),
+        address=section.get("address", LOOPBACK_ADDRESS),
         port=section.get("port", SASP_PORT),
         poll_interval_s=section.get("interval_s", 5),
         max_connections=section.get("connections", 4096),
@@ -208,7 +217,7 @@
 
 def _xds_frontend(section: dict[str, Any]) -> FrontendSettings:
     return XdsFrontendSettings(
-        address=section.get("address", LOCAL_ADDRESS),
+        address=section.get("address", LOOPBACK_ADDRESS),
         port=section.get("port", XDS_PORT),
         max_proxies=section.get("relays", 4096),
         max_streams=section.get("streams", 16),
@@ -250,7 +259,7 @@
     if not section:
         return None
     return OperatorSettings(
-        address=section.get("address", LOCAL_ADDRESS),
+        address=section.get("address", LOOPBACK_ADDRESS),
         port=section["port"],
         key_file=section["key_file"],
     )
@@ -258,7 +267,7 @@
 
 def _channel_with_defaults(section: dict[str, Any]) -> dict[str, Any]:
     channel = {**CHANNEL_DEFAULTS, **section}
-    # Unless stated, a third of what may be written to a proxy answers what it asks itself.
+    # By default, a third of the messages to a proxy may be responses to its requests.
     channel.setdefault("answers_most", max(1, channel["messages_most"] // 3))
     return channel
 
@@ -269,10 +278,10 @@
     planners = document.get("planners", {})
     proxies = document.get("relays", {})
     zone_names = document["halls"]
-    # Admission levels reach only proxies whose protocol can carry them.
+    # Only the xDS frontend can transmit admission levels to proxies.
     carries_levels = "xds" in document["fronts"]
     return DeploymentSettings(
-        classes=tuple(_class(given) for given in document["classes"]),
+        classes=tuple(_class(section) for section in document["classes"]),
         channel=_channel(channel),
         zone_count=len(zone_names),
         planner_count=planners.get("many", 1),
@@ -288,7 +297,7 @@
         overload_multiple=rules["tip_multiple"],
         overload_time=whole_microseconds(rules["tip_ms"]),
         removal_is_final=rules.get("gone_binds", True),
-        health_checks_allowed=reports.get("probes_per_s", CHECKS_PER_SECOND) > 0,
+        health_checks_allowed=reports.get("probes_per_s", DEFAULT_CHECKS_PER_SECOND) > 0,
         list_on_request=document["roster"].get("asked", False),
         admission_mode=AdmissionMode.SHARE if carries_levels else AdmissionMode.NONE,
     )
@@ -302,21 +311,21 @@
         message_overhead_lines=section["head_lines"],
         mean_delivery_delay=whole_microseconds(section["way_mean_ms"]),
         max_delivery_delay=whole_microseconds(section["way_longest_ms"]),
-        # Answers to a proxy's own requests come off what the assigner may order.
+        # Responses to a proxy's requests reduce the number of messages left for orders.
         max_messages=limit - section["answers_most"] if limit else 0,
         message_window=whole_microseconds(section["messages_span_ms"]),
     )
 
 
-def _class(given: dict[str, Any]) -> ClassSettings:
+def _class(section: dict[str, Any]) -> ClassSettings:
     return ClassSettings(
-        name=given["name"],
-        latency_objective=whole_microseconds(given["agreed_time_ms"]),
-        deadline=whole_microseconds(given["patience_ms"]),
-        priority_weight=given.get("credit", 1),
-        late_priority_weight=given.get("late_credit", 0),
-        idempotency=Idempotency(given.get("repeats", "safe")),
-        idempotency_window=whole_microseconds(given.get("repeat_window_ms", 0)),
-        deduplication_scope=given.get("repeat_scope", "all"),
-        zone_bound=given.get("own_hall", False),
+        name=section["name"],
+        latency_objective=whole_microseconds(section["agreed_time_ms"]),
+        deadline=whole_microseconds(section["patience_ms"]),
+        priority_weight=section.get("credit", 1),
+        late_priority_weight=section.get("late_credit", 0),
+        idempotency=Idempotency(section.get("repeats", "safe")),
+        idempotency_window=whole_microseconds(section.get("repeat_window_ms", 0)),
+        deduplication_scope=section.get("repeat_scope", "all"),
+        zone_bound=section.get("own_hall", False),
     )
--- a/indigodeck/planner/proxy_sessions.py
+++ b/indigodeck/planner/proxy_sessions.py
@@ -1,50 +1,50 @@
-"""The proxies that this planner serves: their frontends, zones, quotas and joins."""
+"""The proxies that a planner serves: their frontends, zones, message quotas and admission."""
 
 import asyncio
 from typing import TYPE_CHECKING, Any, Protocol
 
 from ..clock import now
 from ..id_registry import IdRegistry
-from .demand_aggregation import ProxyReport, ServerFigures
+from .demand_aggregation import ProxyReport, ServerStats
 from .join_admission import JoinAdmission
 from .message_quota import MessageQuota
 
 if TYPE_CHECKING:
     from .service import PlannerService
 
-MAX_PROXY_IDS = 65_535  # indices of proxies are small; one that has been met keeps its index
+MAX_PROXY_IDS = 65_535  # bounds memory: a proxy id keeps its index once it has been seen
 
 
 class Frontend(Protocol):
-    """One protocol that proxies speak (`frontends`)."""
+    """A server for one proxy protocol (`frontends`)."""
 
     def listen(self, port: int, address: str) -> None:
-        """Open the sockets."""
+        """Open the listening sockets."""
 
     def port(self) -> int:
-        """Return the port that was opened."""
+        """Return the port that is listened on."""
 
     def set_accepting(self, accepting: bool) -> None:
-        """Take proxies' connections, or none at all."""
+        """Start or stop accepting connections of proxies."""
 
     def request_write(self, proxy: int) -> None:
-        """Write to this proxy: something waits for it."""
+        """Schedule a write to a proxy that has a pending update."""
 
     def disconnect_proxy(self, proxy: int) -> None:
-        """End the connections of a proxy that is not served over them any more."""
+        """Close the connections of a proxy that is no longer served over them."""
 
     def on_servers_changed(self, addresses: list[tuple[str, int]]) -> None:
-        """Take note that the list says something new of the servers at these addresses."""
+        """Handle changes of the list entries of the servers at these addresses."""
 
     def close(self) -> None:
         """Close all connections."""
 
 
 class ProxySessions:
-    """The proxies that have joined, over whichever frontend.
+    """The joined proxies of all frontends.
 
-    `frontend_of` and `zone_of` are by proxy index; `zone_of` keeps a proxy's last zone when it has
-    left. `message_quotas` are by proxy id.
+    `frontend_of` and `zone_of` are keyed by proxy index; `zone_of` keeps the last zone of a proxy
+    that has left. `message_quotas` is keyed by proxy id.
     """
 
     def __init__(self, service: "PlannerService") -> None:
@@ -58,10 +58,10 @@
             self, service.settings.deployment.channel.max_waiting_lines
         )
 
-    # What frontends tell and ask.
+    # Calls by frontends.
 
     def proxy_index(self, proxy_id: bytes) -> int | None:
-        """Return a proxy's index, or None if too many ids have been met."""
+        """Return a proxy's index, or None if too many ids have been seen."""
         is_known = proxy_id in self.proxy_ids.index_of
         if not is_known and len(self.proxy_ids.id_of) >= MAX_PROXY_IDS:
             return None
@@ -74,15 +74,16 @@
     def on_proxy_joined(
         self, frontend: Frontend, proxy: int, proxy_id: str, zone_name: str | None = None
     ) -> None:
-        """Serve a proxy over a frontend, in the zone that it says itself or the settings state.
+        """Serve a proxy over a frontend, in the zone that it states or that the settings define.
 
-        The newest connection under an id speaks for it, over whichever frontend.
+        If a proxy id is connected more than once, over any frontends, the newest connection is
+        used.
         """
-        older = self.frontend_of.get(proxy)
-        if older is not None:
-            self._leave(proxy)
-            if older is not frontend:
-                older.disconnect_proxy(proxy)
+        previous = self.frontend_of.get(proxy)
+        if previous is not None:
+            self._remove_proxy(proxy)
+            if previous is not frontend:
+                previous.disconnect_proxy(proxy)
         self.frontend_of[proxy] = frontend
         rule = self._settings.proxy_defaults.rule_for(proxy_id)
         zone_names = self._settings.zone_names
@@ -93,9 +94,9 @@
         self._service.planner_host.on_proxy_joined(proxy, zone, rule.rate, False)
 
     def on_proxy_left(self, frontend: Frontend, proxy: int) -> None:
-        """Serve a proxy no more, unless another frontend serves it by now."""
+        """Stop serving a proxy, unless another frontend has taken it over."""
         if self.frontend_of.get(proxy) is frontend:
-            self._leave(proxy)
+            self._remove_proxy(proxy)
             self._service.log_event("proxy_left", proxy=self.proxy_name(proxy))
 
     def on_proxy_report(
@@ -103,18 +104,18 @@
         proxy: int,
         class_index: int,
         span: int,
-        figures: list[tuple[str, int, int, int]],
+        server_stats: list[tuple[str, int, int, int]],
         rejected: int,
         stream: Any,
     ) -> bool:
-        """Take in a proxy's own report, and return whether it counted.
+        """Add a proxy's own report to the sums, and return whether it was accepted.
 
-        `figures` are (host's id, attempts, failures, mean latency of those that did not fail).
+        `server_stats` are (host id, attempts, failures, mean latency of successful attempts).
         """
         server_indices = self._service.endpoints.server_ids.index_of
         servers = tuple(
-            ServerFigures(server_indices[host_id], attempts, failures, mean_latency)
-            for host_id, attempts, failures, mean_latency in figures
+            ServerStats(server_indices[host_id], attempts, failures, mean_latency)
+            for host_id, attempts, failures, mean_latency in server_stats
             if host_id in server_indices
         )
         zone = self.zone_of.get(proxy, 0)
@@ -123,22 +124,22 @@
         )
 
     def message_quota(self, proxy_id: Any) -> MessageQuota:
-        """Return a proxy's quota, kept over its connections while what was written counts."""
-        found = self.message_quotas.get(proxy_id)
-        if found is None:
+        """Return a proxy's quota, which outlasts its connections while messages count."""
+        quota = self.message_quotas.get(proxy_id)
+        if quota is None:
             self._drop_idle_quotas()
             limits = self._settings.message_limits
             channel = self._settings.deployment.channel
-            found = self.message_quotas[proxy_id] = MessageQuota(
+            quota = self.message_quotas[proxy_id] = MessageQuota(
                 limits.max_messages,
                 channel.message_window,
                 limits.max_answers,
                 channel.max_delivery_delay,
             )
-        return found
+        return quota
 
     async def wait_for_admission(self) -> bool:
-        """Wait until one more proxy may join; False if too many wait for that."""
+        """Wait until one more proxy may join; return False if too many are waiting."""
         candidate = asyncio.get_running_loop().create_future()
         try:
             self._join_admission.on_arrival(candidate)
@@ -146,21 +147,21 @@
         finally:
             self._join_admission.on_departure(candidate)
 
-    # What the planner asks.
+    # Calls by the planner.
 
     def request_write(self, proxy: int) -> None:
-        """Have a proxy's frontend write to it."""
+        """Schedule a write by the proxy's frontend."""
         frontend = self.frontend_of.get(proxy)
         if frontend is not None:
             frontend.request_write(proxy)
 
     def disconnect(self, proxy: int) -> None:
-        """End a proxy's connections at once; what waited for it is dropped with them."""
+        """Close a proxy's connections at once, and drop its pending update."""
         frontend = self.frontend_of[proxy]
         frontend.disconnect_proxy(proxy)
         self.on_proxy_left(frontend, proxy)
 
-    def _leave(self, proxy: int) -> None:
+    def _remove_proxy(self, proxy: int) -> None:
         del self.frontend_of[proxy]
         self._service.health_inference.on_proxy_left(proxy)
         self._service.demand_aggregator.on_proxy_left(proxy)
@@ -171,26 +172,26 @@
         for name in idle:
             del self.message_quotas[name]
 
-    # What join admission may ask (`join_admission.Environment`).
+    # Services for join admission (`join_admission.Environment`).
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back."""
+        """Return the monotonic time in microseconds."""
         return now()
 
     def call_later(self, delay: int, callback: Any) -> None:
-        """Call back after this time."""
+        """Call `callback` after `delay` microseconds."""
         self._service.call_later(delay, callback)
 
     def waiting_lines(self) -> float:
-        """Return the lines that wait for all proxies."""
+        """Return the number of lines queued for all proxies."""
         return self._service.planner_host.waiting_lines()
 
     def lines_per_join(self) -> float:
-        """Return the lines that one more proxy may have waiting at once."""
+        """Return how many lines one joining proxy can add to the queue."""
         return self._service.planner_host.lines_per_join()
 
     def admit(self, candidate: Any) -> None:
-        """Let a candidate join now, if it still waits."""
+        """Let a candidate join now, if it is still waiting."""
         if not candidate.done():
             candidate.set_result(True)
 
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -1,8 +1,8 @@
-"""The planner as a program: puts its parts together and runs them on Tornado.
+"""The planner as a program: creates its components and runs them on Tornado.
 
-What the assigner orders and what waits for whom is in `planner_host`; which endpoint list counts is
-in `endpoint_list`, and where it comes from in `endpoint_list_source`; what hosts' reports mean is
-in `health_inference`. The clock, the timers and the parts' lives are here.
+This module owns the clock, the timers and the life cycle of the components. `planner_host` holds
+the assigner's orders, `endpoint_list` the current endpoint list and `endpoint_list_source` its
+source; `health_inference` interprets the reports of hosts.
 """
 
 import logging
@@ -30,11 +30,11 @@
 
 
 class PlannerService:
-    """Everything that one planner runs, and the environment of its `PlannerHost`.
+    """The components of one planner, and the environment of its `PlannerHost`.
 
-    `make_assigner` hosts another policy in the assigner's place, for baselines. `host_client`
-    reaches hosts (HTTP unless given). `operator_server` is set by the program that puts a planner
-    together.
+    `make_assigner` can build a baseline policy instead of the assigner. `host_client` reaches
+    hosts, by default over HTTP. `operator_server` is set by the program that creates the planner
+    (`serve`).
     """
 
     def __init__(
@@ -53,11 +53,11 @@
         self.endpoints = EndpointDirectory(self)
         self.leadership = LeadershipHooks(self)
         self.versions = VersionHooks(self)
-        # The assigner asks for the list as it is made.
+        # Created before the assigner, whose constructor requests the list.
         self.list_source = EndpointListSource(
             settings,
             self.endpoints.endpoint_list,
-            on_failed=self._on_list_failed,
+            on_fetch_failed=self._on_list_fetch_failed,
             jitter=self._jitter,
             log=self.log,
         )
@@ -65,7 +65,7 @@
         reports = settings.reports
         self.planner_host = PlannerHost(self, deployment, settings.seed, make_assigner)
         self.health_inference = HealthInference(
-            self.planner_host, deployment, reports.checks_per_second, reports.checks_at_once
+            self.planner_host, deployment, reports.checks_per_second, reports.max_concurrent_checks
         )
         self.demand_aggregator = DemandAggregator(
             self.planner_host, reports.proxy_reports_per_second, deployment.report_period
@@ -77,20 +77,22 @@
             self.endpoints.address_of,
             self.planner_host.on_health_check,
         )
-        self._report_timer = PeriodicCallback(self._on_period, deployment.report_period / 1000)
+        self._report_timer = PeriodicCallback(
+            self._on_report_period, deployment.report_period / 1000
+        )
 
-    # What `PlannerHost` may ask (`planner_host.Environment`).
+    # Services for `PlannerHost` (`planner_host.Environment`).
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back."""
+        """Return the monotonic time in microseconds."""
         return now()
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> None:
-        """Call back after this time."""
+        """Call `callback` after `delay` microseconds."""
         IOLoop.current().call_later(delay / SECOND, callback)
 
     def request_write(self, proxy: int) -> None:
-        """Have a proxy's frontend write to it."""
+        """Schedule a write by the proxy's frontend."""
         self.proxies.request_write(proxy)
 
     def check_health(self, server: int) -> None:
@@ -98,28 +100,28 @@
         self.health_checker.check_for_assigner(server)
 
     def fetch_endpoint_list(self) -> None:
-        """Fetch the whole endpoint list, where its source must be asked."""
+        """Fetch the full endpoint list, if it is not pushed by its source."""
         self.list_source.fetch()
 
-    def log_event(self, event: str, **facts: Any) -> None:
-        """Write a line to the log."""
-        self.log.info(event, **facts)
+    def log_event(self, event: str, **fields: Any) -> None:
+        """Write an event to the log."""
+        self.log.info(event, **fields)
 
     def wall_clock(self) -> int:
-        """Return the time of day, in microseconds since 1970."""
+        """Return the wall-clock time in microseconds since 1970."""
         return now() + self.wall_clock_offset
 
-    # Its life.
+    # Life cycle.
 
     def start(self) -> None:
-        """Begin to read the endpoint list and to ask hosts; to be called once, on the loop."""
+        """Start to read the endpoint list and to check hosts; called once, on the event loop."""
         self.endpoints.start(self.versions.stored_list())
         self.list_source.start()
         self._report_timer.start()
         self.health_checker.start()
 
     def open_frontend(self, frontend: Frontend, name: str, port: int, address: str) -> int:
-        """Open a frontend's sockets, and return the port; one line of the log says where."""
+        """Open the sockets of a frontend, log its port and return it."""
         frontend.listen(port, address)
         self.frontends.append(frontend)
         self.log.info("listening", frontend=name, port=frontend.port())
@@ -128,9 +130,10 @@
         return frontend.port()
 
     def close(self) -> None:
-        """Stop all that runs, and close all connections."""
+        """Stop all components, and close all connections."""
         self.is_closing = True
-        # What is cut off in the middle now is cut off on purpose: no library needs to tell of it.
+        # Connections are now closed on purpose, so the errors that Tornado logs about them are
+        # noise.
         logging.getLogger("tornado").disabled = True
         logging.getLogger("tornado.application").disabled = True
         self._report_timer.stop()
@@ -144,21 +147,23 @@
 
     def _http_client(self) -> HttpHostClient:
         reports = self.settings.reports
-        # A check is a real request, so one that may be executed twice.
-        usual_path = f"/exchange/{self.settings.health_check_class()}"
-        return HttpHostClient(reports.check_path or usual_path, reports.load_path)
+        # A check is a real request, so it has to be one that may be executed twice.
+        default_path = f"/exchange/{self.settings.health_check_class()}"
+        return HttpHostClient(reports.check_path or default_path, reports.load_path)
 
-    def _on_list_failed(self) -> None:
+    def _on_list_fetch_failed(self) -> None:
         self.planner_host.on_endpoint_list_failed()
 
     def _jitter(self) -> float:
         return self.planner_host.assigner.random.below(JITTER_STEPS) / JITTER_STEPS
 
-    def _on_period(self) -> None:
-        """Hand on what proxies and hosts reported, and ask hosts again."""
+    def _on_report_period(self) -> None:
+        """Forward the reports of proxies and hosts, and fetch new ones from hosts."""
         reported_servers = self.demand_aggregator.forward_reports(
             lambda server: server in self.health_inference.hosts,
             self.health_inference.recent_latency,
         )
-        self.health_inference.report(reported_servers, self.demand_aggregator.reports_recently)
+        self.health_inference.send_reports(
+            reported_servers, self.demand_aggregator.reports_recently
+        )
         self.health_checker.fetch_reports()
--- a/indigodeck/planner/settings_sections.py
+++ b/indigodeck/planner/settings_sections.py
@@ -1,4 +1,4 @@
-"""The sections of the planner's settings, as the program uses them; `planner_settings` reads them.
+"""Typed sections of the planner's settings; `planner_settings` reads them from the file.
 
 Times are whole microseconds unless a name says otherwise; rates are per second.
 """
@@ -9,7 +9,7 @@
 
 
 class HostTransport(StrEnum):
-    """How hosts are reached for load reports and health checks."""
+    """The protocol for load reports and health checks of hosts."""
 
     HTTP = "http"
     GRPC = "grpc"
@@ -19,8 +19,8 @@
 class ReportSettings:
     """Load reports and health checks.
 
-    `proxy_reports_per_second` bounds the sums of the proxies' own reports that the assigner takes
-    in. Without a `check_path` the check is a request of an idempotent class.
+    `proxy_reports_per_second` limits the aggregated reports of proxies that the assigner receives.
+    Without a `check_path`, a health check is a request of an idempotent class.
     """
 
     proxy_reports_per_second: float
@@ -28,17 +28,17 @@
     load_path: str
     check_path: str | None
     checks_per_second: float
-    checks_at_once: int
+    max_concurrent_checks: int
 
     @property
     def checks_enabled(self) -> bool:
-        """Whether the planner sends health checks of its own accord."""
-        return bool(self.checks_per_second and self.checks_at_once)
+        """Whether the planner sends periodic health checks of its own."""
+        return bool(self.checks_per_second and self.max_concurrent_checks)
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListSettings:
-    """Where the endpoint list comes from: a file, or a service that pushes changes or is polled."""
+    """The source of the endpoint list: a file, or a service that pushes changes or is polled."""
 
     file: str | None
     service_url: str | None
@@ -48,9 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageLimits:
-    """How many messages one proxy may be written within the channel's `message_window`.
+    """Limits on the messages that one proxy is sent within `message_window` of the channel.
 
-    0 messages means no limit. `max_answers` of them may answer the proxy's own requests.
+    `max_messages` is 0 for no limit. At most `max_answers` of them may be responses to requests of
+    the proxy itself.
     """
 
     max_messages: int
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SaspFrontendSettings:
-    """The SASP frontend. `poll_interval_s` (seconds) is told to proxies that poll."""
+    """The SASP frontend. `poll_interval_s` (seconds) is announced to polling proxies."""
 
     address: str
     port: int
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class XdsFrontendSettings:
-    """The xDS frontend. `max_streams` is of one proxy, `max_resource_names` of one stream."""
+    """The xDS frontend. `max_streams` is per proxy, `max_resource_names` per stream."""
 
     address: str
     port: int
@@ -90,11 +91,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipSettings:
-    """The group of controllers that this one belongs to.
+    """The group of controllers that this controller belongs to.
 
-    `members` maps names to "ADDRESS:PORT". There is one lease for each zone if `lease_per_zone`,
-    else one for the whole fleet. `clock_drift` is how far a clock may run off true time, as a
-    share. `record_file` is needed only where there is no store.
+    `members` maps names to "ADDRESS:PORT". With `lease_per_zone` there is one lease for each zone,
+    otherwise one for the whole fleet. `clock_drift` is the greatest error of the clock's rate, as a
+    fraction. `record_file` is needed only without a store.
     """
 
     member_name: str
@@ -110,7 +111,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """What outlasts a restart. At least `max_versions` versions, younger than `max_version_age`."""
+    """Storage that survives restarts.
+
+    The newest `max_versions` versions are always kept, and up to twice as many that are younger
+    than `max_version_age`.
+    """
 
     folder: str
     write_delay: int
@@ -120,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """Where a planner without other controllers listens for operators."""
+    """The address at which a planner without other controllers listens for operators."""
 
     address: str
     port: int
@@ -129,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyRule:
-    """The zone and usual request rate of the proxies whose id begins with `prefix`."""
+    """The zone and usual request rate of the proxies whose id starts with `prefix`."""
 
     prefix: str
     zone: int
@@ -137,13 +142,13 @@
 
 
 class ProxyDefaults:
-    """The zone and the usual rate of a proxy that introduces itself by its id alone."""
+    """The zone and usual request rate of proxies that state only their id."""
 
     def __init__(self, rules: tuple[ProxyRule, ...], zone: int, rate: float) -> None:
         self._rules = rules
         self._default = ProxyRule("", zone, rate)
 
     def rule_for(self, proxy_id: str) -> ProxyRule:
-        """Return the rule with the longest matching prefix."""
+        """Return the rule with the longest prefix that matches."""
         matching = [rule for rule in self._rules if proxy_id.startswith(rule.prefix)]
         return max(matching, key=lambda rule: len(rule.prefix), default=self._default)
--- a/indigodeck/planner/version_hooks.py
+++ b/indigodeck/planner/version_hooks.py
@@ -1,4 +1,4 @@
-"""Where versions meet the planner: store, publisher, replication, operators' requests."""
+"""The planner's side of versions: store, publisher, replication and operator requests."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
@@ -17,19 +17,19 @@
 if TYPE_CHECKING:
     from .service import PlannerService
 
-START_COUNT_KEY = "starts"  # in the store
-# A store that lost something may have lost its last starts: numbers go on far ahead of any that
-# were given.
+START_COUNT_KEY = "starts"  # key in the store
+# If the store has lost data, it may have lost the newest start counts: the count then skips ahead
+# of any number that can have been used.
 START_COUNT_MARGIN = 1 << 16
-START_COUNT_RETRY = 5 * SECOND  # until a start is tried to be written down again
-# An operator is answered once a majority of the controllers has the request, or after so many
-# looks.
-MAJORITY_LOOKS = 40
-MAJORITY_LOOK_INTERVAL_S = 0.05
+START_COUNT_RETRY_INTERVAL = 5 * SECOND  # until a failed write of the start count is retried
+# An operator request is answered once a majority of the controllers has stored it, or after this
+# many checks.
+MAX_MAJORITY_CHECKS = 40
+MAJORITY_CHECK_INTERVAL_S = 0.05
 
 
 class ReplicationPeers:
-    """The other controllers, as `versions.replication.VersionReplicator` sees them."""
+    """The other controllers, for `versions.replication.VersionReplicator`."""
 
     def __init__(self, members: Any, publisher: TablePublisher, later: Callable[..., None]) -> None:
         self.later = later
@@ -37,7 +37,7 @@
         self._publisher = publisher
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back."""
+        """Return the monotonic time in microseconds."""
         return now()
 
     def send(self, member: str, kind: str, **fields: Any) -> None:
@@ -45,7 +45,7 @@
         self._members.send(member, kind, **fields)
 
     def others(self) -> list[str]:
-        """Return the other controllers' names."""
+        """Return the names of the other controllers."""
         return self._members.peer_ids()
 
     def is_leader(self) -> bool:
@@ -56,8 +56,8 @@
 class VersionHooks:
     """The versions of one planner.
 
-    `store`, `publisher`, `admin_api` and `replicator` are None where no store is stated;
-    `replicator` is None as well where there are no other controllers.
+    `store`, `publisher`, `admin_api` and `replicator` are None if no store is configured.
+    `replicator` is also None without other controllers.
     """
 
     def __init__(self, service: "PlannerService") -> None:
@@ -69,7 +69,10 @@
         self._stored_list: dict[str, Any] | None = None
 
     def open(self, store: Any, stored: dict[str, Any]) -> None:
-        """Take up what a store holds (`store.writer.Writer`); `stored`: all its values by keys."""
+        """Restore versions from a store (`store.writer.StoreWriter`).
+
+        `stored` holds all values in the store by key.
+        """
         service = self._service
         settings = service.settings.store
         assert settings is not None
@@ -88,7 +91,7 @@
         self.publisher = TablePublisher(
             source, service.settings.class_names, settings.max_versions, settings.max_version_age
         )
-        source.forget_stored()
+        source.discard_stored_values()
         service.planner_host.publisher = self.publisher
         self.admin_api = AdminApi(self.publisher, source)
         members = service.leadership.member_thread
@@ -109,15 +112,15 @@
         if self.store is not None:
             self.store.close()
 
-    # What the planner tells.
+    # Events from the planner.
 
     def resume_tables(self) -> None:
-        """Go on with the tables published before a restart, once their servers are known."""
+        """Continue with the tables published before a restart, once their servers are known."""
         if self.publisher is not None:
             self.publisher.resume_tables()
 
     def on_leadership_acquired(self, epoch: int) -> None:
-        """Give versions numbers of this epoch from now on."""
+        """Use this epoch to number versions from now on."""
         if self.publisher is None:
             return
         self.publisher.become_leader(epoch, after_another=True)
@@ -126,78 +129,80 @@
             self.replicator.request_peer_states()
 
     def on_leadership_lost(self) -> None:
-        """Publish no more versions."""
+        """Stop publishing versions."""
         if self.publisher is not None:
             self.publisher.lose_leadership()
 
     def on_replication_message(self, member: str, kind: str, fields: dict[str, Any]) -> None:
-        """Take in another controller's message on versions and operators' requests."""
+        """Process a message of another controller about versions or operator requests."""
         if self.replicator is not None:
             self.replicator.on_message(member, kind, fields)
 
-    def log_event(self, event: str, **facts: Any) -> None:
-        """Write a line to the log."""
-        self._service.log_event(event, **facts)
+    def log_event(self, event: str, **fields: Any) -> None:
+        """Write an event to the log."""
+        self._service.log_event(event, **fields)
 
-    # Operators.
+    # Operator requests.
 
     async def on_operator_request(self, request: Any) -> dict[str, Any]:
-        """Carry out an operator's request (`operator_request.schema.json`).
+        """Execute an operator request (`operator_request.schema.json`).
 
-        A request that changes something is answered once a majority of the controllers has it:
-        whoever leads next then knows of it.
+        A request that changes something is answered once a majority of the controllers has stored
+        it, so that the next leader knows it.
         """
         if request == {"what": "trust"}:
             return self._trust()
         if self.admin_api is None:
-            return {"why_not": "no store is stated in the charter: versions are not kept"}
+            return {"why_not": "no store is configured in the charter, so no versions are kept"}
         answer = self.admin_api.answer(request)
         if "serial" not in answer or self.replicator is None:
             return answer
-        return await self._once_replicated(answer, self.replicator)
+        return await self._wait_for_majority(answer, self.replicator)
 
-    async def _once_replicated(
+    async def _wait_for_majority(
         self, answer: dict[str, Any], replicator: VersionReplicator
     ) -> dict[str, Any]:
         serial = RequestSerial(*answer["serial"])
         controller_count = replicator.controller_count()
-        for _ in range(MAJORITY_LOOKS):
+        for _ in range(MAX_MAJORITY_CHECKS):
             if replicator.replica_count(serial) > controller_count // 2:
                 return answer
-            await sleep(MAJORITY_LOOK_INTERVAL_S)
+            await sleep(MAJORITY_CHECK_INTERVAL_S)
         why_not = (
-            f"carried out, but only {replicator.replica_count(serial)} of {controller_count} "
-            "controllers have it: a takeover now may forget it"
+            f"applied, but stored by only {replicator.replica_count(serial)} of {controller_count} "
+            "controllers: a change of leader may lose it"
         )
         return {**answer, "why_not": why_not}
 
     def _trust(self) -> dict[str, Any]:
-        """Return how far the list stored by an earlier run is proved, while it is gone by."""
+        """Return how far the stored endpoint list is verified, while it is in use."""
         cached_list = self._service.endpoints.cached_list
         is_used = cached_list is not None and not cached_list.superseded
         return {
-            "trust": cached_list.figures() if is_used and cached_list is not None else None,
+            "trust": cached_list.stats() if is_used and cached_list is not None else None,
             "list": self._service.endpoints.endpoint_list.version,
         }
 
-    # Starts: they number the versions where nobody grants epochs.
+    # Start counts: without other controllers they take the place of epochs in version numbers.
 
     def _store_start_count(self, count: int) -> None:
-        """Write a start down, and try again until it is; no version is numbered before."""
+        """Store the start count, with retries; versions are numbered only after that."""
 
         def on_stored(result: Any) -> None:
             if result.exception() is None:
                 assert self.publisher is not None
                 self.publisher.become_leader(count)
-                # A proxy may have been served before this was written down: what it holds is
+                # A proxy may have been served before the count was stored; the tables it holds are
                 # published now.
                 self._service.planner_host.has_changes = True
             elif not self._service.is_closing:
-                self._service.call_later(START_COUNT_RETRY, lambda: self._store_start_count(count))
+                self._service.call_later(
+                    START_COUNT_RETRY_INTERVAL, lambda: self._store_start_count(count)
+                )
 
         IOLoop.current().add_future(self.store.put([(START_COUNT_KEY, count)]), on_stored)
 
-    # What the publisher tells.
+    # Events from the publisher.
 
     def _on_version_published(self, version: Version, delta: SnapshotDelta) -> None:
         if self.replicator is not None:
--- a/indigodeck/planner/version_source.py
+++ b/indigodeck/planner/version_source.py
@@ -1,4 +1,4 @@
-"""The planner as the table publisher sees it: plain look-ups."""
+"""The planner's state as the table publisher reads it."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -19,9 +19,9 @@
 class VersionSource:
     """Implements `versions.publisher.PublisherHost`.
 
-    `stored` is what the store held at the start, by keys, until `forget_stored`.
-    `wall_clock_offset` is from the planner's own clock to the wall clock (microseconds). The
-    callbacks hear of each version and of each change of what operators want.
+    `stored` holds the values of the store at the start, by key, until `discard_stored_values`.
+    `wall_clock_offset` (microseconds) converts the planner's monotonic clock to the wall clock. The
+    callbacks are called for each published version and for each change of the operator requests.
     """
 
     def __init__(
@@ -49,31 +49,31 @@
         self._log = log
         self._clock = clock
 
-    def forget_stored(self) -> None:
-        """Drop what the store held at the start: it is read once."""
+    def discard_stored_values(self) -> None:
+        """Release the values read from the store at the start, which are needed only once."""
         self._stored = {}
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back."""
+        """Return the monotonic time in microseconds."""
         return self._clock()
 
     def wall_clock(self) -> int:
-        """Return the microseconds since 1970."""
+        """Return the wall-clock time in microseconds since 1970."""
         return self._clock() + self._wall_clock_offset
 
     def save(self, changes: list[tuple[str, Any]]) -> None:
-        """Store values by key, soon.
+        """Write values to the store in the background, by key.
 
-        Nobody waits for it: what is not stored is missing from the history, and from nothing else.
+        No caller waits for the write. If it fails, the values are missing only from the history.
         """
         self._store.put(changes)
 
     def load(self, key: str) -> Any:
-        """Return what the store held under a key at the start, or None."""
+        """Return the value of a key in the store at the start, or None."""
         return self._stored.get(key)
 
     def keys(self, prefix: str) -> list[str]:
-        """Return the keys with a prefix that the store held at the start."""
+        """Return the keys in the store at the start that have this prefix."""
         return sorted(key for key in self._stored if key.startswith(prefix))
 
     def assigned_tables(self) -> dict[int, AssignedTable]:
@@ -81,18 +81,18 @@
         return self._planner_host.assigned_tables()
 
     def server_id(self, server: int) -> str:
-        """Return the deployment's own id of a server."""
+        """Return the id that the deployment uses for a server."""
         return self._server_ids.id_of[server]
 
     def server_index(self, server_id: str) -> int | None:
-        """Return the index of a server, or None if it was never listed here."""
+        """Return the index of a server, or None if this planner never listed it."""
         return self._server_ids.index_of.get(server_id)
 
     def readiness(self, server: int) -> ServerReadiness:
-        """Return how far a server may serve from an old table.
+        """Return whether a server can take load when an old table is restored.
 
-        It goes by the endpoint list, except for ejected servers: a rollback must not keep a server
-        that is no longer listed as ready.
+        The endpoint list decides, except for ejected servers: a rollback must not use a server that
+        is no longer listed as ready.
         """
         listed = self._planner_host.endpoint(server)
         if listed is None or listed.state != ServerState.READY:
@@ -105,49 +105,49 @@
         return ServerReadiness.WARM
 
     def ejected_servers(self) -> frozenset[int]:
-        """Return the servers that all relays keep off."""
+        """Return the servers that are excluded from all tables."""
         return frozenset(self._planner_host.ejected_servers)
 
     def assigned_proxy_count(self, table: int) -> int:
-        """Return how many proxies are on a table."""
+        """Return how many proxies are assigned to a table."""
         return self._planner_host.proxy_count(table)
 
     def relay_id(self, proxy: int) -> str:
-        """Return the id of the relay that a proxy index stands for."""
+        """Return the id of the relay with this proxy index."""
         return str(self._proxy_ids.id_of[proxy], "utf-8", "replace")
 
     def tables_of(self, proxy: int) -> dict[int, int]:
-        """Return the table of each class, by class index, that a proxy is on."""
+        """Return the tables that a proxy is assigned to, by class index."""
         return self._planner_host.tables_of(proxy)
 
     def free_lines(self) -> float:
-        """Return the lines that may wait in the channel's queue, less those that do."""
+        """Return how many more lines the channel can queue."""
         return self.max_waiting_lines() - self._planner_host.waiting_lines()
 
     def max_waiting_lines(self) -> float:
-        """Return the lines that may wait in the channel's queue."""
+        """Return how many lines the channel can queue."""
         return self._planner_host.settings.channel.max_waiting_lines
 
     def message_overhead_lines(self) -> float:
-        """Return the lines that a message's head counts as."""
+        """Return the overhead of a message, in lines."""
         return self._planner_host.settings.channel.message_overhead_lines
 
     def mark_changed(self, table: int, servers: Iterable[int]) -> None:
-        """Send these lines of a table to all proxies on it."""
+        """Send these lines of a table again to all proxies assigned to it."""
         self._planner_host.mark_changed(table, servers)
 
     def resume_tables(self, tables: dict[int, list[int]]) -> None:
-        """Go on from the servers of each table as they were published last."""
+        """Restore the servers of each table as they were last published."""
         self._planner_host.resume_tables(tables)
 
     def on_version_published(self, version: Version, delta: SnapshotDelta) -> None:
-        """Pass on a version that was published here."""
+        """Pass on a version that this controller published."""
         self._on_version_published(version, delta)
 
     def on_requests_changed(self, state: RequestState) -> None:
-        """Pass on what operators want, which was changed by a request made here."""
+        """Pass on the operator requests after a change by a request made here."""
         self._on_requests_changed(state)
 
-    def log(self, event: str, **facts: object) -> None:
-        """Write a log event."""
-        self._log(event, **facts)
+    def log(self, event: str, **fields: object) -> None:
+        """Write an event to the log."""
+        self._log(event, **fields)
--- a/indigodeck/planner/weights.py
+++ b/indigodeck/planner/weights.py
@@ -1,4 +1,4 @@
-"""A table's weights as whole numbers, the same for every protocol."""
+"""Integer weights for the protocols of all frontends."""
 
 from collections.abc import Mapping
 
@@ -6,10 +6,10 @@
 
 
 def scale_weights(weights: Mapping[int, float]) -> dict[int, int]:
-    """Return weights of 1 to 65535 by server.
+    """Return integer weights from 1 to 65535 by server.
 
-    Each is a power of two times what it was, so that one change leaves the others as they were
-    sent; none that is listed comes to 0.
+    All weights are multiplied by the same power of two, so that a change of one server usually
+    leaves the integer weights of the others unchanged. No listed server gets weight 0.
     """
     largest = max(weights.values(), default=0.0)
     factor = 1.0
--- a/indigodeck/serve.py
+++ b/indigodeck/serve.py
@@ -1,4 +1,4 @@
-"""Puts a planner together from its settings, and runs it until it is told to end."""
+"""Creates a planner from its settings, and runs it until it receives a signal."""
 
 import asyncio
 import pathlib
@@ -21,21 +21,21 @@
     StoreSettings,
 )
 
-SHORTEST_KEY_BYTES = 16
-INCARNATIONS_PER_SECOND = 10  # a restart within a tenth of a second looks like the same run
-CLOSING_TIME_S = 0.05  # for what closes to say so
-FLEET_GROUP = "fleet"  # the one group of proxies where leases are not per zone
+MIN_KEY_BYTES = 16
+INCARNATIONS_PER_SECOND = 10  # restarts less than a tenth of a second apart are not distinguished
+SHUTDOWN_GRACE_S = 0.05  # time for closing connections to notify their peers
+FLEET_GROUP = "fleet"  # the only relay group if leases are not per zone
 
 
 async def serve(settings: PlannerSettings, make_assigner: Callable[..., Any] = Assigner) -> None:
-    """Run a planner until SIGTERM or SIGINT; proxies keep their tables."""
-    stopped = asyncio.Event()
+    """Run a planner until SIGTERM or SIGINT; proxies keep their tables after that."""
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     service = start_planner_service(settings, make_assigner)
     try:
-        await stopped.wait()
+        await stop_requested.wait()
     finally:
         service.log_event(
             "planner_stopping",
@@ -43,20 +43,20 @@
             most_waiting_lines=service.planner_host.updates.peak_waiting_lines,
         )
         service.close()
-        await asyncio.sleep(CLOSING_TIME_S)
+        await asyncio.sleep(SHUTDOWN_GRACE_S)
 
 
 def start_planner_service(
     settings: PlannerSettings, make_assigner: Callable[..., Any] = Assigner
 ) -> PlannerService:
-    """Return a service that runs on the current loop, with its frontends open.
+    """Return a service that runs on the current event loop, with its frontends open.
 
     Raises
     ------
     InvalidDocumentError
         If a key file is too short.
     OSError
-        If a port can't be opened, or a file can't be read.
+        If a port cannot be opened, or a file cannot be read.
     """
     service = PlannerService(settings, make_assigner, _grpc_client(settings))
     store = None
@@ -64,7 +64,7 @@
     if settings.store is not None:
         store, stored = _open_store(settings, settings.store, service.log_event)
     if settings.leadership is not None:
-        service.leadership.member_thread = _join_group(
+        service.leadership.member_thread = _start_member(
             service, settings, settings.leadership, store, stored
         )
     if store is not None:
@@ -83,24 +83,24 @@
 
 
 def read_key(settings: PlannerSettings, name: str) -> bytes:
-    """Return the key that all controllers of a fleet share, or operators and a planner.
+    """Return the key shared by all controllers of a fleet, or by operators and a planner.
 
     Raises
     ------
     InvalidDocumentError
-        If it is too short.
+        If the key is too short.
     OSError
-        If the file can't be read.
+        If the file cannot be read.
     """
     key = (settings.folder / name).read_bytes().strip()
-    if len(key) < SHORTEST_KEY_BYTES:
+    if len(key) < MIN_KEY_BYTES:
         raise InvalidDocumentError(
-            f"{name}: a key of {len(key)} bytes, {SHORTEST_KEY_BYTES} at least"
+            f"{name}: key has {len(key)} bytes, but needs at least {MIN_KEY_BYTES}"
         )
     return key
 
 
-# The libraries of each part are loaded only where the settings name it.
+# Optional components are imported only if the settings use them.
 
 
 def _make_frontend(name: str, service: PlannerService, settings: PlannerSettings) -> Any:
@@ -114,20 +114,20 @@
 
 
 def _grpc_client(settings: PlannerSettings) -> HostClient | None:
-    """Return how hosts that serve gRPC are reached; None where they serve HTTP."""
+    """Return a client for hosts that serve gRPC, or None for hosts that serve HTTP."""
     if settings.reports.transport != HostTransport.GRPC:
         return None
     from .frontends.xds.health_checks import GrpcHostClient
 
-    usual_method = f"/exchange.Hosts/{settings.health_check_class()}"
-    method = settings.reports.check_path or usual_method
+    default_method = f"/exchange.Hosts/{settings.health_check_class()}"
+    method = settings.reports.check_path or default_method
     return GrpcHostClient(method, settings.deployment.report_period)
 
 
 def _open_store(
     settings: PlannerSettings, store_settings: StoreSettings, log_event: Callable[..., None]
 ) -> tuple[Any, dict[str, Any]]:
-    """Return the planner's store, and all values that it holds by their keys."""
+    """Return the planner's store, and all values in it by key."""
     from .store.files import StoreFolder
     from .store.write_ahead_log import WriteAheadLog
     from .store.writer import StoreWriter
@@ -149,20 +149,20 @@
     return server
 
 
-def _join_group(
+def _start_member(
     service: PlannerService,
     settings: PlannerSettings,
     leadership: LeadershipSettings,
     store: Any,
     stored: dict[str, Any],
 ) -> Any:
-    """Start the thread that is this controller's member of the group."""
+    """Start the thread that runs this controller's member of the group."""
     from .leadership.member_thread import MemberThread
     from .leadership.state import ElectionSettings
     from .leadership.transport import ControllerTransport
 
     record_path = settings.folder / leadership.record_file
-    lease_store, rejection_store = _group_records(record_path, store, stored)
+    lease_store, rejection_store = _open_group_records(record_path, store, stored)
     seed = seed_from(leadership.member_name, [str(settings.seed).encode()])
     election_settings = ElectionSettings(
         me=leadership.member_name,
@@ -188,8 +188,8 @@
     return MemberThread(service.leadership, make_transport, election_settings.lease)
 
 
-def _group_records(path: pathlib.Path, store: Any, stored: dict[str, Any]) -> tuple[Any, Any]:
-    """Return where granted leases and rejected contents are recorded."""
+def _open_group_records(path: pathlib.Path, store: Any, stored: dict[str, Any]) -> tuple[Any, Any]:
+    """Return the records of granted leases and of rejected content."""
     from .leadership.lease_record import (
         RecordFile,
         StoredRecord,
@@ -204,7 +204,8 @@
     )
     if store is None:
         return lease_file, rejection_file
-    # A file from before there was a store is read once more, for its epochs must not be forgotten.
+    # If the store was added later, the record file is still read once, because its epochs must not
+    # be lost.
     return (
         StoredRecord(store, stored, "charge", lease_file),
         StoredRecord(store, stored, "refused", rejection_file, list, rejections_from_document),
--- a/tests/planner/test_cached_endpoint_list.py
+++ b/tests/planner/test_cached_endpoint_list.py
@@ -47,9 +47,9 @@
         there = host["id"] in self.answering
         self.call_later(
             50_000 if there else SECOND,
-            lambda: (self.cached_list.on_answer if there else self.cached_list.on_no_answer)(
-                host["id"]
-            ),
+            lambda: (
+                self.cached_list.on_check_succeeded if there else self.cached_list.on_check_failed
+            )(host["id"]),
         )
 
     def use_cached_entries(self, hosts, fresh):
@@ -95,11 +95,11 @@
     def test_a_list_in_time_is_all_that_counts_and_a_late_one_supersedes(self):
         """Within the first second no host is checked at all."""
         early, late = StubEnvironment("abc", "abc"), StubEnvironment("abc", "abc")
-        early.cached_list.on_list({"a": {}})
+        early.cached_list.on_newer_list({"a": {}})
         early.run(20)
         self.assertEqual((early.checked, early.printed), ([], []))
         late.run(3)
-        late.cached_list.on_list({"a": {}, "z": {}})
+        late.cached_list.on_newer_list({"a": {}, "z": {}})
         late.run(20)
         self.assertEqual((len(late.checked), late.cached_list.superseded), (3, True))
         self.assertIn("more=1 fewer=2", late.printed[-1])
--- a/tests/planner/test_demand_aggregation.py
+++ b/tests/planner/test_demand_aggregation.py
@@ -6,7 +6,7 @@
 from indigodeck.planner.demand_aggregation import (
     DemandAggregator,
     ProxyReport,
-    ServerFigures,
+    ServerStats,
 )
 
 
@@ -35,7 +35,7 @@
 
     def report(self, proxy, zone, class_index, span, figures, rejected, stream):
         """Have a proxy report."""
-        servers = tuple(ServerFigures(*one) for one in figures)
+        servers = tuple(ServerStats(*one) for one in figures)
         return self.aggregator.on_proxy_report(
             ProxyReport(proxy, zone, class_index, span, servers, rejected, stream)
         )
@@ -83,4 +83,4 @@
         rest = [line for _ in range(6) for line in self.turn()]
         self.assertEqual([line[1] for line in first + rest], list(range(30)))
         self.assertEqual(rest[-1], ("demand", 29, 10, 0))
-        self.assertEqual(self.aggregator.waiting_count(), 0)
+        self.assertEqual(self.aggregator.pending_count(), 0)
--- a/tests/planner/test_endpoint_list.py
+++ b/tests/planner/test_endpoint_list.py
@@ -32,9 +32,9 @@
         """Keep that the whole list was asked for."""
         self.calls.append("ask")
 
-    def log_event(self, event, **facts):
+    def log_event(self, event, **fields):
         """Keep a log event."""
-        self.calls.append((event, facts))
+        self.calls.append((event, fields))
 
     def document(self, version, *hosts, **more):
         """Return a list of hosts in zone b."""
@@ -51,13 +51,13 @@
 
     def test_lists_late_twice_and_out_of_order(self):
         """Stale lists are left aside, gaps are fetched, a new epoch counts anew."""
-        self.endpoint_list.apply_changes(self.document(3, ("x", "ready")))
-        self.endpoint_list.apply_whole(self.document(4, ("x", "ready"), ("y", "ready")))
-        self.endpoint_list.apply_changes(self.document(4, ("x", "gone")))
-        self.endpoint_list.apply_changes(self.document(5, ("x", "draining")))
-        self.endpoint_list.apply_changes(self.document(7, ("y", "gone")))
-        self.endpoint_list.apply_whole(self.document(2, ("y", "ready")))
-        self.endpoint_list.apply_whole(self.document(1, ("y", "ready"), epoch=1))
+        self.endpoint_list.apply_incremental(self.document(3, ("x", "ready")))
+        self.endpoint_list.apply_full(self.document(4, ("x", "ready"), ("y", "ready")))
+        self.endpoint_list.apply_incremental(self.document(4, ("x", "gone")))
+        self.endpoint_list.apply_incremental(self.document(5, ("x", "draining")))
+        self.endpoint_list.apply_incremental(self.document(7, ("y", "gone")))
+        self.endpoint_list.apply_full(self.document(2, ("y", "ready")))
+        self.endpoint_list.apply_full(self.document(1, ("y", "ready"), epoch=1))
         self.assertEqual(
             self.calls,
             [
@@ -72,9 +72,9 @@
 
     def test_a_quiesced_host_drains_at_once_and_until_it_says_otherwise(self):
         """Its own word outlasts a list that calls it ready."""
-        self.endpoint_list.apply_whole(self.document(1, ("x", "ready")))
+        self.endpoint_list.apply_full(self.document(1, ("x", "ready")))
         self.assertTrue(self.endpoint_list.set_quiesced("127.0.0.1", 9000, True))
-        self.endpoint_list.apply_whole(self.document(2, ("x", "ready")))
+        self.endpoint_list.apply_full(self.document(2, ("x", "ready")))
         self.endpoint_list.set_quiesced("127.0.0.1", 9000, False)
         self.assertEqual(
             [servers[0][1] for _, servers in self.calls],
--- a/tests/planner/test_health_inference.py
+++ b/tests/planner/test_health_inference.py
@@ -36,7 +36,7 @@
         """Play a second, in which host 3 hangs, and report."""
         for _ in range(20):
             self.clock += SECOND // 20
-            for index in self.inference.due(self.clock):
+            for index in self.inference.take_due_checks(self.clock):
                 hung = index == 3
                 self.inference.on_check(
                     index, "silent" if hung else "ok", 2 * SECOND if hung else 300_000, self.clock
@@ -55,7 +55,7 @@
                 self.clock,
             )
         self.met.clear()
-        self.inference.report()
+        self.inference.send_reports()
 
     def test_a_hung_host_with_the_least_load_fails_what_it_holds(self):
         """Unanswered checks beside an idle report count as failures."""
@@ -70,7 +70,7 @@
         """Little's law gives three seconds for 30 in flight at 10 a second."""
         self.inference.on_host_report(0, HostReport(1.0, 30, 200_000, 10.0), 1)
         self.clock = SECOND
-        self.inference.report()
+        self.inference.send_reports()
         self.assertEqual(self.met[0], (10, 0, 3 * SECOND))
 
     def test_demand_is_what_hosts_complete_and_its_sum_is_kept(self):
@@ -93,7 +93,7 @@
         sent = []
         for _ in range(40):
             self.clock += SECOND // 20
-            chosen = self.inference.due(self.clock)
+            chosen = self.inference.take_due_checks(self.clock)
             sent += chosen
             for index in chosen:
                 self.inference.on_check(index, "silent" if index == 3 else "ok", 1000, self.clock)
@@ -104,15 +104,15 @@
     def test_checks_that_waited_for_a_stalled_planner_say_nothing_of_hosts(self):
         """What was in flight over a stall neither fails nor slows a host."""
         self.second()
-        asked = self.inference.due(self.clock + SECOND // 10)
+        asked = self.inference.take_due_checks(self.clock + SECOND // 10)
         self.clock += 3 * SECOND  # stopped, with probes under way
         for index in asked:
             self.inference.on_check(index, "ok", 3 * SECOND, self.clock)
-        self.inference.due(self.clock)
+        self.inference.take_due_checks(self.clock)
         for index in range(6):
             self.inference.on_check(index, "silent", 2 * SECOND, self.clock + 1000)
         self.met.clear()
-        self.inference.report()
+        self.inference.send_reports()
         self.assertEqual(self.met, {})
         self.second()
         self.assertLess(self.met[0][2], SECOND // 2)
@@ -122,5 +122,5 @@
         self.inference.on_host_report(0, HostReport(0, 1, 1, 5.0), 10 * SECOND)
         self.inference.on_host_report(0, HostReport(0, 1, 1, 99.0), 9 * SECOND)
         self.clock = 20 * SECOND
-        self.inference.report()
+        self.inference.send_reports()
         self.assertEqual(self.met, {})
--- a/tests/planner/test_planner_sockets.py
+++ b/tests/planner/test_planner_sockets.py
@@ -29,8 +29,8 @@
                 planner.set_host_states()
                 tables, client, task = planner.client()
                 hung = ("127.0.0.1", pool.hosts["host-3"].port)
-                turns, old = [], planner.service.health_inference.report
-                planner.service.health_inference.report = lambda *given: (
+                turns, old = [], planner.service.health_inference.send_reports
+                planner.service.health_inference.send_reports = lambda *given: (
                     turns.append(now()),
                     old(*given),
                 )
