--- a/tests/planner/stored_planner.py
+++ b/tests/planner/stored_planner.py
@@ -1,4 +1,4 @@
-"""A planner with a store, and its restart, for tests over sockets."""
+"""Planners with a store, their restart and connected clients, for tests over sockets."""
 
 import asyncio
 import contextlib
@@ -16,14 +16,14 @@
 
 
 def stored_planner() -> Planner:
-    """Return a planner, not started yet, that has a store."""
+    """Return a planner with a store, not started yet."""
     planner = Planner()
     planner.document["store"] = {"folder": "store"}
     return planner
 
 
 class ClosedService:
-    """Stands for a planner's service that was closed already."""
+    """A stand-in for the service of a planner that is closed already."""
 
     def close(self) -> None:
         """Do nothing."""
@@ -31,7 +31,7 @@
 
 @contextlib.asynccontextmanager
 async def restarted(planner: Planner) -> AsyncIterator[None]:
-    """Start a planner whose service was closed once more, in its folder."""
+    """Restart a planner, whose service was closed, in the same folder."""
     await planner.__aenter__()
     try:
         yield
@@ -41,7 +41,7 @@
 
 
 class ConnectedClient(NamedTuple):
-    """A client that runs, its tables and its task."""
+    """A running client, with its tables and its task."""
 
     tables: Tables
     client: Any
@@ -52,7 +52,7 @@
         return ports(self.tables)
 
     async def until_ports(self, numbers: set[int]) -> None:
-        """Wait until the table holds just these hosts."""
+        """Wait until the table holds exactly these hosts."""
         await until(lambda: self.ports() == numbers)
 
     async def until_without(self, *numbers: int) -> None:
@@ -62,7 +62,7 @@
 
 @contextlib.asynccontextmanager
 async def connected_client(planner: Planner) -> AsyncIterator[ConnectedClient]:
-    """Connect a client that has its first table, and stop it at the end."""
+    """Connect a client, wait for its first table, and stop it at the end."""
     connected = ConnectedClient(*planner.client())
     await until(connected.ports)
     yield connected
@@ -76,13 +76,13 @@
 
 
 class StoredPlannerCase(unittest.IsolatedAsyncioTestCase):
-    """Tests of one planner with a store, in `planner`."""
+    """Base class of tests with one planner that has a store."""
 
     async def asyncSetUp(self) -> None:
-        """Make the planner; the test starts it."""
+        """Create the planner without starting it."""
         self.planner = stored_planner()
 
 
 def document_copy(planner: Planner) -> dict[str, Any]:
-    """Return a copy of the planner's settings document, to change."""
+    """Return a copy of the planner's settings document that can be modified."""
     return json.loads(json.dumps(planner.document))
--- a/tests/planner/test_cached_endpoint_list.py
+++ b/tests/planner/test_cached_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Starting from a stored endpoint list (`planner.cached_endpoint_list`)."""
+"""Startup from a stored endpoint list (`planner.cached_endpoint_list`)."""
 
 from harness import SimulatedLoop, TraceTestCase
 
@@ -8,11 +8,11 @@
 
 
 class StubEnvironment(SimulatedLoop):
-    """Hosts that answer or not; prints what is gone by."""
+    """Simulates hosts that answer checks or not, and records the entries in use."""
 
-    def __init__(self, hosts, there, age=3600, checks_enabled=True, **states):
+    def __init__(self, hosts, answering, age=3600, checks_enabled=True, **states):
         super().__init__()
-        self.answering = set(there)
+        self.answering = set(answering)
         self.checked = []
         self.used = {}
         entries = [
@@ -38,25 +38,25 @@
         )
 
     def wall_clock(self):
-        """Return a time of day, a day ahead of the loop's clock."""
+        """Return a time of day one day ahead of the loop's clock."""
         return self.clock + DAY
 
     def check_cached_host(self, host):
-        """Answer after 50 ms, or let a second pass without an answer."""
+        """Answer after 50 ms, or time out after a second."""
         self.checked.append(host["id"])
-        there = host["id"] in self.answering
+        answers = host["id"] in self.answering
         self.call_later(
-            50_000 if there else SECOND,
+            50_000 if answers else SECOND,
             lambda: (
-                self.cached_list.on_check_succeeded if there else self.cached_list.on_check_failed
+                self.cached_list.on_check_succeeded if answers else self.cached_list.on_check_failed
             )(host["id"]),
         )
 
-    def use_cached_entries(self, hosts, fresh):
-        """Keep what is used by id."""
-        self.used = {**({} if fresh else self.used), **{host["id"]: host for host in hosts}}
+    def use_cached_entries(self, hosts, is_first):
+        """Record the entries in use by host id."""
+        self.used = {**({} if is_first else self.used), **{host["id"]: host for host in hosts}}
         self.log_event(
-            "goes by" if fresh else "and",
+            "goes by" if is_first else "and",
             hosts=",".join(
                 f"{host['id']}{'' if host['state'] == 'ready' else ' ' + host['state']}"
                 for host in hosts
@@ -65,10 +65,10 @@
 
 
 class CachedEndpointListTest(TraceTestCase):
-    """The cached list against hosts that answer, are silent, or come back."""
+    """The cached list with hosts that answer, do not answer, or recover."""
 
-    def test_hosts_that_do_not_answer_are_left_out_and_drains_stay_drains(self):
-        """A host that answers later counts as one that has just started."""
+    def test_hosts_that_do_not_answer_are_left_out_and_draining_hosts_stay_draining(self):
+        """A host that answers only later counts as newly started."""
         stub = StubEnvironment("abcdefgh", "abcefg", h="draining")
         stub.run(4)
         self.assertEqual(sorted(stub.used), list("abcefgh"))
@@ -77,14 +77,15 @@
         stub.answering.add("d")
         stub.run(8)
         self.assertIn("d", stub.used)
-        self.assertGreater(stub.used["d"]["started_ms"], 0)  # not there a moment ago: cold
+        # The host was down in between, so it counts as newly started.
+        self.assertGreater(stub.used["d"]["started_ms"], 0)
         self.assertNotIn("started_ms", stub.used["a"])
         self.compare("cached-list", stub)
 
-    def test_the_first_few_to_answer_do_not_get_the_load_of_all(self):
-        """Nothing is used before half of the weight has answered."""
+    def test_nothing_is_used_before_half_of_the_weight_has_answered(self):
+        """Otherwise the first few hosts to answer would receive all requests."""
         stub = StubEnvironment(
-            [f"h{nth:02}" for nth in range(80)], [f"h{nth:02}" for nth in range(30, 80)]
+            [f"h{number:02}" for number in range(80)], [f"h{number:02}" for number in range(30, 80)]
         )
         stub.run(1.1)
         self.assertEqual(stub.used, {})
@@ -92,8 +93,8 @@
         self.assertGreaterEqual(len(stub.used), 40)
         self.assertLessEqual(max(stub.checked.count(name) for name in set(stub.checked)), 2)
 
-    def test_a_list_in_time_is_all_that_counts_and_a_late_one_supersedes(self):
-        """Within the first second no host is checked at all."""
+    def test_a_list_from_the_source_replaces_the_cached_list(self):
+        """If it arrives within the first second, no host is checked at all."""
         early, late = StubEnvironment("abc", "abc"), StubEnvironment("abc", "abc")
         early.cached_list.on_newer_list({"a": {}})
         early.run(20)
@@ -104,8 +105,8 @@
         self.assertEqual((len(late.checked), late.cached_list.superseded), (3, True))
         self.assertIn("more=1 fewer=2", late.printed[-1])
 
-    def test_a_stale_list_adds_who_answers_and_takes_nobody_away(self):
-        """What it names beyond the cached list is checked."""
+    def test_a_stale_list_adds_hosts_that_answer_and_removes_none(self):
+        """Hosts that only the stale list names are checked."""
         stub = StubEnvironment("abc", "abcz")
         stub.run(2)
         stub.cached_list.on_stale_list(
@@ -117,14 +118,14 @@
         stub.run(4)
         self.assertEqual(sorted(stub.used), list("abcz"))
 
-    def test_without_health_checks_trust_goes_by_age(self):
+    def test_without_health_checks_trust_decays_with_age(self):
         """All hosts are used; trust halves in a day."""
-        young, old = (
+        recent, old = (
             StubEnvironment("ab", "", 60, False),
             StubEnvironment("ab", "", 7 * 24 * 3600, False),
         )
-        for stub in (young, old):
+        for stub in (recent, old):
             stub.run(2)
             self.assertEqual((sorted(stub.used), stub.checked), (list("ab"), []))
-        self.assertGreater(young.cached_list.trust(), 0.99)
+        self.assertGreater(recent.cached_list.trust(), 0.99)
         self.assertLess(old.cached_list.trust(), 0.01)
--- a/tests/planner/test_demand_aggregation.py
+++ b/tests/planner/test_demand_aggregation.py
@@ -1,4 +1,4 @@
-"""Sums of the proxies' own load reports (`planner.demand_aggregation`)."""
+"""Aggregation of proxies' own load reports (`planner.demand_aggregation`)."""
 
 import unittest
 
@@ -11,12 +11,12 @@
 
 
 class DemandAggregatorTest(unittest.TestCase):
-    """At most ten reports a second are handed on; the test takes them in."""
+    """Ten reports a second may be forwarded; the test case is the sink."""
 
     def setUp(self):
         """Start at time 0."""
         self.clock = 0
-        self.lines = []
+        self.forwarded = []
         self.aggregator = DemandAggregator(self, 10, SECOND)
 
     def now(self):
@@ -24,36 +24,36 @@
         return self.clock
 
     def on_load_report(self, report):
-        """Keep what is reported of a server."""
-        self.lines.append(
+        """Record a load report."""
+        self.forwarded.append(
             ("load", report.server, report.attempts, report.failures, report.mean_latency)
         )
 
     def on_demand_report(self, report):
-        """Keep what is reported of a proxy."""
-        self.lines.append(("demand", report.proxy, report.requests, report.failures))
+        """Record a demand report."""
+        self.forwarded.append(("demand", report.proxy, report.requests, report.failures))
 
-    def report(self, proxy, zone, class_index, span, figures, rejected, stream):
-        """Have a proxy report."""
-        servers = tuple(ServerStats(*one) for one in figures)
+    def report(self, proxy, zone, class_index, span, stats, rejected, stream):
+        """Send a report of a proxy; return whether it was accepted."""
+        servers = tuple(ServerStats(*fields) for fields in stats)
         return self.aggregator.on_proxy_report(
             ProxyReport(proxy, zone, class_index, span, servers, rejected, stream)
         )
 
-    def turn(self, seconds=1):
-        """Let time pass, and return what is handed on then."""
+    def advance(self, seconds=1):
+        """Let time pass, and return the reports that are forwarded then."""
         self.clock += round(seconds * SECOND)
         self.aggregator.forward_reports(lambda server: server != 9, lambda server: 77)
-        lines, self.lines = self.lines, []
-        return lines
+        forwarded, self.forwarded = self.forwarded, []
+        return forwarded
 
-    def test_reports_add_up_over_proxies_and_servers_long_gone_are_left_out(self):
-        """One report a server, one a proxy and class; untimed attempts take the usual latency."""
+    def test_reports_are_added_up_and_unlisted_servers_are_dropped(self):
+        """Untimed attempts get the latency that the server itself reports (77)."""
         self.clock = SECOND
         self.report(1, 0, 0, SECOND, [(3, 10, 1, 200), (9, 5, 5, 0)], 2, "s1")
         self.report(2, 0, 0, SECOND, [(3, 10, 0, 400), (4, 6, 0, 0)], 0, "s2")
         self.assertEqual(
-            sorted(self.turn()),
+            sorted(self.advance()),
             [
                 ("demand", 1, 17, 6),
                 ("demand", 2, 16, 0),
@@ -62,25 +62,25 @@
             ],
         )
 
-    def test_reports_sent_twice_or_by_a_fast_clock_are_left_out_by_their_time(self):
-        """A stream can't report on more time than it has been open."""
-        told = [self.report(1, 0, 0, SECOND, [(3, 10, 0, 0)], 0, "s1") for _ in range(6)]
-        self.assertEqual(told, [True, True, True, False, False, False])
+    def test_reports_sent_twice_or_by_a_fast_clock_are_ignored(self):
+        """The reports of a stream cannot cover more time than it has been open."""
+        accepted = [self.report(1, 0, 0, SECOND, [(3, 10, 0, 0)], 0, "s1") for _ in range(6)]
+        self.assertEqual(accepted, [True, True, True, False, False, False])
         self.clock += 10 * SECOND
         self.assertTrue(self.report(1, 0, 0, SECOND, [(3, 1, 9, 0)], 0, "s1"))
         self.assertFalse(self.report(1, 0, 0, 3600 * SECOND, [(3, 10, 0, 0)], 0, "s1"))
         self.assertFalse(self.report(1, 0, 0, 0, [(3, 10, 0, 0)], 0, "s1"))
 
-    def test_what_is_over_the_limit_waits_oldest_first_and_adds_up(self):
-        """Nothing is lost and nothing is queued twice."""
+    def test_sums_over_the_rate_limit_wait_and_the_oldest_are_forwarded_first(self):
+        """No report is lost, and none is queued twice."""
         for proxy in range(30):
             self.clock += 1
             self.report(proxy, 0, 0, SECOND, [], 5, proxy)
-        first = self.turn(0.5)
+        first = self.advance(0.5)
         self.assertEqual([line[1] for line in first], list(range(len(first))))
         self.assertLessEqual(len(first), 10)
         self.report(29, 0, 0, SECOND, [], 5, 29)
-        rest = [line for _ in range(6) for line in self.turn()]
+        rest = [line for _ in range(6) for line in self.advance()]
         self.assertEqual([line[1] for line in first + rest], list(range(30)))
         self.assertEqual(rest[-1], ("demand", 29, 10, 0))
         self.assertEqual(self.aggregator.pending_count(), 0)
--- a/tests/planner/test_endpoint_list.py
+++ b/tests/planner/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as a planner is given it (`planner.endpoint_list`)."""
+"""The endpoint list of a planner (`planner.endpoint_list`)."""
 
 import json
 import unittest
@@ -11,33 +11,36 @@
 
 
 class EndpointListTest(unittest.TestCase):
-    """What a list says, late, twice and out of order; the test is its listener."""
+    """Updates that are late, repeated or out of order; the test case is the listener."""
 
     def setUp(self):
-        """Start at time 0."""
+        """Start with an empty list."""
         self.calls = []
         self.endpoint_list = EndpointList(self, IdRegistry(), ["a", "b"], ["std"], 5 * SECOND)
 
     def on_endpoint_update(self, kind, servers):
-        """Keep what is listed."""
+        """Record an update."""
         self.calls.append(
-            (kind, [(one.stable_id.decode(), one.state, one.started) for one in servers])
+            (
+                kind,
+                [(server.stable_id.decode(), server.state, server.started) for server in servers],
+            )
         )
 
-    def on_stale_list(self, hosts):
-        """Keep what was left aside."""
-        self.left_aside = hosts
+    def on_stale_list(self, entries):
+        """Record a list that was ignored."""
+        self.stale_entries = entries
 
     def fetch_endpoint_list(self):
-        """Keep that the whole list was asked for."""
-        self.calls.append("ask")
+        """Record that the full list was requested."""
+        self.calls.append("fetch")
 
     def log_event(self, event, **fields):
-        """Keep a log event."""
+        """Record a log event."""
         self.calls.append((event, fields))
 
-    def document(self, version, *hosts, **more):
-        """Return a list of hosts in zone b."""
+    def document(self, version, *hosts, **extra):
+        """Return a list of hosts in zone b, given as (id, state)."""
         return dict(
             {
                 "version": version,
@@ -46,11 +49,11 @@
                     for name, state in hosts
                 ],
             },
-            **more,
+            **extra,
         )
 
-    def test_lists_late_twice_and_out_of_order(self):
-        """Stale lists are left aside, gaps are fetched, a new epoch counts anew."""
+    def test_late_repeated_and_out_of_order_updates(self):
+        """Stale lists are ignored, a gap causes a fetch, and a new epoch is accepted."""
         self.endpoint_list.apply_incremental(self.document(3, ("x", "ready")))
         self.endpoint_list.apply_full(self.document(4, ("x", "ready"), ("y", "ready")))
         self.endpoint_list.apply_incremental(self.document(4, ("x", "gone")))
@@ -61,17 +64,17 @@
         self.assertEqual(
             self.calls,
             [
-                "ask",
+                "fetch",
                 ("cached", [("x", ServerState.READY, 0), ("y", ServerState.READY, 0)]),
                 ("changes", [("x", ServerState.DRAINING, 0)]),
-                "ask",
+                "fetch",
                 ("endpoint_list_stale", {"version": 2, "held_version": 5}),
                 ("whole", [("y", ServerState.READY, 0)]),
             ],
         )
 
-    def test_a_quiesced_host_drains_at_once_and_until_it_says_otherwise(self):
-        """Its own word outlasts a list that calls it ready."""
+    def test_a_quiesced_host_drains_until_it_reports_otherwise(self):
+        """The host's own statement overrides a list that calls it ready."""
         self.endpoint_list.apply_full(self.document(1, ("x", "ready")))
         self.assertTrue(self.endpoint_list.set_quiesced("127.0.0.1", 9000, True))
         self.endpoint_list.apply_full(self.document(2, ("x", "ready")))
@@ -81,9 +84,9 @@
             [ServerState.READY, ServerState.DRAINING, ServerState.DRAINING, ServerState.READY],
         )
 
-    def test_bad_documents_say_the_place(self):
+    def test_errors_name_the_place_in_the_document(self):
         """An error names the entry and the key."""
-        for text, said in (
+        for text, expected in (
             ('{"version": 1}', "roster: 'hosts' is a required property"),
             ("{", "roster: no JSON"),
             (json.dumps(self.document(1, ("x", "ready"), ("x", "ready"))), "hosts/1/id"),
@@ -92,4 +95,4 @@
         ):
             with self.assertRaises(InvalidDocumentError) as caught:
                 parse_endpoint_list(text)
-            self.assertIn(said, str(caught.exception))
+            self.assertIn(expected, str(caught.exception))
--- a/tests/planner/test_health_inference.py
+++ b/tests/planner/test_health_inference.py
@@ -1,4 +1,4 @@
-"""What hosts' reports and health checks tell the assigner (`planner.health_inference`)."""
+"""Inference from host reports and health checks (`planner.health_inference`)."""
 
 import unittest
 
@@ -9,13 +9,13 @@
 
 
 class HealthInferenceTest(unittest.TestCase):
-    """Six hosts, of which host 3 may hang; the test takes in the reports."""
+    """Six hosts, of which host 3 can hang; the test case is the sink."""
 
     def setUp(self):
         """Start at time 0."""
         self.clock = 0
-        self.met = {}
-        self.requests = {}
+        self.load_reports = {}
+        self.demand = {}
         settings = deployment_settings(planner_zone=0)
         self.inference = HealthInference(self, settings, 40, 16)
         self.inference.on_endpoint_update([server(index) for index in range(6)])
@@ -25,15 +25,15 @@
         return self.clock
 
     def on_load_report(self, report):
-        """Keep what is reported of a server."""
-        self.met[report.server] = report.attempts, report.failures, report.mean_latency
+        """Record a load report by server."""
+        self.load_reports[report.server] = report.attempts, report.failures, report.mean_latency
 
     def on_demand_report(self, report):
-        """Keep what is reported of a proxy."""
-        self.requests[report.proxy, report.class_index] = report.requests
+        """Record a demand report by proxy and class."""
+        self.demand[report.proxy, report.class_index] = report.requests
 
-    def second(self):
-        """Play a second, in which host 3 hangs, and report."""
+    def run_one_second(self):
+        """Simulate a second in which host 3 hangs, then send the reports."""
         for _ in range(20):
             self.clock += SECOND // 20
             for index in self.inference.take_due_checks(self.clock):
@@ -54,41 +54,45 @@
                 ),
                 self.clock,
             )
-        self.met.clear()
+        self.load_reports.clear()
         self.inference.send_reports()
 
-    def test_a_hung_host_with_the_least_load_fails_what_it_holds(self):
-        """Unanswered checks beside an idle report count as failures."""
-        self.second()
-        self.second()
-        attempts, failures, mean_latency = self.met[3]
+    def test_requests_in_flight_at_a_hung_host_count_as_failed(self):
+        """Unanswered checks together with a report of an idle host count as failures."""
+        self.run_one_second()
+        self.run_one_second()
+        attempts, failures, mean_latency = self.load_reports[3]
         self.assertGreaterEqual(attempts, 8)
         self.assertEqual((failures, mean_latency), (attempts, 0))
-        self.assertTrue(all(self.met[index][1] == 0 for index in (0, 1, 2, 4, 5)))
+        self.assertTrue(all(self.load_reports[index][1] == 0 for index in (0, 1, 2, 4, 5)))
 
-    def test_latency_at_a_host_counts_waiting(self):
-        """Little's law gives three seconds for 30 in flight at 10 a second."""
+    def test_latency_at_a_host_includes_queueing(self):
+        """Little's law gives 3 s for 30 requests in flight at 10 completed a second."""
         self.inference.on_host_report(0, HostReport(1.0, 30, 200_000, 10.0), 1)
         self.clock = SECOND
         self.inference.send_reports()
-        self.assertEqual(self.met[0], (10, 0, 3 * SECOND))
+        self.assertEqual(self.load_reports[0], (10, 0, 3 * SECOND))
 
-    def test_demand_is_what_hosts_complete_and_its_sum_is_kept(self):
-        """Parted over seven proxies, each class adds up to what hosts report."""
+    def test_demand_equals_what_hosts_complete(self):
+        """Split over seven proxies, the demand of each class adds up to the reported rate."""
         for proxy in range(7):
             self.inference.on_proxy_joined(proxy)
-        self.second()
-        self.second()
+        self.run_one_second()
+        self.run_one_second()
         self.assertEqual(
             [
-                sum(many for (_, place), many in self.requests.items() if place == wanted)
-                for wanted in (0, 1)
+                sum(
+                    count
+                    for (_, class_index), count in self.demand.items()
+                    if class_index == expected_class
+                )
+                for expected_class in (0, 1)
             ],
             [60, 20],
         )
 
-    def test_suspects_are_checked_more_closely_and_all_within_the_budget(self):
-        """Everybody is checked, a suspect more often, at 8 checks a second."""
+    def test_suspects_are_checked_more_often_within_the_rate_limit(self):
+        """All hosts are checked at 8 checks a second, and the suspect more often."""
         self.inference.checks_per_second = 8
         sent = []
         for _ in range(40):
@@ -101,26 +105,26 @@
         self.assertGreaterEqual(sent.count(3), 4)
         self.assertEqual(set(sent), set(range(6)))
 
-    def test_checks_that_waited_for_a_stalled_planner_say_nothing_of_hosts(self):
-        """What was in flight over a stall neither fails nor slows a host."""
-        self.second()
-        asked = self.inference.take_due_checks(self.clock + SECOND // 10)
-        self.clock += 3 * SECOND  # stopped, with probes under way
-        for index in asked:
+    def test_checks_in_flight_while_the_planner_stalled_are_ignored(self):
+        """Such checks count neither as failures nor as slow answers."""
+        self.run_one_second()
+        checked = self.inference.take_due_checks(self.clock + SECOND // 10)
+        self.clock += 3 * SECOND  # the planner is stopped with checks in flight
+        for index in checked:
             self.inference.on_check(index, "ok", 3 * SECOND, self.clock)
         self.inference.take_due_checks(self.clock)
         for index in range(6):
             self.inference.on_check(index, "silent", 2 * SECOND, self.clock + 1000)
-        self.met.clear()
+        self.load_reports.clear()
         self.inference.send_reports()
-        self.assertEqual(self.met, {})
-        self.second()
-        self.assertLess(self.met[0][2], SECOND // 2)
+        self.assertEqual(self.load_reports, {})
+        self.run_one_second()
+        self.assertLess(self.load_reports[0][2], SECOND // 2)
 
-    def test_late_reports_and_old_ones_say_nothing(self):
-        """A report counts for three periods, and an older one not after it."""
+    def test_late_and_expired_reports_are_ignored(self):
+        """A report is valid for three periods; an older one does not replace it."""
         self.inference.on_host_report(0, HostReport(0, 1, 1, 5.0), 10 * SECOND)
         self.inference.on_host_report(0, HostReport(0, 1, 1, 99.0), 9 * SECOND)
         self.clock = 20 * SECOND
         self.inference.send_reports()
-        self.assertEqual(self.met, {})
+        self.assertEqual(self.load_reports, {})
--- a/tests/planner/test_join_admission.py
+++ b/tests/planner/test_join_admission.py
@@ -1,4 +1,4 @@
-"""Which proxies may join now (`planner.join_admission`)."""
+"""The rate at which proxies may join (`planner.join_admission`)."""
 
 import unittest
 
@@ -8,59 +8,62 @@
 
 
 class JoinAdmissionTest(unittest.TestCase):
-    """Each proxy that joins has 50 lines waiting; the channel may hold 1000."""
+    """Each joining proxy queues 50 lines; the channel may queue 1000."""
 
     def setUp(self):
-        """Start at time 0."""
+        """Start with an empty channel."""
         self.loop = SimulatedLoop()
         self.now = self.loop.now
         self.call_later = self.loop.call_later
-        self.waiting = 0
+        self.queued_lines = 0
         self.admitted = []
         self.rejected = []
         self.join_admission = JoinAdmission(self, 1000)
 
     def waiting_lines(self):
-        """Return what waits, as the test sets it."""
-        return self.waiting
+        """Return the number of queued lines, which the test sets."""
+        return self.queued_lines
 
     def lines_per_join(self):
-        """Return what a proxy that joins has waiting."""
+        """Return how many lines one joining proxy queues."""
         return 50
 
     def admit(self, proxy):
-        """Keep who joined; its tables wait from now on."""
+        """Record an admitted proxy, whose lines are queued from now on."""
         self.admitted.append(proxy)
-        self.waiting += 50
+        self.queued_lines += 50
 
     def reject(self, proxy):
-        """Keep who was rejected."""
+        """Record a rejected proxy."""
         self.rejected.append(proxy)
 
-    def test_a_crowd_is_admitted_as_the_channel_empties_first_come_first(self):
-        """The queue stays within the share of joins; who left is passed over."""
+    def test_proxies_are_admitted_in_order_as_the_channel_empties(self):
+        """The queue stays within the share for joins; candidates that left are skipped."""
         for proxy in range(100):
             self.join_admission.on_arrival(proxy)
         self.join_admission.on_departure(5)
         self.join_admission.on_departure(90)
-        most = self.waiting
+        longest = self.queued_lines
         while len(self.admitted) < 98 and self.loop.clock < 110 * SECOND:
             self.loop.run(0.02)
-            most, self.waiting = max(most, self.waiting), max(0, self.waiting - 100)
+            longest, self.queued_lines = (
+                max(longest, self.queued_lines),
+                max(0, self.queued_lines - 100),
+            )
         self.assertEqual(self.admitted, [proxy for proxy in range(100) if proxy not in (5, 90)])
-        self.assertLessEqual(most, 400)
+        self.assertLessEqual(longest, 400)
 
-    def test_a_queue_that_never_empties_admits_one_now_and_then_and_is_never_overfilled(self):
-        """One in 0.2 s joins, until the channel is full."""
-        self.waiting = 700  # of proxys that read nothing
+    def test_a_long_queue_still_admits_proxies_slowly_until_the_channel_is_full(self):
+        """One proxy joins every 0.2 s until the channel is full."""
+        self.queued_lines = 700  # lines of proxies that do not read
         for proxy in range(20):
             self.join_admission.on_arrival(proxy)
         self.loop.run(10)
-        self.assertEqual((self.admitted, self.waiting), (list(range(6)), 1000))
+        self.assertEqual((self.admitted, self.queued_lines), (list(range(6)), 1000))
 
-    def test_no_more_wait_than_there_is_room_for(self):
-        """Two too many are rejected at once."""
-        self.waiting = 1000
+    def test_candidates_over_the_limit_are_rejected(self):
+        """Two candidates too many are rejected at once."""
+        self.queued_lines = 1000
         for proxy in range(MAX_WAITING_PROXIES + 2):
             self.join_admission.on_arrival(proxy)
         self.assertEqual(len(self.rejected), 2)
--- a/tests/planner/test_message_quota.py
+++ b/tests/planner/test_message_quota.py
@@ -1,4 +1,4 @@
-"""How many messages one proxy may be written (`planner.message_quota`)."""
+"""The limit on messages to one proxy (`planner.message_quota`)."""
 
 import copy
 import unittest
@@ -10,28 +10,30 @@
 
 
 class MessageQuotaTest(unittest.TestCase):
-    """At most seven messages in a window, three of them answers."""
+    """At most seven messages in a window, three of them responses."""
 
     @settings(max_examples=200, deadline=None)
     @given(some.lists(some.tuples(some.integers(0, 3000), some.booleans()), max_size=80))
-    def test_no_window_holds_more_than_is_allowed(self, messages):
-        """Whatever the order, and each wait that is stated is enough."""
+    def test_no_window_exceeds_the_limits(self, messages):
+        """Any sequence keeps to the limits, and each returned wait is long enough."""
         quota = MessageQuota(7, 1000, 3)
         clock = 0
         written = []
-        for gap, answer in messages:
+        for gap, is_answer in messages:
             clock += gap
-            wait = quota.answer_wait(clock) if answer else quota.order_wait(clock)
+            wait = quota.answer_wait(clock) if is_answer else quota.order_wait(clock)
             if wait == 0:
-                quota.on_written(clock, answer)
-                written.append((clock, answer))
+                quota.on_written(clock, is_answer)
+                written.append((clock, is_answer))
             else:
                 self.assertTrue(0 < wait <= 1000)
                 later = copy.deepcopy(quota)
                 self.assertEqual(
-                    (later.answer_wait if answer else later.order_wait)(clock + wait), 0
+                    (later.answer_wait if is_answer else later.order_wait)(clock + wait), 0
                 )
         for at, _ in written:
-            within = [answer for other, answer in written if at - 1000 < other <= at]
-            self.assertLessEqual(len(within), 7)
-            self.assertLessEqual(sum(within), 3)
+            in_window = [
+                is_answer for written_at, is_answer in written if at - 1000 < written_at <= at
+            ]
+            self.assertLessEqual(len(in_window), 7)
+            self.assertLessEqual(sum(in_window), 3)
--- a/tests/planner/test_planner_settings.py
+++ b/tests/planner/test_planner_settings.py
@@ -11,13 +11,13 @@
 
 
 class PlannerSettingsTest(unittest.TestCase):
-    """Mistakes in a settings file."""
+    """Validation and limits of settings."""
 
-    def test_errors_name_the_place_of_what_is_wrong(self):
-        """Schema faults and contradictions alike."""
+    def test_errors_name_the_place_in_the_document(self):
+        """Violations of the schema and inconsistent settings are reported alike."""
         text = EXAMPLE.read_text()
         self.assertEqual(PlannerSettings(json.loads(text)).deployment.channel.max_messages, 20)
-        for place, value, said in (
+        for place, value, expected in (
             (("hall",), "hall-z", "hall: 'hall-z'"),
             (("classes", 0, "patience_ms"), 1, "classes/0/patience_ms"),
             (("rules", "colour"), 1, "rules: Additional"),
@@ -25,16 +25,16 @@
             (("classes", 1, "name"), "reading", "classes/1/name"),
             (("seed",), "x", "seed"),
         ):
-            broken = spot = json.loads(text)
-            for step in place[:-1]:
-                spot = spot[step]
-            spot[place[-1]] = value
+            broken = section = json.loads(text)
+            for key in place[:-1]:
+                section = section[key]
+            section[place[-1]] = value
             with self.assertRaises(InvalidDocumentError) as caught:
                 PlannerSettings(broken)
-            self.assertIn(said, str(caught.exception))
+            self.assertIn(expected, str(caught.exception))
 
-    def test_a_time_without_an_upper_bound_is_taken_as_it_is_stated(self):
-        """Warm-up for longer than any machine lives is not taken for none."""
+    def test_times_without_an_upper_bound_are_read_exactly(self):
+        """A very long warm-up time must not be read as none."""
         document = json.loads(EXAMPLE.read_text())
         document["rules"]["cold_ms"] = 2e15
         deployment = PlannerSettings(document).deployment
--- a/tests/planner/test_restart.py
+++ b/tests/planner/test_restart.py
@@ -1,4 +1,4 @@
-"""What outlasts a restart of a running planner with a store, and a store that stops."""
+"""Restart of a planner with a store, and failure of the store."""
 
 import asyncio
 import errno
@@ -8,14 +8,14 @@
 
 from .stored_planner import StoredPlannerCase, connected_client, folder_of, restarted
 
-LIST_STORED_SECONDS = 1.3  # the endpoint list is stored once a second
+LIST_STORED_SECONDS = 1.3  # the endpoint list is saved at most once a second
 
 
 class RestartTest(StoredPlannerCase):
-    """The same planner started twice in one folder."""
+    """A planner that is started twice with the same folder."""
 
-    async def test_a_restart_goes_on_with_versions_tables_and_rollbacks(self) -> None:
-        """The epoch is a new one; the content is the same until something changes."""
+    async def test_versions_tables_and_rollbacks_survive_a_restart(self) -> None:
+        """The epoch is new, and the content stays the same until something changes."""
         planner = self.planner
         async with planner:
             async with connected_client(planner) as client:
@@ -59,7 +59,7 @@
                     ]
                 )
 
-    async def test_a_list_that_can_not_be_read_any_more_is_replaced_by_the_stored_one(self) -> None:
+    async def test_the_stored_list_replaces_an_unreadable_one(self) -> None:
         """A list older than the stored one is not used; a newer one is."""
         planner = self.planner
         async with planner:
@@ -77,8 +77,10 @@
                     sorted(service.planner_host.assigner.state.tables[0].members),
                     [index_of[f"host-{number}"] for number in (0, 1, 2, 4, 5)],
                 )
-                trust = await self.trust()
-                self.assertEqual((trust["named"], service.endpoints.endpoint_list.version), (6, 2))
+                stored_list_stats = await self.stored_list_stats()
+                self.assertEqual(
+                    (stored_list_stats["named"], service.endpoints.endpoint_list.version), (6, 2)
+                )
                 planner.version = 0
                 planner.set_host_states(host_4="draining")
                 await until(lambda: planner.log_events("endpoint_list_stale"))
@@ -86,24 +88,24 @@
                 planner.version = 5
                 planner.set_host_states(host_4="draining")
                 await client.until_without(4)
-                self.assertIsNone(await self.trust())
+                self.assertIsNone(await self.stored_list_stats())
 
-    async def trust(self):
-        """Return what operators are told of the stored list, or None if it isn't used."""
+    async def stored_list_stats(self):
+        """Return what operators see of the stored list, or None if it is not in use."""
         answer = await self.planner.service.versions.on_operator_request({"what": "trust"})
         return answer["trust"]
 
 
 class StoppedStoreTest(StoredPlannerCase):
-    """A store that can't be written."""
+    """A store that cannot be written."""
 
-    async def test_a_store_that_stops_delays_no_decision(self) -> None:
-        """Tables change as ever, and the log says that the store has stopped."""
+    async def test_tables_change_while_the_store_is_stopped(self) -> None:
+        """The log states that the store has stopped."""
         planner = self.planner
-        full = OSError(errno.ENOSPC, "no space left on device")
+        disk_full = OSError(errno.ENOSPC, "no space left on device")
         async with planner, connected_client(planner) as client:
             files = planner.service.versions.store.files
-            with unittest.mock.patch.object(files, "append", side_effect=full):
+            with unittest.mock.patch.object(files, "append", side_effect=disk_full):
                 planner.set_host_states(host_0="draining")
                 await client.until_without(0)
                 await until(lambda: planner.log_events("store_stopped"))
--- a/tests/planner/test_stored_endpoint_list.py
+++ b/tests/planner/test_stored_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Tests that an endpoint list kept by commit bb80827 stays readable."""
+"""Compatibility with an endpoint list that was stored by commit bb80827."""
 
 import unittest
 
@@ -8,43 +8,52 @@
 
 
 class StoredEndpointListTest(StoredFolder):
-    """The endpoint list under the store's key `roster`."""
+    """The endpoint list under the key `roster` of the store."""
 
-    def test_the_list_of_hosts_that_was_kept_is_taken_up_again(self):
-        """Its version, its servers and the quiesced one."""
+    def test_a_stored_list_is_restored(self):
+        """The version, the servers and the quiesced host are restored."""
 
         class Listener:
-            """Keeps the servers of the last update."""
+            """Records the servers of the last update."""
 
             def on_endpoint_update(self, kind, servers):
-                """Keep the servers."""
+                """Record the servers."""
                 self.servers = servers
 
         class IdRegistry:
-            """Takes the number in a host's name for its index."""
+            """Uses the number in a host's name as its index."""
 
             def index(self, name):
                 """Return the index."""
                 return int(name.removeprefix("host-"))
 
-        kept = self.opened().held["roster"]
+        stored = self.opened().held["roster"]
         listener = Listener()
         endpoint_list = EndpointList(
             listener, IdRegistry(), ["north", "south"], ["small", "big"], 1_749_999_000_000_000 - 7
         )
-        endpoint_list.restore(kept, kept["hosts"], True)
+        endpoint_list.restore(stored, stored["hosts"], True)
         self.assertEqual(
             (endpoint_list.version, endpoint_list.epoch, endpoint_list.quiesced_ids),
             (1042, 2, {"host-7"}),
         )
         self.assertEqual(
             [
-                plain([one.index, one.cell, one.machine_type, one.zone, one.weight, one.started])
-                for one in listener.servers
+                plain(
+                    [
+                        server.index,
+                        server.cell,
+                        server.machine_type,
+                        server.zone,
+                        server.weight,
+                        server.started,
+                    ]
+                )
+                for server in listener.servers
             ],
             [[3, 1, 1, 0, 2.5, 7], [7, 0, 2, 0, 1.0, 0], [9, 0, 2, 1, 1.0, 0]],
         )
-        self.assertEqual({**endpoint_list.to_record(), "at": STARTED_AT}, kept)
+        self.assertEqual({**endpoint_list.to_record(), "at": STARTED_AT}, stored)
 
 
 if __name__ == "__main__":
