--- a/indigodeck/planner/cached_endpoint_list.py
+++ b/indigodeck/planner/cached_endpoint_list.py
@@ -8,7 +8,7 @@
 receive all requests. Until then proxies continue with the tables they have.
 
 A list from the source replaces the cached one at once, unless it is older than the cached one,
-which happens if the source was restored from an old copy. In that case the hosts that only the
+which can happen if the source was restored from an old copy. In that case the hosts that only the
 older list names are health-checked too, and the cached list stays in use until a newer list
 arrives.
 """
--- a/indigodeck/planner/demand_aggregation.py
+++ b/indigodeck/planner/demand_aggregation.py
@@ -100,7 +100,7 @@
     """Adds up reports and forwards the sums to `sink` at no more than `reports_per_second`.
 
     `dropped` counts reports that were ignored because they were sent twice or came from a fast
-    coverage.
+    clock.
     """
 
     def __init__(self, sink: ReportSink, reports_per_second: float, report_period: int) -> None:
@@ -110,12 +110,11 @@
         self.dropped = 0
         self._server_sums: dict[tuple[int, int], _ServerSum] = {}  # by zone and server
         self._demand_sums: dict[tuple[int, int], _DemandSum] = {}  # by proxy and class
-        # forwarded reports, a leaky bucket that drains at `reports_per_second`
+        # Forwarded reports, as a leaky bucket that drains at `reports_per_second`.
         self._recent_reports = 0.0
         self._recent_reports_at = sink.now()
-        self._stream_coverage: dict[
-            tuple[Hashable, int], _StreamCoverage
-        ] = {}  # by stream and class
+        # By stream and class.
+        self._stream_coverage: dict[tuple[Hashable, int], _StreamCoverage] = {}
         self._last_report_at: dict[int, int] = {}  # by proxy
 
     def on_proxy_report(self, report: ProxyReport) -> bool:
--- a/indigodeck/planner/endpoint_directory.py
+++ b/indigodeck/planner/endpoint_directory.py
@@ -80,7 +80,7 @@
     def on_host_quiesced(self, address: Address, quiesced: bool) -> bool:
         """Apply a host's own statement on whether it accepts new work; return whether it is listed.
 
-        The endpoint list itself does not change by it.
+        It does not count as an update from the source of the list, so a cached list stays in use.
         """
         with self._local_update():
             is_listed = self.endpoint_list.set_quiesced(*address, quiesced)
@@ -157,8 +157,7 @@
 
     def _forward_update(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
         if kind == UpdateKind.CACHED:
-            # The ids in the tables that were published before the restart can be resolved from here
-            # on.
+            # From here on, the ids in the tables published before the restart can be resolved.
             self._service.versions.resume_tables()
         self._service.planner_host.on_endpoint_update(kind, servers)
         changed = [
--- a/indigodeck/planner/endpoint_list.py
+++ b/indigodeck/planner/endpoint_list.py
@@ -62,8 +62,8 @@
     `zone_names` and `machine_type_names` are in the order of the settings. `wall_clock_offset`
     (microseconds) converts the planner's monotonic clock to the wall clock, in which lists state
     start times. `oldest_accepted` is the (version, epoch) of a cached list: even a first list that
-    is older is ignored. `quiesced_ids` are the hosts that reported themselves that they accept no
-    new work.
+    is older is ignored. `quiesced_ids` are the hosts that have reported that they accept no new
+    work.
     """
 
     def __init__(
@@ -97,8 +97,8 @@
         version = document["version"]
         epoch = document.get("epoch", 0)
         known_version, known_epoch = self._newest_known()
-        # A discovery service that restarts may number versions from the start; its epoch then
-        # grows.
+        # A discovery service that restarts may number versions from the start again, with a higher
+        # epoch.
         if version < known_version and epoch <= known_epoch:
             self.listener.on_stale_list({entry["id"]: entry for entry in document["hosts"]})
             self.listener.log_event(
--- a/indigodeck/planner/endpoint_list_source.py
+++ b/indigodeck/planner/endpoint_list_source.py
@@ -92,7 +92,7 @@
             self._file_signature = signature
             self._endpoint_list.apply_full(parse_endpoint_list(text))
         except READ_ERRORS as error:
-            # The last valid list stays in use. An error is logged once until the message changes.
+            # The last valid list stays in use. The same error is logged only once in a row.
             if str(error) != self._last_error:
                 self._last_error = str(error)
                 self._log.warning("endpoint_list_not_read", why=str(error))
--- a/indigodeck/planner/health_checks.py
+++ b/indigodeck/planner/health_checks.py
@@ -1,4 +1,4 @@
-"""Sends health checks to hosts and fetches their load reports, as `health_inference` schedules."""
+"""Sends health checks, which `health_inference` schedules, and fetches load reports from hosts."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
--- a/indigodeck/planner/health_inference.py
+++ b/indigodeck/planner/health_inference.py
@@ -80,7 +80,7 @@
         self.hosts: dict[int, HostEvidence] = {}
         self._proxies: list[int] = []
         self._reported_at = sink.now()
-        self._recent_checks = 0.0  # checks sent, a leaky bucket that drains at `checks_per_second`
+        self._recent_checks = 0.0  # a leaky bucket that drains at `checks_per_second`
         self._last_polled_at = sink.now()
         self._stall_ended_at = -(1 << 60)  # when the planner last resumed after a stall
 
--- a/indigodeck/planner/join_admission.py
+++ b/indigodeck/planner/join_admission.py
@@ -20,8 +20,8 @@
 # round together and scans its tables once for them. When proxies were admitted one by one, 303 xDS
 # proxies joined at 50 a second, and drains were delayed.
 ADMISSION_INTERVAL = SECOND // 20
-# A stalled proxy can keep the queue long, which must not lock out all others: one proxy may join
-# after this time even so.
+# A stalled proxy can keep the queue long. So that it does not block all others, one proxy may join
+# per this interval while the queue has space at all.
 FORCED_ADMISSION_INTERVAL = SECOND // 5
 MAX_WAITING_PROXIES = 65_535
 
@@ -99,7 +99,7 @@
         waiting = self.environment.waiting_lines() + self._lines_of_this_round
         needed = self.environment.lines_per_join()
         if not waiting:
-            # an empty channel admits any proxy, even if one join exceeds its stated capacity
+            # An empty channel admits any proxy, even if one join exceeds its stated capacity.
             return True
         if waiting + needed <= MAX_JOIN_SHARE * self.max_waiting_lines:
             return True
--- a/indigodeck/planner/pending_updates.py
+++ b/indigodeck/planner/pending_updates.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import Any, NamedTuple
 
-# Bounds the requests queued for a proxy that does not read; only the newest are kept, as they
-# confirm all earlier orders too.
+# Bounds the acknowledgement requests queued for a proxy that does not read. The oldest are dropped,
+# because the newest ones are sufficient.
 MAX_REQUESTED_ACKS = 64
 
 
--- a/indigodeck/planner/planner_host.py
+++ b/indigodeck/planner/planner_host.py
@@ -249,7 +249,7 @@
 
         This is done only while no proxy has joined, so that no traffic moves.
         """
-        # baseline policies do not implement it
+        # Baseline policies do not implement it.
         has_shards = hasattr(self.assigner, "resume_tables")
         if not self.updates.by_proxy and has_shards:
             self.assigner.resume_tables(members)
--- a/indigodeck/planner/proxy_sessions.py
+++ b/indigodeck/planner/proxy_sessions.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from .service import PlannerService
 
-MAX_PROXY_IDS = 65_535  # bounds memory: a proxy id keeps its index once it has been seen
+MAX_PROXY_IDS = 65_535  # proxy indices are small, and an id that has been seen keeps its index
 
 
 class Frontend(Protocol):
--- a/indigodeck/planner/version_hooks.py
+++ b/indigodeck/planner/version_hooks.py
@@ -31,9 +31,11 @@
 class ReplicationPeers:
     """The other controllers, for `versions.replication.VersionReplicator`."""
 
-    def __init__(self, members: Any, publisher: TablePublisher, later: Callable[..., None]) -> None:
+    def __init__(
+        self, member_thread: Any, publisher: TablePublisher, later: Callable[..., None]
+    ) -> None:
         self.later = later
-        self._members = members
+        self._member_thread = member_thread
         self._publisher = publisher
 
     def now(self) -> int:
@@ -42,11 +44,11 @@
 
     def send(self, member: str, kind: str, **fields: Any) -> None:
         """Send a message to one controller; it may be lost."""
-        self._members.send(member, kind, **fields)
+        self._member_thread.send(member, kind, **fields)
 
     def others(self) -> list[str]:
         """Return the names of the other controllers."""
-        return self._members.peer_ids()
+        return self._member_thread.peer_ids()
 
     def is_leader(self) -> bool:
         """Return whether this controller leads."""
@@ -94,9 +96,9 @@
         source.discard_stored_values()
         service.planner_host.publisher = self.publisher
         self.admin_api = AdminApi(self.publisher, source)
-        members = service.leadership.member_thread
-        if members is not None:
-            peers = ReplicationPeers(members, self.publisher, service.call_later)
+        member_thread = service.leadership.member_thread
+        if member_thread is not None:
+            peers = ReplicationPeers(member_thread, self.publisher, service.call_later)
             self.replicator = VersionReplicator(peers, self.publisher)
         else:
             step = START_COUNT_MARGIN if store.log.data_lost else 1
