--- a/indigodeck/planner/planner_host.py
+++ b/indigodeck/planner/planner_host.py
@@ -121,7 +121,7 @@
         if self.updates.on_proxy_left(proxy):
             self.assigner.on_proxy_left(proxy)
             if self.publisher is not None:
-                self.publisher.relay_versions.on_left(proxy)
+                self.publisher.relay_versions.on_proxy_left(proxy)
             self.flush_orders("a relay left")
 
     def on_load_report(self, report: LoadReport) -> None:
@@ -142,7 +142,7 @@
     def on_proxy_request(self, proxy: int) -> None:
         """Take note that a proxy asked something: its program goes on since its last update."""
         if self.publisher is not None:
-            self.publisher.relay_versions.on_request(proxy)
+            self.publisher.relay_versions.on_proxy_request(proxy)
 
     def on_delivered(self, update: TableUpdate, by_program: bool = True) -> None:
         """Take note that a proxy has an update.
@@ -154,7 +154,7 @@
         for number, requested_at in update.requested_acks:
             self.assigner.on_ack(update.proxy, number, self.environment.now() - requested_at)
         if self.publisher is not None:
-            self.publisher.relay_versions.on_taken(update.proxy, update.version, by_program)
+            self.publisher.relay_versions.on_delivered(update.proxy, update.version, by_program)
         self.flush_orders("an answer")
 
     def flush_orders(self, event: str) -> None:
@@ -198,7 +198,7 @@
         """Hand over what waits for a proxy, or None; from then on it waits no more."""
         if not self.updates.has_pending(proxy):
             return None
-        version = self.publisher.newest() if self.publisher is not None else None
+        version = self.publisher.newest_version() if self.publisher is not None else None
         return self.updates.by_proxy[proxy].take(proxy, version)
 
     def table_for(self, proxy: int, class_index: int) -> dict[int, float] | None:
--- a/indigodeck/planner/version_hooks.py
+++ b/indigodeck/planner/version_hooks.py
@@ -31,8 +31,10 @@
 class ReplicationPeers:
     """The other controllers, as `versions.replication.VersionReplicator` sees them."""
 
-    def __init__(self, members: Any, publisher: TablePublisher, later: Callable[..., None]) -> None:
-        self.later = later
+    def __init__(
+        self, members: Any, publisher: TablePublisher, call_later: Callable[..., None]
+    ) -> None:
+        self.call_later = call_later
         self._members = members
         self._publisher = publisher
 
@@ -44,7 +46,7 @@
         """Send a message to one controller; it may be lost."""
         self._members.send(member, kind, **fields)
 
-    def others(self) -> list[str]:
+    def peer_ids(self) -> list[str]:
         """Return the other controllers' names."""
         return self._members.peer_ids()
 
@@ -120,7 +122,7 @@
         """Give versions numbers of this epoch from now on."""
         if self.publisher is None:
             return
-        self.publisher.become_leader(epoch, after_another=True)
+        self.publisher.become_leader(epoch, after_other_leader=True)
         self._service.planner_host.has_changes = True
         if self.replicator is not None:
             self.replicator.request_peer_states()
--- a/indigodeck/versions/admin_api.py
+++ b/indigodeck/versions/admin_api.py
@@ -16,9 +16,9 @@
 from .publisher import TablePublisher
 
 REQUEST_SCHEMA = load_schema(__file__, "operator_request.schema.json")
-PAGE_LENGTH = 100  # versions or relays in one answer
+MAX_PAGE_ENTRIES = 100  # versions or relays in one answer
 MAX_PAGE_BYTES = 24 << 10  # of JSON: tables in one answer
-MAX_CAUSE_LENGTH = 200  # characters of a version's cause in an answer
+MAX_SHOWN_CAUSE_LENGTH = 200  # characters of a version's cause in an answer
 MAX_ERROR_LENGTH = 500  # characters of what the schema has against a request
 
 Answer = dict[str, Any]
@@ -60,8 +60,10 @@
         ]
         rollbacks = self._publisher.requests.rollbacks
         return {
-            "versions": [self._version_fields(log.versions[one]) for one in found[:PAGE_LENGTH]],
-            "more": len(found) > PAGE_LENGTH,
+            "versions": [
+                self._version_fields(log.versions[one]) for one in found[:MAX_PAGE_ENTRIES]
+            ],
+            "more": len(found) > MAX_PAGE_ENTRIES,
             "newest": str(log.newest) if log.newest else None,
             "holds": {
                 class_name: {
@@ -73,7 +75,7 @@
                 for class_name, pin in rollbacks.items()
             },
             "in_charge": self._publisher.is_leader,
-            "overruled": self._commands.overruled_tables(rollbacks),
+            "overruled": self._commands.describe_overrides(rollbacks),
         }
 
     def _show(self, number: str, after: str | None = None) -> Answer:
@@ -94,7 +96,7 @@
         if before is None or delta is None:
             raise RejectedError(f"{old} or {new} is not kept")
         return _page(
-            {table: _difference(before, table, change) for table, change in delta.items()}, after
+            {table: _table_diff(before, table, change) for table, change in delta.items()}, after
         )
 
     def _relays(self, after: str = "") -> Answer:
@@ -104,25 +106,25 @@
         return {
             "relays": [
                 (status.relay, str(status.version), status.up_to_date, status.confirmed)
-                for status in found[:PAGE_LENGTH]
+                for status in found[:MAX_PAGE_ENTRIES]
             ],
-            "more": len(found) > PAGE_LENGTH,
+            "more": len(found) > MAX_PAGE_ENTRIES,
         }
 
     def _roll_back(
         self, number: str, author: str, reason: str, classes: Sequence[str] = ()
     ) -> Answer:
-        return self._done(
+        return self._success(
             self._commands.roll_back(VersionNumber.parse(number), classes, author, reason)
         )
 
     def _release(self, author: str, reason: str, classes: Sequence[str] = ()) -> Answer:
-        return self._done(self._commands.release(classes, author, reason))
+        return self._success(self._commands.release(classes, author, reason))
 
     def _pin(self, number: str, on: bool) -> Answer:
-        return self._done(self._commands.set_version_pinned(VersionNumber.parse(number), on))
+        return self._success(self._commands.set_version_pinned(VersionNumber.parse(number), on))
 
-    def _done(self, text: str) -> Answer:
+    def _success(self, text: str) -> Answer:
         return {"done": text, "serial": list(self._publisher.requests.serial)}
 
     def _version_fields(self, version: Version) -> Answer:
@@ -130,7 +132,7 @@
             "number": str(version.number),
             "parent": str(version.parent) if version.parent else None,
             "at": version.published_at,
-            "cause": version.cause[:MAX_CAUSE_LENGTH],
+            "cause": version.cause[:MAX_SHOWN_CAUSE_LENGTH],
             "author": version.author,
             "content": version.content_hash,
             "pinned": version.number in self._publisher.requests.pinned_versions,
@@ -151,7 +153,7 @@
     return {"tables": page, "more": False}
 
 
-def _difference(before: Snapshot, table: str, change: TableSnapshot | TableDelta | None) -> Answer:
+def _table_diff(before: Snapshot, table: str, change: TableSnapshot | TableDelta | None) -> Answer:
     """Return what a change of one table does, as people read it: [before, after] by line."""
     old = before.get(table)
     old_weights: Mapping[str, float] = {} if old is None else old.weights
@@ -162,7 +164,7 @@
         weights.update(change.weights)
     return {
         "class": _class_name(old, change),
-        "level": [_level(old), _level(change)],
+        "level": [_admission(old), _admission(change)],
         "lines": {
             server: [old_weights.get(server), weight]
             for server, weight in weights.items()
@@ -177,5 +179,5 @@
     return change.class_name if isinstance(change, TableSnapshot) else None
 
 
-def _level(table: TableSnapshot | TableDelta | None) -> list[float] | None:
+def _admission(table: TableSnapshot | TableDelta | None) -> list[float] | None:
     return None if table is None else [table.admitted_share, table.retry_policy]
--- a/indigodeck/versions/operator_commands.py
+++ b/indigodeck/versions/operator_commands.py
@@ -37,29 +37,29 @@
             author is missing.
         """
         epoch = self._require_leadership()
-        names = self._checked_names(class_names)
+        names = self._resolve_class_names(class_names)
         if self._publisher.version_log.snapshot_of(number) is None:
             raise RejectedError(f"version {number} is not kept")
-        replaced = self._publisher.requests.roll_back(
+        previous_pins = self._publisher.requests.roll_back(
             number, names, author, reason, self._clock.wall_clock(), epoch
         )
-        if not replaced:
+        if not previous_pins:
             return f"held at {number} already: nothing changes"
         self._publisher.publish_for_operator(
-            author, f"rollback of {', '.join(replaced)} to {number}: {reason}"
+            author, f"rollback of {', '.join(previous_pins)} to {number}: {reason}"
         )
         earlier_pins = sorted(
             {
                 f"{name} was held at {pin.version} by {pin.author}"
-                for name, pin in replaced.items()
+                for name, pin in previous_pins.items()
                 if pin
             }
         )
         return "; ".join(
             [
-                f"{', '.join(replaced)} held at {number}",
+                f"{', '.join(previous_pins)} held at {number}",
                 *earlier_pins,
-                *self.overruled_tables(replaced),
+                *self.describe_overrides(previous_pins),
             ]
         )
 
@@ -72,7 +72,7 @@
             If this controller does not lead, or a class is unknown.
         """
         epoch = self._require_leadership()
-        released = self._publisher.requests.release(self._checked_names(class_names), epoch)
+        released = self._publisher.requests.release(self._resolve_class_names(class_names), epoch)
         if not released:
             return "nothing was held: nothing changes"
         names = ", ".join(released)
@@ -94,13 +94,13 @@
             self._publisher.save_requests()
         return f"{number} is {'' if pinned else 'not '}pinned"
 
-    def overruled_tables(self, class_names: Iterable[str]) -> list[str]:
+    def describe_overrides(self, class_names: Iterable[str]) -> list[str]:
         """Return the tables of pinned classes that a rule keeps as assigned, in words."""
         publisher = self._publisher
         wanted = set(class_names)
         tables_by_reason: dict[str, list[str]] = {}
         for table, assigned in publisher.assigned_tables.items():
-            reason = publisher.rollback_pins.overruled_because.get(table)
+            reason = publisher.rollback_pins.override_reasons.get(table)
             if reason and publisher.class_names[assigned.class_index] in wanted:
                 tables_by_reason.setdefault(reason, []).append(str(table))
         return [
@@ -114,7 +114,7 @@
             raise RejectedError("another controller is in charge, or the store can't be written")
         return epoch
 
-    def _checked_names(self, class_names: Sequence[str]) -> list[str]:
+    def _resolve_class_names(self, class_names: Sequence[str]) -> list[str]:
         known = self._publisher.class_names
         unknown = [name for name in class_names if name not in known]
         if unknown:
--- a/indigodeck/versions/operator_requests.py
+++ b/indigodeck/versions/operator_requests.py
@@ -40,7 +40,7 @@
         """Return a copy of what holds now."""
         return RequestState(self.serial, dict(self.rollbacks), frozenset(self.pinned_versions))
 
-    def merge(self, state: RequestState) -> bool:
+    def replace_if_newer(self, state: RequestState) -> bool:
         """Take another controller's state; return whether it is newer than the one here."""
         if state.serial <= self.serial:
             return False
@@ -69,16 +69,16 @@
             raise RejectedError("a rollback needs an author")
         if len(author) > MAX_TEXT_LENGTH or len(reason) > MAX_TEXT_LENGTH:
             raise RejectedError(f"author and reason are {MAX_TEXT_LENGTH} characters at most")
-        replaced = {
+        previous_pins = {
             name: self.rollbacks.get(name)
             for name in class_names
             if name not in self.rollbacks or self.rollbacks[name].version != version
         }
-        if replaced:
+        if previous_pins:
             serial = self._advance_serial(epoch)
-            for name in replaced:
+            for name in previous_pins:
                 self.rollbacks[name] = RollbackPin(version, author, reason, requested_at, serial)
-        return replaced
+        return previous_pins
 
     def release(self, class_names: Iterable[str], epoch: int) -> dict[str, RollbackPin]:
         """Unpin classes, and return the pins of those that had one."""
--- a/indigodeck/versions/publisher.py
+++ b/indigodeck/versions/publisher.py
@@ -22,18 +22,18 @@
 from .relay_versions import RelayVersions, RelayVersionsHost
 from .rollback_pins import RollbackPins, RollbackPinsHost, Weights
 from .snapshots import table_snapshot
-from .version_log import LogStore, VersionLog
+from .version_log import VersionLog, VersionLogStore
 
 SAVE_RELAYS_PERIOD = 10 * SECOND
 PRUNE_PERIOD = 60 * SECOND
 # After a start or takeover, tables that no relay is on yet stay published for so long: the relays
 # may be on their way here.
-RETAIN_TABLES_FOR = 60 * SECOND
+TABLE_RETENTION = 60 * SECOND
 MAX_CAUSES = 20  # texts that one version's cause is put together from
 MAX_LOGGED_CAUSE_LENGTH = 200  # characters
 
 
-class PublisherHost(LogStore, RelayVersionsHost, RollbackPinsHost, Protocol):
+class PublisherHost(VersionLogStore, RelayVersionsHost, RollbackPinsHost, Protocol):
     """What the publisher and its parts ask of the program around them.
 
     Servers and proxies are indices.
@@ -112,7 +112,7 @@
         # Of the operator's request that is being carried out: its author, and what it is.
         self._author = ""
         self._request_text = ""
-        self._always_publish = False
+        self._force_publish = False
         self._relays_saved_at = host.now()
         self._pruned_at = host.now()
         self.apply_rollback_pins()
@@ -122,18 +122,18 @@
         """Whether this planner may publish versions and accept operator requests."""
         return self.epoch is not None
 
-    def become_leader(self, epoch: int, after_another: bool = False) -> None:
+    def become_leader(self, epoch: int, after_other_leader: bool = False) -> None:
         """Publish versions under this epoch from now on.
 
-        `after_another` says that another controller led before, whose last versions may not have
-        come here. What is published now is then a version of its own, though it may look like the
-        last one known: a relay that holds an unknown version must see a newer one.
+        `after_other_leader` says that another controller led before, whose last versions may not
+        have come here. What is published now is then a version of its own, though it may look like
+        the last one known: a relay that holds an unknown version must see a newer one.
         """
-        self._always_publish = self._always_publish or after_another
+        self._force_publish = self._force_publish or after_other_leader
         self.epoch = epoch if self.epoch is None else max(epoch, self.epoch)
         self.version_log.start_epoch(self.epoch)
         self._causes.append(f"in charge under epoch {epoch}")
-        self.retain_tables_until = self._host.now() + RETAIN_TABLES_FOR
+        self.retain_tables_until = self._host.now() + TABLE_RETENTION
         self.resume_tables()
 
     def resume_tables(self) -> None:
@@ -141,7 +141,10 @@
         snapshot = self.version_log.snapshot
         if snapshot:
             self._host.resume_tables(
-                {int(name): self._known_servers(table.weights) for name, table in snapshot.items()}
+                {
+                    int(name): self._listed_server_indices(table.weights)
+                    for name, table in snapshot.items()
+                }
             )
 
     def lose_leadership(self) -> None:
@@ -172,20 +175,20 @@
         else:
             self._author = ""
             self._causes = []
-        self._always_publish = False
-        self._do_housekeeping()
+        self._force_publish = False
+        self._run_maintenance()
 
     def publish_for_operator(self, author: str, text: str) -> None:
         """Publish what an operator's request makes of the tables, as a version in any case."""
         self._author = author
         self._request_text = text
-        self._always_publish = True
+        self._force_publish = True
         self._causes = [text]
         self.apply_rollback_pins()
         self.save_requests()
         self.publish("an operator's word")
 
-    def newest(self) -> VersionNumber | None:
+    def newest_version(self) -> VersionNumber | None:
         """Return the version that a message made now brings a relay to, if any."""
         return self.version_log.newest if self.is_leader else None
 
@@ -206,7 +209,7 @@
 
     def on_peer_requests(self, state: RequestState) -> bool:
         """Take what operators asked of another controller; return whether that is newer."""
-        if not self.requests.merge(state):
+        if not self.requests.replace_if_newer(state):
             return False
         self._host.save([(codec.REQUESTS_KEY, codec.encode_requests(state))])
         self.apply_rollback_pins()
@@ -260,7 +263,7 @@
     def _publish_snapshot(self, snapshot: Snapshot, event: str) -> None:
         before = self.version_log.table_hashes
         version = self.version_log.publish(
-            snapshot, "; ".join(self._causes) or event, self._author, self._always_publish
+            snapshot, "; ".join(self._causes) or event, self._author, self._force_publish
         )
         if version is None:
             return
@@ -280,7 +283,7 @@
             cause=version.cause[:MAX_LOGGED_CAUSE_LENGTH],
         )
 
-    def _do_housekeeping(self) -> None:
+    def _run_maintenance(self) -> None:
         now = self._host.now()
         if now - self._relays_saved_at >= SAVE_RELAYS_PERIOD:
             self._relays_saved_at = now
@@ -309,6 +312,6 @@
             by_index[-1 - position if server is None else server] = weight
         return by_index
 
-    def _known_servers(self, server_ids: Iterable[str]) -> list[int]:
+    def _listed_server_indices(self, server_ids: Iterable[str]) -> list[int]:
         indices = (self._host.server_index(server_id) for server_id in server_ids)
         return [server for server in indices if server is not None]
--- a/indigodeck/versions/relay_versions.py
+++ b/indigodeck/versions/relay_versions.py
@@ -11,7 +11,7 @@
 from . import codec
 from .model import RelayStatus, VersionNumber
 
-MAX_REMEMBERED_RELAYS = 65_536
+MAX_STORED_RELAYS = 65_536
 
 
 class RelayVersionsHost(Protocol):
@@ -33,13 +33,13 @@
 class RelayVersions:
     """The versions that connected relays hold, and those that relays held before.
 
-    `remembered` is by relay id, as it is stored.
+    `last_known` is by relay id, as it is stored.
     """
 
     def __init__(self, host: RelayVersionsHost):
-        self.remembered = codec.decode_relay_versions(host.load(codec.RELAYS_KEY))
+        self.last_known = codec.decode_relay_versions(host.load(codec.RELAYS_KEY))
         self._host = host
-        self._taken: dict[int, VersionNumber] = {}  # by proxy
+        self._delivered: dict[int, VersionNumber] = {}  # by proxy
         self._confirmed: dict[int, VersionNumber] = {}  # by proxy: what its program has taken
         self._table_changed_in: dict[str, VersionNumber] = {}
 
@@ -47,31 +47,33 @@
         """Take note of a version that is published and changes these tables."""
         self._table_changed_in.update((table, number) for table in changed_tables)
 
-    def on_taken(self, proxy: int, number: VersionNumber | None, by_program: bool = True) -> None:
+    def on_delivered(
+        self, proxy: int, number: VersionNumber | None, confirmed: bool = True
+    ) -> None:
         """Take note that a relay took a message, which brings it to a version if it was of one.
 
-        `by_program` is False if so far as is known only its machine took it.
+        `confirmed` is False if so far as is known only its machine took it.
         """
-        if number is not None and number >= self._taken.get(proxy, number):
-            self._taken[proxy] = number
-            if by_program:
-                self.on_request(proxy)
+        if number is not None and number >= self._delivered.get(proxy, number):
+            self._delivered[proxy] = number
+            if confirmed:
+                self.on_proxy_request(proxy)
 
-    def on_request(self, proxy: int) -> None:
+    def on_proxy_request(self, proxy: int) -> None:
         """Take note that a relay's program asked something, so it ran after taking what it has."""
-        if proxy in self._taken:
-            self._confirmed[proxy] = self._taken[proxy]
+        if proxy in self._delivered:
+            self._confirmed[proxy] = self._delivered[proxy]
 
-    def on_left(self, proxy: int) -> None:
+    def on_proxy_left(self, proxy: int) -> None:
         """Take note that a relay's connection ended."""
-        number = self._taken.pop(proxy, None)
+        number = self._delivered.pop(proxy, None)
         self._confirmed.pop(proxy, None)
         if number is not None:
-            self.remembered[self._host.relay_id(proxy)] = number
+            self.last_known[self._host.relay_id(proxy)] = number
 
     def clear(self) -> None:
         """Forget what connected relays hold: another controller serves them now."""
-        self._taken.clear()
+        self._delivered.clear()
         self._confirmed.clear()
 
     def statuses(self) -> list[RelayStatus]:
@@ -86,20 +88,20 @@
                 ),
                 self._confirmed.get(proxy) == number,
             )
-            for proxy, number in sorted(self._taken.items())
+            for proxy, number in sorted(self._delivered.items())
         ]
 
     def held_versions(self) -> set[VersionNumber]:
         """Return the versions that a relay holds, or held before."""
-        return {*self._taken.values(), *self.remembered.values()}
+        return {*self._delivered.values(), *self.last_known.values()}
 
     def save(self) -> None:
         """Store what relays hold, if it has changed."""
         versions = {
-            **self.remembered,
-            **{self._host.relay_id(proxy): number for proxy, number in self._taken.items()},
+            **self.last_known,
+            **{self._host.relay_id(proxy): number for proxy, number in self._delivered.items()},
         }
-        kept = dict(list(versions.items())[-MAX_REMEMBERED_RELAYS:])
-        if kept != self.remembered:
-            self.remembered = kept
+        kept = dict(list(versions.items())[-MAX_STORED_RELAYS:])
+        if kept != self.last_known:
+            self.last_known = kept
             self._host.save([(codec.RELAYS_KEY, codec.encode_relay_versions(kept))])
--- a/indigodeck/versions/replication.py
+++ b/indigodeck/versions/replication.py
@@ -22,11 +22,11 @@
 from .replication_messages import (
     Announcement,
     Message,
+    RequestsAck,
+    RequestsQuery,
     RequestsState,
-    RequestsStored,
-    RequestsWanted,
     SnapshotPart,
-    SnapshotWanted,
+    SnapshotQuery,
     VersionPublished,
     decode,
     encode,
@@ -36,8 +36,8 @@
 MAX_PART_BYTES = 24 << 10  # of JSON: what a delta or one part of a snapshot may fill of a message
 TABLE_OVERHEAD_BYTES = 8  # quotes and separators around a table's name in that JSON
 ANNOUNCE_PERIOD = SECOND
-ASK_AGAIN_AFTER = ANNOUNCE_PERIOD // 2
-FORGET_ASKED_AFTER = 10 * ANNOUNCE_PERIOD
+QUERY_RETRY_DELAY = ANNOUNCE_PERIOD // 2
+QUERY_RECORD_LIFETIME = 10 * ANNOUNCE_PERIOD
 MAX_PARTS = 4096  # of one snapshot: what claims more is no answer of ours
 MAX_INCOMPLETE_SNAPSHOTS = 4  # whose parts are kept at once
 
@@ -50,13 +50,13 @@
     def now(self) -> int:
         """Return the time on a clock that never goes back, in microseconds."""
 
-    def later(self, after: int, call: Callable[[], None]) -> Any:
+    def call_later(self, after: int, call: Callable[[], None]) -> Any:
         """Call back after so many microseconds."""
 
     def send(self, member: str, kind: str, **fields: Any) -> None:
         """Send a message to another controller; it may be lost."""
 
-    def others(self) -> list[str]:
+    def peer_ids(self) -> list[str]:
         """Return the other controllers' ids."""
 
     def is_leader(self) -> bool:
@@ -73,17 +73,17 @@
         self._parts: dict[VersionNumber, dict[int, Snapshot]] = {}
         # The serial of the operator requests that each peer is known to have stored.
         self._stored_serials: dict[str, RequestSerial] = {}
-        self._asked_at: dict[VersionNumber, int] = {}
+        self._queried_at: dict[VersionNumber, int] = {}
         self._handlers: dict[type, Callable[[str, Any], None]] = {
             Announcement: self._on_announcement,
             VersionPublished: self._on_version_published,
             RequestsState: self._on_requests_state,
-            RequestsWanted: self._on_requests_wanted,
-            RequestsStored: self._on_requests_stored,
-            SnapshotWanted: self._on_snapshot_wanted,
+            RequestsQuery: self._on_requests_query,
+            RequestsAck: self._on_requests_ack,
+            SnapshotQuery: self._on_snapshot_query,
             SnapshotPart: self._on_snapshot_part,
         }
-        host.later(ANNOUNCE_PERIOD, self._announce)
+        host.call_later(ANNOUNCE_PERIOD, self._announce)
 
     def send_version(self, version: Version, delta: SnapshotDelta) -> None:
         """Send peers a version that was published here.
@@ -99,18 +99,18 @@
 
     def request_peer_states(self) -> None:
         """Ask all peers what operators want, before the copy here counts for sure."""
-        self._send_to_all(RequestsWanted())
+        self._send_to_all(RequestsQuery())
 
     def replica_count(self, serial: RequestSerial) -> int:
         """Return how many controllers, this one included, have the requests up to a serial."""
         return 1 + sum(
             self._stored_serials.get(member, NO_REQUESTS) >= serial
-            for member in self._host.others()
+            for member in self._host.peer_ids()
         )
 
     def controller_count(self) -> int:
         """Return how many controllers there are, this one included."""
-        return 1 + len(self._host.others())
+        return 1 + len(self._host.peer_ids())
 
     def on_message(self, member: str, kind: str, fields: dict[str, Any]) -> None:
         """Handle a peer's message of one of `replication_messages.MESSAGE_KINDS`."""
@@ -118,41 +118,41 @@
         self._handlers[type(message)](member, message)
 
     def _announce(self) -> None:
-        self._host.later(ANNOUNCE_PERIOD, self._announce)
+        self._host.call_later(ANNOUNCE_PERIOD, self._announce)
         if self._host.is_leader():
-            newest = self._publisher.newest()
+            newest = self._publisher.newest_version()
             content_hash = self._publisher.version_log.content_hash() if newest else ""
             self._send_to_all(Announcement(newest, content_hash, self._publisher.requests.state()))
 
     def _on_announcement(self, member: str, message: Announcement) -> None:
-        self._merge(member, message.requests)
-        self._send(member, RequestsStored(self._publisher.requests.serial))
-        self._want_pinned(member)
+        self._adopt_requests(member, message.requests)
+        self._send(member, RequestsAck(self._publisher.requests.serial))
+        self._query_pinned_snapshots(member)
         if message.newest is not None and not self._host.is_leader():
             own = self._publisher.version_log.newest
             if own is None or own < message.newest:
-                self._want(member, message.newest)
+                self._query_snapshot(member, message.newest)
 
     def _on_version_published(self, member: str, message: VersionPublished) -> None:
         if self._host.is_leader():
             return
         if not self._publisher.version_log.append_from_peer(message.version, message.delta):
             # One before it was missed: this one may still be had complete.
-            self._want(member, message.version.number)
+            self._query_snapshot(member, message.version.number)
 
     def _on_requests_state(self, member: str, message: RequestsState) -> None:
         """Answer with the serial that is stored here now, which may be a newer one."""
-        self._merge(member, message.requests)
-        self._send(member, RequestsStored(self._publisher.requests.serial))
+        self._adopt_requests(member, message.requests)
+        self._send(member, RequestsAck(self._publisher.requests.serial))
 
-    def _on_requests_wanted(self, member: str, _message: RequestsWanted) -> None:
+    def _on_requests_query(self, member: str, _message: RequestsQuery) -> None:
         self._send(member, RequestsState(self._publisher.requests.state()))
 
-    def _on_requests_stored(self, member: str, message: RequestsStored) -> None:
+    def _on_requests_ack(self, member: str, message: RequestsAck) -> None:
         known = self._stored_serials.get(member, NO_REQUESTS)
         self._stored_serials[member] = max(message.serial, known)
 
-    def _on_snapshot_wanted(self, member: str, message: SnapshotWanted) -> None:
+    def _on_snapshot_query(self, member: str, message: SnapshotQuery) -> None:
         snapshot = self._publisher.version_log.snapshot_of(message.number)
         if snapshot is None:
             return
@@ -164,7 +164,7 @@
     def _on_snapshot_part(self, _member: str, message: SnapshotPart) -> None:
         number = message.version.number
         if (
-            number not in self._asked_at
+            number not in self._queried_at
             or number in self._publisher.version_log.versions
             or not 0 <= message.part < message.part_count <= MAX_PARTS
         ):
@@ -181,34 +181,34 @@
         if snapshot_hash(snapshot) == message.version.content_hash:
             self._publisher.on_peer_version(message.version, snapshot)
 
-    def _merge(self, member: str, state: RequestState) -> None:
+    def _adopt_requests(self, member: str, state: RequestState) -> None:
         if self._publisher.on_peer_requests(state):
-            self._want_pinned(member)
+            self._query_pinned_snapshots(member)
 
-    def _want_pinned(self, member: str) -> None:
+    def _query_pinned_snapshots(self, member: str) -> None:
         for pin in self._publisher.requests.rollbacks.values():
-            self._want(member, pin.version)
+            self._query_snapshot(member, pin.version)
 
-    def _want(self, member: str, number: VersionNumber) -> None:
+    def _query_snapshot(self, member: str, number: VersionNumber) -> None:
         """Ask a peer for a version that is not here, unless it was asked for a moment ago."""
         if number in self._publisher.version_log.versions:
             return
         now = self._host.now()
-        asked_at = self._asked_at.get(number)
-        if asked_at is not None and now - asked_at < ASK_AGAIN_AFTER:
+        queried_at = self._queried_at.get(number)
+        if queried_at is not None and now - queried_at < QUERY_RETRY_DELAY:
             return
-        self._asked_at = {
-            other: at for other, at in self._asked_at.items() if now - at < FORGET_ASKED_AFTER
+        self._queried_at = {
+            other: at for other, at in self._queried_at.items() if now - at < QUERY_RECORD_LIFETIME
         }
-        self._asked_at[number] = now
-        self._send(member, SnapshotWanted(number))
+        self._queried_at[number] = now
+        self._send(member, SnapshotQuery(number))
 
     def _send(self, member: str, message: Message) -> None:
         kind, fields = encode(message)
         self._host.send(member, kind, **fields)
 
     def _send_to_all(self, message: Message) -> None:
-        for member in self._host.others():
+        for member in self._host.peer_ids():
             self._send(member, message)
 
 
--- a/indigodeck/versions/replication_messages.py
+++ b/indigodeck/versions/replication_messages.py
@@ -46,19 +46,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestsWanted:
+class RequestsQuery:
     """The sender asks for what operators want."""
 
 
 @dataclass(frozen=True, slots=True)
-class RequestsStored:
+class RequestsAck:
     """The sender has stored the operator requests up to a serial."""
 
     serial: RequestSerial
 
 
 @dataclass(frozen=True, slots=True)
-class SnapshotWanted:
+class SnapshotQuery:
     """The sender lacks a version."""
 
     number: VersionNumber
@@ -78,9 +78,9 @@
     Announcement
     | VersionPublished
     | RequestsState
-    | RequestsWanted
-    | RequestsStored
-    | SnapshotWanted
+    | RequestsQuery
+    | RequestsAck
+    | SnapshotQuery
     | SnapshotPart
 )
 
@@ -101,11 +101,11 @@
             }
         case RequestsState(requests):
             return "wishes", {"wishes": codec.encode_requests(requests)}
-        case RequestsWanted():
+        case RequestsQuery():
             return "ask wishes", {}
-        case RequestsStored(serial):
+        case RequestsAck(serial):
             return "noted", {"serial": list(serial)}
-        case SnapshotWanted(number):
+        case SnapshotQuery(number):
             return "want", {"number": list(number)}
         case SnapshotPart():
             return "sheets", _encode_part(message)
@@ -143,20 +143,20 @@
     )
 
 
-def _decode_requests(fields: Fields) -> RequestsState:
+def _decode_requests_state(fields: Fields) -> RequestsState:
     return RequestsState(codec.decode_requests(fields["wishes"]))
 
 
-def _decode_requests_wanted(_fields: Fields) -> RequestsWanted:
-    return RequestsWanted()
+def _decode_requests_query(_fields: Fields) -> RequestsQuery:
+    return RequestsQuery()
 
 
-def _decode_requests_stored(fields: Fields) -> RequestsStored:
-    return RequestsStored(RequestSerial(*fields["serial"]))
+def _decode_requests_ack(fields: Fields) -> RequestsAck:
+    return RequestsAck(RequestSerial(*fields["serial"]))
 
 
-def _decode_snapshot_wanted(fields: Fields) -> SnapshotWanted:
-    return SnapshotWanted(VersionNumber(*fields["number"]))
+def _decode_snapshot_query(fields: Fields) -> SnapshotQuery:
+    return SnapshotQuery(VersionNumber(*fields["number"]))
 
 
 def _decode_part(fields: Fields) -> SnapshotPart:
@@ -174,10 +174,10 @@
 _DECODERS: dict[str, Callable[[Fields], Message]] = {
     "book": _decode_announcement,
     "version": _decode_version,
-    "wishes": _decode_requests,
-    "ask wishes": _decode_requests_wanted,
-    "noted": _decode_requests_stored,
-    "want": _decode_snapshot_wanted,
+    "wishes": _decode_requests_state,
+    "ask wishes": _decode_requests_query,
+    "noted": _decode_requests_ack,
+    "want": _decode_snapshot_query,
     "sheets": _decode_part,
 }
 MESSAGE_KINDS = frozenset(_DECODERS)
--- a/indigodeck/versions/rollback_pins.py
+++ b/indigodeck/versions/rollback_pins.py
@@ -21,7 +21,7 @@
 from .model import AssignedTable, ServerReadiness
 
 MIN_REMAINING_SHARE = 0.5  # of an old table's weight, below which the table stays the assigner's
-QUEUE_SHARE = 0.4  # of the lines that may wait, which a rollback may fill
+MAX_QUEUE_SHARE = 0.4  # of the lines that may wait, which a rollback may fill
 
 Weights = Mapping[int, float]
 
@@ -52,7 +52,7 @@
     """The weights that a table should have, and why they are not the old ones, if so."""
 
     weights: Weights
-    overruled_because: str | None
+    override_reason: str | None
 
 
 def pinned_table(
@@ -91,13 +91,13 @@
     ----------
     published_weights
         By table, the weights that are published where they differ from the assigned ones.
-    overruled_because
+    override_reasons
         By table, why a rule keeps it as assigned; None where none does.
     """
 
     def __init__(self, host: RollbackPinsHost):
         self.published_weights: dict[int, Weights] = {}
-        self.overruled_because: dict[int, str | None] = {}
+        self.override_reasons: dict[int, str | None] = {}
         self._host = host
         # By class index, the tables of the version that the class is pinned to.
         self._old_tables: dict[int, dict[int, Weights]] = {}
@@ -137,7 +137,7 @@
 
     def _update_table(self, table: int, assigned: AssignedTable, budget: "_LineBudget") -> None:
         target, reason = self._target(table, assigned)
-        self.overruled_because[table] = reason
+        self.override_reasons[table] = reason
         published = self.weights_of(table, assigned.weights)
         if table not in self.published_weights and target == assigned.weights:
             return
@@ -189,8 +189,8 @@
     def __init__(self, host: RollbackPinsHost):
         max_waiting_lines = host.max_waiting_lines()
         self.spent = 0.0
-        self._available = host.free_lines() - (1 - QUEUE_SHARE) * max_waiting_lines
-        self._queue_is_empty = self._available >= max_waiting_lines * QUEUE_SHARE
+        self._available = host.free_lines() - (1 - MAX_QUEUE_SHARE) * max_waiting_lines
+        self._queue_is_empty = self._available >= max_waiting_lines * MAX_QUEUE_SHARE
 
     def allows(self, cost: float) -> bool:
         """Return whether so many lines more may be sent now."""
--- a/indigodeck/versions/snapshots.py
+++ b/indigodeck/versions/snapshots.py
@@ -51,7 +51,7 @@
 def snapshot_delta(old: Snapshot, new: Snapshot) -> SnapshotDelta:
     """Return what turns the snapshot `old` into `new`, by table."""
     return {
-        name: _table_change(old.get(name), new.get(name))
+        name: _table_delta(old.get(name), new.get(name))
         for name in sorted(old.keys() | new.keys())
         if old.get(name) != new.get(name)
     }
@@ -72,7 +72,7 @@
         elif isinstance(change, TableSnapshot):
             new[name] = change
         else:
-            new[name] = _changed_table(name, old.get(name), change)
+            new[name] = _apply_table_delta(name, old.get(name), change)
     return new
 
 
@@ -81,7 +81,7 @@
     return sum(1 + len(change.weights) if change else 1 for change in changes)
 
 
-def _table_change(
+def _table_delta(
     old: TableSnapshot | None, new: TableSnapshot | None
 ) -> TableSnapshot | TableDelta | None:
     """Return what turns the table `old` into `new`: a delta where that is shorter."""
@@ -98,7 +98,7 @@
     return TableDelta(table_hash(old), weights, new.admitted_share, new.retry_policy)
 
 
-def _changed_table(name: str, old: TableSnapshot | None, delta: TableDelta) -> TableSnapshot:
+def _apply_table_delta(name: str, old: TableSnapshot | None, delta: TableDelta) -> TableSnapshot:
     if old is None or table_hash(old) != delta.base_hash:
         raise SnapshotMismatchError(f"table {name} is not the one that was changed")
     weights = {**old.weights, **delta.weights}
--- a/indigodeck/versions/version_log.py
+++ b/indigodeck/versions/version_log.py
@@ -36,7 +36,7 @@
 DEFAULT_MAX_AGE = 7 * DAY
 
 
-class LogStore(Protocol):
+class VersionLogStore(Protocol):
     """The store of a version log, and its clock."""
 
     def wall_clock(self) -> int:
@@ -70,7 +70,7 @@
 
     def __init__(
         self,
-        store: LogStore,
+        store: VersionLogStore,
         keys: Iterable[str] = (),
         max_versions: int = DEFAULT_MAX_VERSIONS,
         max_age: int = DEFAULT_MAX_AGE,
@@ -112,18 +112,18 @@
         return combined_hash(self.table_hashes)
 
     def publish(
-        self, snapshot: Snapshot, cause: str, author: str = "", always: bool = False
+        self, snapshot: Snapshot, cause: str, author: str = "", force: bool = False
     ) -> Version | None:
         """Log the snapshot that is published now.
 
         Return its version if it differs from what was published last, or if there is to be one
-        `always`; else, or while no epoch is started, None.
+        `force`; else, or while no epoch is started, None.
         """
         hashes = {
             name: self.table_hashes[name] if self.snapshot.get(name) is table else table_hash(table)
             for name, table in snapshot.items()
         }
-        if self._epoch is None or (hashes == self.table_hashes and not always):
+        if self._epoch is None or (hashes == self.table_hashes and not force):
             return None
         before = self.snapshot
         self.snapshot = snapshot
@@ -215,7 +215,7 @@
             if not needed & set(chain):
                 dropped += chain
         if dropped:
-            self._forget(dropped)
+            self._discard(dropped)
             self._store.save([(codec.version_key(number), None) for number in dropped])
         return dropped
 
@@ -230,7 +230,7 @@
             if snapshot is not None:
                 self._set_snapshot(snapshot)
                 return
-            self._forget([self.newest])  # its chain is not complete
+            self._discard([self.newest])  # its chain is not complete
             self.newest = max(self.versions, default=None)
 
     def _set_snapshot(self, snapshot: Snapshot) -> None:
@@ -266,7 +266,7 @@
         record = codec.encode_record(version, content)
         self._store.save([(codec.version_key(version.number), record)])
 
-    def _forget(self, numbers: Iterable[VersionNumber]) -> None:
+    def _discard(self, numbers: Iterable[VersionNumber]) -> None:
         for number in numbers:
             chain_start = self.versions.pop(number).chain_start
             del self.records[number]
--- a/tests/frontends/lossy_network.py
+++ b/tests/frontends/lossy_network.py
@@ -84,7 +84,7 @@
             server_ids=self.servers,
             proxy_ids=self.proxy_ids,
             store=self,
-            stored=dict(self.stored.held),
+            stored=dict(self.stored.values),
             clock_gap=DAY,
             on_version_published=lambda version, delta: None,
             on_requests_changed=lambda state: None,
--- a/tests/leadership/test_stored_leases.py
+++ b/tests/leadership/test_stored_leases.py
@@ -45,10 +45,12 @@
     def test_leases_and_rejections_are_read_from_the_store(self):
         """Both are found under their keys, and written back alike."""
         reader = self.opened()
-        leases = StoredRecord(reader.store, reader.held, "charge", RecordFile(self.folder / "none"))
+        leases = StoredRecord(
+            reader.store, reader.values, "charge", RecordFile(self.folder / "none")
+        )
         rejections = StoredRecord(
             reader.store,
-            reader.held,
+            reader.values,
             "refused",
             RecordFile(self.folder / "none"),
             list,
@@ -57,7 +59,7 @@
         self.assertEqual((leases.read(), rejections.read()), (LEASES, REJECTIONS))
         self.assertTrue(leases.save(LEASES) and rejections.save(REJECTIONS))
         reader.reopen()
-        self.assertEqual(reader.held, STORED["records"])
+        self.assertEqual(reader.values, STORED["records"])
 
     def test_leases_and_rejections_are_read_from_files_and_written_as_the_same_bytes(self):
         """Each file is read as it was meant, and written byte for byte."""
--- a/tests/planner/test_restart.py
+++ b/tests/planner/test_restart.py
@@ -20,8 +20,8 @@
         async with planner:
             async with connected_client(planner) as client:
                 publisher = planner.service.versions.publisher
-                await until(publisher.newest)
-                first = publisher.newest()
+                await until(publisher.newest_version)
+                first = publisher.newest_version()
                 planner.set_host_states(host_0="draining", host_1="draining")
                 await client.until_without(0, 1)
                 planner.set_host_states(host_0="ready", host_1="ready")
@@ -36,26 +36,26 @@
                     }
                 )
                 self.assertIn("reading held at", answer["done"])
-                last = publisher.newest()
+                last = publisher.newest_version()
                 content_hash = publisher.version_log.content_hash()
             planner.service.close()
             async with restarted(planner), connected_client(planner) as client:
                 await asyncio.sleep(0.5)
                 publisher = planner.service.versions.publisher
                 self.assertEqual(
-                    (publisher.newest(), publisher.version_log.content_hash()),
+                    (publisher.newest_version(), publisher.version_log.content_hash()),
                     (last, content_hash),
                 )
                 self.assertEqual(publisher.requests.rollbacks["reading"].author, "duty")
                 planner.set_host_states(host_2="draining")
                 await client.until_without(2)
-                newest = publisher.newest()
+                newest = publisher.newest_version()
                 self.assertEqual((first.epoch, newest.epoch, newest.serial), (1, 2, 1))
                 await until(
                     lambda: [
                         status
                         for status in publisher.relay_versions.statuses()
-                        if status[1:] == (publisher.newest(), True, True)
+                        if status[1:] == (publisher.newest_version(), True, True)
                     ]
                 )
 
--- a/tests/planner/test_stored_endpoint_list.py
+++ b/tests/planner/test_stored_endpoint_list.py
@@ -27,7 +27,7 @@
                 """Return the index."""
                 return int(name.removeprefix("host-"))
 
-        kept = self.opened().held["roster"]
+        kept = self.opened().values["roster"]
         listener = Listener()
         endpoint_list = EndpointList(
             listener, IdRegistry(), ["north", "south"], ["small", "big"], 1_749_999_000_000_000 - 7
--- a/tests/store/test_stored_segments.py
+++ b/tests/store/test_stored_segments.py
@@ -29,15 +29,15 @@
             (store.notes, store.store.log.damage, store.store.log.data_lost), ([], [], False)
         )
         self.assertEqual(
-            sorted(store.held),
+            sorted(store.values),
             sorted(
                 [*OTHER_KEYS, *(f"version/{epoch:012d}.{serial:012d}" for epoch, serial in NUMBERS)]
             ),
         )
-        self.assertEqual(store.held, STORED["records"])
-        self.assertEqual(store.held["starts"], 4)
+        self.assertEqual(store.values, STORED["records"])
+        self.assertEqual(store.values["starts"], 4)
         self.assertEqual(
-            store.held["relays"], {"relay-0": [33, 2], "relay-1": [33, 2], "relay-2": [33, 2]}
+            store.values["relays"], {"relay-0": [33, 2], "relay-1": [33, 2], "relay-2": [33, 2]}
         )
 
     def test_a_damaged_base_is_replaced_by_the_base_and_the_segments_before(self):
@@ -48,12 +48,12 @@
         base.write_bytes(data)
         store = self.opened()
         self.assertEqual([event for event, _ in store.notes], ["store_tail_truncated"])
-        self.assertEqual(store.held, STORED["records"])
+        self.assertEqual(store.values, STORED["records"])
 
     def test_the_last_segment_holds_what_came_after_the_base(self):
         """Without it the values are those of the compaction."""
         (self.folder / "00000005.log").unlink()
-        held = self.opened().held
+        held = self.opened().values
         self.assertEqual(held["starts"], 3)
         self.assertEqual(held["charge"], {"serial": 11, "wards": {"fleet": [17, "c1"]}})
         self.assertEqual(held["second key to drop"], {"dropped": True})
@@ -71,7 +71,7 @@
         store.reopen()
         want = {**STORED["records"], "starts": 5}
         del want["relays"]
-        self.assertEqual((store.notes, store.held), ([], want))
+        self.assertEqual((store.notes, store.values), ([], want))
 
 
 if __name__ == "__main__":
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -32,14 +32,14 @@
 
     def __init__(self, folder):
         self.folder = folder
-        self.clock = STARTED_AT + DAY
+        self.wall_time_us = STARTED_AT + DAY
         self.notes = []
         self.open()
 
     def open(self):
         """Open the store and read all that it holds."""
         self.store = StoreWriter(StoreFolder(self.folder), self._note)
-        self.held = self.store.query(WriteAheadLog.read_all).result()
+        self.values = self.store.query(WriteAheadLog.read_all).result()
 
     def save(self, changes):
         """Write changes; raises AssertionError if the store cannot be written."""
--- a/tests/versions/support.py
+++ b/tests/versions/support.py
@@ -12,31 +12,33 @@
 
 
 class StubStore:
-    """Clock and store for a version log; what is stored while it is `broken` is lost."""
+    """Clock and store for a version log; what is stored while it is `drops_writes` is lost."""
 
     def __init__(self):
-        self.clock = 10 * DAY
-        self.held = {}
-        self.broken = False
+        self.wall_time_us = 10 * DAY
+        self.values = {}
+        self.drops_writes = False
 
     def wall_clock(self):
         """Return the stub's time of day."""
-        return self.clock
+        return self.wall_time_us
 
     def save(self, changes):
         """Store values by key; None removes a key."""
         for key, value in changes:
             # As it would come back from a disk.
-            self.held[key] = None if value is None or self.broken else json.loads(json.dumps(value))
-        self.held = {key: value for key, value in self.held.items() if value is not None}
+            self.values[key] = (
+                None if value is None or self.drops_writes else json.loads(json.dumps(value))
+            )
+        self.values = {key: value for key, value in self.values.items() if value is not None}
 
     def load(self, key):
         """Return the value under a key, or None."""
-        return self.held.get(key)
+        return self.values.get(key)
 
     def keys(self):
         """Return the keys of stored versions."""
-        return [key for key in self.held if key.startswith("version/")]
+        return [key for key in self.values if key.startswith("version/")]
 
 
 class StubPlanner:
@@ -45,15 +47,15 @@
     Proxies 0 to 5 are on one table of each class. Without an epoch it does not lead.
     """
 
-    def __init__(self, store=None, epoch=1, room=10_000):
+    def __init__(self, store=None, epoch=1, free_line_count=10_000):
         self.store = store or StubStore()
-        self.clock = 0
-        self.room = room
+        self.time_us = 0
+        self.free_line_count = free_line_count
         self.weights = {table: {(table + nth) % 12: 1.0 for nth in range(4)} for table in range(6)}
         self.revisions = dict.fromkeys(range(6), 0)
-        self.states = {}
+        self.readiness_by_server = {}
         self.changed_tables = []
-        self.logged = []
+        self.log_events = []
         self.request_states = []
         self.publisher = TablePublisher(self, ["read", "write"], 2000, DAY)
         self.commands = OperatorCommands(self.publisher, self)
@@ -63,11 +65,11 @@
 
     def now(self):
         """Return the stub's time."""
-        return self.clock
+        return self.time_us
 
     def wall_clock(self):
         """Return the store's time of day, moved on by the stub's time."""
-        return self.store.wall_clock() + self.clock
+        return self.store.wall_clock() + self.time_us
 
     def save(self, changes):
         """Store values by key."""
@@ -79,7 +81,7 @@
 
     def keys(self, prefix):
         """Return the stored keys that begin with a prefix."""
-        return [key for key in self.store.held if key.startswith(prefix)]
+        return [key for key in self.store.values if key.startswith(prefix)]
 
     def assigned_tables(self):
         """Return the weights as the assigner's tables."""
@@ -100,12 +102,14 @@
         """Return the state that a test gave a server; warm where it gave none."""
         if not 0 <= server < 12:
             return ServerReadiness.UNAVAILABLE
-        return self.states.get(server, ServerReadiness.WARM)
+        return self.readiness_by_server.get(server, ServerReadiness.WARM)
 
     def ejected_servers(self):
         """Return the servers that a test made unavailable."""
         return frozenset(
-            server for server, state in self.states.items() if state is ServerReadiness.UNAVAILABLE
+            server
+            for server, state in self.readiness_by_server.items()
+            if state is ServerReadiness.UNAVAILABLE
         )
 
     def assigned_proxy_count(self, table):
@@ -122,7 +126,7 @@
 
     def free_lines(self):
         """Return the room that a test left."""
-        return self.room
+        return self.free_line_count
 
     def max_waiting_lines(self):
         """Return the size of the queue."""
@@ -138,11 +142,11 @@
 
     def resume_tables(self, tables):
         """Note the tables to resume."""
-        self.resumed = tables
+        self.resumed_tables = tables
 
     def on_version_published(self, version, delta):
         """Note the newest version."""
-        self.last = version, delta
+        self.last_published = version, delta
 
     def on_requests_changed(self, state):
         """Note what operators want."""
@@ -150,9 +154,9 @@
 
     def log(self, event, **facts):
         """Note a log event."""
-        self.logged.append((event, facts))
+        self.log_events.append((event, facts))
 
-    def change(self, table, why="", **weights):
+    def change_table(self, table, why="", **weights):
         """Let the assigner give a table other weights: h3=1.0 is of server 3."""
         self.weights[table] = {int(server[1:]): weight for server, weight in weights.items()}
         self.revisions[table] += 1
@@ -160,9 +164,9 @@
             self.publisher.add_cause(why)
         self.publisher.publish("turn")
 
-    def published(self):
+    def published_weights(self):
         """Return {table: {server id: weight}} as relays should hold it now."""
-        snapshot = self.publisher.version_log.snapshot_of(self.publisher.newest())
+        snapshot = self.publisher.version_log.snapshot_of(self.publisher.newest_version())
         return {table: held.weights for table, held in snapshot.items()}
 
 
--- a/tests/versions/test_admin_api.py
+++ b/tests/versions/test_admin_api.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from indigodeck.versions.admin_api import PAGE_LENGTH, AdminApi
+from indigodeck.versions.admin_api import MAX_PAGE_ENTRIES, AdminApi
 
 from .support import SERVER_IDS, StubPlanner
 
@@ -14,9 +14,9 @@
         """Publish version 1.1, and 1.2 with another table 0."""
         self.planner = StubPlanner()
         self.api = AdminApi(self.planner.publisher, self.planner)
-        self.planner.change(0, "server 3 is slow", h0=2.0, h1=1.0, h2=1.0, h8=1.0)
+        self.planner.change_table(0, "server 3 is slow", h0=2.0, h1=1.0, h2=1.0, h8=1.0)
 
-    def test_versions_are_listed_newest_first_with_what_is_rolled_back(self):
+    def test_list_returns_versions_newest_first_and_active_rollbacks(self):
         """The list says of each version what it is, and of each rollback who asked for it."""
         self.api.answer(
             {
@@ -47,16 +47,16 @@
         older = self.api.answer({"what": "list", "before": "1.3"})
         self.assertEqual([one["number"] for one in older["versions"]], ["1.2", "1.1"])
 
-    def test_a_long_list_comes_in_pages(self):
+    def test_long_list_is_paginated(self):
         """One answer has a page of versions, and says that there are more."""
-        for nth in range(PAGE_LENGTH):
-            self.planner.change(0, h0=3.0 + nth)
+        for nth in range(MAX_PAGE_ENTRIES):
+            self.planner.change_table(0, h0=3.0 + nth)
         answer = self.api.answer({"what": "list"})
-        self.assertEqual((len(answer["versions"]), answer["more"]), (PAGE_LENGTH, True))
+        self.assertEqual((len(answer["versions"]), answer["more"]), (MAX_PAGE_ENTRIES, True))
         rest = self.api.answer({"what": "list", "before": answer["versions"][-1]["number"]})
         self.assertEqual((len(rest["versions"]), rest["more"]), (2, False))
 
-    def test_a_difference_says_of_each_line_what_it_was_and_is(self):
+    def test_diff_returns_old_and_new_weight_of_each_changed_line(self):
         """Lines of a table that changed, from the old version to the new one and back."""
         answer = self.api.answer({"what": "diff", "old": "1.1", "new": "1.2"})
         lines = {"host-0": [1.0, 2.0], "host-3": [1.0, None], "host-8": [None, 1.0]}
@@ -72,7 +72,7 @@
             back["tables"]["0"]["lines"], {name: line[::-1] for name, line in lines.items()}
         )
 
-    def test_tables_are_shown_in_pages_that_each_fit_a_message(self):
+    def test_show_is_paginated_to_fit_messages(self):
         """All tables of a version come in several answers, each asked for by the last name."""
         self.planner.weights = {table: dict.fromkeys(range(12), 1.0) for table in range(400)}
         self.planner.revisions = dict.fromkeys(range(400), 0)
@@ -95,12 +95,12 @@
             {"class": "write", "level": [1.0, 1], "lines": dict.fromkeys(SERVER_IDS, 1.0)},
         )
 
-    def test_relays_are_listed_with_what_they_hold(self):
+    def test_relays_returns_the_version_each_relay_holds(self):
         """A relay that is behind is said to be."""
         relay_versions = self.planner.publisher.relay_versions
         first = min(self.planner.publisher.version_log.versions)
-        relay_versions.on_taken(0, first)
-        relay_versions.on_taken(1, self.planner.publisher.newest(), by_program=False)
+        relay_versions.on_delivered(0, first)
+        relay_versions.on_delivered(1, self.planner.publisher.newest_version(), confirmed=False)
         answer = self.api.answer({"what": "relays"})
         self.assertEqual(
             [list(one) for one in answer["relays"]],
@@ -109,7 +109,7 @@
         rest = self.api.answer({"what": "relays", "after": "relay-0"})
         self.assertEqual(([one[0] for one in rest["relays"]], rest["more"]), (["relay-1"], False))
 
-    def test_a_change_is_answered_with_its_serial(self):
+    def test_change_returns_its_serial(self):
         """Pinning twice changes nothing the second time, so the serial stays."""
         pin = {"what": "pin", "number": "1.1", "on": True}
         self.assertEqual(self.api.answer(pin), {"done": "1.1 is pinned", "serial": [1, 1]})
@@ -121,7 +121,7 @@
             {"done": "nothing was held: nothing changes", "serial": [1, 1]},
         )
 
-    def test_a_request_that_can_not_be_carried_out_is_answered_with_the_reason(self):
+    def test_rejected_request_returns_the_reason(self):
         """Unknown requests, versions and classes, and requests to one that does not lead."""
         rollback = {"what": "rollback", "number": "1.1", "author": "duty", "reason": ""}
         for request, reason in (
--- a/tests/versions/test_operator_commands.py
+++ b/tests/versions/test_operator_commands.py
@@ -11,69 +11,71 @@
 class RollBackTest(unittest.TestCase):
     """Rollbacks and releases on a stub of the planner."""
 
-    def test_a_rollback_pins_one_class_until_released_and_rules_come_first(self):
+    def test_rollback_pins_class_until_release_subject_to_safety_rules(self):
         """A pinned class keeps its old table, as far as the rules let it, until it is released."""
         planner = StubPlanner()
-        first = planner.publisher.newest()
-        planner.change(0, h8=1.0, h9=1.0, h10=1.0)
-        planner.change(1, h8=1.0, h9=1.0, h10=1.0)
+        first = planner.publisher.newest_version()
+        planner.change_table(0, h8=1.0, h9=1.0, h10=1.0)
+        planner.change_table(1, h8=1.0, h9=1.0, h10=1.0)
         self.assertIn(
             "read held at 1.1",
             planner.commands.roll_back(first, ["read"], "duty", "exchanges fail"),
         )
         self.assertEqual(
-            (set(planner.published()["0"]), set(planner.published()["1"])),
+            (set(planner.published_weights()["0"]), set(planner.published_weights()["1"])),
             ({"host-0", "host-1", "host-2", "host-3"}, {"host-8", "host-9", "host-10"}),
         )
-        last = planner.publisher.version_log.versions[planner.publisher.newest()]
+        last = planner.publisher.version_log.versions[planner.publisher.newest_version()]
         self.assertEqual(
             (last.author, last.cause), ("duty", "rollback of read to 1.1: exchanges fail")
         )
         # What the assigner changes meanwhile is not published; a server that drains leaves all
         # the same.
-        planner.change(0, h8=2.0, h9=1.0)
-        self.assertEqual(planner.publisher.newest(), last.number)
-        planner.states[1] = ServerReadiness.UNAVAILABLE
+        planner.change_table(0, h8=2.0, h9=1.0)
+        self.assertEqual(planner.publisher.newest_version(), last.number)
+        planner.readiness_by_server[1] = ServerReadiness.UNAVAILABLE
         planner.publisher.publish("list")
-        self.assertEqual(set(planner.published()["0"]), {"host-0", "host-2", "host-3"})
+        self.assertEqual(set(planner.published_weights()["0"]), {"host-0", "host-2", "host-3"})
         # One that starts anew is guarded: it may have what it has today, which is nothing here.
-        planner.states[2] = ServerReadiness.COLD
+        planner.readiness_by_server[2] = ServerReadiness.COLD
         planner.publisher.publish("list")
-        self.assertEqual(set(planner.published()["0"]), {"host-0", "host-3"})
+        self.assertEqual(set(planner.published_weights()["0"]), {"host-0", "host-3"})
         # Too few are left: the class goes on with today's table.
-        planner.states[3] = ServerReadiness.UNAVAILABLE
+        planner.readiness_by_server[3] = ServerReadiness.UNAVAILABLE
         planner.publisher.publish("list")
-        self.assertEqual(planner.published()["0"], {"host-8": 2.0, "host-9": 1.0})
+        self.assertEqual(planner.published_weights()["0"], {"host-8": 2.0, "host-9": 1.0})
         self.assertEqual(
-            planner.commands.overruled_tables(["read"]),
+            planner.commands.describe_overrides(["read"]),
             ["tables 0 stay today's: too little of it is left"],
         )
-        planner.states.clear()
+        planner.readiness_by_server.clear()
         planner.publisher.publish("list")
-        self.assertEqual(len(planner.published()["0"]), 4)
+        self.assertEqual(len(planner.published_weights()["0"]), 4)
         self.assertEqual(planner.commands.release([], "duty", "mended"), "read released")
-        self.assertEqual(planner.published()["0"], {"host-8": 2.0, "host-9": 1.0})
+        self.assertEqual(planner.published_weights()["0"], {"host-8": 2.0, "host-9": 1.0})
 
-    def test_a_command_takes_effect_once_however_often_and_by_whomever_it_is_given(self):
+    def test_repeated_command_changes_nothing_and_new_rollback_replaces_pin(self):
         """A repeated command changes nothing; another operator's replaces the pin."""
         planner = StubPlanner()
         publisher = planner.publisher
-        first = publisher.newest()
-        planner.change(0, h8=1.0, h9=1.0)
-        second = publisher.newest()
+        first = publisher.newest_version()
+        planner.change_table(0, h8=1.0, h9=1.0)
+        second = publisher.newest_version()
         planner.commands.roll_back(first, [], "duty", "a")
-        pinned = publisher.newest()
+        pinned = publisher.newest_version()
         count = len(publisher.version_log.versions)
         for _ in range(3):
             self.assertIn("nothing changes", planner.commands.roll_back(first, [], "duty", "a"))
-        self.assertEqual((publisher.newest(), len(publisher.version_log.versions)), (pinned, count))
+        self.assertEqual(
+            (publisher.newest_version(), len(publisher.version_log.versions)), (pinned, count)
+        )
         # To the one that is published already, by another operator at the same time: said, and
         # pinned from then on.
         self.assertIn(
             "was held at 1.1 by duty", planner.commands.roll_back(second, ["read"], "night", "b")
         )
         self.assertEqual(publisher.requests.rollbacks["write"].author, "duty")
-        self.assertEqual(len(planner.published()["0"]), 2)
+        self.assertEqual(len(planner.published_weights()["0"]), 2)
         self.assertIn("nothing changes", planner.commands.roll_back(second, ["read"], "night", "b"))
         for wrong, classes in ((VersionNumber(9, 9), []), (first, ["none"])):
             with self.assertRaises(RejectedError):
@@ -83,19 +85,19 @@
             planner.commands.release([], "duty", ""), "nothing was held: nothing changes"
         )
 
-    def test_a_version_whose_servers_are_all_gone_is_said_to_change_nothing_yet(self):
+    def test_rollback_to_unavailable_servers_reports_overridden_tables(self):
         """The answer names the tables that a rule keeps as they are."""
         planner = StubPlanner()
-        first = planner.publisher.newest()
-        planner.change(0, h8=1.0, h9=1.0)
-        planner.states.update(dict.fromkeys(range(4), ServerReadiness.UNAVAILABLE))
+        first = planner.publisher.newest_version()
+        planner.change_table(0, h8=1.0, h9=1.0)
+        planner.readiness_by_server.update(dict.fromkeys(range(4), ServerReadiness.UNAVAILABLE))
         planner.publisher.publish("list")
-        before = planner.published()["0"]
+        before = planner.published_weights()["0"]
         self.assertIn(
             "tables 0 stay today's: nobody of it is warm",
             planner.commands.roll_back(first, ["read"], "duty", ""),
         )
-        self.assertEqual(planner.published()["0"], before)
+        self.assertEqual(planner.published_weights()["0"], before)
 
 
 if __name__ == "__main__":
--- a/tests/versions/test_operator_requests.py
+++ b/tests/versions/test_operator_requests.py
@@ -12,7 +12,7 @@
 class OperatorRequestsTest(unittest.TestCase):
     """What is kept for requests, and its stored form."""
 
-    def test_pinned_versions_and_rollbacks_are_what_must_be_kept(self):
+    def test_requests_survive_encoding_and_limit_pinned_versions(self):
         """Their state comes back from its stored form; no more versions are pinned than allowed."""
         requests = OperatorRequests()
         self.assertTrue(requests.set_version_pinned(VersionNumber(1, 4), True, 1))
--- a/tests/versions/test_publisher.py
+++ b/tests/versions/test_publisher.py
@@ -13,12 +13,12 @@
 class TablePublisherTest(unittest.TestCase):
     """A publisher on a stub of the planner."""
 
-    def test_each_change_is_a_version_with_its_cause_and_an_unchanged_snapshot_is_none(self):
+    def test_each_change_publishes_a_version_with_its_cause_and_restart_publishes_none(self):
         """Versions have the assigner's words as causes, or the event that led to them."""
         planner = StubPlanner()
-        planner.change(0, "server 3 leaves classes [0]: slow", h0=1.0, h1=1.0)
+        planner.change_table(0, "server 3 leaves classes [0]: slow", h0=1.0, h1=1.0)
         planner.publisher.publish("turn")
-        planner.states[5] = ServerReadiness.UNAVAILABLE
+        planner.readiness_by_server[5] = ServerReadiness.UNAVAILABLE
         planner.publisher.publish("list")
         versions = list(planner.publisher.version_log.versions.values())
         self.assertEqual(
@@ -30,25 +30,30 @@
             ],
         )
         self.assertEqual(
-            {table for table, weights in planner.published().items() if "host-5" in weights}, set()
+            {
+                table
+                for table, weights in planner.published_weights().items()
+                if "host-5" in weights
+            },
+            set(),
         )
         again = StubPlanner(planner.store, 2)
         again.weights = planner.weights
-        again.states = planner.states
+        again.readiness_by_server = planner.readiness_by_server
         again.publisher.publish("start")
         self.assertEqual(
             again.publisher.version_log.snapshot, planner.publisher.version_log.snapshot
         )
 
-    def test_requests_outlast_a_restart_and_a_takeover_and_are_not_carried_out_twice(self):
+    def test_requests_survive_restart_and_takeover_and_are_applied_once(self):
         """A rollback holds on over a restart and on another controller."""
         planner = StubPlanner()
-        first = planner.publisher.newest()
-        planner.change(0, h8=1.0, h9=1.0)
+        first = planner.publisher.newest_version()
+        planner.change_table(0, h8=1.0, h9=1.0)
         planner.commands.roll_back(first, ["read"], "duty", "a")
         again = StubPlanner(planner.store, 2)
-        again.change(0, h8=1.0, h9=1.0)
-        self.assertEqual(set(again.published()["0"]), PINNED_SERVERS)
+        again.change_table(0, h8=1.0, h9=1.0)
+        self.assertEqual(set(again.published_weights()["0"]), PINNED_SERVERS)
         # Another controller, with copies of versions and requests; the same copy again changes
         # nothing.
         other = StubPlanner(None, 0)
@@ -60,13 +65,13 @@
             [True, False],
         )
         other.publisher.become_leader(7)
-        other.change(0, h8=1.0, h9=1.0)
-        self.assertEqual(set(other.published()["0"]), PINNED_SERVERS)
+        other.change_table(0, h8=1.0, h9=1.0)
+        self.assertEqual(set(other.published_weights()["0"]), PINNED_SERVERS)
         # Who takes over publishes what was published: no version of its own, until something
         # changes.
-        self.assertEqual(other.publisher.newest(), planner.publisher.newest())
+        self.assertEqual(other.publisher.newest_version(), planner.publisher.newest_version())
         other.commands.release([], "night", "")
-        self.assertEqual(str(other.publisher.newest()), "7.1")
+        self.assertEqual(str(other.publisher.newest_version()), "7.1")
         # What was asked before it is older.
         self.assertFalse(other.publisher.on_peer_requests(planner.request_states[-1]))
         with self.assertRaises(RejectedError):
--- a/tests/versions/test_relay_versions.py
+++ b/tests/versions/test_relay_versions.py
@@ -14,14 +14,14 @@
 class RelayVersionsTest(unittest.TestCase):
     """What transports report of relays, in order, late, or twice."""
 
-    def test_what_relays_hold_is_known_by_version_and_stored(self):
+    def test_relay_status_follows_deliveries_and_is_stored(self):
         """Statuses follow what was taken and confirmed, and are stored now and then."""
         planner = StubPlanner()
-        first = planner.publisher.newest()
+        first = planner.publisher.newest_version()
         relay_versions = planner.publisher.relay_versions
         for proxy in range(3):
-            relay_versions.on_taken(proxy, first)
-        planner.change(0, h8=1.0, h9=1.0)
+            relay_versions.on_delivered(proxy, first)
+        planner.change_table(0, h8=1.0, h9=1.0)
         self.assertEqual(
             relay_versions.statuses(),
             [
@@ -30,15 +30,16 @@
                 ("relay-2", FIRST, True, True),
             ],
         )
-        relay_versions.on_taken(0, planner.publisher.newest(), by_program=False)
+        relay_versions.on_delivered(0, planner.publisher.newest_version(), confirmed=False)
         self.assertEqual(relay_versions.statuses()[0], ("relay-0", SECOND_VERSION, True, False))
-        relay_versions.on_request(0)
-        relay_versions.on_taken(0, first)  # told twice, or late: it holds what is newer
+        relay_versions.on_proxy_request(0)
+        relay_versions.on_delivered(0, first)  # told twice, or late: it holds what is newer
         self.assertEqual(relay_versions.statuses()[0], ("relay-0", SECOND_VERSION, True, True))
-        planner.clock += 20 * SECOND
+        planner.time_us += 20 * SECOND
         planner.publisher.publish("turn")
         self.assertEqual(
-            planner.store.held["relays"], {"relay-0": [1, 2], "relay-1": [1, 1], "relay-2": [1, 1]}
+            planner.store.values["relays"],
+            {"relay-0": [1, 2], "relay-1": [1, 1], "relay-2": [1, 1]},
         )
 
 
--- a/tests/versions/test_replication.py
+++ b/tests/versions/test_replication.py
@@ -18,20 +18,20 @@
 class SimulatedNetwork:
     """Controllers, and their messages on simulated time: lost, late, twice, out of order.
 
-    `loss` is the percentage of messages that are lost; `leader` the name of the controller that
-    leads.
+    `loss_percent` is the percentage of messages that are lost; `leader` the name of the controller
+    that leads.
     """
 
-    def __init__(self, seed, members=3):
+    def __init__(self, seed, controller_count=3):
         self.loop = SimulatedLoop()
         self.random = SeededRandom(seed)
-        self.loss = 0
+        self.loss_percent = 0
         self.planners = {}
         self.replicators = {}
         self.leader = None
-        self.published = {}  # by number, the hash of its content that was seen first
-        self.names = [f"c{nth}" for nth in range(members)]
-        self._checked = {}  # by name, the numbers that were checked already
+        self.content_hashes = {}  # by number, the hash of its content that was seen first
+        self.names = [f"c{nth}" for nth in range(controller_count)]
+        self._checked_numbers = {}  # by name, the numbers that were checked already
         for name in self.names:
             self.start(name, StubStore())
 
@@ -39,16 +39,16 @@
         """Start a controller, anew where it ran before, on its store."""
         planner = StubPlanner(store, 0)
         planner.publisher.epoch = None
-        replicator = VersionReplicator(NetworkSeat(self, name), planner.publisher)
+        replicator = VersionReplicator(SimulatedReplicatorHost(self, name), planner.publisher)
         planner.on_requests_changed = replicator.send_requests
         planner.on_version_published = replicator.send_version
         self.planners[name] = planner
         self.replicators[name] = replicator
-        self._checked[name] = set()
+        self._checked_numbers[name] = set()
 
-    def carry(self, source, target, kind, fields):
+    def send(self, source, target, kind, fields):
         """Bring a message to its target, if it is not lost."""
-        if self.random.below(100) < self.loss:
+        if self.random.below(100) < self.loss_percent:
             return
         # As it travels: what a message can't carry must show here.
         *_, fields = message_codec.unpack(
@@ -72,44 +72,44 @@
         if self.leader:
             self.planners[self.leader].publisher.lose_leadership()
         self.leader = name
-        self.planners[name].publisher.become_leader(epoch, after_another=True)
+        self.planners[name].publisher.become_leader(epoch, after_other_leader=True)
         self.replicators[name].request_peer_states()
         self.planners[name].publisher.publish("taken over")
 
-    def check(self):
+    def check_contents(self):
         """Prove that all that any controller ever held under a number was one content."""
         for name in self.names:
             log = self.planners[name].publisher.version_log
-            for number in log.versions.keys() - self._checked[name]:
+            for number in log.versions.keys() - self._checked_numbers[name]:
                 found = log.snapshot_of(number)
                 content_hash = log.versions[number].content_hash
                 if found is None or snapshot_hash(found) != content_hash:
                     raise AssertionError(f"{name} holds {number}, which is not complete")
-                if self.published.setdefault(number, content_hash) != content_hash:
+                if self.content_hashes.setdefault(number, content_hash) != content_hash:
                     raise AssertionError(f"{number} is two")
-                self._checked[name].add(number)
+                self._checked_numbers[name].add(number)
 
-    def check_agreement(self, seed):
+    def check_convergence(self, seed):
         """Prove that all controllers hold the same."""
         states = [_state(self.planners[name].publisher) for name in self.names]
         if any(state != _state(self.planners[self.leader].publisher) for state in states):
             raise AssertionError(f"seed {seed}: they do not agree")
 
 
-class NetworkSeat:
+class SimulatedReplicatorHost:
     """One controller's place on the network: the host of its replicator."""
 
     def __init__(self, network, name):
         self.network = network
         self.name = name
         self.now = network.loop.now
-        self.later = network.loop.later
+        self.call_later = network.loop.later
 
     def send(self, member, kind, **fields):
         """Give a message to the network."""
-        self.network.carry(self.name, member, kind, fields)
+        self.network.send(self.name, member, kind, fields)
 
-    def others(self):
+    def peer_ids(self):
         """Return the other controllers' names."""
         return [name for name in self.network.names if name != self.name]
 
@@ -126,9 +126,9 @@
         self.network = SimulatedNetwork(seed, 3 + 2 * (seed % 2))
         self.random = SeededRandom(seed + 7)
         self.epoch = 1
-        self.kept_serial = None  # of the last request that was called kept
+        self.committed_serial = None  # of the last request that was called kept
         self.network.take_over("c0", self.epoch)
-        self.network.loss = (0, 20, 60)[seed % 3]
+        self.network.loss_percent = (0, 20, 60)[seed % 3]
 
     def step(self):
         """Do one thing, and check what all hold."""
@@ -145,12 +145,12 @@
         else:
             self._restart()
         self.network.loop.run(self.random.below(1500) / 1000)
-        self.network.check()
+        self.network.check_contents()
 
     def _change(self, planner):
         table = self.random.below(6)
         weights = {f"h{self.random.below(12)}": 1.0 + self.random.below(3) for _ in range(4)}
-        planner.change(table, **weights)
+        planner.change_table(table, **weights)
 
     def _roll_back(self, planner):
         numbers = sorted(planner.publisher.version_log.versions)
@@ -163,15 +163,15 @@
         network = self.network
         serial = planner.publisher.requests.serial
         if network.replicators[network.leader].replica_count(serial) > len(network.names) // 2:
-            self.kept_serial = max(self.kept_serial or serial, serial)
+            self.committed_serial = max(self.committed_serial or serial, serial)
         self.epoch += 1
-        loss = network.loss
-        network.loss = 0
+        loss = network.loss_percent
+        network.loss_percent = 0
         network.take_over(network.names[self.random.below(len(network.names))], self.epoch)
         network.loop.run(2)
-        network.loss = loss
+        network.loss_percent = loss
         serial = network.planners[network.leader].publisher.requests.serial
-        if self.kept_serial is not None and serial < self.kept_serial:
+        if self.committed_serial is not None and serial < self.committed_serial:
             raise AssertionError(f"seed {self.seed}: a request that was kept is forgotten")
 
     def _restart(self):
@@ -186,21 +186,21 @@
     network = schedule.network
     for _ in range(MAX_CHANGES):
         schedule.step()
-    network.loss = 0
+    network.loss_percent = 0
     network.loop.run(8)
-    network.check()
-    network.check_agreement(seed)
-    return len(network.published)
+    network.check_contents()
+    network.check_convergence(seed)
+    return len(network.content_hashes)
 
 
 class ReplicationTest(unittest.TestCase):
     """What all controllers end with, whatever the network does."""
 
-    def test_whatever_is_lost_late_or_twice_all_end_with_one_log_and_no_mixture(self):
+    def test_controllers_converge_despite_lost_late_and_duplicate_messages(self):
         """600 schedules, each with every number of one content, and agreement at its end."""
         self.assertGreater(sum(play_schedule(seed) for seed in range(600)), 6000)
 
-    def test_a_snapshot_that_does_not_fit_a_message_comes_in_parts_or_not_at_all(self):
+    def test_large_snapshot_is_replicated_in_parts_that_fit_messages(self):
         """400 tables reach a follower in parts that each fit a message."""
         network = SimulatedNetwork(3)
         planner = network.planners["c0"]
@@ -208,13 +208,13 @@
         planner.revisions = dict.fromkeys(range(400), 0)
         network.take_over("c0", 1)
         sent = []
-        carry = network.carry
+        send = network.send
 
         def record(source, target, kind, fields):
             sent.append((kind, fields))
-            carry(source, target, kind, fields)
+            send(source, target, kind, fields)
 
-        network.carry = record
+        network.send = record
         network.loop.run(4)
         parts = [fields for kind, fields in sent if kind == "sheets"]
         self.assertGreater(parts[0]["of"], 3)
--- a/tests/versions/test_replication_messages.py
+++ b/tests/versions/test_replication_messages.py
@@ -18,11 +18,11 @@
         """Choose the recorded messages of replication."""
         self.recorded = [one for one in MESSAGES["messages"] if one["kind"] in MESSAGE_KINDS]
 
-    def test_each_kind_is_recorded(self):
+    def test_recorded_messages_cover_every_kind(self):
         """The recorded messages show all kinds of replication."""
         self.assertEqual({one["kind"] for one in self.recorded}, MESSAGE_KINDS)
 
-    def test_each_message_is_read_and_sent_as_the_same_bytes(self):
+    def test_recorded_messages_decode_and_encode_to_the_same_bytes(self):
         """A recorded message is decoded, and encoded again, to the bytes that it had."""
         for one in self.recorded:
             with self.subTest(kind=one["kind"]):
--- a/tests/versions/test_rollback_pins.py
+++ b/tests/versions/test_rollback_pins.py
@@ -24,7 +24,7 @@
         some.dictionaries(some.integers(0, 9), some.floats(0.1, 4)),
         some.lists(some.sampled_from([UNAVAILABLE, COLD, WARM]), min_size=10, max_size=10),
     )
-    def test_rules_come_before_an_old_table(self, old, drawn, states):
+    def test_pinned_table_satisfies_safety_rules(self, old, drawn, states):
         """Whatever the old table and today's servers, what is published keeps the rules."""
         assigned = {
             server: weight for server, weight in drawn.items() if states[server] != UNAVAILABLE
@@ -45,7 +45,7 @@
             else:
                 self.assertEqual(weights[server], old[server])
 
-    def test_what_is_left_of_an_old_table_must_be_enough(self):
+    def test_assigned_table_is_used_when_too_little_of_the_old_one_remains(self):
         """Too little weight, or no warm server, leaves the assigned table."""
         old = {0: 1.0, 1: 1.0, 2: 1.0, 3: 1.0}
         assigned = {4: 1.0, 5: 1.0}
@@ -67,16 +67,17 @@
         )
 
 
-class RollbackPaceTest(unittest.TestCase):
+class RollbackRateTest(unittest.TestCase):
     """A rollback fills a part of the channel's queue only."""
 
-    def test_the_way_there_and_back_is_paced_by_the_channel(self):
+    def test_rollback_is_rate_limited_by_the_channel_queue(self):
         """A rollback of all tables takes two updates where the queue has room for four."""
         planner = StubPlanner()
-        first = planner.publisher.newest()
+        first = planner.publisher.newest_version()
         for table in range(6):
-            planner.change(table, h8=1.0, h9=1.0)
-        planner.room = 6100  # of 10,000: a little is left of the part that a rollback may fill
+            planner.change_table(table, h8=1.0, h9=1.0)
+        # Of 10,000: a little is left of the part that a rollback may fill.
+        planner.free_line_count = 6100
         planner.changed_tables.clear()
         planner.commands.roll_back(first, [], "duty", "a")
         self.assertEqual(len(planner.changed_tables), 4)
--- a/tests/versions/test_snapshots.py
+++ b/tests/versions/test_snapshots.py
@@ -37,7 +37,7 @@
 
     @settings(max_examples=300, deadline=None)
     @given(Snapshots, Snapshots, Snapshots)
-    def test_a_delta_makes_the_new_snapshot_of_the_old_one_and_of_no_other(self, old, new, other):
+    def test_delta_applies_only_to_the_snapshot_it_was_made_from(self, old, new, other):
         """Applied to its base a delta gives the new snapshot; applied to another it fails."""
         delta = decode_delta(json.loads(json.dumps(encode_delta(snapshot_delta(old, new)))))
         self.assertEqual(apply_delta(old, delta), new)
--- a/tests/versions/test_stored_versions.py
+++ b/tests/versions/test_stored_versions.py
@@ -24,7 +24,7 @@
         """Return the version log of a store."""
         return VersionLog(store, store.keys())
 
-    def test_numbers_causes_authors_and_times_are_those_that_were_published(self):
+    def test_stored_version_metadata_is_read(self):
         """All versions are found, with what is known of them."""
         log = self.log(self.opened())
         self.assertEqual([tuple(one) for one in sorted(log.versions)], NUMBERS)
@@ -65,7 +65,7 @@
             (None, VersionNumber(3, 36)),
         )
 
-    def test_the_snapshot_of_each_version_are_those_that_were_published(self):
+    def test_stored_snapshots_are_read(self):
         """Each version's tables are those that were published then."""
         log = self.log(self.opened())
         for one in STORED["versions"]:
@@ -88,9 +88,9 @@
             log.snapshot_of(VersionNumber(33, 3))["4"].weights, {"host-5": 1.25, "host-6": 1.25}
         )
 
-    def test_the_rollback_and_the_pinned_versions_are_kept(self):
+    def test_stored_operator_requests_are_read_and_written_unchanged(self):
         """Operator requests are read, and written in the same form."""
-        requests = OperatorRequests(decode_requests(self.opened().held["wishes"]))
+        requests = OperatorRequests(decode_requests(self.opened().values["wishes"]))
         self.assertEqual((requests.serial, requests.pinned_versions), ((33, 2), {(3, 12), (17, 1)}))
         self.assertEqual(
             {name: tuple(pin) for name, pin in requests.rollbacks.items()},
@@ -106,20 +106,20 @@
         )
         self.assertEqual(encode_requests(requests.state()), STORED["records"]["wishes"])
 
-    def test_a_new_version_follows_under_a_higher_epoch_while_the_rollback_goes_on(self):
+    def test_new_version_continues_stored_log_with_rollback_active(self):
         """The log goes on where the old program left it, in records that it can read."""
         store = self.opened()
         planner = StubPlanner(store, epoch=0)
         self.assertEqual(
-            planner.publisher.relay_versions.remembered,
+            planner.publisher.relay_versions.last_known,
             dict.fromkeys(["relay-0", "relay-1", "relay-2"], VersionNumber(33, 2)),
         )
         planner.publisher.become_leader(49)
-        planner.change(3, "server 9 is back", h9=3.0)
-        self.assertEqual(str(planner.publisher.newest()), "49.1")
-        self.assertEqual(planner.published()["3"], {"host-9": 3.0})
+        planner.change_table(3, "server 9 is back", h9=3.0)
+        self.assertEqual(str(planner.publisher.newest_version()), "49.1")
+        self.assertEqual(planner.published_weights()["3"], {"host-9": 3.0})
         self.assertEqual(
-            planner.published()["4"], {"host-4": 1.25, "host-5": 1.25, "host-6": 1.25}
+            planner.published_weights()["4"], {"host-4": 1.25, "host-5": 1.25, "host-6": 1.25}
         )  # of 3.20, pinned
         store.reopen()
         log = self.log(store)
@@ -132,7 +132,7 @@
             log.snapshot_of(VersionNumber(49, 1)), planner.publisher.version_log.snapshot
         )
         # It is stored in the form of the ones before, which older programs read.
-        written = store.held["version/000000000049.000000000001"]
+        written = store.values["version/000000000049.000000000001"]
         self.assertEqual(
             written.keys(), STORED["records"]["version/000000000033.000000000003"].keys()
         )
@@ -143,27 +143,27 @@
             encode_snapshot(log.snapshot_of(VersionNumber(3, 36))), STORED["versions"][35]["sheets"]
         )
 
-    def test_what_relays_hold_is_kept_in_the_same_form(self):
+    def test_relay_versions_are_stored_in_the_same_form(self):
         """Versions of relays are added to those that were stored."""
         store = self.opened()
         planner = StubPlanner(store, epoch=49)
-        planner.publisher.relay_versions.on_taken(7, planner.publisher.newest())
-        planner.clock += 20_000_000
+        planner.publisher.relay_versions.on_delivered(7, planner.publisher.newest_version())
+        planner.time_us += 20_000_000
         planner.publisher.publish("turn")
         store.reopen()
         self.assertEqual(
-            store.held["relays"],
-            {**STORED["records"]["relays"], "relay-7": list(planner.publisher.newest())},
+            store.values["relays"],
+            {**STORED["records"]["relays"], "relay-7": list(planner.publisher.newest_version())},
         )
 
-    def test_the_rollback_can_be_released(self):
+    def test_stored_rollback_can_be_released(self):
         """A stored rollback is released, and the pinned versions stay."""
         store = self.opened()
         planner = StubPlanner(store, epoch=49)
         self.assertEqual(planner.commands.release(["read"], "day shift", "mended"), "read released")
         store.reopen()
         self.assertEqual(
-            store.held["wishes"], {"serial": [49, 1], "pins": [[3, 12], [17, 1]], "holds": {}}
+            store.values["wishes"], {"serial": [49, 1], "pins": [[3, 12], [17, 1]], "holds": {}}
         )
 
 
--- a/tests/versions/test_version_log.py
+++ b/tests/versions/test_version_log.py
@@ -26,7 +26,7 @@
         log.start_epoch(epoch)
         return log
 
-    def test_any_kept_version_comes_back_as_it_was_over_restarts(self):
+    def test_versions_are_restored_after_restarts(self):
         """200 versions over four restarts, each with the tables that it was published with."""
         published = {}
         log = self.started(1)
@@ -50,7 +50,7 @@
         )
         self.assertLessEqual(len(published) / CHAIN_LENGTH, chain_starts)
 
-    def test_a_restart_alone_makes_no_version_and_no_number_comes_twice(self):
+    def test_restart_publishes_no_version_and_reuses_no_number(self):
         """The same snapshot is no new version; a lost record's number is not used again."""
         log = self.started(3)
         snapshot = random_snapshot(self.random)
@@ -63,9 +63,9 @@
             (str(first.number), str(second.number), second.parent), ("3.1", "4.1", first.number)
         )
         # What was published and whose record was lost is not published under its number again.
-        self.store.broken = True
+        self.store.drops_writes = True
         lost = again.publish(random_snapshot(self.random), "c")
-        self.store.broken = False
+        self.store.drops_writes = False
         later = self.started(5)
         self.assertEqual((str(lost.number), later.newest), ("4.2", second.number))
         self.assertEqual(str(later.publish(random_snapshot(self.random), "d").number), "5.1")
@@ -73,7 +73,7 @@
             VersionNumber.parse("17")
         self.assertEqual(VersionNumber.parse("17.3"), VersionNumber(17, 3))
 
-    def test_nothing_is_numbered_while_no_epoch_is_started(self):
+    def test_no_version_is_published_without_an_epoch(self):
         """Without an epoch there is no version."""
         log = self.started(3)
         log.stop_epoch()
@@ -81,7 +81,7 @@
         log.start_epoch(19)
         self.assertEqual(str(log.publish(random_snapshot(self.random), "b").number), "19.1")
 
-    def test_a_chain_with_a_record_missing_or_damaged_is_not_served(self):
+    def test_versions_after_a_damaged_record_are_not_returned(self):
         """Versions after a damaged record are not given out, those before it are."""
         log = self.started(1)
         numbers = []
@@ -90,18 +90,18 @@
             weights = {**snapshot["0"].weights, f"host-{nth % 12}": 10 + nth}
             snapshot["0"] = table_snapshot("read", weights, 1.0, 1)
             numbers.append(log.publish(snapshot, "x").number)
-        key = sorted(self.store.held)[10]
-        self.store.held[key]["sheets"]["0"]["lines"] = {"host-1": 999.0}
+        key = sorted(self.store.values)[10]
+        self.store.values[key]["sheets"]["0"]["lines"] = {"host-1": 999.0}
         again = self.started(2)
         good = [again.snapshot_of(number) is not None for number in numbers]
         self.assertEqual(good, [nth < 10 for nth in range(len(numbers))])
         self.assertEqual(again.newest, numbers[9])
 
-    def test_old_chains_are_pruned_by_count_and_age_unless_they_are_needed(self):
+    def test_old_chains_are_pruned_by_count_and_age_unless_needed(self):
         """Whole chains go, oldest first; a needed version keeps its chain."""
         log = self.started(1, max_versions=100, max_age=DAY)
         for _ in range(400):
-            self.store.clock += DAY // 200
+            self.store.wall_time_us += DAY // 200
             self.assertIsNotNone(log.publish(random_snapshot(self.random), "x"))
         needed = {min(log.versions)}
         dropped = log.prune(needed)
--- a/tests/versions/test_versions_command.py
+++ b/tests/versions/test_versions_command.py
@@ -41,14 +41,14 @@
         self.settings_path = folder_of(self.planner) / "operators.json"
         self.settings_path.write_text(json.dumps(document))
 
-    async def test_diff_rollback_release_pin_and_lists_over_a_port_of_their_own(self) -> None:
+    async def test_diff_rollback_release_pin_and_lists_over_operator_port(self) -> None:
         """A rollback changes the tables at once, and a drain goes before it."""
         planner = self.planner
         planner.document["operators"] = {"port": 0, "key_file": "key"}
         (folder_of(planner) / "key").write_text("operators and planner share this")
         async with planner, connected_client(planner) as client:
             publisher = planner.service.versions.publisher
-            await until(publisher.newest)
+            await until(publisher.newest_version)
             self.write_settings()
             planner.set_host_states(host_0="draining")
             await client.until_without(0)
