--- a/indigodeck/versions/__init__.py
+++ b/indigodeck/versions/__init__.py
@@ -1,4 +1,4 @@
-"""Versions of published tables: their numbers, causes and deltas, and the rollback to any of them.
+"""Numbered versions of the published tables: storage, replication, and rollback to any of them.
 
 See docs/versions.md for the design.
 """
--- a/indigodeck/versions/admin_api.py
+++ b/indigodeck/versions/admin_api.py
@@ -1,7 +1,7 @@
-"""The admin API of versions, free of I/O: operators' requests as JSON, and the answers to them.
+"""The admin API for versions, without I/O: operator requests as JSON, and the answers to them.
 
-The JSON words of requests and answers stand here and in `operator_request.schema.json` only. Each
-answer fits one message; longer ones come in pages.
+The JSON keys of requests and answers are defined only here and in `operator_request.schema.json`.
+Each answer fits in one message; longer ones are paginated.
 """
 
 import json
@@ -17,15 +17,15 @@
 
 REQUEST_SCHEMA = load_schema(__file__, "operator_request.schema.json")
 MAX_PAGE_ENTRIES = 100  # versions or relays in one answer
-MAX_PAGE_BYTES = 24 << 10  # of JSON: tables in one answer
+MAX_PAGE_BYTES = 24 << 10  # of JSON for the tables in one answer
 MAX_SHOWN_CAUSE_LENGTH = 200  # characters of a version's cause in an answer
-MAX_ERROR_LENGTH = 500  # characters of what the schema has against a request
+MAX_ERROR_LENGTH = 500  # characters of the schema's error message in an answer
 
 Answer = dict[str, Any]
 
 
 class AdminApi:
-    """Answers operators' requests from a publisher, and carries them out on it."""
+    """Carries out operator requests on a publisher, and answers them."""
 
     def __init__(self, publisher: TablePublisher, clock: OperatorClock):
         self._publisher = publisher
@@ -41,7 +41,7 @@
         }
 
     def answer(self, request: dict[str, Any]) -> Answer:
-        """Return the answer to a request; where it is rejected, {"why_not": text}."""
+        """Return the answer to a request; {"why_not": text} if it is rejected."""
         errors = schema_errors(request, REQUEST_SCHEMA)
         if errors:
             return {"why_not": errors[0][:MAX_ERROR_LENGTH]}
@@ -52,18 +52,18 @@
             return {"why_not": str(error)}
 
     def _list(self, before: str | None = None) -> Answer:
-        """Answer with versions, the newest first, and what is rolled back."""
+        """Answer with a page of versions, the newest first, and the active rollbacks."""
         log = self._publisher.version_log
         last = VersionNumber.parse(before) if before else None
-        found = [
+        numbers = [
             number for number in sorted(log.versions, reverse=True) if last is None or number < last
         ]
         rollbacks = self._publisher.requests.rollbacks
         return {
             "versions": [
-                self._version_fields(log.versions[one]) for one in found[:MAX_PAGE_ENTRIES]
+                self._version_fields(log.versions[number]) for number in numbers[:MAX_PAGE_ENTRIES]
             ],
-            "more": len(found) > MAX_PAGE_ENTRIES,
+            "more": len(numbers) > MAX_PAGE_ENTRIES,
             "newest": str(log.newest) if log.newest else None,
             "holds": {
                 class_name: {
@@ -79,17 +79,17 @@
         }
 
     def _show(self, number: str, after: str | None = None) -> Answer:
-        wanted = VersionNumber.parse(number)
-        snapshot = self._publisher.version_log.snapshot_of(wanted)
+        parsed = VersionNumber.parse(number)
+        snapshot = self._publisher.version_log.snapshot_of(parsed)
         if snapshot is None:
-            raise RejectedError(f"version {wanted} is not kept")
+            raise RejectedError(f"version {parsed} is not kept")
         return {
-            "version": self._version_fields(self._publisher.version_log.versions[wanted]),
+            "version": self._version_fields(self._publisher.version_log.versions[parsed]),
             **_page(codec.encode_snapshot(snapshot), after),
         }
 
     def _diff(self, old: str, new: str, after: str | None = None) -> Answer:
-        """Answer with what each changed line was, and is."""
+        """Answer with the old and the new weight of each line that differs."""
         log = self._publisher.version_log
         before = log.snapshot_of(VersionNumber.parse(old))
         delta = log.delta_between(VersionNumber.parse(old), VersionNumber.parse(new))
@@ -100,15 +100,15 @@
         )
 
     def _relays(self, after: str = "") -> Answer:
-        found = sorted(
+        statuses = sorted(
             status for status in self._publisher.relay_versions.statuses() if status.relay > after
         )
         return {
             "relays": [
                 (status.relay, str(status.version), status.up_to_date, status.confirmed)
-                for status in found[:MAX_PAGE_ENTRIES]
+                for status in statuses[:MAX_PAGE_ENTRIES]
             ],
-            "more": len(found) > MAX_PAGE_ENTRIES,
+            "more": len(statuses) > MAX_PAGE_ENTRIES,
         }
 
     def _roll_back(
@@ -140,7 +140,7 @@
 
 
 def _page(tables: Mapping[str, Any], after: str | None) -> Answer:
-    """Return the tables that come after one, as many as fit an answer."""
+    """Return the tables that sort after `after`, as many as fit in one answer."""
     page: dict[str, Any] = {}
     size = 0
     for table in sorted(tables):
@@ -154,7 +154,7 @@
 
 
 def _table_diff(before: Snapshot, table: str, change: TableSnapshot | TableDelta | None) -> Answer:
-    """Return what a change of one table does, as people read it: [before, after] by line."""
+    """Return the change of one table for operators: [before, after] for each changed line."""
     old = before.get(table)
     old_weights: Mapping[str, float] = {} if old is None else old.weights
     weights: dict[str, float | None] = {}
--- a/indigodeck/versions/codec.py
+++ b/indigodeck/versions/codec.py
@@ -1,7 +1,7 @@
-"""The JSON forms in which versions and operator requests are stored, hashed, and sent to peers.
+"""The JSON encoding of versions and operator requests, as stored, hashed, and sent to peers.
 
-The keys and words of these forms are older than the names in the program and are translated here
-only. Their order counts: records are compared and hashed as bytes.
+The keys of this encoding are older than the names in the code and are translated only in this
+module. Their order must not change: records are compared and hashed as bytes.
 """
 
 from collections.abc import Mapping
@@ -21,19 +21,19 @@
 
 Document = dict[str, Any]
 
-# Keys in the store.
+# Keys and key prefixes in the store.
 VERSION_PREFIX = "version/"
 REQUESTS_KEY = "wishes"
 RELAYS_KEY = "relays"
 
 
 def version_key(number: VersionNumber) -> str:
-    """Return the key of a version's record; keys sort as numbers do."""
+    """Return the store key of a version's record; keys sort in the order of version numbers."""
     return f"{VERSION_PREFIX}{number.epoch:012d}.{number.serial:012d}"
 
 
 def encode_table(table: TableSnapshot) -> Document:
-    """Return the JSON form of a table, over which its hash is taken."""
+    """Encode a table as JSON; the hash of a table is computed over this form."""
     return {
         "class": table.class_name,
         "lines": table.weights,
@@ -42,32 +42,32 @@
 
 
 def decode_table(document: Document) -> TableSnapshot:
-    """Return the table in its JSON form."""
+    """Decode a table."""
     return TableSnapshot(document["class"], document["lines"], *document["level"])
 
 
 def encode_snapshot(snapshot: Snapshot) -> Document:
-    """Return the JSON form of all tables of a version."""
+    """Encode all tables of a version as JSON."""
     return {name: encode_table(table) for name, table in snapshot.items()}
 
 
 def decode_snapshot(document: Document) -> Snapshot:
-    """Return the tables in their JSON form."""
+    """Decode the tables of a version."""
     return {name: decode_table(table) for name, table in document.items()}
 
 
 def encode_delta(delta: Mapping[str, TableSnapshot | TableDelta | None]) -> Document:
-    """Return the JSON form of what turns one snapshot into another."""
+    """Encode a delta between two snapshots as JSON."""
     return {name: _encode_change(change) for name, change in delta.items()}
 
 
 def decode_delta(document: Document) -> SnapshotDelta:
-    """Return the delta in its JSON form."""
+    """Decode a delta between two snapshots."""
     return {name: _decode_change(change) for name, change in document.items()}
 
 
 def encode_version(version: Version) -> Document:
-    """Return the JSON form of a version without its chain, as peers are told of it."""
+    """Encode a version's metadata, without `chain_start`, in the form sent to peers."""
     return {
         "number": list(version.number),
         "parent": version.parent and list(version.parent),
@@ -79,7 +79,11 @@
 
 
 def decode_version(document: Document) -> Version:
-    """Return a version that a peer tells of; until it is logged here it starts its own chain."""
+    """Decode a version's metadata.
+
+    Metadata from a peer has no `chain_start`: the version starts its own chain until it is added to
+    the local version log.
+    """
     number = VersionNumber(*document["number"])
     return Version(
         number,
@@ -93,7 +97,7 @@
 
 
 def encode_record(version: Version, content: Document) -> Document:
-    """Return a version's record in the store; `content` is the form of its delta or snapshot."""
+    """Encode a version's record in the store; `content` is its encoded delta or snapshot."""
     return {
         **encode_version(version),
         "first": list(version.chain_start),
@@ -102,12 +106,12 @@
 
 
 def decode_record(document: Document) -> tuple[Version, Document]:
-    """Return the version in a record of the store, and the form of its delta or snapshot."""
+    """Return the version in a record of the store, and its encoded delta or snapshot."""
     return decode_version(document), document["sheets"]
 
 
 def encode_requests(state: RequestState) -> Document:
-    """Return the JSON form of what operators want."""
+    """Encode the active operator requests as JSON."""
     return {
         "serial": list(state.serial),
         "pins": [list(number) for number in sorted(state.pinned_versions)],
@@ -125,7 +129,7 @@
 
 
 def decode_requests(document: Document) -> RequestState:
-    """Return what operators want from its JSON form."""
+    """Decode the active operator requests."""
     return RequestState(
         RequestSerial(*document["serial"]),
         {
@@ -141,12 +145,12 @@
 
 
 def encode_relay_versions(versions: Mapping[str, VersionNumber]) -> Document:
-    """Return the JSON form of the versions that relays hold."""
+    """Encode the versions that relays hold, by relay id, as JSON."""
     return {relay: list(number) for relay, number in versions.items()}
 
 
 def decode_relay_versions(document: Document | None) -> dict[str, VersionNumber]:
-    """Return the versions that relays held when they were stored, if any were."""
+    """Decode the versions that relays hold, by relay id; empty if none were stored."""
     return {relay: VersionNumber(*number) for relay, number in (document or {}).items()}
 
 
--- a/indigodeck/versions/model.py
+++ b/indigodeck/versions/model.py
@@ -1,7 +1,7 @@
-"""The values that the parts of this package pass to each other.
+"""Data types shared by the modules of this package.
 
-Servers appear twice: inside the program as small indices, and inside a version under the
-deployment's own ids, so that a version means the same after a restart and to another controller.
+Servers are identified by small integer indices in the running program, and by the deployment's own
+ids inside a version, so that a version means the same after a restart and on another controller.
 """
 
 from collections.abc import Mapping
@@ -13,53 +13,53 @@
 
 
 class InvalidVersionNumberError(IndigodeckError, ValueError):
-    """A text that is no version number; the message quotes it."""
+    """A string is not a valid version number; the message quotes it."""
 
 
 class VersionNumber(NamedTuple):
-    """The number of a version, written EPOCH.SERIAL."""
+    """The number of a version, written as EPOCH.SERIAL."""
 
     epoch: int
     serial: int
 
     def __str__(self) -> str:
-        """Return the form that operators read and type."""
+        """Return the form that operators read and enter."""
         return f"{self.epoch}.{self.serial}"
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Return the number in a text.
+        """Parse a version number.
 
         Raises
         ------
         InvalidVersionNumberError
-            If the text is not two runs of decimal digits with a dot between them.
+            If the text is not two groups of decimal digits separated by a dot.
         """
         epoch, dot, serial = text.partition(".")
         if not (dot and _is_decimal(epoch) and _is_decimal(serial)):
-            raise InvalidVersionNumberError(f"{text!r} is no version: EPOCH.SERIAL")
+            raise InvalidVersionNumberError(f"{text!r} is no version number: expected EPOCH.SERIAL")
         return cls(int(epoch), int(serial))
 
 
 class Version(NamedTuple):
-    """What is known of a version besides its snapshot.
+    """The metadata of a version: everything except its snapshot.
 
     Attributes
     ----------
     number
-        Its number, never given twice.
+        The version's number; a number is never used twice.
     parent
         The version that was published before it, if any.
     published_at
-        Wall clock in microseconds.
+        Wall-clock time in microseconds since 1970.
     cause
-        Why it was published, in words.
+        Why the version was published, as text.
     author
-        Who asked for it, where that was an operator; else empty.
+        The operator who requested it; empty if no operator did.
     content_hash
-        Hash of its snapshot.
+        The hash of its snapshot.
     chain_start
-        The version that its chain of deltas begins with.
+        The first version of the delta chain that this version belongs to.
     """
 
     number: VersionNumber
@@ -73,9 +73,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TableSnapshot:
-    """One table of a version: its class, the weight of each server, and its admission.
+    """One table of a version: its traffic class, the weight of each server, and its admission.
 
-    `retry_policy` is the value of an `assignment.interface.RetryPolicy`.
+    `admitted_share` is the share of the class's requests that is admitted; `retry_policy` is the
+    value of an `assignment.interface.RetryPolicy`.
     """
 
     class_name: str
@@ -86,7 +87,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TableDelta:
-    """What turns the table of hash `base_hash` into the next; weight None removes a server."""
+    """The change from the table with the hash `base_hash` to the next table.
+
+    A weight of None removes the server.
+    """
 
     base_hash: str
     weights: Mapping[str, float | None]
@@ -94,16 +98,16 @@
     retry_policy: int
 
 
-# All tables of a version, by the table's number in decimal digits.
+# All tables of a version, keyed by the table number as a decimal string.
 Snapshot = dict[str, TableSnapshot]
 
-# What turns one snapshot into another: per table its delta, the whole of a table that is new or
-# that changes too much, or None for a table that is gone.
+# The change from one snapshot to another, keyed by table: a delta, the complete table if it is new
+# or a delta would be no shorter, or None if the table was removed.
 SnapshotDelta = dict[str, TableSnapshot | TableDelta | None]
 
 
 class AssignedTable(NamedTuple):
-    """One table as the assigner has it now; the revision changes with it."""
+    """The current state of one of the assigner's tables; `revision` changes whenever it does."""
 
     class_index: int
     weights: Mapping[int, float]
@@ -113,15 +117,15 @@
 
 
 class ServerReadiness(Enum):
-    """How far a server may serve from an old table."""
+    """Whether a server may get weight from the table of an earlier version."""
 
-    UNAVAILABLE = "unavailable"  # it drains, is gone, ejected, or not listed as ready
-    COLD = "cold"  # it is warming up
+    UNAVAILABLE = "unavailable"  # draining, removed, ejected, or not listed as ready
+    COLD = "cold"  # warming up
     WARM = "warm"
 
 
 class RequestSerial(NamedTuple):
-    """The serial of an operator request: the epoch it was accepted under, and its place in it."""
+    """The serial number of an operator request: its epoch, and its position within that epoch."""
 
     epoch: int
     position: int
@@ -130,7 +134,7 @@
 class RollbackPin(NamedTuple):
     """An operator's rollback of one class: the version it is pinned to, by whom and why.
 
-    `requested_at` is wall clock in microseconds.
+    `requested_at` is wall-clock time in microseconds since 1970.
     """
 
     version: VersionNumber
@@ -142,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestState:
-    """All that operators want at one moment: rollback pins by class name, and versions to keep."""
+    """All active operator requests: the rollback pins by class name, and the pinned versions."""
 
     serial: RequestSerial
     rollbacks: Mapping[str, RollbackPin]
@@ -150,10 +154,11 @@
 
 
 class RelayStatus(NamedTuple):
-    """Which version a connected relay holds.
+    """The version that a connected relay holds.
 
-    `up_to_date` says that its own tables have not changed since; `confirmed` that its program has
-    taken the version, and not only its machine.
+    `up_to_date` means that the relay's own tables have not changed since that version. `confirmed`
+    means that the relay process has received the version; otherwise only its machine's network
+    stack is known to have received it.
     """
 
     relay: str
--- a/indigodeck/versions/operator_commands.py
+++ b/indigodeck/versions/operator_commands.py
@@ -1,6 +1,6 @@
-"""What operators may do with versions, free of I/O: roll classes back, release them, pin versions.
+"""Operator commands on versions, without I/O: roll classes back, release them, pin versions.
 
-Each command returns in words what was done. It is accepted only by the controller that leads.
+Each command returns a text that says what was done. Only the leader accepts commands.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,14 +12,14 @@
 
 
 class OperatorClock(Protocol):
-    """The clock that requests are dated by."""
+    """The clock for the timestamps of requests."""
 
     def wall_clock(self) -> int:
         """Return the microseconds since 1970."""
 
 
 class OperatorCommands:
-    """Carries out operators' commands on one publisher."""
+    """Carries out operator commands on one publisher."""
 
     def __init__(self, publisher: TablePublisher, clock: OperatorClock):
         self._publisher = publisher
@@ -28,13 +28,13 @@
     def roll_back(
         self, number: VersionNumber, class_names: Sequence[str], author: str, reason: str
     ) -> str:
-        """Publish these classes, or all, as they were in a version until they are released.
+        """Pin these classes, or all if none are given, to a version until they are released.
 
         Raises
         ------
         RejectedError
-            If this controller does not lead, the version is not kept, a class is unknown, or the
-            author is missing.
+            If this controller does not lead, the version is not kept, a class is unknown, the
+            author is missing, or the author or reason is too long.
         """
         epoch = self._require_leadership()
         names = self._resolve_class_names(class_names)
@@ -64,7 +64,7 @@
         )
 
     def release(self, class_names: Sequence[str], author: str, reason: str) -> str:
-        """Let these classes, or all, follow the assigner again.
+        """Unpin these classes, or all if none are given: they follow the assigner again.
 
         Raises
         ------
@@ -80,7 +80,7 @@
         return f"{names} released"
 
     def set_version_pinned(self, number: VersionNumber, pinned: bool) -> str:
-        """Keep a version however old it gets, or no longer.
+        """Pin a version, which exempts it from pruning, or unpin it.
 
         Raises
         ------
@@ -95,7 +95,7 @@
         return f"{number} is {'' if pinned else 'not '}pinned"
 
     def describe_overrides(self, class_names: Iterable[str]) -> list[str]:
-        """Return the tables of pinned classes that a rule keeps as assigned, in words."""
+        """Describe the tables of these classes for which a safety rule overrides the rollback."""
         publisher = self._publisher
         wanted = set(class_names)
         tables_by_reason: dict[str, list[str]] = {}
@@ -104,19 +104,21 @@
             if reason and publisher.class_names[assigned.class_index] in wanted:
                 tables_by_reason.setdefault(reason, []).append(str(table))
         return [
-            f"tables {', '.join(tables)} stay today's: {reason}"
+            f"tables {', '.join(tables)} stay as assigned: {reason}"
             for reason, tables in sorted(tables_by_reason.items())
         ]
 
     def _require_leadership(self) -> int:
+        """Return the epoch that this controller leads under; raise RejectedError if it does not."""
         epoch = self._publisher.epoch
         if epoch is None:
             raise RejectedError("another controller is in charge, or the store can't be written")
         return epoch
 
     def _resolve_class_names(self, class_names: Sequence[str]) -> list[str]:
+        """Return these classes, or all if none are given; raise RejectedError for unknown ones."""
         known = self._publisher.class_names
         unknown = [name for name in class_names if name not in known]
         if unknown:
-            raise RejectedError(f"{unknown[0]!r} is none of the classes {known}")
+            raise RejectedError(f"unknown class {unknown[0]!r}: the classes are {known}")
         return list(class_names) or list(known)
--- a/indigodeck/versions/operator_requests.py
+++ b/indigodeck/versions/operator_requests.py
@@ -1,10 +1,10 @@
-"""What operators want of versions, free of I/O: which class is pinned to which version, and why.
+"""The state of operator requests, without I/O: the pinned classes and versions.
 
-It has a serial that only grows: the epoch, and the count of requests accepted under it. Of two
-states the one with the higher serial counts, so controllers that copy them from each other end
-with the same one, and a request that was accepted before a takeover is not carried out again after
-it: it is there already. A request for what holds already changes nothing, so asking twice is
-asking once.
+The state has a serial number that only increases: the epoch, and the number of requests accepted
+under it. Of two states, the one with the higher serial takes precedence, so controllers that
+exchange their states converge on the same one. A request that was accepted before a takeover is
+part of the state already and is not carried out again after it. Requests are idempotent: one that
+asks for the current state changes nothing.
 """
 
 from collections.abc import Iterable
@@ -17,16 +17,16 @@
 
 
 class OperatorRequests:
-    """The requests that hold now.
+    """The active operator requests.
 
     Attributes
     ----------
     serial
-        Of the last request accepted.
+        The serial of the last accepted request.
     rollbacks
         The rollback pins, by class name.
     pinned_versions
-        Versions that are kept until they are unpinned.
+        Versions that are exempt from pruning until they are unpinned.
     """
 
     def __init__(self, state: RequestState | None = None):
@@ -37,11 +37,11 @@
             self._replace(state)
 
     def state(self) -> RequestState:
-        """Return a copy of what holds now."""
+        """Return a copy of the current state."""
         return RequestState(self.serial, dict(self.rollbacks), frozenset(self.pinned_versions))
 
     def replace_if_newer(self, state: RequestState) -> bool:
-        """Take another controller's state; return whether it is newer than the one here."""
+        """Adopt another controller's state if it is newer; return whether it was."""
         if state.serial <= self.serial:
             return False
         self._replace(state)
@@ -58,17 +58,19 @@
     ) -> dict[str, RollbackPin | None]:
         """Pin classes to a version.
 
-        Return the classes for which that is new, each with the pin that it had before.
+        Return the classes that were not pinned to that version yet, each with its previous pin.
 
         Raises
         ------
         RejectedError
-            If there is no author, or author or reason is too long.
+            If there is no author, or the author or reason is too long.
         """
         if not author:
             raise RejectedError("a rollback needs an author")
         if len(author) > MAX_TEXT_LENGTH or len(reason) > MAX_TEXT_LENGTH:
-            raise RejectedError(f"author and reason are {MAX_TEXT_LENGTH} characters at most")
+            raise RejectedError(
+                f"author and reason are limited to {MAX_TEXT_LENGTH} characters each"
+            )
         previous_pins = {
             name: self.rollbacks.get(name)
             for name in class_names
@@ -81,7 +83,7 @@
         return previous_pins
 
     def release(self, class_names: Iterable[str], epoch: int) -> dict[str, RollbackPin]:
-        """Unpin classes, and return the pins of those that had one."""
+        """Unpin classes; return the pins that were removed."""
         released = {
             name: self.rollbacks.pop(name) for name in class_names if name in self.rollbacks
         }
@@ -90,7 +92,7 @@
         return released
 
     def set_version_pinned(self, version: VersionNumber, pinned: bool, epoch: int) -> bool:
-        """Keep a version for as long as it is pinned; return whether this changes anything.
+        """Pin or unpin a version; return whether that changes anything.
 
         Raises
         ------
@@ -109,7 +111,7 @@
         return True
 
     def needed_versions(self) -> set[VersionNumber]:
-        """Return the versions that must be kept for these requests."""
+        """Return the versions that these requests refer to, which must not be pruned."""
         return self.pinned_versions | {pin.version for pin in self.rollbacks.values()}
 
     def _replace(self, state: RequestState) -> None:
@@ -118,7 +120,8 @@
         self.pinned_versions = set(state.pinned_versions)
 
     def _advance_serial(self, epoch: int) -> RequestSerial:
-        # A controller under an epoch below the last one does not lead, and accepts no requests.
+        # `epoch` is never below the last one: a controller under such an epoch does not lead, and
+        # accepts no requests.
         if epoch > self.serial.epoch:
             self.serial = RequestSerial(epoch, 1)
         else:
--- a/indigodeck/versions/publisher.py
+++ b/indigodeck/versions/publisher.py
@@ -1,7 +1,7 @@
-"""The table publisher of one planner, free of I/O: what is published, and as which version.
+"""The table publisher of one planner, without I/O: it publishes tables as numbered versions.
 
-The host calls `publish` once the assigner's orders of one call are laid out. The tables that are
-published then, rollback pins applied, are a version if they differ from the last.
+The host calls `publish` after each call into the assigner, once its orders are applied. The tables
+after rollback pins become a new version if they differ from the last one.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -26,27 +26,27 @@
 
 SAVE_RELAYS_PERIOD = 10 * SECOND
 PRUNE_PERIOD = 60 * SECOND
-# After a start or takeover, tables that no relay is on yet stay published for so long: the relays
-# may be on their way here.
+# For this long after a start or takeover, tables that no relay is assigned to yet stay published:
+# their relays may still be connecting.
 TABLE_RETENTION = 60 * SECOND
-MAX_CAUSES = 20  # texts that one version's cause is put together from
+MAX_CAUSES = 20  # that the cause of one version is composed of
 MAX_LOGGED_CAUSE_LENGTH = 200  # characters
 
 
 class PublisherHost(VersionLogStore, RelayVersionsHost, RollbackPinsHost, Protocol):
-    """What the publisher and its parts ask of the program around them.
+    """The environment of a publisher and its components.
 
-    Servers and proxies are indices.
+    Servers and proxies are identified by indices.
     """
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back, in microseconds."""
+        """Return the time of a monotonic clock, in microseconds."""
 
     def keys(self, prefix: str) -> list[str]:
-        """Return the keys in the store that begin with a prefix."""
+        """Return the keys in the store that start with a prefix."""
 
     def assigned_tables(self) -> dict[int, AssignedTable]:
-        """Return all tables as the assigner has them now."""
+        """Return the current state of all the assigner's tables."""
 
     def server_id(self, server: int) -> str:
         """Return the deployment's own id of a server."""
@@ -55,23 +55,23 @@
         """Return the index of a server, or None if it was never listed here."""
 
     def ejected_servers(self) -> frozenset[int]:
-        """Return the servers that all relays keep off, whatever their tables say."""
+        """Return the servers that no relay may use, whatever its tables say."""
 
     def resume_tables(self, tables: dict[int, list[int]]) -> None:
-        """Go on from the servers of each table as they were published last."""
+        """Have the assigner continue with these servers, by table, which were published last."""
 
     def on_version_published(self, version: Version, delta: SnapshotDelta) -> None:
-        """Take note of the version that is the newest now, and what it changes of its parent."""
+        """Handle a new version, and its delta from its parent."""
 
     def on_requests_changed(self, state: RequestState) -> None:
-        """Take note that what operators want was changed by a request made here."""
+        """Handle a change of the operator requests that was made on this controller."""
 
-    def log(self, event: str, **facts: object) -> None:
+    def log(self, event: str, **fields: object) -> None:
         """Write a log event."""
 
 
 class _CachedTable(NamedTuple):
-    """A table snapshot, and what it was made from: it is made anew where one of these changes."""
+    """A table snapshot and its inputs; it is rebuilt when one of them changes."""
 
     revision: int
     ejected: frozenset[int]
@@ -80,16 +80,16 @@
 
 
 class TablePublisher:
-    """Publishes the assigner's tables, or the pinned ones, as versions while this planner leads.
+    """Publishes the assigned or pinned tables as versions while this planner leads.
 
     Parameters
     ----------
     host
-        The program around it.
+        The environment of the publisher.
     class_names
-        Names of the traffic classes, by class index.
+        The names of the traffic classes, by class index.
     max_versions, max_age
-        What `VersionLog` keeps.
+        The limits of the `VersionLog`.
     """
 
     def __init__(
@@ -103,13 +103,13 @@
         )
         self.rollback_pins = RollbackPins(host)
         self.relay_versions = RelayVersions(host)
-        self.epoch: int | None = None  # while this planner leads
+        self.epoch: int | None = None  # None while this planner does not lead
         self.assigned_tables: dict[int, AssignedTable] = {}
         self.retain_tables_until = host.now()
         self._host = host
         self._table_cache: dict[int, _CachedTable] = {}
         self._causes: list[str] = []
-        # Of the operator's request that is being carried out: its author, and what it is.
+        # The author and the description of the operator request that is being carried out.
         self._author = ""
         self._request_text = ""
         self._force_publish = False
@@ -125,9 +125,10 @@
     def become_leader(self, epoch: int, after_other_leader: bool = False) -> None:
         """Publish versions under this epoch from now on.
 
-        `after_other_leader` says that another controller led before, whose last versions may not
-        have come here. What is published now is then a version of its own, though it may look like
-        the last one known: a relay that holds an unknown version must see a newer one.
+        `after_other_leader` means that another controller led before, and that its last versions
+        may not have been replicated here. The next tables are then published as a new version even
+        if they equal the last known ones, because a relay that holds an unknown version must get a
+        newer one.
         """
         self._force_publish = self._force_publish or after_other_leader
         self.epoch = epoch if self.epoch is None else max(epoch, self.epoch)
@@ -137,7 +138,7 @@
         self.resume_tables()
 
     def resume_tables(self) -> None:
-        """Go on from the tables that were published last, here or by the controller before."""
+        """Continue with the tables published last, by this controller or its predecessor."""
         snapshot = self.version_log.snapshot
         if snapshot:
             self._host.resume_tables(
@@ -148,18 +149,18 @@
             )
 
     def lose_leadership(self) -> None:
-        """Publish no more versions."""
+        """Stop publishing versions."""
         self.epoch = None
         self.version_log.stop_epoch()
         self.relay_versions.clear()
 
     def add_cause(self, text: str) -> None:
-        """Give a cause, in the assigner's words, of what is published next."""
+        """Add a cause, as the assigner logs it, to the next version."""
         if len(self._causes) < MAX_CAUSES:
             self._causes.append(text)
 
     def publish(self, event: str) -> None:
-        """Publish the tables as they are now, after the assigner handled an event."""
+        """Publish the current tables after the assigner handled an event."""
         self.assigned_tables = self._host.assigned_tables()
         self.rollback_pins.update(self.assigned_tables)
         if self.epoch is None:
@@ -167,9 +168,9 @@
             return
         snapshot = self._current_snapshot()
         if not snapshot:
-            return  # no relay has a table yet, and none was ever published
+            return  # no relay is assigned to a table yet, and no table was ever published
         self._publish_snapshot(snapshot, event)
-        # Steps on the way to what an operator wants have that author as well, until it is reached.
+        # A rollback or release may take several versions. Each of them has the operator as author.
         if self._author and self.rollback_pins.has_pending_tables(self.assigned_tables):
             self._causes = [f"on the way: {self._request_text}"]
         else:
@@ -179,17 +180,17 @@
         self._run_maintenance()
 
     def publish_for_operator(self, author: str, text: str) -> None:
-        """Publish what an operator's request makes of the tables, as a version in any case."""
+        """Publish the result of an operator request as a new version, even if no table changes."""
         self._author = author
         self._request_text = text
         self._force_publish = True
         self._causes = [text]
         self.apply_rollback_pins()
         self.save_requests()
-        self.publish("an operator's word")
+        self.publish("an operator's request")
 
     def newest_version(self) -> VersionNumber | None:
-        """Return the version that a message made now brings a relay to, if any."""
+        """Return the version of messages to relays that are built now; None if there is none."""
         return self.version_log.newest if self.is_leader else None
 
     def apply_rollback_pins(self) -> None:
@@ -202,13 +203,13 @@
                 self.rollback_pins.pin(class_index, self._old_tables(pin.version, name))
 
     def save_requests(self) -> None:
-        """Store what operators want, and tell peers."""
+        """Store the operator requests, and send them to peers."""
         state = self.requests.state()
         self._host.save([(codec.REQUESTS_KEY, codec.encode_requests(state))])
         self._host.on_requests_changed(state)
 
     def on_peer_requests(self, state: RequestState) -> bool:
-        """Take what operators asked of another controller; return whether that is newer."""
+        """Adopt a peer's operator requests if they are newer; return whether they were."""
         if not self.requests.replace_if_newer(state):
             return False
         self._host.save([(codec.REQUESTS_KEY, codec.encode_requests(state))])
@@ -216,7 +217,7 @@
         return True
 
     def on_peer_version(self, version: Version, snapshot: Snapshot) -> None:
-        """Keep another controller's version, which came as a whole snapshot."""
+        """Add a peer's version, received as a snapshot, and apply it if a class is pinned to it."""
         self.version_log.insert_from_peer(version, snapshot)
         if any(pin.version == version.number for pin in self.requests.rollbacks.values()):
             self.apply_rollback_pins()
@@ -295,7 +296,7 @@
             )
 
     def _old_tables(self, number: VersionNumber, class_name: str) -> dict[int, Weights]:
-        """Return the weights of one class's tables in a version."""
+        """Return the weights of one class's tables in a version, with servers as indices."""
         snapshot = self.version_log.snapshot_of(number) or {}
         return {
             int(name): self._weights_by_index(table.weights)
@@ -307,8 +308,8 @@
         by_index: dict[int, float] = {}
         for position, (server_id, weight) in enumerate(weights.items()):
             server = self._host.server_index(server_id)
-            # A server that was never listed here counts as weight that is not there any more: it
-            # gets an index of its own that no server has.
+            # A server that was never listed here gets a unique negative index. Its weight then
+            # counts as weight that is no longer available.
             by_index[-1 - position if server is None else server] = weight
         return by_index
 
--- a/indigodeck/versions/relay_versions.py
+++ b/indigodeck/versions/relay_versions.py
@@ -1,8 +1,8 @@
-"""Which version each relay holds, free of I/O.
+"""The version that each relay holds, without I/O.
 
-A relay holds the version that was the newest when its message was made, once the transport says
-that it took that message; what changed since concerns it only as far as its own tables did.
-Proxies are the indices of connected relays; relays that left are remembered by their ids.
+A relay holds the version that was the newest when a message to it was built, once the transport
+reports that the message was delivered. It is up to date as long as later versions do not change
+its own tables. Proxies are indices of connected relays; disconnected relays are recorded by id.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,44 +15,44 @@
 
 
 class RelayVersionsHost(Protocol):
-    """What this module asks of the program around it."""
+    """The environment of `RelayVersions`."""
 
     def save(self, changes: list[tuple[str, Any]]) -> None:
-        """Store values by key, all or none and soon; None removes a key."""
+        """Store values by key, soon and all or none of them; None removes a key."""
 
     def load(self, key: str) -> Any:
         """Return the value stored under a key, or None."""
 
     def relay_id(self, proxy: int) -> str:
-        """Return the id of the relay that a proxy index stands for."""
+        """Return the id of the relay with a proxy index."""
 
     def tables_of(self, proxy: int) -> Mapping[int, int]:
-        """Return the table of each class, by class index, that a proxy is on."""
+        """Return the tables that a proxy is assigned to, by class index."""
 
 
 class RelayVersions:
-    """The versions that connected relays hold, and those that relays held before.
+    """The versions that connected relays hold, and the last ones of disconnected relays.
 
-    `last_known` is by relay id, as it is stored.
+    `last_known` has the stored versions by relay id, updated when a relay disconnects.
     """
 
     def __init__(self, host: RelayVersionsHost):
         self.last_known = codec.decode_relay_versions(host.load(codec.RELAYS_KEY))
         self._host = host
         self._delivered: dict[int, VersionNumber] = {}  # by proxy
-        self._confirmed: dict[int, VersionNumber] = {}  # by proxy: what its program has taken
+        self._confirmed: dict[int, VersionNumber] = {}  # by proxy: received by its process
         self._table_changed_in: dict[str, VersionNumber] = {}
 
     def on_published(self, number: VersionNumber, changed_tables: Iterable[str]) -> None:
-        """Take note of a version that is published and changes these tables."""
+        """Record that a version was published and changes these tables."""
         self._table_changed_in.update((table, number) for table in changed_tables)
 
     def on_delivered(
         self, proxy: int, number: VersionNumber | None, confirmed: bool = True
     ) -> None:
-        """Take note that a relay took a message, which brings it to a version if it was of one.
+        """Record that a message was delivered to a relay, and its version, if it has one.
 
-        `confirmed` is False if so far as is known only its machine took it.
+        `confirmed` is False if only the relay's machine, not its process, is known to have it.
         """
         if number is not None and number >= self._delivered.get(proxy, number):
             self._delivered[proxy] = number
@@ -60,24 +60,24 @@
                 self.on_proxy_request(proxy)
 
     def on_proxy_request(self, proxy: int) -> None:
-        """Take note that a relay's program asked something, so it ran after taking what it has."""
+        """Record a request from a relay: its process has received what was delivered before."""
         if proxy in self._delivered:
             self._confirmed[proxy] = self._delivered[proxy]
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Take note that a relay's connection ended."""
+        """Record that a relay disconnected."""
         number = self._delivered.pop(proxy, None)
         self._confirmed.pop(proxy, None)
         if number is not None:
             self.last_known[self._host.relay_id(proxy)] = number
 
     def clear(self) -> None:
-        """Forget what connected relays hold: another controller serves them now."""
+        """Discard the versions of connected relays: another controller serves them now."""
         self._delivered.clear()
         self._confirmed.clear()
 
     def statuses(self) -> list[RelayStatus]:
-        """Return what each connected relay holds, in the order of proxy indices."""
+        """Return the status of connected relays whose version is known, ordered by proxy index."""
         return [
             RelayStatus(
                 self._host.relay_id(proxy),
@@ -92,11 +92,11 @@
         ]
 
     def held_versions(self) -> set[VersionNumber]:
-        """Return the versions that a relay holds, or held before."""
+        """Return the versions that connected relays hold, and the last known ones of others."""
         return {*self._delivered.values(), *self.last_known.values()}
 
     def save(self) -> None:
-        """Store what relays hold, if it has changed."""
+        """Store the versions that relays hold, if they have changed."""
         versions = {
             **self.last_known,
             **{self._host.relay_id(proxy): number for proxy, number in self._delivered.items()},
--- a/indigodeck/versions/replication.py
+++ b/indigodeck/versions/replication.py
@@ -1,14 +1,16 @@
-"""Replication of versions and operator requests among the controllers of one fleet, free of I/O.
-
-A follower gets all that it needs to go on as leader. Messages may be lost, late, twice or out of
-order; nothing here depends on one that came. Each version is sent as its delta to its parent, and
-taken where that is the newest here. The leader announces now and then which version is the newest,
-and what operators want; a follower that lacks one of them asks for it, and gets it in parts that
-each fit a message. A snapshot is taken only complete, with the hash that was announced; versions
-in between that were missed are missing from this history and no other.
-
-An operator request is called kept once a majority has it, and a new leader asks all peers before it
-trusts its own copy, so a request that was called kept is never forgotten.
+"""Replication of versions and operator requests between the controllers of one fleet, without I/O.
+
+A follower receives everything that it needs to continue as leader. Messages may be lost, delayed,
+duplicated or reordered, and no single message is relied upon. Each version is sent as the delta
+from its parent, and a follower appends it if that parent is its newest version. The leader
+periodically announces its newest version and the operator requests. A follower that lacks the
+newest version, or one that a class is pinned to, asks for it and receives its snapshot in parts
+that each fit in a message. It accepts a snapshot only if it is complete and has the version's hash.
+Versions in between that a follower missed are missing from its own history only.
+
+An operator request is committed once a majority of the controllers has stored it. A new leader asks
+all peers for their operator requests before it relies on its own copy, so that a committed request
+is never lost.
 """
 
 import json
@@ -33,46 +35,47 @@
 )
 from .snapshots import snapshot_hash
 
-MAX_PART_BYTES = 24 << 10  # of JSON: what a delta or one part of a snapshot may fill of a message
-TABLE_OVERHEAD_BYTES = 8  # quotes and separators around a table's name in that JSON
+MAX_PART_BYTES = 24 << 10  # of JSON for a delta or one part of a snapshot in a message
+TABLE_OVERHEAD_BYTES = 8  # JSON quotes and separators around a table's name
 ANNOUNCE_PERIOD = SECOND
 QUERY_RETRY_DELAY = ANNOUNCE_PERIOD // 2
 QUERY_RECORD_LIFETIME = 10 * ANNOUNCE_PERIOD
-MAX_PARTS = 4096  # of one snapshot: what claims more is no answer of ours
-MAX_INCOMPLETE_SNAPSHOTS = 4  # whose parts are kept at once
+MAX_PARTS = 4096  # of one snapshot; messages that claim more parts are ignored
+MAX_INCOMPLETE_SNAPSHOTS = 4  # whose parts are buffered at the same time
 
 NO_REQUESTS = RequestSerial(0, 0)
 
 
 class ReplicatorHost(Protocol):
-    """What the replicator asks of the program around it."""
+    """The environment of a replicator."""
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back, in microseconds."""
+        """Return the time of a monotonic clock, in microseconds."""
 
-    def call_later(self, after: int, call: Callable[[], None]) -> Any:
-        """Call back after so many microseconds."""
+    def call_later(self, delay: int, callback: Callable[[], None]) -> Any:
+        """Invoke a callback after this many microseconds."""
 
     def send(self, member: str, kind: str, **fields: Any) -> None:
         """Send a message to another controller; it may be lost."""
 
     def peer_ids(self) -> list[str]:
-        """Return the other controllers' ids."""
+        """Return the ids of the other controllers."""
 
     def is_leader(self) -> bool:
         """Return whether this controller leads."""
 
 
 class VersionReplicator:
-    """Copies what one controller's publisher holds to its peers, and theirs to it."""
+    """Replicates versions and operator requests between a controller's publisher and its peers."""
 
     def __init__(self, host: ReplicatorHost, publisher: TablePublisher):
         self._host = host
         self._publisher = publisher
-        # Parts of snapshots that have not come complete, by part.
+        # The received parts of incomplete snapshots, by version and part number.
         self._parts: dict[VersionNumber, dict[int, Snapshot]] = {}
-        # The serial of the operator requests that each peer is known to have stored.
+        # The serial up to which each peer is known to have stored operator requests.
         self._stored_serials: dict[str, RequestSerial] = {}
+        # When the snapshot of a version was last queried.
         self._queried_at: dict[VersionNumber, int] = {}
         self._handlers: dict[type, Callable[[str, Any], None]] = {
             Announcement: self._on_announcement,
@@ -86,30 +89,31 @@
         host.call_later(ANNOUNCE_PERIOD, self._announce)
 
     def send_version(self, version: Version, delta: SnapshotDelta) -> None:
-        """Send peers a version that was published here.
+        """Send a version that was published here to all peers.
 
-        A delta that does not fit a message is not sent: peers ask when the version is announced.
+        If the delta does not fit in a message, nothing is sent: peers query the snapshot when the
+        version is announced.
         """
         if len(json.dumps(codec.encode_delta(delta))) <= MAX_PART_BYTES:
             self._send_to_all(VersionPublished(version, delta))
 
     def send_requests(self, state: RequestState) -> None:
-        """Send peers what operators want."""
+        """Send the operator requests to all peers."""
         self._send_to_all(RequestsState(state))
 
     def request_peer_states(self) -> None:
-        """Ask all peers what operators want, before the copy here counts for sure."""
+        """Ask all peers for their operator requests before the copy here is relied upon."""
         self._send_to_all(RequestsQuery())
 
     def replica_count(self, serial: RequestSerial) -> int:
-        """Return how many controllers, this one included, have the requests up to a serial."""
+        """Return how many controllers, including this one, have the requests up to a serial."""
         return 1 + sum(
             self._stored_serials.get(member, NO_REQUESTS) >= serial
             for member in self._host.peer_ids()
         )
 
     def controller_count(self) -> int:
-        """Return how many controllers there are, this one included."""
+        """Return the number of controllers, including this one."""
         return 1 + len(self._host.peer_ids())
 
     def on_message(self, member: str, kind: str, fields: dict[str, Any]) -> None:
@@ -137,11 +141,11 @@
         if self._host.is_leader():
             return
         if not self._publisher.version_log.append_from_peer(message.version, message.delta):
-            # One before it was missed: this one may still be had complete.
+            # An earlier version was missed, so query the complete snapshot of this one.
             self._query_snapshot(member, message.version.number)
 
     def _on_requests_state(self, member: str, message: RequestsState) -> None:
-        """Answer with the serial that is stored here now, which may be a newer one."""
+        """Answer with the serial that is stored here now, which may be newer than the message's."""
         self._adopt_requests(member, message.requests)
         self._send(member, RequestsAck(self._publisher.requests.serial))
 
@@ -177,7 +181,8 @@
             return
         del self._parts[number]
         snapshot = {name: table for part in parts.values() for name, table in part.items()}
-        # Else these are parts of two answers, perhaps: it is asked for again when it is announced.
+        # On a mismatch, the parts may be from different answers: the version is queried again when
+        # it is announced.
         if snapshot_hash(snapshot) == message.version.content_hash:
             self._publisher.on_peer_version(message.version, snapshot)
 
@@ -190,7 +195,7 @@
             self._query_snapshot(member, pin.version)
 
     def _query_snapshot(self, member: str, number: VersionNumber) -> None:
-        """Ask a peer for a version that is not here, unless it was asked for a moment ago."""
+        """Query a missing version's snapshot from a peer, unless it was queried a moment ago."""
         if number in self._publisher.version_log.versions:
             return
         now = self._host.now()
@@ -213,7 +218,7 @@
 
 
 def _split(snapshot: Snapshot) -> Iterator[Snapshot]:
-    """Yield the tables in parts that each fit a message; one part where there are none."""
+    """Yield the tables in parts that each fit in a message; one empty part if there are none."""
     part: Snapshot = {}
     size = 0
     for name, table in sorted(snapshot.items()):
--- a/indigodeck/versions/replication_messages.py
+++ b/indigodeck/versions/replication_messages.py
@@ -1,7 +1,7 @@
-"""The messages by which controllers replicate versions, and their fields on the wire.
+"""The messages that replicate versions between controllers, and their fields on the wire.
 
-The kinds and field names of the wire stand here only; `leadership.messages` carries them, and
-checks that a message of a kind has that kind's fields.
+Their kinds and the names of their fields on the wire are defined only here. `leadership.messages`
+transports them, and checks that a message has the fields of its kind.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """What the leader says of its state; `content_hash` is empty where there is no version."""
+    """The leader's periodic announcement; `content_hash` is empty if there is no version."""
 
     newest: VersionNumber | None
     content_hash: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionPublished:
-    """The leader's next version, as its delta to the one before."""
+    """The leader's next version, as the delta from its parent."""
 
     version: Version
     delta: SnapshotDelta
@@ -40,33 +40,33 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestsState:
-    """What operators want, as far as the sender knows."""
+    """The operator requests that the sender knows."""
 
     requests: RequestState
 
 
 @dataclass(frozen=True, slots=True)
 class RequestsQuery:
-    """The sender asks for what operators want."""
+    """A query for the receiver's operator requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestsAck:
-    """The sender has stored the operator requests up to a serial."""
+    """An acknowledgement that the sender has stored the operator requests up to a serial."""
 
     serial: RequestSerial
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotQuery:
-    """The sender lacks a version."""
+    """A query for the snapshot of a version that the sender lacks."""
 
     number: VersionNumber
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotPart:
-    """One of the parts, counted from 0, in which the snapshot of a version is sent."""
+    """One part of a version's snapshot; parts are numbered from 0."""
 
     version: Version
     part: int
@@ -86,7 +86,7 @@
 
 
 def encode(message: Message) -> tuple[str, Fields]:
-    """Return the kind of a message and its fields on the wire."""
+    """Encode a message as its kind and its fields on the wire."""
     match message:
         case Announcement(newest, content_hash, requests):
             return "book", {
@@ -112,7 +112,7 @@
 
 
 def decode(kind: str, fields: Fields) -> Message:
-    """Return the message of a kind from its fields on the wire."""
+    """Decode a message from its kind and its fields on the wire."""
     return _DECODERS[kind](fields)
 
 
--- a/indigodeck/versions/rollback_pins.py
+++ b/indigodeck/versions/rollback_pins.py
@@ -1,18 +1,20 @@
-"""Classes pinned to an old version, free of I/O: what is published while a rollback holds.
+"""Rollback of traffic classes to an earlier version, without I/O: the weights to publish meanwhile.
 
-A rollback overrules the assigner's judgement, but not the safety rules. While it holds:
+The old table of a class is its table in the version that the class is pinned to. A rollback
+overrides the assigner's decisions, but not the safety rules. While a class is pinned:
 
-- a server that drains, is gone or is not listed as ready gets no weight, whatever the old table
-  says;
-- a cold server gets no larger a share of a table than the assigner gives it today (which guards it
-  over all tables);
-- a table of which less than half the weight is left, or no warm server, stays as the assigner has
-  it: a class must not be left without servers, nor press on the few that are left.
+- A server that is draining, removed, or not listed as ready gets no weight, whatever the old table
+  says.
+- A cold server gets no larger share of a table than the assigner currently gives it, since the
+  assigner limits the load of cold servers over all tables.
+- If less than half of the old table's weight remains, or no warm server, the assigned table is
+  published. Otherwise the class might have no servers, or overload the few that remain.
 
-Admission and retry policy stay the assigner's: they protect servers from today's load.
+Admission and retry policy are always the assigner's, because they protect servers from the current
+load.
 
-The way there and back is paced: one table at a time, as the channel's queue has room. What a rule
-takes away is taken at once.
+Changes to and from the old tables are rate-limited: one table at a time, as the channel's queue has
+room. Weight that a safety rule removes is removed at once.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -20,36 +22,36 @@
 
 from .model import AssignedTable, ServerReadiness
 
-MIN_REMAINING_SHARE = 0.5  # of an old table's weight, below which the table stays the assigner's
-MAX_QUEUE_SHARE = 0.4  # of the lines that may wait, which a rollback may fill
+MIN_REMAINING_SHARE = 0.5  # of an old table's weight; below it the assigned table is published
+MAX_QUEUE_SHARE = 0.4  # of the channel's queue, in lines, that a rollback may fill
 
 Weights = Mapping[int, float]
 
 
 class RollbackPinsHost(Protocol):
-    """What rollback pins ask of the program around them. Servers are indices here."""
+    """The environment of `RollbackPins`. Servers are identified by indices."""
 
     def readiness(self, server: int) -> ServerReadiness:
-        """Return how far a server may serve from an old table."""
+        """Return whether a server may get weight from an old table."""
 
     def assigned_proxy_count(self, table: int) -> int:
-        """Return how many proxies are on a table."""
+        """Return how many proxies are assigned to a table."""
 
     def free_lines(self) -> float:
-        """Return the lines that may wait in the channel's queue, less those that do."""
+        """Return how many more lines may be queued in the channel."""
 
     def max_waiting_lines(self) -> float:
-        """Return the lines that may wait in the channel's queue."""
+        """Return how many lines may be queued in the channel in total."""
 
     def message_overhead_lines(self) -> float:
-        """Return the lines that a message's head counts as."""
+        """Return the number of lines that a message's header counts as."""
 
     def mark_changed(self, table: int, servers: Iterable[int]) -> None:
-        """Send these lines of a table to all proxies on it."""
+        """Queue these lines of a table for all proxies that are assigned to it."""
 
 
 class PinnedTable(NamedTuple):
-    """The weights that a table should have, and why they are not the old ones, if so."""
+    """The weights that a table should have; if a rule overrides the old ones, the reason."""
 
     weights: Weights
     override_reason: str | None
@@ -58,41 +60,42 @@
 def pinned_table(
     old: Weights, assigned: Weights, readiness: Callable[[int], ServerReadiness]
 ) -> PinnedTable:
-    """Return an old table as far as the rules let it serve today, or else the assigned one."""
+    """Return an old table with the safety rules applied, or the assigned table and the reason."""
     warm = {
         server: weight
         for server, weight in old.items()
         if readiness(server) is ServerReadiness.WARM
     }
     if not warm:
-        # Where all are cold, the assigned shares are guarded over all tables.
-        return PinnedTable(assigned, "nobody of it is warm")
+        # If all are cold, use the assigned shares, which limit their load over all tables.
+        return PinnedTable(assigned, "no server of the old table is warm")
     assigned_total = sum(assigned.values())
     warm_total = sum(warm.values())
     weights: dict[int, float] = {}
     for server, weight in old.items():
         state = readiness(server)
         if state is ServerReadiness.COLD:
-            # Of the warm ones' weight alone, so that no cold one adds to what another may have.
+            # Relative to the warm servers' weight only, so that no cold server raises the limit
+            # of another.
             share = assigned.get(server, 0.0)
             cap = warm_total * share / assigned_total if assigned_total else 0.0
             weight = min(weight, cap)
         if state is not ServerReadiness.UNAVAILABLE and weight > 0:
             weights[server] = weight
     if sum(weights.values()) < MIN_REMAINING_SHARE * sum(old.values()):
-        return PinnedTable(assigned, "too little of it is left")
+        return PinnedTable(assigned, "too little of the old weight remains")
     return PinnedTable(weights, None)
 
 
 class RollbackPins:
-    """The classes that are pinned, and the tables that are published otherwise than assigned.
+    """The pinned classes, and the tables whose published weights differ from the assigned ones.
 
     Attributes
     ----------
     published_weights
-        By table, the weights that are published where they differ from the assigned ones.
+        By table, the published weights if they differ from the assigned ones.
     override_reasons
-        By table, why a rule keeps it as assigned; None where none does.
+        By table, why a safety rule keeps it as assigned; None if no rule does.
     """
 
     def __init__(self, host: RollbackPinsHost):
@@ -103,11 +106,11 @@
         self._old_tables: dict[int, dict[int, Weights]] = {}
 
     def is_active(self) -> bool:
-        """Return whether a class is pinned, or a table still on its way back."""
+        """Return whether a class is pinned, or a table has not returned to the assigned weights."""
         return bool(self._old_tables or self.published_weights)
 
     def weights_of(self, table: int, assigned: Weights) -> Weights:
-        """Return the weights of a table as they are published."""
+        """Return the published weights of a table, given the assigned ones."""
         return self.published_weights.get(table, assigned)
 
     def pin(self, class_index: int, old_tables: dict[int, Weights]) -> None:
@@ -115,18 +118,18 @@
         self._old_tables[class_index] = old_tables
 
     def unpin(self, class_index: int) -> None:
-        """Let a class follow the assigner again."""
+        """Unpin a class: its tables follow the assigner again."""
         self._old_tables.pop(class_index, None)
 
     def has_pending_tables(self, assigned_tables: Mapping[int, AssignedTable]) -> bool:
-        """Return whether a table is still on its way to what it should be."""
+        """Return whether the published weights of any table differ from its target."""
         return any(
             self._target(table, assigned).weights != self.weights_of(table, assigned.weights)
             for table, assigned in assigned_tables.items()
         )
 
     def update(self, assigned_tables: Mapping[int, AssignedTable]) -> None:
-        """Bring tables nearer to what they should be, as the channel's queue has room."""
+        """Change published weights toward their targets, as far as the channel's queue has room."""
         if not self.is_active():
             return
         for table in self.published_weights.keys() - assigned_tables.keys():
@@ -150,8 +153,8 @@
             len(differing) + self._host.message_overhead_lines()
         )
         if differing and not self._is_urgent(published, target) and not budget.allows(cost):
-            # Until its turn comes it goes on with what it had when others changed, not with
-            # what they have.
+            # Until the queue has room for it, the table keeps the weights that it had when other
+            # tables changed.
             self.published_weights[table] = published
             return
         budget.spent += cost
@@ -168,11 +171,11 @@
             return PinnedTable(assigned.weights, None)
         old = old_tables.get(table)
         if old is None:
-            return PinnedTable(assigned.weights, "it was not there")
+            return PinnedTable(assigned.weights, "the version has no such table")
         return pinned_table(old, assigned.weights, self._host.readiness)
 
     def _is_urgent(self, published: Weights, target: Weights) -> bool:
-        """Return whether a rule takes weight away from a table as it is published."""
+        """Return whether a safety rule removes weight from the published table."""
         return any(
             self._host.readiness(server) is not ServerReadiness.WARM
             and target.get(server, 0.0) < weight
@@ -181,9 +184,10 @@
 
 
 class _LineBudget:
-    """The lines that one update may send.
+    """The number of lines that one update may send.
 
-    An empty queue takes its first table however long that is, so that the longest gets its turn.
+    The first table is always allowed if the queue is empty, so that even the longest table is sent
+    eventually.
     """
 
     def __init__(self, host: RollbackPinsHost):
@@ -193,7 +197,7 @@
         self._queue_is_empty = self._available >= max_waiting_lines * MAX_QUEUE_SHARE
 
     def allows(self, cost: float) -> bool:
-        """Return whether so many lines more may be sent now."""
+        """Return whether this many more lines may be sent."""
         if self.spent + cost <= max(self._available, 0):
             return True
         return self._queue_is_empty and not self.spent
--- a/indigodeck/versions/snapshots.py
+++ b/indigodeck/versions/snapshots.py
@@ -1,7 +1,7 @@
-"""Snapshots of all published tables: how they are made, hashed, compared, and changed by deltas.
+"""Functions that build, hash, compare, and apply deltas to snapshots of the published tables.
 
-Pure functions, free of I/O. A delta of a table names the hash of the table that it was made from,
-and is applied to no other.
+They are pure and do no I/O. The delta of a table contains the hash of the table that it was
+computed from, and is not applied to any other.
 """
 
 import json
@@ -14,17 +14,17 @@
 from .codec import encode_table
 from .model import Snapshot, SnapshotDelta, TableDelta, TableSnapshot
 
-WEIGHT_DIGITS = 6  # decimal places of a weight: more would say nothing that a relay can be told
+WEIGHT_DIGITS = 6  # decimal places of a weight; relays cannot be sent a higher precision
 
 
 class SnapshotMismatchError(IndigodeckError):
-    """A delta that was made from another table than the one at hand; the message names it."""
+    """A delta does not match the table that it is applied to; the message names the table."""
 
 
 def table_snapshot(
     class_name: str, weights: Mapping[str, float], admitted_share: float, retry_policy: int
 ) -> TableSnapshot:
-    """Return a table, servers sorted and figures rounded, so that equal ones hash alike."""
+    """Return a table with sorted servers and rounded numbers, so that equal tables hash equally."""
     return TableSnapshot(
         class_name,
         {server: round(weight, WEIGHT_DIGITS) for server, weight in sorted(weights.items())},
@@ -34,22 +34,22 @@
 
 
 def table_hash(table: TableSnapshot) -> str:
-    """Return 16 hexadecimal digits that stand for a table."""
+    """Return the hash of a table as 16 hexadecimal digits."""
     return _hash(encode_table(table))
 
 
 def combined_hash(table_hashes: Mapping[str, str]) -> str:
-    """Return a snapshot's hash from its tables' hashes, so that only changed tables are read."""
+    """Return a snapshot's hash, given its tables' hashes: unchanged tables are not hashed again."""
     return _hash(table_hashes)
 
 
 def snapshot_hash(snapshot: Snapshot) -> str:
-    """Return the hash of a whole snapshot."""
+    """Return the hash of a snapshot, computed from all its tables."""
     return combined_hash({name: table_hash(table) for name, table in snapshot.items()})
 
 
 def snapshot_delta(old: Snapshot, new: Snapshot) -> SnapshotDelta:
-    """Return what turns the snapshot `old` into `new`, by table."""
+    """Return the delta from the snapshot `old` to `new`."""
     return {
         name: _table_delta(old.get(name), new.get(name))
         for name in sorted(old.keys() | new.keys())
@@ -58,12 +58,12 @@
 
 
 def apply_delta(old: Snapshot, delta: SnapshotDelta) -> Snapshot:
-    """Return the snapshot that a delta makes of `old`, which stays as it is.
+    """Return the result of applying a delta to `old`, which is not modified.
 
     Raises
     ------
     SnapshotMismatchError
-        If a table's delta was made from another table than the one in `old`.
+        If a table's delta was computed from a table other than the one in `old`.
     """
     new = dict(old)
     for name, change in delta.items():
@@ -77,14 +77,14 @@
 
 
 def line_count(changes: Iterable[TableSnapshot | TableDelta | None]) -> int:
-    """Return how many lines a delta or snapshot takes to tell, with a head for each table."""
+    """Return the size of a delta or snapshot in lines, counting one header line for each table."""
     return sum(1 + len(change.weights) if change else 1 for change in changes)
 
 
 def _table_delta(
     old: TableSnapshot | None, new: TableSnapshot | None
 ) -> TableSnapshot | TableDelta | None:
-    """Return what turns the table `old` into `new`: a delta where that is shorter."""
+    """Return the change from the table `old` to `new`: a delta if it is shorter than `new`."""
     if new is None or old is None or old.class_name != new.class_name:
         return new
     weights: dict[str, float | None] = {
@@ -100,7 +100,7 @@
 
 def _apply_table_delta(name: str, old: TableSnapshot | None, delta: TableDelta) -> TableSnapshot:
     if old is None or table_hash(old) != delta.base_hash:
-        raise SnapshotMismatchError(f"table {name} is not the one that was changed")
+        raise SnapshotMismatchError(f"table {name} is not the one that its delta was computed from")
     weights = {**old.weights, **delta.weights}
     return TableSnapshot(
         old.class_name,
--- a/indigodeck/versions/version_log.py
+++ b/indigodeck/versions/version_log.py
@@ -1,15 +1,15 @@
-"""The log of published versions, free of I/O: their numbers, their records, and which are kept.
-
-A number is EPOCH.SERIAL. The epoch is the one that the controller leads under; a planner without
-peers counts its starts, each stored before anything is published. No epoch is given twice, so no
-number is, even where a version was sent and its record lost: what follows has a higher epoch.
-While its start could not be stored, a planner without peers has no epoch, and what it publishes
-is not numbered.
-
-A version is stored as the delta to its parent, or as a whole snapshot: every `CHAIN_LENGTH`
-versions, and where the delta is no shorter. A snapshot begins a chain. Chains are dropped whole,
-oldest first, except those that are needed: what relays hold, what is rolled back to, what is
-pinned.
+"""The log of published versions, without I/O: numbering, records, and pruning.
+
+A version number is EPOCH.SERIAL. The epoch is the one that the controller leads under. A planner
+without peers uses the count of its starts as its epoch; it stores each start before it publishes
+anything. No epoch is used twice, so no version number is, even if a version was sent to relays and
+its record was lost: the versions after it have a higher epoch. Until a planner without peers has
+stored its start, it has no epoch, and the tables that it publishes get no version number.
+
+A version is stored as the delta from its parent, or as a complete snapshot: every `CHAIN_LENGTH`
+versions, and whenever the delta would be no shorter. A snapshot starts a new chain. Pruning drops
+complete chains, oldest first, and skips those with a version that a relay holds, that a class is
+rolled back to, or that is pinned.
 """
 
 import json
@@ -29,7 +29,7 @@
     table_hash,
 )
 
-CHAIN_LENGTH = 32  # versions in one chain: at most so many deltas are applied to have any version
+CHAIN_LENGTH = 32  # versions in one chain, which limits the deltas to apply to restore a version
 MAX_CAUSE_LENGTH = 1000  # characters of a cause that are kept
 DAY = 86_400 * SECOND
 DEFAULT_MAX_VERSIONS = 2000
@@ -37,35 +37,35 @@
 
 
 class VersionLogStore(Protocol):
-    """The store of a version log, and its clock."""
+    """The store and the clock of a version log."""
 
     def wall_clock(self) -> int:
         """Return the microseconds since 1970."""
 
     def save(self, changes: list[tuple[str, Any]]) -> None:
-        """Store values by key, all or none and soon; None removes a key."""
+        """Store values by key, soon and all or none of them; None removes a key."""
 
     def load(self, key: str) -> Any:
         """Return the value stored under a key, or None."""
 
 
 class VersionLog:
-    """The versions that are kept, and the snapshot that was published last.
+    """The retained versions, and the snapshot that was published last.
 
     Invariants: `newest` is the number of the last version, `snapshot` its tables, and
-    `table_hashes` their hashes. Each version stands in exactly one chain, that of its
-    `chain_start`, in the order of numbers.
+    `table_hashes` their hashes. Each version is in exactly one chain, that of its `chain_start`,
+    and chains are ordered by version number.
 
     Parameters
     ----------
     store
         Where versions are stored.
     keys
-        Keys of the versions that are stored already.
+        The keys of the versions in the store.
     max_versions
-        At least so many are kept, however old they are.
+        At least this many versions are kept, regardless of their age.
     max_age
-        Twice `max_versions` are kept while they are no older than this, in microseconds.
+        The age in microseconds up to which twice `max_versions` are kept.
     """
 
     def __init__(
@@ -79,10 +79,10 @@
         self.newest: VersionNumber | None = None
         self.snapshot: Snapshot = {}
         self.table_hashes: dict[str, str] = {}
-        # What the newest version changed of its parent.
+        # The change from the newest version's parent to the newest version.
         self.last_delta: SnapshotDelta = {}
-        # The stored form of each version's delta or snapshot, in memory too: a disk that stands
-        # still must hold up no rollback.
+        # The encoded delta or snapshot of each version is kept in memory as well, so that a disk
+        # that hangs does not delay a rollback.
         self.records: dict[VersionNumber, bytes] = {}
         self._store = store
         self._max_versions = max_versions
@@ -93,18 +93,19 @@
         self._load(keys)
 
     def start_epoch(self, epoch: int) -> None:
-        """Give versions numbers under this epoch from now on."""
+        """Assign version numbers under this epoch from now on."""
         if self._epoch is not None and epoch <= self._epoch:
             return
         last = self.newest
         self._epoch = epoch
         self._serial = last.serial if last is not None and last.epoch >= epoch else 0
         if last is not None and last.epoch > epoch:
-            # Of a relay group that another controller leads now: numbers go on all the same.
+            # The last version is of a relay group that another controller leads now; numbering
+            # continues after it nevertheless.
             self._epoch = last.epoch
 
     def stop_epoch(self) -> None:
-        """Give no version a number until another epoch starts."""
+        """Stop assigning version numbers until another epoch is started."""
         self._epoch = None
 
     def content_hash(self) -> str:
@@ -114,10 +115,10 @@
     def publish(
         self, snapshot: Snapshot, cause: str, author: str = "", force: bool = False
     ) -> Version | None:
-        """Log the snapshot that is published now.
+        """Add the snapshot that is published now to the log.
 
-        Return its version if it differs from what was published last, or if there is to be one
-        `force`; else, or while no epoch is started, None.
+        Return its version if it differs from the last snapshot, or if `force` is set. Return None
+        if there is no new version, or while no epoch is started.
         """
         hashes = {
             name: self.table_hashes[name] if self.snapshot.get(name) is table else table_hash(table)
@@ -142,7 +143,7 @@
         return self._append(version, before)
 
     def append_from_peer(self, version: Version, delta: SnapshotDelta) -> bool:
-        """Log another controller's next version; return whether it follows on what is held here."""
+        """Add another controller's next version; return whether it applies to the newest here."""
         if version.parent != self.newest:
             return False
         try:
@@ -157,9 +158,9 @@
         return True
 
     def insert_from_peer(self, version: Version, snapshot: Snapshot) -> None:
-        """Keep another controller's version as a whole snapshot.
+        """Add another controller's version as a complete snapshot.
 
-        It can be rolled back to, and followed where it is the newest.
+        It can be rolled back to. If it is the newest, later versions can be appended to it.
         """
         if version.number in self.versions:
             return
@@ -174,7 +175,7 @@
         self._save(version, content)
 
     def snapshot_of(self, number: VersionNumber) -> Snapshot | None:
-        """Return the tables of a version, proved by its hash; None if it is not kept complete."""
+        """Return the tables of a version, checked by its hash; None if missing or damaged."""
         version = self.versions.get(number)
         if version is None:
             return None
@@ -193,24 +194,24 @@
         return snapshot if snapshot_hash(snapshot) == version.content_hash else None
 
     def delta_between(self, old: VersionNumber, new: VersionNumber) -> SnapshotDelta | None:
-        """Return what changed from one version to another; None if one of them is not kept."""
+        """Return the delta from one version to another; None if either is missing or damaged."""
         before = self.snapshot_of(old)
         after = self.snapshot_of(new)
         return None if before is None or after is None else snapshot_delta(before, after)
 
     def prune(self, needed: Set[VersionNumber] = frozenset()) -> list[VersionNumber]:
-        """Drop the oldest chains beyond what is to be kept, and return the numbers dropped.
+        """Drop the oldest chains that exceed the limits; return the numbers of their versions.
 
-        A chain with a version in `needed` stays.
+        A chain with a version in `needed` is not dropped.
         """
         now = self._store.wall_clock()
         dropped: list[VersionNumber] = []
         for chain_start in sorted(self._chains)[:-1]:
             chain = self._chains[chain_start]
-            left = len(self.versions) - len(dropped)
+            remaining = len(self.versions) - len(dropped)
             youngest = max(self.versions[number].published_at for number in chain)
             is_old = now - youngest > self._max_age
-            if left - len(chain) < self._max_versions * (1 if is_old else 2):
+            if remaining - len(chain) < self._max_versions * (1 if is_old else 2):
                 break
             if not needed & set(chain):
                 dropped += chain
@@ -224,13 +225,14 @@
             record = self._store.load(key)
             if record is not None:
                 self._add(*codec.decode_record(record))
-        # What is published next is compared with what was last: a restart alone makes no version.
+        # The next snapshot is compared with the last published one, so that a restart without a
+        # change publishes no version.
         while self.newest is not None:
             snapshot = self.snapshot_of(self.newest)
             if snapshot is not None:
                 self._set_snapshot(snapshot)
                 return
-            self._discard([self.newest])  # its chain is not complete
+            self._discard([self.newest])  # its chain is incomplete or damaged
             self.newest = max(self.versions, default=None)
 
     def _set_snapshot(self, snapshot: Snapshot) -> None:
@@ -238,7 +240,7 @@
         self.table_hashes = {name: table_hash(table) for name, table in snapshot.items()}
 
     def _append(self, version: Version, before: Snapshot) -> Version:
-        """Add the newest version, whose snapshot is `self.snapshot`, in its shorter form."""
+        """Add the newest version, with `self.snapshot`, as a delta if that is shorter."""
         parent = None if version.parent is None else self.versions.get(version.parent)
         delta = snapshot_delta(before, self.snapshot)
         if (
--- a/tests/versions/support.py
+++ b/tests/versions/support.py
@@ -1,4 +1,4 @@
-"""A store and a planner that the tests of versions share with those of other packages."""
+"""Stubs of a store and a planner, shared by the tests of several packages."""
 
 import json
 
@@ -8,11 +8,11 @@
 from indigodeck.versions.snapshots import table_snapshot
 from indigodeck.versions.version_log import DAY
 
-SERVER_IDS = [f"host-{nth}" for nth in range(12)]
+SERVER_IDS = [f"host-{index}" for index in range(12)]
 
 
 class StubStore:
-    """Clock and store for a version log; what is stored while it is `drops_writes` is lost."""
+    """A store and a clock for a version log; writes are lost while `drops_writes` is set."""
 
     def __init__(self):
         self.wall_time_us = 10 * DAY
@@ -20,38 +20,41 @@
         self.drops_writes = False
 
     def wall_clock(self):
-        """Return the stub's time of day."""
+        """Return the stub's wall-clock time."""
         return self.wall_time_us
 
     def save(self, changes):
         """Store values by key; None removes a key."""
         for key, value in changes:
-            # As it would come back from a disk.
+            # Encode and decode the value, as a store on disk does.
             self.values[key] = (
                 None if value is None or self.drops_writes else json.loads(json.dumps(value))
             )
         self.values = {key: value for key, value in self.values.items() if value is not None}
 
     def load(self, key):
-        """Return the value under a key, or None."""
+        """Return the value of a key, or None."""
         return self.values.get(key)
 
     def keys(self):
-        """Return the keys of stored versions."""
+        """Return the keys of the stored versions."""
         return [key for key in self.values if key.startswith("version/")]
 
 
 class StubPlanner:
-    """What a publisher runs on: 6 tables of two classes over 12 servers.
+    """The environment of a publisher: 6 tables of two classes over 12 servers.
 
-    Proxies 0 to 5 are on one table of each class. Without an epoch it does not lead.
+    Proxies 0 to 5 are each assigned to one table of each class. Without an epoch, the planner does
+    not lead.
     """
 
     def __init__(self, store=None, epoch=1, free_line_count=10_000):
         self.store = store or StubStore()
         self.time_us = 0
         self.free_line_count = free_line_count
-        self.weights = {table: {(table + nth) % 12: 1.0 for nth in range(4)} for table in range(6)}
+        self.weights = {
+            table: {(table + offset) % 12: 1.0 for offset in range(4)} for table in range(6)
+        }
         self.revisions = dict.fromkeys(range(6), 0)
         self.readiness_by_server = {}
         self.changed_tables = []
@@ -68,7 +71,7 @@
         return self.time_us
 
     def wall_clock(self):
-        """Return the store's time of day, moved on by the stub's time."""
+        """Return the store's wall-clock time plus the stub's time."""
         return self.store.wall_clock() + self.time_us
 
     def save(self, changes):
@@ -80,11 +83,11 @@
         return self.store.load(key)
 
     def keys(self, prefix):
-        """Return the stored keys that begin with a prefix."""
+        """Return the stored keys that start with a prefix."""
         return [key for key in self.store.values if key.startswith(prefix)]
 
     def assigned_tables(self):
-        """Return the weights as the assigner's tables."""
+        """Return the weights as tables of the assigner."""
         return {
             table: AssignedTable(table % 2, weights, 1.0, 1, self.revisions[table])
             for table, weights in self.weights.items()
@@ -99,7 +102,7 @@
         return SERVER_IDS.index(server_id) if server_id in SERVER_IDS else None
 
     def readiness(self, server):
-        """Return the state that a test gave a server; warm where it gave none."""
+        """Return the readiness that a test set for a server; WARM if it set none."""
         if not 0 <= server < 12:
             return ServerReadiness.UNAVAILABLE
         return self.readiness_by_server.get(server, ServerReadiness.WARM)
@@ -113,7 +116,7 @@
         )
 
     def assigned_proxy_count(self, table):
-        """Return the proxies on a table."""
+        """Return the number of proxies on a table."""
         return 2
 
     def relay_id(self, proxy):
@@ -125,7 +128,7 @@
         return {0: proxy % 3 * 2, 1: proxy % 3 * 2 + 1}
 
     def free_lines(self):
-        """Return the room that a test left."""
+        """Return the free lines that a test set."""
         return self.free_line_count
 
     def max_waiting_lines(self):
@@ -133,41 +136,41 @@
         return 10_000
 
     def message_overhead_lines(self):
-        """Return the lines of a message's head."""
+        """Return the lines that a message's header counts as."""
         return 6
 
     def mark_changed(self, table, servers):
-        """Note a table that was sent."""
+        """Record a table whose lines were queued for proxies."""
         self.changed_tables.append(table)
 
     def resume_tables(self, tables):
-        """Note the tables to resume."""
+        """Record the tables to resume."""
         self.resumed_tables = tables
 
     def on_version_published(self, version, delta):
-        """Note the newest version."""
+        """Record the newest version."""
         self.last_published = version, delta
 
     def on_requests_changed(self, state):
-        """Note what operators want."""
+        """Record the state of operator requests."""
         self.request_states.append(state)
 
-    def log(self, event, **facts):
-        """Note a log event."""
-        self.log_events.append((event, facts))
+    def log(self, event, **fields):
+        """Record a log event."""
+        self.log_events.append((event, fields))
 
-    def change_table(self, table, why="", **weights):
-        """Let the assigner give a table other weights: h3=1.0 is of server 3."""
+    def change_table(self, table, cause="", **weights):
+        """Replace the assigned weights of a table; h3=1.0 sets that of server 3."""
         self.weights[table] = {int(server[1:]): weight for server, weight in weights.items()}
         self.revisions[table] += 1
-        if why:
-            self.publisher.add_cause(why)
+        if cause:
+            self.publisher.add_cause(cause)
         self.publisher.publish("turn")
 
     def published_weights(self):
-        """Return {table: {server id: weight}} as relays should hold it now."""
+        """Return {table: {server id: weight}} of the newest version."""
         snapshot = self.publisher.version_log.snapshot_of(self.publisher.newest_version())
-        return {table: held.weights for table, held in snapshot.items()}
+        return {name: table.weights for name, table in snapshot.items()}
 
 
 def random_snapshot(random):
--- a/tests/versions/test_admin_api.py
+++ b/tests/versions/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The admin API: operators' requests as JSON, and the answers to them."""
+"""Tests of the admin API: operator requests as JSON, and the answers to them."""
 
 import unittest
 
@@ -8,16 +8,16 @@
 
 
 class AdminApiTest(unittest.TestCase):
-    """Requests to a stub of the planner that has published two versions."""
+    """Requests to a stub planner that has published two versions."""
 
     def setUp(self):
-        """Publish version 1.1, and 1.2 with another table 0."""
+        """Publish version 1.1, and version 1.2 with a changed table 0."""
         self.planner = StubPlanner()
         self.api = AdminApi(self.planner.publisher, self.planner)
         self.planner.change_table(0, "server 3 is slow", h0=2.0, h1=1.0, h2=1.0, h8=1.0)
 
     def test_list_returns_versions_newest_first_and_active_rollbacks(self):
-        """The list says of each version what it is, and of each rollback who asked for it."""
+        """The list contains the metadata of each version, and the author of each rollback."""
         self.api.answer(
             {
                 "what": "rollback",
@@ -28,9 +28,14 @@
             }
         )
         answer = self.api.answer({"what": "list"})
-        self.assertEqual([one["number"] for one in answer["versions"]], ["1.3", "1.2", "1.1"])
         self.assertEqual(
-            [(one["parent"], one["cause"], one["author"]) for one in answer["versions"]],
+            [version["number"] for version in answer["versions"]], ["1.3", "1.2", "1.1"]
+        )
+        self.assertEqual(
+            [
+                (version["parent"], version["cause"], version["author"])
+                for version in answer["versions"]
+            ],
             [
                 ("1.2", "rollback of read to 1.1: faults", "duty"),
                 ("1.1", "server 3 is slow", ""),
@@ -40,24 +45,22 @@
         self.assertEqual(
             (answer["newest"], answer["more"], answer["in_charge"]), ("1.3", False, True)
         )
-        hold = answer["holds"]["read"]
-        self.assertEqual(
-            (hold["number"], hold["author"], hold["reason"]), ("1.1", "duty", "faults")
-        )
+        pin = answer["holds"]["read"]
+        self.assertEqual((pin["number"], pin["author"], pin["reason"]), ("1.1", "duty", "faults"))
         older = self.api.answer({"what": "list", "before": "1.3"})
-        self.assertEqual([one["number"] for one in older["versions"]], ["1.2", "1.1"])
+        self.assertEqual([version["number"] for version in older["versions"]], ["1.2", "1.1"])
 
     def test_long_list_is_paginated(self):
-        """One answer has a page of versions, and says that there are more."""
-        for nth in range(MAX_PAGE_ENTRIES):
-            self.planner.change_table(0, h0=3.0 + nth)
+        """One answer has one page of versions, and says that there are more."""
+        for index in range(MAX_PAGE_ENTRIES):
+            self.planner.change_table(0, h0=3.0 + index)
         answer = self.api.answer({"what": "list"})
         self.assertEqual((len(answer["versions"]), answer["more"]), (MAX_PAGE_ENTRIES, True))
         rest = self.api.answer({"what": "list", "before": answer["versions"][-1]["number"]})
         self.assertEqual((len(rest["versions"]), rest["more"]), (2, False))
 
     def test_diff_returns_old_and_new_weight_of_each_changed_line(self):
-        """Lines of a table that changed, from the old version to the new one and back."""
+        """The diff has only changed lines; in the opposite direction, old and new are swapped."""
         answer = self.api.answer({"what": "diff", "old": "1.1", "new": "1.2"})
         lines = {"host-0": [1.0, 2.0], "host-3": [1.0, None], "host-8": [None, 1.0]}
         self.assertEqual(
@@ -67,62 +70,64 @@
                 "more": False,
             },
         )
-        back = self.api.answer({"what": "diff", "old": "1.2", "new": "1.1"})
+        reverse = self.api.answer({"what": "diff", "old": "1.2", "new": "1.1"})
         self.assertEqual(
-            back["tables"]["0"]["lines"], {name: line[::-1] for name, line in lines.items()}
+            reverse["tables"]["0"]["lines"], {name: line[::-1] for name, line in lines.items()}
         )
 
     def test_show_is_paginated_to_fit_messages(self):
-        """All tables of a version come in several answers, each asked for by the last name."""
+        """A version's tables come in pages; each request names the last table received so far."""
         self.planner.weights = {table: dict.fromkeys(range(12), 1.0) for table in range(400)}
         self.planner.revisions = dict.fromkeys(range(400), 0)
         self.planner.publisher.publish("turn")
-        found = {}
+        tables = {}
         answers = 0
         after = {}
         more = True
         while more:
             answer = self.api.answer({"what": "show", "number": "1.3", **after})
             self.assertEqual(answer["version"]["number"], "1.3")
-            found.update(answer["tables"])
+            tables.update(answer["tables"])
             after = {"after": max(answer["tables"])}
             more = answer["more"]
             answers += 1
         self.assertGreater(answers, 3)
-        self.assertEqual(len(found), 400)
+        self.assertEqual(len(tables), 400)
         self.assertEqual(
-            found["7"],
+            tables["7"],
             {"class": "write", "level": [1.0, 1], "lines": dict.fromkeys(SERVER_IDS, 1.0)},
         )
 
     def test_relays_returns_the_version_each_relay_holds(self):
-        """A relay that is behind is said to be."""
+        """The answer says whether each relay is up to date and has confirmed its version."""
         relay_versions = self.planner.publisher.relay_versions
         first = min(self.planner.publisher.version_log.versions)
         relay_versions.on_delivered(0, first)
         relay_versions.on_delivered(1, self.planner.publisher.newest_version(), confirmed=False)
         answer = self.api.answer({"what": "relays"})
         self.assertEqual(
-            [list(one) for one in answer["relays"]],
+            [list(status) for status in answer["relays"]],
             [["relay-0", "1.1", False, True], ["relay-1", "1.2", True, False]],
         )
         rest = self.api.answer({"what": "relays", "after": "relay-0"})
-        self.assertEqual(([one[0] for one in rest["relays"]], rest["more"]), (["relay-1"], False))
+        self.assertEqual(
+            ([status[0] for status in rest["relays"]], rest["more"]), (["relay-1"], False)
+        )
 
     def test_change_returns_its_serial(self):
-        """Pinning twice changes nothing the second time, so the serial stays."""
+        """Pinning a version again changes nothing, so the serial stays the same."""
         pin = {"what": "pin", "number": "1.1", "on": True}
         self.assertEqual(self.api.answer(pin), {"done": "1.1 is pinned", "serial": [1, 1]})
         self.assertEqual(self.api.answer(pin), {"done": "1.1 is pinned", "serial": [1, 1]})
         versions = self.api.answer({"what": "list"})["versions"]
-        self.assertEqual([one["pinned"] for one in versions], [False, True])
+        self.assertEqual([version["pinned"] for version in versions], [False, True])
         self.assertEqual(
             self.api.answer({"what": "release", "author": "duty", "reason": ""}),
             {"done": "nothing was held: nothing changes", "serial": [1, 1]},
         )
 
     def test_rejected_request_returns_the_reason(self):
-        """Unknown requests, versions and classes, and requests to one that does not lead."""
+        """Unknown requests, versions and classes, and a controller that does not lead."""
         rollback = {"what": "rollback", "number": "1.1", "author": "duty", "reason": ""}
         for request, reason in (
             ({"what": "pin", "number": "9.9", "on": True}, "version 9.9 is not kept"),
@@ -131,7 +136,7 @@
             ({**rollback, "author": ""}, "a rollback needs an author"),
             (
                 {**rollback, "classes": ["none"]},
-                "'none' is none of the classes ['read', 'write']",
+                "unknown class 'none': the classes are ['read', 'write']",
             ),
         ):
             with self.subTest(request=request):
--- a/tests/versions/test_operator_commands.py
+++ b/tests/versions/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: rollbacks that keep the rules, releases, and what is answered."""
+"""Tests of operator commands: rollbacks subject to safety rules, releases, and their answers."""
 
 import unittest
 
@@ -9,10 +9,10 @@
 
 
 class RollBackTest(unittest.TestCase):
-    """Rollbacks and releases on a stub of the planner."""
+    """Rollbacks and releases on a stub planner."""
 
     def test_rollback_pins_class_until_release_subject_to_safety_rules(self):
-        """A pinned class keeps its old table, as far as the rules let it, until it is released."""
+        """Until its release, a pinned class keeps its old table as far as safety rules allow."""
         planner = StubPlanner()
         first = planner.publisher.newest_version()
         planner.change_table(0, h8=1.0, h9=1.0, h10=1.0)
@@ -29,24 +29,24 @@
         self.assertEqual(
             (last.author, last.cause), ("duty", "rollback of read to 1.1: exchanges fail")
         )
-        # What the assigner changes meanwhile is not published; a server that drains leaves all
-        # the same.
+        # Changes by the assigner are not published meanwhile, but a draining server is removed
+        # nevertheless.
         planner.change_table(0, h8=2.0, h9=1.0)
         self.assertEqual(planner.publisher.newest_version(), last.number)
         planner.readiness_by_server[1] = ServerReadiness.UNAVAILABLE
         planner.publisher.publish("list")
         self.assertEqual(set(planner.published_weights()["0"]), {"host-0", "host-2", "host-3"})
-        # One that starts anew is guarded: it may have what it has today, which is nothing here.
+        # A server that restarted is cold and limited to its assigned share, which is zero here.
         planner.readiness_by_server[2] = ServerReadiness.COLD
         planner.publisher.publish("list")
         self.assertEqual(set(planner.published_weights()["0"]), {"host-0", "host-3"})
-        # Too few are left: the class goes on with today's table.
+        # Too few servers remain: the assigned table is published.
         planner.readiness_by_server[3] = ServerReadiness.UNAVAILABLE
         planner.publisher.publish("list")
         self.assertEqual(planner.published_weights()["0"], {"host-8": 2.0, "host-9": 1.0})
         self.assertEqual(
             planner.commands.describe_overrides(["read"]),
-            ["tables 0 stay today's: too little of it is left"],
+            ["tables 0 stay as assigned: too little of the old weight remains"],
         )
         planner.readiness_by_server.clear()
         planner.publisher.publish("list")
@@ -55,7 +55,7 @@
         self.assertEqual(planner.published_weights()["0"], {"host-8": 2.0, "host-9": 1.0})
 
     def test_repeated_command_changes_nothing_and_new_rollback_replaces_pin(self):
-        """A repeated command changes nothing; another operator's replaces the pin."""
+        """A repeated command changes nothing; a different one replaces the pin."""
         planner = StubPlanner()
         publisher = planner.publisher
         first = publisher.newest_version()
@@ -69,24 +69,24 @@
         self.assertEqual(
             (publisher.newest_version(), len(publisher.version_log.versions)), (pinned, count)
         )
-        # To the one that is published already, by another operator at the same time: said, and
-        # pinned from then on.
+        # Another operator rolls one class back to the version with the currently assigned tables:
+        # the answer names the replaced pin, and the class is pinned to that version from then on.
         self.assertIn(
             "was held at 1.1 by duty", planner.commands.roll_back(second, ["read"], "night", "b")
         )
         self.assertEqual(publisher.requests.rollbacks["write"].author, "duty")
         self.assertEqual(len(planner.published_weights()["0"]), 2)
         self.assertIn("nothing changes", planner.commands.roll_back(second, ["read"], "night", "b"))
-        for wrong, classes in ((VersionNumber(9, 9), []), (first, ["none"])):
+        for number, classes in ((VersionNumber(9, 9), []), (first, ["none"])):
             with self.assertRaises(RejectedError):
-                planner.commands.roll_back(wrong, classes, "duty", "")
+                planner.commands.roll_back(number, classes, "duty", "")
         planner.commands.release([], "duty", "")
         self.assertEqual(
             planner.commands.release([], "duty", ""), "nothing was held: nothing changes"
         )
 
     def test_rollback_to_unavailable_servers_reports_overridden_tables(self):
-        """The answer names the tables that a rule keeps as they are."""
+        """The answer names the tables that a safety rule keeps as assigned."""
         planner = StubPlanner()
         first = planner.publisher.newest_version()
         planner.change_table(0, h8=1.0, h9=1.0)
@@ -94,7 +94,7 @@
         planner.publisher.publish("list")
         before = planner.published_weights()["0"]
         self.assertIn(
-            "tables 0 stay today's: nobody of it is warm",
+            "tables 0 stay as assigned: no server of the old table is warm",
             planner.commands.roll_back(first, ["read"], "duty", ""),
         )
         self.assertEqual(planner.published_weights()["0"], before)
--- a/tests/versions/test_operator_requests.py
+++ b/tests/versions/test_operator_requests.py
@@ -1,4 +1,4 @@
-"""The state of operators' requests."""
+"""Tests of the state of operator requests."""
 
 import json
 import unittest
@@ -10,10 +10,10 @@
 
 
 class OperatorRequestsTest(unittest.TestCase):
-    """What is kept for requests, and its stored form."""
+    """The versions that requests refer to, and the stored form of requests."""
 
     def test_requests_survive_encoding_and_limit_pinned_versions(self):
-        """Their state comes back from its stored form; no more versions are pinned than allowed."""
+        """Decoding restores the encoded state; only a limited number of versions can be pinned."""
         requests = OperatorRequests()
         self.assertTrue(requests.set_version_pinned(VersionNumber(1, 4), True, 1))
         self.assertFalse(requests.set_version_pinned(VersionNumber(1, 4), True, 1))
@@ -24,8 +24,8 @@
             encode_requests(OperatorRequests(decode_requests(document)).state()),
             encode_requests(requests.state()),
         )
-        for nth in range(255):
-            requests.set_version_pinned(VersionNumber(2, nth), True, 2)
+        for serial in range(255):
+            requests.set_version_pinned(VersionNumber(2, serial), True, 2)
         with self.assertRaises(RejectedError):
             requests.set_version_pinned(VersionNumber(3, 1), True, 2)
 
--- a/tests/versions/test_publisher.py
+++ b/tests/versions/test_publisher.py
@@ -1,4 +1,4 @@
-"""The table publisher: which versions it publishes, and what outlasts a restart and a takeover."""
+"""Tests of the table publisher: its versions, and what survives restarts and takeovers."""
 
 import unittest
 
@@ -11,10 +11,10 @@
 
 
 class TablePublisherTest(unittest.TestCase):
-    """A publisher on a stub of the planner."""
+    """A publisher on a stub planner."""
 
     def test_each_change_publishes_a_version_with_its_cause_and_restart_publishes_none(self):
-        """Versions have the assigner's words as causes, or the event that led to them."""
+        """A version's cause is what the assigner logged, or else the event that led to it."""
         planner = StubPlanner()
         planner.change_table(0, "server 3 leaves classes [0]: slow", h0=1.0, h1=1.0)
         planner.publisher.publish("turn")
@@ -46,7 +46,7 @@
         )
 
     def test_requests_survive_restart_and_takeover_and_are_applied_once(self):
-        """A rollback holds on over a restart and on another controller."""
+        """A rollback stays active after a restart and on another controller."""
         planner = StubPlanner()
         first = planner.publisher.newest_version()
         planner.change_table(0, h8=1.0, h9=1.0)
@@ -54,8 +54,8 @@
         again = StubPlanner(planner.store, 2)
         again.change_table(0, h8=1.0, h9=1.0)
         self.assertEqual(set(again.published_weights()["0"]), PINNED_SERVERS)
-        # Another controller, with copies of versions and requests; the same copy again changes
-        # nothing.
+        # Another controller gets copies of the versions and requests. A second copy of the
+        # requests changes nothing.
         other = StubPlanner(None, 0)
         log = planner.publisher.version_log
         for version in log.versions.values():
@@ -67,12 +67,12 @@
         other.publisher.become_leader(7)
         other.change_table(0, h8=1.0, h9=1.0)
         self.assertEqual(set(other.published_weights()["0"]), PINNED_SERVERS)
-        # Who takes over publishes what was published: no version of its own, until something
-        # changes.
+        # The new leader continues with the published tables, and publishes no version of its own
+        # until something changes.
         self.assertEqual(other.publisher.newest_version(), planner.publisher.newest_version())
         other.commands.release([], "night", "")
         self.assertEqual(str(other.publisher.newest_version()), "7.1")
-        # What was asked before it is older.
+        # Requests from before the release are older than the current state.
         self.assertFalse(other.publisher.on_peer_requests(planner.request_states[-1]))
         with self.assertRaises(RejectedError):
             StubPlanner(None, 0).commands.roll_back(first, [], "duty", "")
--- a/tests/versions/test_relay_versions.py
+++ b/tests/versions/test_relay_versions.py
@@ -1,4 +1,4 @@
-"""Which version each relay holds."""
+"""Tests of the record of which version each relay holds."""
 
 import unittest
 
@@ -12,10 +12,10 @@
 
 
 class RelayVersionsTest(unittest.TestCase):
-    """What transports report of relays, in order, late, or twice."""
+    """Deliveries that transports report in order, late, or twice."""
 
     def test_relay_status_follows_deliveries_and_is_stored(self):
-        """Statuses follow what was taken and confirmed, and are stored now and then."""
+        """Statuses follow deliveries and confirmations, and are stored periodically."""
         planner = StubPlanner()
         first = planner.publisher.newest_version()
         relay_versions = planner.publisher.relay_versions
@@ -33,7 +33,7 @@
         relay_versions.on_delivered(0, planner.publisher.newest_version(), confirmed=False)
         self.assertEqual(relay_versions.statuses()[0], ("relay-0", SECOND_VERSION, True, False))
         relay_versions.on_proxy_request(0)
-        relay_versions.on_delivered(0, first)  # told twice, or late: it holds what is newer
+        relay_versions.on_delivered(0, first)  # reported late or twice: the newer version stays
         self.assertEqual(relay_versions.statuses()[0], ("relay-0", SECOND_VERSION, True, True))
         planner.time_us += 20 * SECOND
         planner.publisher.publish("turn")
--- a/tests/versions/test_replication.py
+++ b/tests/versions/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication of versions and operator requests over a network that loses, delays and repeats."""
+"""Tests of replication over a network that loses, delays and duplicates messages."""
 
 import json
 import unittest
@@ -12,14 +12,14 @@
 
 from .support import StubPlanner, StubStore
 
-MAX_CHANGES = 40  # of one schedule
+MAX_STEPS = 40  # of one schedule
 
 
 class SimulatedNetwork:
-    """Controllers, and their messages on simulated time: lost, late, twice, out of order.
+    """Controllers on simulated time; messages are lost, delayed, duplicated and reordered.
 
-    `loss_percent` is the percentage of messages that are lost; `leader` the name of the controller
-    that leads.
+    `loss_percent` is the percentage of messages that are lost, and `leader` is the name of the
+    controller that leads.
     """
 
     def __init__(self, seed, controller_count=3):
@@ -29,14 +29,14 @@
         self.planners = {}
         self.replicators = {}
         self.leader = None
-        self.content_hashes = {}  # by number, the hash of its content that was seen first
-        self.names = [f"c{nth}" for nth in range(controller_count)]
-        self._checked_numbers = {}  # by name, the numbers that were checked already
+        self.content_hashes = {}  # by version number, the first content hash seen for it
+        self.names = [f"c{index}" for index in range(controller_count)]
+        self._checked_numbers = {}  # by controller name, the version numbers already checked
         for name in self.names:
             self.start(name, StubStore())
 
     def start(self, name, store):
-        """Start a controller, anew where it ran before, on its store."""
+        """Start or restart a controller on a store."""
         planner = StubPlanner(store, 0)
         planner.publisher.epoch = None
         replicator = VersionReplicator(SimulatedReplicatorHost(self, name), planner.publisher)
@@ -47,28 +47,28 @@
         self._checked_numbers[name] = set()
 
     def send(self, source, target, kind, fields):
-        """Bring a message to its target, if it is not lost."""
+        """Deliver a message to its target after a delay, unless it is lost."""
         if self.random.below(100) < self.loss_percent:
             return
-        # As it travels: what a message can't carry must show here.
+        # Encode and decode the message, so that fields that cannot be encoded fail the test.
         *_, fields = message_codec.unpack(
             b"a key",
             message_codec.pack(b"a key", source, kind, **fields)[message_codec.LENGTH_BYTES :],
             lambda name: True,
         )
-        # To the start that it was meant for: the next one has another replicator.
+        # A message is dropped if its target restarts, which replaces the replicator.
         receiver = self.replicators[target]
 
-        def arrive():
+        def deliver():
             if self.replicators[target] is receiver:
                 receiver.on_message(source, kind, fields)
 
         for _ in range(2 if self.random.below(10) == 0 else 1):
-            longest = SECOND if self.random.below(10) == 0 else 20_000
-            self.loop.later(1000 + self.random.below(longest), arrive)
+            max_delay = SECOND if self.random.below(10) == 0 else 20_000
+            self.loop.later(1000 + self.random.below(max_delay), deliver)
 
     def take_over(self, name, epoch):
-        """Let a controller lead under an epoch."""
+        """Make a controller the leader under an epoch."""
         if self.leader:
             self.planners[self.leader].publisher.lose_leadership()
         self.leader = name
@@ -77,27 +77,27 @@
         self.planners[name].publisher.publish("taken over")
 
     def check_contents(self):
-        """Prove that all that any controller ever held under a number was one content."""
+        """Check that every version number has had the same content on all controllers."""
         for name in self.names:
             log = self.planners[name].publisher.version_log
             for number in log.versions.keys() - self._checked_numbers[name]:
-                found = log.snapshot_of(number)
+                snapshot = log.snapshot_of(number)
                 content_hash = log.versions[number].content_hash
-                if found is None or snapshot_hash(found) != content_hash:
-                    raise AssertionError(f"{name} holds {number}, which is not complete")
+                if snapshot is None or snapshot_hash(snapshot) != content_hash:
+                    raise AssertionError(f"{name} has an incomplete version {number}")
                 if self.content_hashes.setdefault(number, content_hash) != content_hash:
-                    raise AssertionError(f"{number} is two")
+                    raise AssertionError(f"version {number} has two contents")
                 self._checked_numbers[name].add(number)
 
     def check_convergence(self, seed):
-        """Prove that all controllers hold the same."""
+        """Check that all controllers have the same newest version and operator requests."""
         states = [_state(self.planners[name].publisher) for name in self.names]
         if any(state != _state(self.planners[self.leader].publisher) for state in states):
-            raise AssertionError(f"seed {seed}: they do not agree")
+            raise AssertionError(f"seed {seed}: controllers did not converge")
 
 
 class SimulatedReplicatorHost:
-    """One controller's place on the network: the host of its replicator."""
+    """The environment of one controller's replicator on the simulated network."""
 
     def __init__(self, network, name):
         self.network = network
@@ -106,7 +106,7 @@
         self.call_later = network.loop.later
 
     def send(self, member, kind, **fields):
-        """Give a message to the network."""
+        """Send a message over the network."""
         self.network.send(self.name, member, kind, fields)
 
     def peer_ids(self):
@@ -119,19 +119,19 @@
 
 
 class Schedule:
-    """Changes, rollbacks, takeovers and restarts while messages are lost, drawn from a seed."""
+    """Random changes, rollbacks, takeovers and restarts, drawn from a seed, with message loss."""
 
     def __init__(self, seed):
         self.seed = seed
         self.network = SimulatedNetwork(seed, 3 + 2 * (seed % 2))
         self.random = SeededRandom(seed + 7)
         self.epoch = 1
-        self.committed_serial = None  # of the last request that was called kept
+        self.committed_serial = None  # of the last committed request
         self.network.take_over("c0", self.epoch)
         self.network.loss_percent = (0, 20, 60)[seed % 3]
 
     def step(self):
-        """Do one thing, and check what all hold."""
+        """Perform one random action, then check all version contents."""
         planner = self.network.planners[self.network.leader]
         action = self.random.below(8)
         if action < 4:
@@ -159,7 +159,10 @@
         planner.commands.roll_back(number, [class_name], "duty", "")
 
     def _take_over(self, planner):
-        """Let another lead, which has what is called kept: a majority had it, and answers."""
+        """Let another controller lead, and check that it gets all committed requests.
+
+        A majority has stored them and answers the new leader, as no message is lost meanwhile.
+        """
         network = self.network
         serial = planner.publisher.requests.serial
         if network.replicators[network.leader].replica_count(serial) > len(network.names) // 2:
@@ -172,7 +175,7 @@
         network.loss_percent = loss
         serial = network.planners[network.leader].publisher.requests.serial
         if self.committed_serial is not None and serial < self.committed_serial:
-            raise AssertionError(f"seed {self.seed}: a request that was kept is forgotten")
+            raise AssertionError(f"seed {self.seed}: a committed request was lost")
 
     def _restart(self):
         name = self.network.names[self.random.below(len(self.network.names))]
@@ -181,10 +184,10 @@
 
 
 def play_schedule(seed):
-    """Play a schedule, then let all agree; return how many versions there were."""
+    """Run a schedule, then check convergence; return the number of versions."""
     schedule = Schedule(seed)
     network = schedule.network
-    for _ in range(MAX_CHANGES):
+    for _ in range(MAX_STEPS):
         schedule.step()
     network.loss_percent = 0
     network.loop.run(8)
@@ -194,14 +197,14 @@
 
 
 class ReplicationTest(unittest.TestCase):
-    """What all controllers end with, whatever the network does."""
+    """The state that all controllers converge to, whatever the network does."""
 
     def test_controllers_converge_despite_lost_late_and_duplicate_messages(self):
-        """600 schedules, each with every number of one content, and agreement at its end."""
+        """In 600 schedules, each number has one content and all controllers converge."""
         self.assertGreater(sum(play_schedule(seed) for seed in range(600)), 6000)
 
     def test_large_snapshot_is_replicated_in_parts_that_fit_messages(self):
-        """400 tables reach a follower in parts that each fit a message."""
+        """A snapshot of 400 tables reaches a follower in parts that each fit in a message."""
         network = SimulatedNetwork(3)
         planner = network.planners["c0"]
         planner.weights = {table: {server: 1.0 for server in range(12)} for table in range(400)}
--- a/tests/versions/test_replication_messages.py
+++ b/tests/versions/test_replication_messages.py
@@ -1,4 +1,4 @@
-"""The messages of replication keep the form that commit bb80827 sent (tests/data/README.md)."""
+"""Replication messages keep the format of commit bb80827 (tests/data/README.md)."""
 
 import json
 import unittest
@@ -12,29 +12,31 @@
 
 
 class ReplicationMessagesTest(unittest.TestCase):
-    """Messages of each kind, as bb80827 packed them."""
+    """Recorded messages of each kind, as bb80827 encoded them."""
 
     def setUp(self):
-        """Choose the recorded messages of replication."""
-        self.recorded = [one for one in MESSAGES["messages"] if one["kind"] in MESSAGE_KINDS]
+        """Select the recorded replication messages."""
+        self.recorded = [
+            message for message in MESSAGES["messages"] if message["kind"] in MESSAGE_KINDS
+        ]
 
     def test_recorded_messages_cover_every_kind(self):
-        """The recorded messages show all kinds of replication."""
-        self.assertEqual({one["kind"] for one in self.recorded}, MESSAGE_KINDS)
+        """There is a recorded message of each kind of replication message."""
+        self.assertEqual({message["kind"] for message in self.recorded}, MESSAGE_KINDS)
 
     def test_recorded_messages_decode_and_encode_to_the_same_bytes(self):
-        """A recorded message is decoded, and encoded again, to the bytes that it had."""
-        for one in self.recorded:
-            with self.subTest(kind=one["kind"]):
-                data = bytes.fromhex(one["bytes"])
+        """Decoding a recorded message and encoding it again gives the recorded bytes."""
+        for message in self.recorded:
+            with self.subTest(kind=message["kind"]):
+                data = bytes.fromhex(message["bytes"])
                 fields = message_codec.unpack(
                     KEY, data[message_codec.LENGTH_BYTES :], lambda name: True
                 )[3]
-                kind, sent = encode(decode(one["kind"], fields))
-                self.assertEqual(kind, one["kind"])
-                self.assertEqual(json.loads(json.dumps(sent)), one["fields"])
-                packed = message_codec.pack(KEY, one["from"], kind, one["version"], **sent)
-                self.assertEqual(packed.hex(), one["bytes"])
+                kind, sent = encode(decode(message["kind"], fields))
+                self.assertEqual(kind, message["kind"])
+                self.assertEqual(json.loads(json.dumps(sent)), message["fields"])
+                packed = message_codec.pack(KEY, message["from"], kind, message["version"], **sent)
+                self.assertEqual(packed.hex(), message["bytes"])
 
 
 if __name__ == "__main__":
--- a/tests/versions/test_rollback_pins.py
+++ b/tests/versions/test_rollback_pins.py
@@ -1,4 +1,4 @@
-"""Old tables on today's servers: the rules that come before a rollback, and its pace."""
+"""Tests of rollback pins: the safety rules for old tables, and the rate limit of rollbacks."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class PinnedTableTest(unittest.TestCase):
-    """What is left of an old table after the rules."""
+    """An old table after the safety rules are applied."""
 
     @settings(max_examples=500, deadline=None)
     @given(
@@ -25,7 +25,7 @@
         some.lists(some.sampled_from([UNAVAILABLE, COLD, WARM]), min_size=10, max_size=10),
     )
     def test_pinned_table_satisfies_safety_rules(self, old, drawn, states):
-        """Whatever the old table and today's servers, what is published keeps the rules."""
+        """For any old table and server states, the published table satisfies the safety rules."""
         assigned = {
             server: weight for server, weight in drawn.items() if states[server] != UNAVAILABLE
         }
@@ -46,7 +46,7 @@
                 self.assertEqual(weights[server], old[server])
 
     def test_assigned_table_is_used_when_too_little_of_the_old_one_remains(self):
-        """Too little weight, or no warm server, leaves the assigned table."""
+        """The assigned table is used if too little weight or no warm server remains."""
         old = {0: 1.0, 1: 1.0, 2: 1.0, 3: 1.0}
         assigned = {4: 1.0, 5: 1.0}
         self.assertEqual(
@@ -55,20 +55,20 @@
         )
         self.assertEqual(
             pinned_table(old, assigned, lambda server: UNAVAILABLE if server < 3 else WARM),
-            (assigned, "too little of it is left"),
+            (assigned, "too little of the old weight remains"),
         )
         self.assertEqual(
             pinned_table(old, assigned, lambda server: COLD if server < 3 else WARM),
-            (assigned, "too little of it is left"),
+            (assigned, "too little of the old weight remains"),
         )
         self.assertEqual(
             pinned_table(old, assigned, lambda server: COLD if server < 4 else WARM),
-            (assigned, "nobody of it is warm"),
+            (assigned, "no server of the old table is warm"),
         )
 
 
 class RollbackRateTest(unittest.TestCase):
-    """A rollback fills a part of the channel's queue only."""
+    """A rollback fills only part of the channel's queue."""
 
     def test_rollback_is_rate_limited_by_the_channel_queue(self):
         """A rollback of all tables takes two updates where the queue has room for four."""
@@ -76,7 +76,7 @@
         first = planner.publisher.newest_version()
         for table in range(6):
             planner.change_table(table, h8=1.0, h9=1.0)
-        # Of 10,000: a little is left of the part that a rollback may fill.
+        # Of 10,000 lines: little is left of the share that a rollback may fill.
         planner.free_line_count = 6100
         planner.changed_tables.clear()
         planner.commands.roll_back(first, [], "duty", "a")
--- a/tests/versions/test_snapshots.py
+++ b/tests/versions/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of tables, and the deltas between them."""
+"""Tests of snapshots of tables, and of the deltas between them."""
 
 import json
 import unittest
@@ -33,12 +33,12 @@
 
 
 class SnapshotDeltaTest(unittest.TestCase):
-    """A delta is exact, short, and bound to the tables that it was made from."""
+    """A delta is exact and short, and applies only to the tables that it was computed from."""
 
     @settings(max_examples=300, deadline=None)
     @given(Snapshots, Snapshots, Snapshots)
     def test_delta_applies_only_to_the_snapshot_it_was_made_from(self, old, new, other):
-        """Applied to its base a delta gives the new snapshot; applied to another it fails."""
+        """Applied to its base, a delta gives the new snapshot; applied to another, it fails."""
         delta = decode_delta(json.loads(json.dumps(encode_delta(snapshot_delta(old, new)))))
         self.assertEqual(apply_delta(old, delta), new)
         self.assertLessEqual(
--- a/tests/versions/test_stored_versions.py
+++ b/tests/versions/test_stored_versions.py
@@ -18,60 +18,64 @@
 
 
 class StoredVersionsTest(StoredFolder):
-    """Versions, rollbacks and relays' versions in the store that bb80827 wrote."""
+    """Versions, rollbacks and the versions of relays in the store that bb80827 wrote."""
 
     def log(self, store):
         """Return the version log of a store."""
         return VersionLog(store, store.keys())
 
     def test_stored_version_metadata_is_read(self):
-        """All versions are found, with what is known of them."""
+        """All stored versions are loaded with their metadata."""
         log = self.log(self.opened())
-        self.assertEqual([tuple(one) for one in sorted(log.versions)], NUMBERS)
+        self.assertEqual([tuple(number) for number in sorted(log.versions)], NUMBERS)
         self.assertEqual(log.newest, VersionNumber(33, 3))
-        found = [
+        loaded = [
             {
-                "number": list(one.number),
-                "parent": one.parent and list(one.parent),
-                "at": one.published_at,
-                "cause": one.cause,
-                "author": one.author,
-                "content": one.content_hash,
-                "first": list(one.chain_start),
+                "number": list(version.number),
+                "parent": version.parent and list(version.parent),
+                "at": version.published_at,
+                "cause": version.cause,
+                "author": version.author,
+                "content": version.content_hash,
+                "first": list(version.chain_start),
             }
-            for _, one in sorted(log.versions.items())
+            for _, version in sorted(log.versions.items())
         ]
         self.assertEqual(
-            found,
+            loaded,
             [
-                {name: value for name, value in one.items() if name != "sheets"}
-                for one in STORED["versions"]
+                {name: value for name, value in document.items() if name != "sheets"}
+                for document in STORED["versions"]
             ],
         )
-        some = {
-            str(number): (one.published_at - STARTED_AT, one.author, one.cause)
-            for number, one in log.versions.items()
+        metadata = {
+            str(number): (version.published_at - STARTED_AT, version.author, version.cause)
+            for number, version in log.versions.items()
         }
-        self.assertEqual(some["3.1"], (0, "", "in charge under epoch 3"))
-        self.assertEqual(some["3.36"], (9_000_000, "", "server 11 changes its weight"))
-        self.assertEqual(some["17.2"], (3_600_500_000, "", "server 4 leaves classes [1]: failing"))
+        self.assertEqual(metadata["3.1"], (0, "", "in charge under epoch 3"))
+        self.assertEqual(metadata["3.36"], (9_000_000, "", "server 11 changes its weight"))
         self.assertEqual(
-            some["33.1"],
+            metadata["17.2"], (3_600_500_000, "", "server 4 leaves classes [1]: failing")
+        )
+        self.assertEqual(
+            metadata["33.1"],
             (3_601_500_000, "night shift", "rollback of read to 3.20: exchanges fail since 17.1"),
         )
-        self.assertEqual({str(one.chain_start) for one in log.versions.values()}, {"3.1", "3.33"})
+        self.assertEqual(
+            {str(version.chain_start) for version in log.versions.values()}, {"3.1", "3.33"}
+        )
         self.assertEqual(
             (log.versions[VersionNumber(3, 1)].parent, log.versions[VersionNumber(17, 1)].parent),
             (None, VersionNumber(3, 36)),
         )
 
     def test_stored_snapshots_are_read(self):
-        """Each version's tables are those that were published then."""
+        """Each version has the tables that it was published with."""
         log = self.log(self.opened())
-        for one in STORED["versions"]:
-            with self.subTest(number=one["number"]):
-                snapshot = log.snapshot_of(VersionNumber(*one["number"]))
-                self.assertEqual(encode_snapshot(snapshot), one["sheets"])
+        for document in STORED["versions"]:
+            with self.subTest(number=document["number"]):
+                snapshot = log.snapshot_of(VersionNumber(*document["number"]))
+                self.assertEqual(encode_snapshot(snapshot), document["sheets"])
         self.assertEqual(
             encode_table(log.snapshot_of(VersionNumber(17, 1))["0"]),
             {
@@ -89,7 +93,7 @@
         )
 
     def test_stored_operator_requests_are_read_and_written_unchanged(self):
-        """Operator requests are read, and written in the same form."""
+        """Operator requests are read, and written again in the same form."""
         requests = OperatorRequests(decode_requests(self.opened().values["wishes"]))
         self.assertEqual((requests.serial, requests.pinned_versions), ((33, 2), {(3, 12), (17, 1)}))
         self.assertEqual(
@@ -107,7 +111,7 @@
         self.assertEqual(encode_requests(requests.state()), STORED["records"]["wishes"])
 
     def test_new_version_continues_stored_log_with_rollback_active(self):
-        """The log goes on where the old program left it, in records that it can read."""
+        """The log continues where bb80827 left it, with records that bb80827 can read."""
         store = self.opened()
         planner = StubPlanner(store, epoch=0)
         self.assertEqual(
@@ -120,10 +124,10 @@
         self.assertEqual(planner.published_weights()["3"], {"host-9": 3.0})
         self.assertEqual(
             planner.published_weights()["4"], {"host-4": 1.25, "host-5": 1.25, "host-6": 1.25}
-        )  # of 3.20, pinned
+        )  # of version 3.20, which the class is pinned to
         store.reopen()
         log = self.log(store)
-        self.assertEqual([tuple(one) for one in sorted(log.versions)], [*NUMBERS, (49, 1)])
+        self.assertEqual([tuple(number) for number in sorted(log.versions)], [*NUMBERS, (49, 1)])
         self.assertEqual(
             (log.newest, log.versions[VersionNumber(49, 1)].parent),
             (VersionNumber(49, 1), VersionNumber(33, 3)),
@@ -131,7 +135,7 @@
         self.assertEqual(
             log.snapshot_of(VersionNumber(49, 1)), planner.publisher.version_log.snapshot
         )
-        # It is stored in the form of the ones before, which older programs read.
+        # It is stored in the form of the earlier versions, which older releases can read.
         written = store.values["version/000000000049.000000000001"]
         self.assertEqual(
             written.keys(), STORED["records"]["version/000000000033.000000000003"].keys()
@@ -144,7 +148,7 @@
         )
 
     def test_relay_versions_are_stored_in_the_same_form(self):
-        """Versions of relays are added to those that were stored."""
+        """New versions of relays are added to the stored ones."""
         store = self.opened()
         planner = StubPlanner(store, epoch=49)
         planner.publisher.relay_versions.on_delivered(7, planner.publisher.newest_version())
@@ -157,7 +161,7 @@
         )
 
     def test_stored_rollback_can_be_released(self):
-        """A stored rollback is released, and the pinned versions stay."""
+        """Releasing a stored rollback leaves the pinned versions unchanged."""
         store = self.opened()
         planner = StubPlanner(store, epoch=49)
         self.assertEqual(planner.commands.release(["read"], "day shift", "mended"), "read released")
--- a/tests/versions/test_versions_command.py
+++ b/tests/versions/test_versions_command.py
@@ -1,4 +1,4 @@
-"""The command `versions` of the command line, against a running planner's operator port."""
+"""Tests of the command `versions` against the operator port of a running planner."""
 
 import asyncio
 import json
@@ -15,10 +15,10 @@
 
 
 class VersionsCommandTest(StoredPlannerCase):
-    """A planner with a store and a port for operators."""
+    """A planner with a store and an operator port."""
 
     async def run_versions(self, *arguments):
-        """Run `versions` with arguments; return the exit code and what was printed."""
+        """Run `versions` with arguments; return the exit code and the output."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -35,14 +35,14 @@
         return process.returncode, output.decode()
 
     def write_settings(self):
-        """Write the settings that the command reads, with the port that the planner took."""
+        """Write the settings file of the command, with the port that the planner listens on."""
         document = document_copy(self.planner)
         document["operators"]["port"] = self.planner.service.operator_server.port
         self.settings_path = folder_of(self.planner) / "operators.json"
         self.settings_path.write_text(json.dumps(document))
 
     async def test_diff_rollback_release_pin_and_lists_over_operator_port(self) -> None:
-        """A rollback changes the tables at once, and a drain goes before it."""
+        """A rollback changes the tables at once, but a draining host is removed nevertheless."""
         planner = self.planner
         planner.document["operators"] = {"port": 0, "key_file": "key"}
         (folder_of(planner) / "key").write_text("operators and planner share this")
@@ -70,7 +70,7 @@
             self.assertIn(
                 f"duty: rollback of reading, setpoint to {numbers[1]}: host-0 fails", output
             )
-            # A host that drains now leaves the tables all the same.
+            # A draining host is removed from the tables despite the rollback.
             planner.set_host_states(host_5="draining")
             await client.until_without(5)
             code, _ = await self.run_versions("release", "--reason", "mended")
