--- a/indigodeck/versions/publisher.py
+++ b/indigodeck/versions/publisher.py
@@ -29,7 +29,7 @@
 # For this long after a start or takeover, tables that no relay is assigned to yet stay published:
 # their relays may still be connecting.
 TABLE_RETENTION = 60 * SECOND
-MAX_CAUSES = 20  # that the cause of one version is composed of
+MAX_CAUSES = 20  # texts that make up the cause of one version
 MAX_LOGGED_CAUSE_LENGTH = 200  # characters
 
 
@@ -58,7 +58,7 @@
         """Return the servers that no relay may use, whatever its tables say."""
 
     def resume_tables(self, tables: dict[int, list[int]]) -> None:
-        """Have the assigner continue with these servers, by table, which were published last."""
+        """Let the assigner continue with the servers of each table as last published."""
 
     def on_version_published(self, version: Version, delta: SnapshotDelta) -> None:
         """Handle a new version, and its delta from its parent."""
@@ -187,10 +187,10 @@
         self._causes = [text]
         self.apply_rollback_pins()
         self.save_requests()
-        self.publish("an operator's request")
+        self.publish("an operator's word")
 
     def newest_version(self) -> VersionNumber | None:
-        """Return the version of messages to relays that are built now; None if there is none."""
+        """Return the version that a message built now brings a relay to; None if there is none."""
         return self.version_log.newest if self.is_leader else None
 
     def apply_rollback_pins(self) -> None:
--- a/indigodeck/versions/relay_versions.py
+++ b/indigodeck/versions/relay_versions.py
@@ -33,7 +33,8 @@
 class RelayVersions:
     """The versions that connected relays hold, and the last ones of disconnected relays.
 
-    `last_known` has the stored versions by relay id, updated when a relay disconnects.
+    `last_known` has versions by relay id, in the form that is stored. A relay's entry is updated
+    when it disconnects, and all entries whenever they are saved.
     """
 
     def __init__(self, host: RelayVersionsHost):
--- a/indigodeck/versions/rollback_pins.py
+++ b/indigodeck/versions/rollback_pins.py
@@ -51,7 +51,7 @@
 
 
 class PinnedTable(NamedTuple):
-    """The weights that a table should have; if a rule overrides the old ones, the reason."""
+    """The weights that a table should have, and the reason if they are not the old ones."""
 
     weights: Weights
     override_reason: str | None
@@ -153,8 +153,8 @@
             len(differing) + self._host.message_overhead_lines()
         )
         if differing and not self._is_urgent(published, target) and not budget.allows(cost):
-            # Until the queue has room for it, the table keeps the weights that it had when other
-            # tables changed.
+            # Until the queue has room for it, the table keeps its published weights, and does not
+            # change along with the tables that are sent before it.
             self.published_weights[table] = published
             return
         budget.spent += cost
--- a/tests/versions/test_version_log.py
+++ b/tests/versions/test_version_log.py
@@ -20,7 +20,7 @@
         self.store = StubStore()
         self.random = SeededRandom(4)
 
-    def started(self, epoch, **options):
+    def open_log(self, epoch, **options):
         """Open a log on the store, and start an epoch."""
         log = VersionLog(self.store, self.store.keys(), **options)
         log.start_epoch(epoch)
@@ -29,7 +29,7 @@
     def test_versions_are_restored_after_restarts(self):
         """About 200 versions are published over four restarts; each keeps its tables."""
         published = {}
-        log = self.started(1)
+        log = self.open_log(1)
         for index in range(200):
             changed = dict(list(random_snapshot(self.random).items())[: 1 + index % 3])
             snapshot = {**log.snapshot, **changed}
@@ -37,7 +37,7 @@
             if version:
                 published[version.number] = snapshot
             if index % 50 == 49:
-                log = self.started(index)
+                log = self.open_log(index)
         self.assertGreater(len(published), 150)
         self.assertEqual({number: log.snapshot_of(number) for number in published}, published)
         first = min(published)
@@ -52,10 +52,10 @@
 
     def test_restart_publishes_no_version_and_reuses_no_number(self):
         """An unchanged snapshot gets no version; the number of a lost record is not reused."""
-        log = self.started(3)
+        log = self.open_log(3)
         snapshot = random_snapshot(self.random)
         first = log.publish(snapshot, "a")
-        restarted = self.started(4)
+        restarted = self.open_log(4)
         same = decode_snapshot(json.loads(json.dumps(encode_snapshot(snapshot))))
         self.assertIsNone(restarted.publish(same, "the same after a restart"))
         second = restarted.publish(random_snapshot(self.random), "b")
@@ -66,7 +66,7 @@
         self.store.drops_writes = True
         lost = restarted.publish(random_snapshot(self.random), "c")
         self.store.drops_writes = False
-        later = self.started(5)
+        later = self.open_log(5)
         self.assertEqual((str(lost.number), later.newest), ("4.2", second.number))
         self.assertEqual(str(later.publish(random_snapshot(self.random), "d").number), "5.1")
         with self.assertRaises(ValueError):
@@ -75,7 +75,7 @@
 
     def test_no_version_is_published_without_an_epoch(self):
         """Without an epoch, `publish` returns no version; a new epoch ends that."""
-        log = self.started(3)
+        log = self.open_log(3)
         log.stop_epoch()
         self.assertIsNone(log.publish(random_snapshot(self.random), "a"))
         log.start_epoch(19)
@@ -83,7 +83,7 @@
 
     def test_versions_after_a_damaged_record_are_not_returned(self):
         """Versions of a chain are returned up to a damaged record, and not after it."""
-        log = self.started(1)
+        log = self.open_log(1)
         numbers = []
         for index in range(20):
             snapshot = dict(log.snapshot or random_snapshot(self.random))
@@ -92,14 +92,14 @@
             numbers.append(log.publish(snapshot, "x").number)
         key = sorted(self.store.values)[10]
         self.store.values[key]["sheets"]["0"]["lines"] = {"host-1": 999.0}
-        restarted = self.started(2)
+        restarted = self.open_log(2)
         available = [restarted.snapshot_of(number) is not None for number in numbers]
         self.assertEqual(available, [index < 10 for index in range(len(numbers))])
         self.assertEqual(restarted.newest, numbers[9])
 
     def test_old_chains_are_pruned_by_count_and_age_unless_needed(self):
         """Complete chains are dropped, oldest first, except those with a needed version."""
-        log = self.started(1, max_versions=100, max_age=DAY)
+        log = self.open_log(1, max_versions=100, max_age=DAY)
         for _ in range(400):
             self.store.wall_time_us += DAY // 200
             self.assertIsNotNone(log.publish(random_snapshot(self.random), "x"))
@@ -111,7 +111,7 @@
         self.assertTrue(all(log.snapshot_of(number) for number in log.versions))
         self.assertEqual(log.prune(needed), [])
         # Recent versions are pruned too if there are more than twice `max_versions`.
-        log = self.started(2, max_versions=20, max_age=1000 * DAY)
+        log = self.open_log(2, max_versions=20, max_age=1000 * DAY)
         log.prune()
         self.assertLess(len(log.versions), 40 + 2 * CHAIN_LENGTH)
 
