--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -39,14 +39,14 @@
 
     def __init__(self, folder):
         self.folder = folder
-        self.clock = FIRST_PUBLISHED_AT + DAY_US
+        self.wall_time_us = FIRST_PUBLISHED_AT + DAY_US
         self.events = []
         self.open()
 
     def open(self):
         """Open the store and read all its values."""
         self.store = StoreWriter(StoreFolder(self.folder), self._record_event)
-        self.held = self.store.query(WriteAheadLog.read_all).result()
+        self.values = self.store.query(WriteAheadLog.read_all).result()
 
     def save(self, changes):
         """Write changes. Raises AssertionError if the write fails."""
