--- a/indigodeck/assignment/interface.py
+++ b/indigodeck/assignment/interface.py
@@ -126,9 +126,9 @@
         """Set the admission level of these classes, and when proxies may retry."""
 
     def request_ack(self, number: int, all_proxies: bool) -> None:
-        """Request an acknowledgement (`on_ack`) from the proxies this call's orders go to, or all.
+        """Request an acknowledgement, passed to `on_ack`, from each proxy this call's orders go to.
 
-        With `all_proxies` every joined proxy is asked.
+        With `all_proxies` it is requested from every joined proxy.
         """
 
     def check_health(self, server: int) -> None:
