--- a/indigodeck/planner/endpoint_directory.py
+++ b/indigodeck/planner/endpoint_directory.py
@@ -35,7 +35,7 @@
             self.server_ids,
             settings.zone_names,
             settings.machine_type_names,
-            service.clock_gap,
+            service.wall_clock_offset,
         )
         # A list stored by an earlier run, used for as long as nothing newer has come.
         self.cached_list: CachedEndpointList | None = None
@@ -91,7 +91,7 @@
         self._take_addresses()
         self._tell_health_inference(kind, servers)
         states = [server.state for server in servers]
-        self._service.note(
+        self._service.log_event(
             "endpoint_list_updated",
             kind=kind,
             version=self.endpoint_list.version,
@@ -101,7 +101,7 @@
             if self.cached_list is not None:
                 self.cached_list.on_list(self.endpoint_list.entries)
             self._schedule_store()
-        if kind != UpdateKind.CHANGES:
+        if kind != UpdateKind.INCREMENTAL:
             self._pending_changes.clear()  # it stands for all that was about to be handed on
             self._hand_on(kind, servers)
             return
@@ -120,9 +120,9 @@
         """Fetch the whole list: changes are missing."""
         self._service.list_source.fetch()
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write a line to the log."""
-        self._service.note(event, **facts)
+        self._service.log_event(event, **facts)
 
     def _take_addresses(self) -> None:
         for entry in self.endpoint_list.entries.values():
@@ -135,7 +135,7 @@
 
     def _tell_health_inference(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
         inference = self._service.health_inference
-        if kind != UpdateKind.CHANGES:
+        if kind != UpdateKind.INCREMENTAL:
             for server in inference.hosts.keys() - {server.index for server in servers}:
                 inference.on_unlisted(server)
         inference.on_endpoint_update(servers)
@@ -149,7 +149,7 @@
         servers = self._pending_changes
         self._pending_changes = []
         if servers:
-            self._hand_on(UpdateKind.CHANGES, servers)
+            self._hand_on(UpdateKind.INCREMENTAL, servers)
 
     def _hand_on(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
         if kind == UpdateKind.CACHED:
@@ -172,9 +172,9 @@
         """Return the time of day, in microseconds since 1970."""
         return self._service.wall_clock()
 
-    def later(self, after: int, call: Callable[[], None]) -> None:
+    def call_later(self, delay: int, callback: Callable[[], None]) -> None:
         """Call back after this time."""
-        self._service.later(after, call)
+        self._service.call_later(delay, callback)
 
     def check_cached_host(self, entry: Entry) -> None:
         """Check a host's health, and tell the cached list the end."""
@@ -208,7 +208,7 @@
     def _schedule_store(self) -> None:
         if self._service.versions.store is not None and not self._is_store_scheduled:
             self._is_store_scheduled = True
-            self._service.later(STORE_INTERVAL, self._store_list)
+            self._service.call_later(STORE_INTERVAL, self._store_list)
 
     def _store_list(self) -> None:
         self._is_store_scheduled = False
--- a/tests/leadership/test_member_thread.py
+++ b/tests/leadership/test_member_thread.py
@@ -23,7 +23,7 @@
         """Return the monotonic time."""
         return now()
 
-    def note(self, event, **facts):
+    def log_event(self, event, **facts):
         """Write nothing."""
         pass
 
@@ -35,7 +35,7 @@
         """Keep the change."""
         self.changes.append(("out", epoch))
 
-    def followers(self):
+    def connected_relays(self):
         """Return one relay."""
         return [("r1", "sasp", "fleet")]
 
--- a/tests/versions/test_replication_messages.py
+++ b/tests/versions/test_replication_messages.py
@@ -3,12 +3,12 @@
 import json
 import unittest
 
-from stored_data import MESSAGES
+from stored_data import STORED_MESSAGES
 
 from indigodeck.leadership import message_codec
 from indigodeck.versions.replication_messages import MESSAGE_KINDS, decode, encode
 
-KEY = MESSAGES["key"].encode()
+KEY = STORED_MESSAGES["key"].encode()
 
 
 class ReplicationMessagesTest(unittest.TestCase):
@@ -17,7 +17,7 @@
     def setUp(self):
         """Select the recorded replication messages."""
         self.recorded = [
-            message for message in MESSAGES["messages"] if message["kind"] in MESSAGE_KINDS
+            message for message in STORED_MESSAGES["messages"] if message["kind"] in MESSAGE_KINDS
         ]
 
     def test_recorded_messages_cover_every_kind(self):
--- a/tests/versions/test_stored_versions.py
+++ b/tests/versions/test_stored_versions.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from stored_data import NUMBERS, STARTED_AT, STORED, StoredFolder
+from stored_data import FIRST_PUBLISHED_AT, STORE_CONTENT, VERSION_NUMBERS, StoredFolderCase
 
 from indigodeck.versions.codec import (
     decode_requests,
@@ -17,7 +17,7 @@
 from .support import StubPlanner
 
 
-class StoredVersionsTest(StoredFolder):
+class StoredVersionsTest(StoredFolderCase):
     """Versions, rollbacks and the versions of relays in the store that bb80827 wrote."""
 
     def log(self, store):
@@ -26,8 +26,8 @@
 
     def test_stored_version_metadata_is_read(self):
         """All stored versions are loaded with their metadata."""
-        log = self.log(self.opened())
-        self.assertEqual([tuple(number) for number in sorted(log.versions)], NUMBERS)
+        log = self.log(self.open_store())
+        self.assertEqual([tuple(number) for number in sorted(log.versions)], VERSION_NUMBERS)
         self.assertEqual(log.newest, VersionNumber(33, 3))
         loaded = [
             {
@@ -45,11 +45,11 @@
             loaded,
             [
                 {name: value for name, value in document.items() if name != "sheets"}
-                for document in STORED["versions"]
+                for document in STORE_CONTENT["versions"]
             ],
         )
         metadata = {
-            str(number): (version.published_at - STARTED_AT, version.author, version.cause)
+            str(number): (version.published_at - FIRST_PUBLISHED_AT, version.author, version.cause)
             for number, version in log.versions.items()
         }
         self.assertEqual(metadata["3.1"], (0, "", "in charge under epoch 3"))
@@ -71,8 +71,8 @@
 
     def test_stored_snapshots_are_read(self):
         """Each version has the tables that it was published with."""
-        log = self.log(self.opened())
-        for document in STORED["versions"]:
+        log = self.log(self.open_store())
+        for document in STORE_CONTENT["versions"]:
             with self.subTest(number=document["number"]):
                 snapshot = log.snapshot_of(VersionNumber(*document["number"]))
                 self.assertEqual(encode_snapshot(snapshot), document["sheets"])
@@ -94,7 +94,7 @@
 
     def test_stored_operator_requests_are_read_and_written_unchanged(self):
         """Operator requests are read, and written again in the same form."""
-        requests = OperatorRequests(decode_requests(self.opened().values["wishes"]))
+        requests = OperatorRequests(decode_requests(self.open_store().values["wishes"]))
         self.assertEqual((requests.serial, requests.pinned_versions), ((33, 2), {(3, 12), (17, 1)}))
         self.assertEqual(
             {name: tuple(pin) for name, pin in requests.rollbacks.items()},
@@ -108,11 +108,11 @@
                 )
             },
         )
-        self.assertEqual(encode_requests(requests.state()), STORED["records"]["wishes"])
+        self.assertEqual(encode_requests(requests.state()), STORE_CONTENT["records"]["wishes"])
 
     def test_new_version_continues_stored_log_with_rollback_active(self):
         """The log continues where bb80827 left it, with records that bb80827 can read."""
-        store = self.opened()
+        store = self.open_store()
         planner = StubPlanner(store, epoch=0)
         self.assertEqual(
             planner.publisher.relay_versions.last_known,
@@ -127,7 +127,9 @@
         )  # of version 3.20, which the class is pinned to
         store.reopen()
         log = self.log(store)
-        self.assertEqual([tuple(number) for number in sorted(log.versions)], [*NUMBERS, (49, 1)])
+        self.assertEqual(
+            [tuple(number) for number in sorted(log.versions)], [*VERSION_NUMBERS, (49, 1)]
+        )
         self.assertEqual(
             (log.newest, log.versions[VersionNumber(49, 1)].parent),
             (VersionNumber(49, 1), VersionNumber(33, 3)),
@@ -138,18 +140,19 @@
         # It is stored in the form of the earlier versions, which older releases can read.
         written = store.values["version/000000000049.000000000001"]
         self.assertEqual(
-            written.keys(), STORED["records"]["version/000000000033.000000000003"].keys()
+            written.keys(), STORE_CONTENT["records"]["version/000000000033.000000000003"].keys()
         )
         self.assertEqual(
             (written["number"], written["parent"], written["author"]), ([49, 1], [33, 3], "")
         )
         self.assertEqual(
-            encode_snapshot(log.snapshot_of(VersionNumber(3, 36))), STORED["versions"][35]["sheets"]
+            encode_snapshot(log.snapshot_of(VersionNumber(3, 36))),
+            STORE_CONTENT["versions"][35]["sheets"],
         )
 
     def test_relay_versions_are_stored_in_the_same_form(self):
         """New versions of relays are added to the stored ones."""
-        store = self.opened()
+        store = self.open_store()
         planner = StubPlanner(store, epoch=49)
         planner.publisher.relay_versions.on_delivered(7, planner.publisher.newest_version())
         planner.time_us += 20_000_000
@@ -157,12 +160,15 @@
         store.reopen()
         self.assertEqual(
             store.values["relays"],
-            {**STORED["records"]["relays"], "relay-7": list(planner.publisher.newest_version())},
+            {
+                **STORE_CONTENT["records"]["relays"],
+                "relay-7": list(planner.publisher.newest_version()),
+            },
         )
 
     def test_stored_rollback_can_be_released(self):
         """Releasing a stored rollback leaves the pinned versions unchanged."""
-        store = self.opened()
+        store = self.open_store()
         planner = StubPlanner(store, epoch=49)
         self.assertEqual(planner.commands.release(["read"], "day shift", "mended"), "read released")
         store.reopen()
