--- a/indigodeck/settings.py
+++ b/indigodeck/settings.py
@@ -80,9 +80,9 @@
 
     `planner_count` planners share the proxies; `planner_index` is this planner's index, from 0.
     `proxy_count` is the expected number of proxies of all planners. A proxy avoids a server after
-    `proxy_failure_limit` consecutive failures of its own requests (0: never). A server is cold for
-    `warm_up_time` after its start: it begins with `cold_capacity_share` of its capacity. Load of
-    `overload_multiple` times its capacity for `overload_time` overloads a server permanently.
+    `proxy_failure_limit` consecutive failures of its own requests (0: never). A server restarted
+    less than `warm_up_time` ago is cold: it begins with `cold_capacity_share` of its capacity, and
+    `overload_multiple` times its current capacity, held for `overload_time`, overloads it for good.
     If `removal_is_final`, a server listed as gone is gone even if it still answers. A write may
     take effect up to `write_settle_time` after its key range has moved.
     """
