--- a/indigodeck/leadership/membership.py
+++ b/indigodeck/leadership/membership.py
@@ -80,7 +80,7 @@
             return "this controller was never a member"
         # The random step keeps two memberships that are forced at the same time from sharing a
         # number. The epochs are raised above any that the other members may have granted.
-        step = FORCED_NUMBER_STEP + self._random.below(FORCED_NUMBER_STEP)
+        step = FORCED_NUMBER_STEP + self._random.randbelow(FORCED_NUMBER_STEP)
         state.learn_epochs(
             {
                 group: KnownEpoch(state.known_epoch(group).epoch + step * EPOCHS_PER_BLOCK, None)
--- a/indigodeck/leadership/model.py
+++ b/indigodeck/leadership/model.py
@@ -60,8 +60,8 @@
         self.members: dict[str, SimulatedMember] = {}
         self.faults_until = self._end - RECOVERY_TIME
         for name in self.names:
-            rate = 1 + DRIFT * (self.random.below(2001) - 1000) / 1000
-            offset = self.random.below(1000 * SECOND)
+            rate = 1 + DRIFT * (self.random.randbelow(2001) - 1000) / 1000
+            offset = self.random.randbelow(1000 * SECOND)
             self.members[name] = SimulatedMember(self, name, rate, offset)
         for member in self.members.values():
             member.start(None)
@@ -79,7 +79,7 @@
             10: self._change_during_fault,
             11: self._partition_randomly,
         }
-        self.schedule(self.random.below(LEASE), self.cause_fault)
+        self.schedule(self.random.randbelow(LEASE), self.cause_fault)
 
     def has_faults(self) -> bool:
         """Return whether faults are still injected."""
@@ -107,13 +107,13 @@
 
     def transmit(self, source: str, target: str, message: ElectionMessage) -> None:
         """Deliver a message to another member; it may be lost, delayed or duplicated."""
-        if (source, target) in self.cut or self.random.below(100) < self._loss_percent:
+        if (source, target) in self.cut or self.random.randbelow(100) < self._loss_percent:
             return
         member = self.members[target]
-        is_duplicated = self.has_faults() and self.random.below(100) < 3
+        is_duplicated = self.has_faults() and self.random.randbelow(100) < 3
         for _ in range(2 if is_duplicated else 1):
-            is_slow = self.has_faults() and self.random.below(100) < 5
-            delay = 1000 + self.random.below(3 * LEASE if is_slow else 50_000)
+            is_slow = self.has_faults() and self.random.randbelow(100) < 5
+            delay = 1000 + self.random.randbelow(3 * LEASE if is_slow else 50_000)
             self.schedule(self.clock + delay, lambda: member.deliver(source, message))
 
     # Faults.
@@ -124,10 +124,10 @@
             self._repair_all()
             return
         member = self._draw_member(self.random)
-        if self._hang_random.below(16) == 0:
+        if self._hang_random.randbelow(16) == 0:
             self._hang_planner()
-        self._faults[self.random.below(len(self._faults))](member)
-        self.schedule(self.clock + self.random.below(2 * LEASE), self.cause_fault)
+        self._faults[self.random.randbelow(len(self._faults))](member)
+        self.schedule(self.clock + self.random.randbelow(2 * LEASE), self.cause_fault)
 
     def _repair_all(self) -> None:
         self.cut = set()
@@ -139,7 +139,7 @@
                 member.start(member.disk_record)
 
     def _draw_member(self, random: SeededRandom) -> SimulatedMember:
-        return self.members[self.names[random.below(len(self.names))]]
+        return self.members[self.names[random.randbelow(len(self.names))]]
 
     def _hang_planner(self) -> None:
         member = self._draw_member(self._hang_random)
@@ -148,33 +148,33 @@
         def recover() -> None:
             member.planner_hung_at = None
 
-        self.schedule(self.clock + self._hang_random.below(6 * LEASE), recover)
+        self.schedule(self.clock + self._hang_random.randbelow(6 * LEASE), recover)
 
     def _pause(self, member: SimulatedMember) -> None:
         member.is_paused = member.election is not None
-        self.schedule(self.clock + self.random.below(3 * LEASE), member.resume)
+        self.schedule(self.clock + self.random.randbelow(3 * LEASE), member.resume)
 
     def _crash(self, member: SimulatedMember) -> None:
         if member.election is not None:
             member.election = None
-            delay = self.random.below(LEASE)
+            delay = self.random.randbelow(LEASE)
             self.schedule(self.clock + delay, lambda: self.restart(member))
 
     def _crash_some(self, _: SimulatedMember) -> None:
         for member in self.members.values():
-            if self.random.below(3) == 0:
+            if self.random.randbelow(3) == 0:
                 self._crash(member)
 
     def _cut_links(self, member: SimulatedMember) -> None:
         """Cut random links between a member and others, in one direction or both."""
         for other in self.names:
-            if self.random.below(2):
+            if self.random.randbelow(2):
                 self.cut.add((member.name, other))
-            if self.random.below(2):
+            if self.random.randbelow(2):
                 self.cut.add((other, member.name))
 
     def _partition_randomly(self, _: SimulatedMember) -> None:
-        self.partition({name for name in self.names if self.random.below(2)})
+        self.partition({name for name in self.names if self.random.randbelow(2)})
 
     def partition(self, side: set[str]) -> None:
         """Cut all links between these members and all others, and no other links."""
@@ -189,7 +189,7 @@
         self.cut = set()
 
     def _lose_messages(self, _: SimulatedMember) -> None:
-        self._loss_percent = (0, 10, 40)[self.random.below(3)]
+        self._loss_percent = (0, 10, 40)[self.random.randbelow(3)]
 
     def _transfer(self, member: SimulatedMember) -> None:
         if member.election is not None and not member.is_paused:
@@ -201,7 +201,7 @@
     def _change_during_fault(self, member: SimulatedMember) -> None:
         """Request a membership change just as the leader is cut off or paused."""
         isolated, paused = 1, 2  # 0: only the leader's incoming links are cut
-        fault = self.random.below(3)
+        fault = self.random.randbelow(3)
         leaders = self.leaders()
         if fault != paused:
             for leader in leaders:
@@ -212,7 +212,7 @@
         if fault == paused:
             for leader in leaders:
                 leader.is_paused = True
-                pause = 2 * LEASE + self.random.below(3 * LEASE)
+                pause = 2 * LEASE + self.random.randbelow(3 * LEASE)
                 self.schedule(self.clock + pause, leader.resume)
 
     def change(self, name: str) -> None:
@@ -241,12 +241,12 @@
         if member.election is not None:
             return
         record = member.disk_record
-        draw = self.random.below(10)
+        draw = self.random.randbelow(10)
         if self._may_lose_disk(member):
             if draw == 0:
                 record = None
             elif draw == 1:
-                record = member.past_records[self.random.below(len(member.past_records))]
+                record = member.past_records[self.random.randbelow(len(member.past_records))]
         member.disk_record = record
         member.start(record)
 
--- a/indigodeck/leadership/transport.py
+++ b/indigodeck/leadership/transport.py
@@ -51,7 +51,7 @@
     def planner_idle_time(self) -> int:
         """Return for how long the planner has not responded, in microseconds."""
 
-    def note(self, event: str, **facts: Any) -> None:
+    def log_event(self, event: str, **facts: Any) -> None:
         """Write an event to the log."""
 
     def on_leadership_acquired(self, relay_group: str, epoch: int) -> None:
@@ -188,7 +188,7 @@
 
     def log(self, event: str, **facts: Any) -> None:
         """Write an event to the log."""
-        self._service.note(event, **facts)
+        self._service.log_event(event, **facts)
 
     # The rejection registry's host (`rejections.RejectionHost`).
 
@@ -243,7 +243,7 @@
         except message_codec.MessageRejectedError as error:
             # The connection ends here, so that a sender from outside the fleet causes at most one
             # log event per connection.
-            self._service.note("controller_rejected", peer=address[0], why=str(error))
+            self._service.log_event("controller_rejected", peer=address[0], why=str(error))
         except (StreamClosedError, DeadlineExceededError, OSError):
             pass
         finally:
--- a/tests/leadership/test_election.py
+++ b/tests/leadership/test_election.py
@@ -40,7 +40,7 @@
 
     def start_timer(self, delay):
         """Call the election's timer later."""
-        self.later(delay, lambda: self.election.on_timer())
+        self.call_later(delay, lambda: self.election.on_timer())
 
     def send(self, member, message):
         """Record a message."""
@@ -53,19 +53,19 @@
 
     def on_leadership_acquired(self, relay_group, epoch):
         """Record the event."""
-        self.note(f"leads under {epoch}")
+        self.log_event(f"leads under {epoch}")
 
     def on_leadership_lost(self, relay_group, epoch, reason):
         """Record the event."""
-        self.note(f"leads no longer: {reason}")
+        self.log_event(f"leads no longer: {reason}")
 
     def on_members_changed(self, number, members):
         """Record the event."""
-        self.note(f"members by {number}")
+        self.log_event(f"members by {number}")
 
     def log(self, event, **facts):
         """Record an event."""
-        self.note(event, **facts)
+        self.log_event(event, **facts)
 
     def answer_recovery(
         self, member, epochs=None, serial=0, number=0, members=ADDRESSES, proposal=None, nonce=None
--- a/tests/leadership/test_records.py
+++ b/tests/leadership/test_records.py
@@ -52,7 +52,7 @@
         loop = SimulatedLoop()
         saved = []
         sent = []
-        loop.start_timer = loop.later
+        loop.start_timer = loop.call_later
         loop.save_rejections = lambda rejections: saved.append(rejections) or True
         loop.broadcast_rejections = sent.append
         registry = RejectionRegistry(loop)
--- a/tests/leadership/test_stored_messages.py
+++ b/tests/leadership/test_stored_messages.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from stored_data import MESSAGES, plain
+from stored_data import STORED_MESSAGES, json_round_trip
 
 from indigodeck.leadership import message_codec
 
@@ -43,13 +43,15 @@
 class StoredMessages(unittest.TestCase):
     """Each kind of message in each version is unpacked, and packed as the same bytes."""
 
-    KEY = MESSAGES["key"].encode()
+    KEY = STORED_MESSAGES["key"].encode()
 
     def test_the_data_holds_each_kind_in_each_version_that_has_it(self):
         """The stored messages include all kinds of each version."""
         found = {
             version: {
-                stored["kind"] for stored in MESSAGES["messages"] if stored["version"] == version
+                stored["kind"]
+                for stored in STORED_MESSAGES["messages"]
+                if stored["version"] == version
             }
             for version in (1, 2, 3)
         }
@@ -59,7 +61,7 @@
 
     def test_each_message_is_unpacked_to_its_fields(self):
         """Source, version, kind and fields are the stored ones."""
-        for index, stored in enumerate(MESSAGES["messages"]):
+        for index, stored in enumerate(STORED_MESSAGES["messages"]):
             with self.subTest(index=index, kind=stored["kind"], version=stored["version"]):
                 data = bytes.fromhex(stored["bytes"])
                 length_field = data[: message_codec.LENGTH_BYTES]
@@ -71,11 +73,11 @@
                 self.assertEqual(
                     (source, version, kind), (stored["from"], stored["version"], stored["kind"])
                 )
-                self.assertEqual(plain(fields), stored["fields"])
+                self.assertEqual(json_round_trip(fields), stored["fields"])
 
     def test_each_message_is_packed_as_the_same_bytes(self):
         """The stored fields give the stored bytes."""
-        for index, stored in enumerate(MESSAGES["messages"]):
+        for index, stored in enumerate(STORED_MESSAGES["messages"]):
             with self.subTest(index=index, kind=stored["kind"], version=stored["version"]):
                 data = message_codec.pack(
                     self.KEY, stored["from"], stored["kind"], stored["version"], **stored["fields"]
@@ -86,7 +88,7 @@
         """A grant carries the last proposal that the grantor accepted."""
         grants = [
             stored
-            for stored in MESSAGES["messages"]
+            for stored in STORED_MESSAGES["messages"]
             if stored["kind"] == "grant" and stored["fields"]["plan"]
         ]
         self.assertEqual([stored["version"] for stored in grants], [2, 3])
