--- a/indigodeck/planner/endpoint_directory.py
+++ b/indigodeck/planner/endpoint_directory.py
@@ -104,7 +104,7 @@
             if self.cached_list is not None:
                 self.cached_list.on_newer_list(self.endpoint_list.entries)
             self._schedule_save()
-        if kind != UpdateKind.CHANGES:
+        if kind != UpdateKind.INCREMENTAL:
             self._pending_changes.clear()  # a full update includes all pending changes
             self._forward_update(kind, servers)
             return
@@ -138,7 +138,7 @@
 
     def _update_health_inference(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
         inference = self._service.health_inference
-        if kind != UpdateKind.CHANGES:
+        if kind != UpdateKind.INCREMENTAL:
             for server in inference.hosts.keys() - {server.index for server in servers}:
                 inference.on_unlisted(server)
         inference.on_endpoint_update(servers)
@@ -153,7 +153,7 @@
         servers = self._pending_changes
         self._pending_changes = []
         if servers:
-            self._forward_update(UpdateKind.CHANGES, servers)
+            self._forward_update(UpdateKind.INCREMENTAL, servers)
 
     def _forward_update(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
         if kind == UpdateKind.CACHED:
--- a/indigodeck/planner/health_checks.py
+++ b/indigodeck/planner/health_checks.py
@@ -14,9 +14,9 @@
 SCHEDULE_INTERVAL_MS = 50  # between two polls of the check schedule
 RECENT_PERIODS = 3  # a host that answered within this many report periods counts as up
 # Outcomes of checks that the host answered, whatever the answer.
-ANSWERED_OUTCOMES = (HealthCheckOutcome.OK, HealthCheckOutcome.ERROR, HealthCheckOutcome.FULL)
+ANSWERED_OUTCOMES = (HealthCheckOutcome.OK, HealthCheckOutcome.ERROR, HealthCheckOutcome.OVERLOADED)
 # Outcomes of hosts that serve requests, though an overloaded host may refuse one.
-ALIVE_OUTCOMES = (HealthCheckOutcome.OK, HealthCheckOutcome.FULL)
+ALIVE_OUTCOMES = (HealthCheckOutcome.OK, HealthCheckOutcome.OVERLOADED)
 
 
 class HealthChecker:
--- a/indigodeck/planner/leadership_hooks.py
+++ b/indigodeck/planner/leadership_hooks.py
@@ -10,7 +10,7 @@
 from ..clock import now
 
 if TYPE_CHECKING:
-    from ..leadership.transport import Follower
+    from ..leadership.transport import ConnectedRelay
     from .service import PlannerService
 
 
@@ -101,9 +101,9 @@
         """Execute an operator request about versions."""
         return await self._service.versions.on_operator_request(request)
 
-    def followers(self) -> "list[Follower]":
+    def connected_relays(self) -> "list[ConnectedRelay]":
         """Return all proxies that this planner serves."""
-        from ..leadership.transport import Follower  # loaded only where there is a group
+        from ..leadership.transport import ConnectedRelay  # loaded only where there is a group
 
         proxies = self._service.proxies
         frontend_names = {
@@ -113,7 +113,7 @@
             )
         }
         return [
-            Follower(
+            ConnectedRelay(
                 proxies.proxy_name(proxy),
                 frontend_names.get(id(frontend), ""),
                 self._relay_group(proxies.zone_of[proxy]),
--- a/indigodeck/planner/pending_updates.py
+++ b/indigodeck/planner/pending_updates.py
@@ -122,13 +122,13 @@
             pending.add(now, class_index, servers)
             self._changed_proxies.add(proxy)
 
-    def request_ack(self, number: int, everyone: bool) -> None:
+    def request_ack(self, number: int, all_proxies: bool) -> None:
         """Request an acknowledgement of what was queued since the last flush.
 
-        It is requested from all proxies if `everyone`, otherwise from those with new updates.
+        It is requested from every proxy if `all_proxies`, otherwise from those with new updates.
         """
         self._requested_acks.append(number)
-        if everyone:
+        if all_proxies:
             self._changed_proxies.update(self.by_proxy)
 
     def flush(self) -> Sequence[int]:
--- a/indigodeck/planner/planner_host.py
+++ b/indigodeck/planner/planner_host.py
@@ -368,9 +368,9 @@
             self._admissions[table, class_index] = Admission(level, retry_policy)
         self.mark_changed(table, ())
 
-    def request_ack(self, number: int, everyone: bool) -> None:
+    def request_ack(self, number: int, all_proxies: bool) -> None:
         """Request acknowledgement of the orders of this call, from affected proxies or from all."""
-        self.updates.request_ack(number, everyone)
+        self.updates.request_ack(number, all_proxies)
 
     def check_health(self, server: int) -> None:
         """Send the server a request, and report the outcome to `on_health_check`."""
@@ -379,7 +379,7 @@
     def send_to_peer(self, peer: int | None, data: bytes) -> None:
         """Do nothing: this kind of planner shares no state with its peers."""
 
-    def watch_endpoints(self, on: bool) -> None:
+    def watch_endpoints(self, enabled: bool) -> None:
         """Fetch the list; the source of the list decides whether it is watched."""
         self.environment.fetch_endpoint_list()
 
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -155,7 +155,7 @@
         self.planner_host.on_endpoint_list_failed()
 
     def _jitter(self) -> float:
-        return self.planner_host.assigner.random.below(JITTER_STEPS) / JITTER_STEPS
+        return self.planner_host.assigner.random.randbelow(JITTER_STEPS) / JITTER_STEPS
 
     def _on_report_period(self) -> None:
         """Forward the reports of proxies and hosts, and fetch new ones from hosts."""
--- a/tests/planner/test_stored_endpoint_list.py
+++ b/tests/planner/test_stored_endpoint_list.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from stored_data import STARTED_AT, StoredFolder, plain
+from stored_data import FIRST_PUBLISHED_AT, StoredFolderCase, json_round_trip
 
 from indigodeck.planner.endpoint_list import EndpointList
 
 
-class StoredEndpointListTest(StoredFolder):
+class StoredEndpointListTest(StoredFolderCase):
     """The endpoint list under the key `roster` of the store."""
 
     def test_a_stored_list_is_restored(self):
@@ -27,7 +27,7 @@
                 """Return the index."""
                 return int(name.removeprefix("host-"))
 
-        stored = self.opened().held["roster"]
+        stored = self.open_store().held["roster"]
         listener = Listener()
         endpoint_list = EndpointList(
             listener, IdRegistry(), ["north", "south"], ["small", "big"], 1_749_999_000_000_000 - 7
@@ -39,7 +39,7 @@
         )
         self.assertEqual(
             [
-                plain(
+                json_round_trip(
                     [
                         server.index,
                         server.cell,
@@ -53,7 +53,7 @@
             ],
             [[3, 1, 1, 0, 2.5, 7], [7, 0, 2, 0, 1.0, 0], [9, 0, 2, 1, 1.0, 0]],
         )
-        self.assertEqual({**endpoint_list.to_record(), "at": STARTED_AT}, stored)
+        self.assertEqual({**endpoint_list.to_record(), "at": FIRST_PUBLISHED_AT}, stored)
 
 
 if __name__ == "__main__":
