--- a/indigodeck/planner/demand_aggregation.py
+++ b/indigodeck/planner/demand_aggregation.py
@@ -15,8 +15,9 @@
 from ..clock import SECOND
 
 MAX_COUNT = 1 << 31  # upper bound on the requests in one report; a larger count is not plausible
-SPAN_TOLERANCE_PERIODS = 3  # by which the time covered by reports may exceed the age of the stream
-REPORTS_STALE_AFTER_PERIODS = 4  # after which a proxy is regarded as not reporting
+SPAN_TOLERANCE_PERIODS = 3  # tolerance by which reports may cover more time than a stream is old
+# a proxy that has sent no report for this long does not count as reporting
+REPORTS_STALE_AFTER_PERIODS = 4
 
 
 class ReportSink(Protocol):
--- a/indigodeck/planner/health_inference.py
+++ b/indigodeck/planner/health_inference.py
@@ -172,9 +172,9 @@
         suspects: list[tuple[int, int]] = []
         others: list[tuple[int, int]] = []
         for server, host in self.hosts.items():
-            is_close = host.is_suspect or server in controls
-            interval = period // SUSPECT_CHECKS_PER_PERIOD if is_close else period
-            may_overlap = is_close or not host.checks_in_flight
+            is_checked_often = host.is_suspect or server in controls
+            interval = period // SUSPECT_CHECKS_PER_PERIOD if is_checked_often else period
+            may_overlap = is_checked_often or not host.checks_in_flight
             if now - host.last_check_at < interval or not may_overlap:
                 continue
             (suspects if host.is_suspect else others).append((host.last_check_at, server))
--- a/indigodeck/planner/host_reports.py
+++ b/indigodeck/planner/host_reports.py
@@ -50,8 +50,8 @@
         if name.startswith(CLASS_RATE_PREFIX)
     }
     failed = float(fields.get("eps", 0.0))
-    stated_rate = fields.get("rps_fractional")
-    rate = 0.0 if stated_rate is None else float(stated_rate)
+    reported_rate = fields.get("rps_fractional")
+    rate = 0.0 if reported_rate is None else float(reported_rate)
     cores_busy = float(fields.get("cpu_utilization", 0.0))
     in_flight = float(named_metrics.get("inflight", 0.0))
     latency_ms = float(named_metrics.get("latency_ms", 0.0))
@@ -62,7 +62,7 @@
         cores_busy=cores_busy,
         in_flight=in_flight,
         work_time=round(latency_ms * MILLISECOND),
-        completed=None if stated_rate is None else max(0.0, rate - failed),
+        completed=None if reported_rate is None else max(0.0, rate - failed),
         failed=failed,
         completed_by_class=by_class,
     )
--- a/tests/planner/test_demand_aggregation.py
+++ b/tests/planner/test_demand_aggregation.py
@@ -48,7 +48,10 @@
         return forwarded
 
     def test_reports_are_added_up_and_unlisted_servers_are_dropped(self):
-        """Untimed attempts get the latency that the server itself reports (77)."""
+        """There is one load report per server, and one demand report per proxy and class.
+
+        Attempts that proxies did not time get the latency that the server itself reports, here 77.
+        """
         self.clock = SECOND
         self.report(1, 0, 0, SECOND, [(3, 10, 1, 200), (9, 5, 5, 0)], 2, "s1")
         self.report(2, 0, 0, SECOND, [(3, 10, 0, 400), (4, 6, 0, 0)], 0, "s2")
--- a/tests/planner/test_restart.py
+++ b/tests/planner/test_restart.py
@@ -8,7 +8,7 @@
 
 from .stored_planner import StoredPlannerCase, connected_client, folder_of, restarted
 
-LIST_STORED_SECONDS = 1.3  # the endpoint list is saved at most once a second
+LIST_SAVE_WAIT_SECONDS = 1.3  # the endpoint list is saved at most once a second
 
 
 class RestartTest(StoredPlannerCase):
@@ -66,7 +66,7 @@
             async with connected_client(planner) as client:
                 planner.set_host_states(host_3="draining")
                 await client.until_without(3)
-                await asyncio.sleep(LIST_STORED_SECONDS)
+                await asyncio.sleep(LIST_SAVE_WAIT_SECONDS)
             planner.service.close()
             (folder_of(planner) / "roster.json").unlink()
             async with restarted(planner), connected_client(planner) as client:
