--- a/indigodeck/planner/demand_aggregation.py
+++ b/indigodeck/planner/demand_aggregation.py
@@ -16,7 +16,7 @@
 
 MAX_COUNT = 1 << 31  # upper bound on the requests in one report; a larger count is not plausible
 SPAN_TOLERANCE_PERIODS = 3  # tolerance by which reports may cover more time than a stream is old
-# a proxy that has sent no report for this long does not count as reporting
+# Report periods without a report after which a proxy counts as not reporting.
 REPORTS_STALE_AFTER_PERIODS = 4
 
 
