--- a/benchmarks/wire_bytes.py
+++ b/benchmarks/wire_bytes.py
@@ -82,7 +82,7 @@
         self.messages += 1
         self._last_response = resource_type, nonce
 
-    def later(self, after: int, call: Callable[..., None], *arguments: Any) -> None:
+    def call_after(self, after: int, call: Callable[..., None], *arguments: Any) -> None:
         """Ignore a time limit on an answer: each response is acknowledged at once."""
 
     def pull(self) -> None:
--- a/indigodeck/client/sasp.py
+++ b/indigodeck/client/sasp.py
@@ -89,7 +89,7 @@
         self.unanswered[self.last_message_id] = asked
         return self.last_message_id
 
-    def read(self, message: bytes) -> None:
+    def on_message(self, message: bytes) -> None:
         """Apply one whole message.
 
         Raises
@@ -199,7 +199,7 @@
                 message = await with_timeout(
                     loop.time() + wait, self._read_message(stream), StreamClosedError
                 )
-                session.read(message)
+                session.on_message(message)
         finally:
             poller.cancel()
 
--- a/indigodeck/client/xds.py
+++ b/indigodeck/client/xds.py
@@ -159,7 +159,7 @@
         response = await asyncio.wait_for(self.stream.read(), due)
         if response is grpc.aio.EOF:
             raise OSError("the planner ended the stream")
-        answer = session.read(response)
+        answer = session.on_response(response)
         if answer is None:
             return
         assignments = [read_assignment(resource.resource.value) for resource in response.resources]
--- a/indigodeck/client/xds_session.py
+++ b/indigodeck/client/xds_session.py
@@ -77,7 +77,7 @@
             initial_resource_versions=self.tables.versions,
         )
 
-    def read(
+    def on_response(
         self, response: discovery_pb2.DeltaDiscoveryResponse
     ) -> discovery_pb2.DeltaDiscoveryRequest | None:
         """Apply a response, and return the request that acknowledges or rejects it.
--- a/indigodeck/frontends/sasp/connection.py
+++ b/indigodeck/frontends/sasp/connection.py
@@ -103,7 +103,7 @@
             await sleep(wait / SECOND)
         if codec.introduces(message) and self.conversation.proxy is None:
             await self._wait_for_admission()
-        self.conversation.read(message)
+        self.conversation.on_message(message)
         answers = self._answers
         self._answers = []
         for data in answers:
--- a/indigodeck/frontends/sasp/conversation.py
+++ b/indigodeck/frontends/sasp/conversation.py
@@ -70,7 +70,7 @@
             return None
         return self.load_balancer_id.decode("utf-8", "replace")
 
-    def read(self, message: bytes) -> None:
+    def on_message(self, message: bytes) -> None:
         """Take one whole message in, and answer it or close the connection."""
         if self.proxy is not None:
             self.planner_host.on_proxy_request(self.proxy)
--- a/indigodeck/frontends/xds/connection.py
+++ b/indigodeck/frontends/xds/connection.py
@@ -52,7 +52,7 @@
         """Have `send_next` called as soon as the proxy may be written to."""
         self._write_requested.set()
 
-    def later(self, after: int, call: Callable[..., None], *arguments: Any) -> None:
+    def call_after(self, after: int, call: Callable[..., None], *arguments: Any) -> None:
         """Call back after this time, in microseconds."""
         asyncio.get_running_loop().call_later(after / SECOND, call, *arguments)
 
@@ -161,7 +161,7 @@
         type_url = stream.send_next((ENDPOINTS,) if answer_wait else RESOURCE_TYPES)
         if type_url is None:
             if answer_wait:
-                self.later(answer_wait, self._write_requested.set)
+                self.call_after(answer_wait, self._write_requested.set)
             return False
         # An answer to a subscription counts apart from orders: only endpoints change by themselves.
         quota.on_written(service.now(), is_answer=type_url != ENDPOINTS)
--- a/indigodeck/frontends/xds/streams.py
+++ b/indigodeck/frontends/xds/streams.py
@@ -40,7 +40,7 @@
     def request_write(self) -> None:
         """Ask to be called for `send_next` as soon as the proxy may be written to."""
 
-    def later(self, after: int, call: Callable[..., None], *arguments: Any) -> None:
+    def call_after(self, after: int, call: Callable[..., None], *arguments: Any) -> None:
         """Call back after this time, in microseconds."""
 
     def end(self) -> None:
@@ -304,7 +304,7 @@
         self.connection.send(
             type_url, self.proxy.next_version(), nonce, resources, removed + absent
         )
-        self.connection.later(ANSWER_TIMEOUT, self._on_answer_timeout, subscription, nonce)
+        self.connection.call_after(ANSWER_TIMEOUT, self._on_answer_timeout, subscription, nonce)
         subscription.answer_due = False
         subscription.sent.update(versions)
         subscription.reported_absent.update(absent + removed)
--- a/tests/client/test_xds_session.py
+++ b/tests/client/test_xds_session.py
@@ -24,13 +24,15 @@
             )
 
         self.assertEqual(
-            [session.read(response(serial, serial)) is None for serial in (1, 3, 2, 3, 4)],
+            [session.on_response(response(serial, serial)) is None for serial in (1, 3, 2, 3, 4)],
             [False, False, True, True, False],
         )
         self.assertEqual(tables.lines["read"], {("127.0.0.1", 4): 5})
         wrong = response(5, 80)
         wrong.resources[0].version = "0" * 16
-        self.assertIn("is not what its version says", session.read(wrong).error_detail.message)
+        self.assertIn(
+            "is not what its version says", session.on_response(wrong).error_detail.message
+        )
         self.assertEqual(tables.lines["read"], {("127.0.0.1", 4): 5})
 
 
--- a/tests/frontends/lossy_network.py
+++ b/tests/frontends/lossy_network.py
@@ -254,7 +254,7 @@
         """Write soon."""
         self.network.call_later(0, self.write)
 
-    def later(self, after, call, *arguments):
+    def call_after(self, after, call, *arguments):
         """Call back, unless the connection has ended by then."""
         incarnation = self.incarnation
         self.network.call_later(after, lambda: self.incarnation == incarnation and call(*arguments))
@@ -280,7 +280,7 @@
     def read(self, data):
         """Take a response and answer it."""
         try:
-            answer = self.session.read(discovery_pb2.DeltaDiscoveryResponse.FromString(data))
+            answer = self.session.on_response(discovery_pb2.DeltaDiscoveryResponse.FromString(data))
         except RequestRejectedError:
             return self.disconnect()
         if answer is not None:
--- a/tests/frontends/test_sasp_conversation.py
+++ b/tests/frontends/test_sasp_conversation.py
@@ -112,7 +112,7 @@
     def ask(self, *messages):
         """Say messages."""
         for message in messages:
-            self.conversation.read(message)
+            self.conversation.on_message(message)
 
     def push(self):
         """Do what the server does when the relay can be written to."""
--- a/tests/frontends/test_xds_streams.py
+++ b/tests/frontends/test_xds_streams.py
@@ -76,7 +76,7 @@
         """Do nothing: a test calls `drain`."""
         pass
 
-    def later(self, after, call, *given):
+    def call_after(self, after, call, *given):
         """No test here waits for so long."""
 
     def send(self, kind, version, nonce, resources, removed):
--- a/tests/leadership/test_controllers.py
+++ b/tests/leadership/test_controllers.py
@@ -290,7 +290,7 @@
         """Rejected tables are remembered over a restart of all controllers."""
         await self.set_up()
         tables, client, _ = next(relay for relay in self.relays if isinstance(relay[1], XdsClient))
-        pushed, read = [], XdsSession.read
+        pushed, read = [], XdsSession.on_response
 
         def refusing(talk, response):
             if talk.tables is not tables:
@@ -302,7 +302,7 @@
             self.assertTrue(answer.error_detail.message)
             return answer
 
-        with unittest.mock.patch.object(XdsSession, "read", refusing):
+        with unittest.mock.patch.object(XdsSession, "on_response", refusing):
             self.fleet.set_host_states(h2="draining")
             await until(lambda: len(pushed) >= 2, 20)
             await asyncio.sleep(1.5)
--- a/tests/leadership/test_relay_client.py
+++ b/tests/leadership/test_relay_client.py
@@ -34,11 +34,11 @@
             made = codec.endpoints("read", [("a", "h", "127.0.0.1", port, 5)], [], 1.0)
             return codec.delta_response(codec.ENDPOINTS, f"{epoch}.1", "n", [("read", *made)], [])
 
-        session.read(response(7, 80))
+        session.on_response(response(7, 80))
         with self.assertRaises(RequestRejectedError):
-            session.read(response(4, 81))
+            session.on_response(response(4, 81))
         self.assertEqual(tables.lines["read"], {("127.0.0.1", 80): 5})
-        session.read(response(8, 82))
+        session.on_response(response(8, 82))
         self.assertEqual(tables.lines["read"], {("127.0.0.1", 82): 5})
 
 
