--- a/indigodeck/client/sasp.py
+++ b/indigodeck/client/sasp.py
@@ -111,8 +111,8 @@
         asked = self.unanswered.pop(message_id, None)
         if asked is None:
             raise MalformedResponseError(f"an answer to {message_id}, which was not asked")
-        if return_code != codec.DONE:
-            meaning = codec.MEANINGS.get(return_code, hex(return_code))
+        if return_code != codec.SUCCESSFUL:
+            meaning = codec.RETURN_CODE_MEANINGS.get(return_code, hex(return_code))
             raise RequestRejectedError(f"{asked}: {meaning}", return_code)
 
     def weights(
--- a/indigodeck/client/tables.py
+++ b/indigodeck/client/tables.py
@@ -12,7 +12,7 @@
 
 Address = tuple[str, int]  # a server's host and port
 # Passes above this are counted from zero again, so that sums keep their precision.
-LARGEST_PASS = 1e9
+MAX_PASS = 1e9
 
 
 class ClientError(IndigodeckError):
@@ -175,7 +175,7 @@
         )
         self._base_pass[name] = max(self._base_pass[name], passes[picked])
         passes[picked] += total / lines[picked]
-        if passes[picked] > LARGEST_PASS:
+        if passes[picked] > MAX_PASS:
             self._rebase_passes(name)
         return picked
 
--- a/indigodeck/client/xds.py
+++ b/indigodeck/client/xds.py
@@ -28,7 +28,7 @@
 
 LATENCY_METRIC = "took_ms"
 # grpcio pings no more often than this.
-SHORTEST_KEEPALIVE_MS = 1000
+MIN_KEEPALIVE_MS = 1000
 
 
 def channel_target(address: Address) -> str:
@@ -141,7 +141,7 @@
         return grpc.aio.insecure_channel(
             channel_target(address),
             options=[
-                ("grpc.keepalive_time_ms", max(SHORTEST_KEEPALIVE_MS, ping_timeout_ms)),
+                ("grpc.keepalive_time_ms", max(MIN_KEEPALIVE_MS, ping_timeout_ms)),
                 ("grpc.http2.max_pings_without_data", 0),
                 ("grpc.keepalive_permit_without_calls", 1),
                 ("grpc.http2.ping_timeout_ms", ping_timeout_ms),
--- a/indigodeck/client/xds_session.py
+++ b/indigodeck/client/xds_session.py
@@ -13,7 +13,7 @@
 # By type.v3.FractionalPercent.DenominatorType.
 PERCENT_DENOMINATORS = {0: 100, 1: 10_000, 2: 1_000_000}
 INVALID_ARGUMENT = 3  # of google.rpc.Code
-LONGEST_ERROR_TEXT = 500
+MAX_ERROR_CHARACTERS = 500
 
 
 class Locality(NamedTuple):
@@ -106,7 +106,7 @@
             accepted = self._read_resources(response)
         except Exception as error:  # whatever the bytes hold: the last good tables stay
             answer.error_detail.code = INVALID_ARGUMENT
-            answer.error_detail.message = f"{type(error).__name__}: {error}"[:LONGEST_ERROR_TEXT]
+            answer.error_detail.message = f"{type(error).__name__}: {error}"[:MAX_ERROR_CHARACTERS]
             return answer
         for version, assignment in accepted:
             self._apply(version, assignment)
--- a/indigodeck/frontends/sasp/codec/decoding.py
+++ b/indigodeck/frontends/sasp/codec/decoding.py
@@ -168,6 +168,6 @@
     return int.from_bytes(data[HEADER.size - 4 : HEADER.size], "big")
 
 
-def introduces(data: bytes) -> bool:
+def is_set_balancer(data: bytes) -> bool:
     """Return whether this message, whole or not, is one in which a load balancer says who it is."""
     return data[HEADER.size : HEADER.size + 2] == struct.pack("!H", SET_BALANCER)
--- a/indigodeck/frontends/sasp/codec/encoding.py
+++ b/indigodeck/frontends/sasp/codec/encoding.py
@@ -19,8 +19,8 @@
     GROUP_OF_WEIGHTS,
     HEADER,
     HEADER_TYPE,
-    LONGEST_COMPONENT,
-    LONGEST_TEXT,
+    MAX_COMPONENT_BYTES,
+    MAX_TEXT_BYTES,
     MEMBER,
     MEMBER_STATE,
     NO_CHANGE,
@@ -92,7 +92,7 @@
         message_id,
         SET_MEMBERS,
         _by_balancer_flags(by_balancer),
-        _groups(GROUP_OF_STATES, groups, _stated_member),
+        _groups(GROUP_OF_STATES, groups, _member_state),
     )
 
 
@@ -139,14 +139,14 @@
 def _component(component_type: int, *parts: bytes) -> bytes:
     body = b"".join(parts)
     length = COMPONENT_HEADER.size + len(body)
-    if length > LONGEST_COMPONENT:
-        raise ValueError(f"a component of {length} bytes; its length can state {LONGEST_COMPONENT}")
+    if length > MAX_COMPONENT_BYTES:
+        raise ValueError(f"component of {length} bytes exceeds {MAX_COMPONENT_BYTES}")
     return COMPONENT_HEADER.pack(component_type, length) + body
 
 
 def _text(text: bytes) -> bytes:
-    if len(text) > LONGEST_TEXT:
-        raise ValueError(f"{len(text)} bytes, {LONGEST_TEXT} at most")
+    if len(text) > MAX_TEXT_BYTES:
+        raise ValueError(f"{len(text)} bytes, {MAX_TEXT_BYTES} at most")
     return bytes([len(text)]) + text
 
 
@@ -167,7 +167,7 @@
     return _component(GROUP, _text(name[0]), _text(name[1]))
 
 
-def _stated_member(stated: tuple[Member, int, bool]) -> bytes:
+def _member_state(stated: tuple[Member, int, bool]) -> bytes:
     member, state, quiesce = stated
     return _component(MEMBER_STATE, _member(member), bytes([state, QUIESCE if quiesce else 0]))
 
--- a/indigodeck/frontends/sasp/codec/model.py
+++ b/indigodeck/frontends/sasp/codec/model.py
@@ -78,7 +78,7 @@
     state: int = 0
 
 
-class StatedMember(NamedTuple):
+class MemberState(NamedTuple):
     """What is stated of a member: an opaque state, and whether it wants no new work."""
 
     member: Member
@@ -88,4 +88,4 @@
 
 MemberGroup = tuple[GroupName, list[Member]]
 WeightGroup = tuple[GroupName, list[Entry]]
-StateGroup = tuple[GroupName, list[StatedMember]]
+StateGroup = tuple[GroupName, list[MemberState]]
--- a/indigodeck/frontends/sasp/codec/reader.py
+++ b/indigodeck/frontends/sasp/codec/reader.py
@@ -24,7 +24,7 @@
     MalformedSaspMessageError,
     Member,
     MemberGroup,
-    StatedMember,
+    MemberState,
     StateGroup,
     WeightGroup,
 )
@@ -115,14 +115,14 @@
         self.close(outer_end, "a weight entry")
         return Entry(member, weight, flags, state)
 
-    def stated_member(self) -> StatedMember:
+    def member_state(self) -> MemberState:
         """Read what is stated of a member."""
         outer_end = self.open(MEMBER_STATE, "a member's state")
         member = self.member()
         state = self.number(1, "state")
         quiesce = bool(self.number(1, "quiesce flag") & QUIESCE)
         self.close(outer_end, "a member's state")
-        return StatedMember(member, state, quiesce)
+        return MemberState(member, state, quiesce)
 
     def groups(
         self, component_type: int, read_item: Callable[[], _Item], what: str
@@ -155,4 +155,4 @@
 
     def state_groups(self) -> list[StateGroup]:
         """Read groups of members' states."""
-        return self.groups(GROUP_OF_STATES, self.stated_member, "a group of states")
+        return self.groups(GROUP_OF_STATES, self.member_state, "a group of states")
--- a/indigodeck/frontends/sasp/connection.py
+++ b/indigodeck/frontends/sasp/connection.py
@@ -25,7 +25,7 @@
 # How often a socket is looked at until its peer has acknowledged all bytes; doubled from the first
 # to the last.
 FIRST_ACK_POLL_S = 0.001
-LONGEST_ACK_POLL_S = 0.05
+MAX_ACK_POLL_S = 0.05
 
 _T = TypeVar("_T")
 
@@ -101,7 +101,7 @@
         # A peer that asks too often waits; what it sends meanwhile stays in its own socket.
         while wait := self._quota().answer_wait(self.frontend.now()):
             await sleep(wait / SECOND)
-        if codec.introduces(message) and self.conversation.proxy is None:
+        if codec.is_set_balancer(message) and self.conversation.proxy is None:
             await self._wait_for_admission()
         self.conversation.on_message(message)
         answers = self._answers
@@ -177,7 +177,7 @@
                 raise DeadlineExceededError
             await sleep(pause)
             remaining -= pause
-            pause = min(2 * pause, LONGEST_ACK_POLL_S)
+            pause = min(2 * pause, MAX_ACK_POLL_S)
         if self.stream.closed():
             raise StreamClosedError
 
--- a/indigodeck/frontends/sasp/conversation.py
+++ b/indigodeck/frontends/sasp/conversation.py
@@ -12,11 +12,11 @@
     BALANCER_SET,
     BALANCER_SIZE,
     DEREGISTERED,
-    DONE,
     DUPLICATE_GROUP,
     MEMBERS_SET,
     NOT_ACCEPTED,
     REGISTERED,
+    SUCCESSFUL,
     UNKNOWN_BALANCER,
     UNKNOWN_GROUP,
     Address,
@@ -156,15 +156,15 @@
         if not names:
             own_id = self.load_balancer_id or b""
             names = [(own_id, self.registry.group_names[index]) for index in sorted(self.groups)]
-        return_code = DONE
+        return_code = SUCCESSFUL
         class_indices: list[int | None] = []
         for name in names:
             class_index = self.registry.class_indices.get(name[1])
-            found = self._polled_group_code(name, class_index, class_indices)
-            if found != DONE:
+            found = self._polled_group_return_code(name, class_index, class_indices)
+            if found != SUCCESSFUL:
                 return_code = found  # the last of several is told
             class_indices.append(class_index)
-        if return_code != DONE:
+        if return_code != SUCCESSFUL:
             self.connection.send(codec.answer(message_id, codec.WEIGHTS, return_code))
             return
         groups = [
@@ -172,9 +172,11 @@
             for class_index in class_indices
             if class_index is not None
         ]
-        self.connection.send(codec.weights(message_id, DONE, self.registry.poll_interval, groups))
+        self.connection.send(
+            codec.weights(message_id, SUCCESSFUL, self.registry.poll_interval, groups)
+        )
 
-    def _polled_group_code(
+    def _polled_group_return_code(
         self, name: GroupName, class_index: int | None, earlier: Sequence[int | None]
     ) -> int:
         load_balancer_id = name[0]
@@ -186,7 +188,7 @@
             return UNKNOWN_GROUP
         if class_index in earlier:
             return DUPLICATE_GROUP
-        return DONE
+        return SUCCESSFUL
 
     def set_members(self, message_id: int, by_balancer: bool, groups: Sequence[StateGroup]) -> None:
         """Take states of members, told by their load balancer or by themselves."""
@@ -210,7 +212,7 @@
 
     def _answer(self, message_id: int, reply_type: int, carry_out: Callable[[], object]) -> None:
         """Carry a request out, and answer how that ended."""
-        return_code = DONE
+        return_code = SUCCESSFUL
         try:
             carry_out()
         except SaspRequestRejectedError as error:
--- a/indigodeck/frontends/sasp/group_weights.py
+++ b/indigodeck/frontends/sasp/group_weights.py
@@ -6,7 +6,7 @@
 
 from ...planner.planner_host import PlannerHost
 from ...planner.weights import scale_weights
-from .codec import BY_BALANCER, CONFIDENT, CONTACT, QUIESCED, Address, Entry, Member
+from .codec import BY_BALANCER, CONFIDENT, CONTACT_SUCCESS, QUIESCED, Address, Entry, Member
 from .registration import Group, SaspEnvironment
 
 NEUTRAL_WEIGHT = 1  # of a member of which nothing is known: the same for all
@@ -76,7 +76,7 @@
         if server is not None:
             flags |= CONFIDENT
             if self._environment.answered_recently(server):
-                flags |= CONTACT
+                flags |= CONTACT_SUCCESS
         return Entry(
             group.members.get(address) or Member.at(*address),
             0 if quiesced else weight,
--- a/indigodeck/frontends/sasp/membership.py
+++ b/indigodeck/frontends/sasp/membership.py
@@ -21,7 +21,7 @@
     GroupName,
     Member,
     MemberGroup,
-    StatedMember,
+    MemberState,
     StateGroup,
 )
 from .registration import Group, RegistrationRegistry
@@ -39,7 +39,7 @@
     """A request that can't be carried out; `return_code` says why."""
 
     def __init__(self, return_code: int) -> None:
-        super().__init__(codec.MEANINGS[return_code])
+        super().__init__(codec.RETURN_CODE_MEANINGS[return_code])
         self.return_code = return_code
 
 
@@ -59,12 +59,12 @@
 
     def __init__(self, registry: RegistrationRegistry, speaker: "Conversation") -> None:
         self._registry = registry
-        self._speaker = speaker
+        self._conversation = speaker
 
     def register(self, by_balancer: bool, groups: Sequence[MemberGroup]) -> "Conversation":
         """Add members, and return the conversation whose groups they are in."""
         additions: dict[int, Sequence[Member]] = {}
-        owner = self._speaker
+        owner = self._conversation
         for name, members in groups:
             owner = self._owner_of(by_balancer, name)
             class_index = self._registry.class_indices.get(name[1])
@@ -92,16 +92,16 @@
         needed_bytes = sum(ENTRY_BYTES + len(member.label) for member in all_members)
         if (
             len(all_members) > self._registry.bounds.members
-            or needed_bytes > codec.LONGEST_COMPONENT - GROUP_BYTES
+            or needed_bytes > codec.MAX_COMPONENT_BYTES - GROUP_BYTES
         ):
             raise SaspRequestRejectedError(NOT_ACCEPTED)
 
     def deregister(self, by_balancer: bool, groups: Sequence[MemberGroup]) -> None:
         """Remove members, whole groups where no member is named, or all groups."""
         if not groups:
-            if not by_balancer or self._speaker.proxy is None:
+            if not by_balancer or self._conversation.proxy is None:
                 raise SaspRequestRejectedError(UNKNOWN_BALANCER)
-            self._speaker.groups.clear()
+            self._conversation.groups.clear()
             return
         leaving: list[_Deregistration] = []
         for name, members in groups:
@@ -134,7 +134,7 @@
 
     def set_states(self, by_balancer: bool, groups: Sequence[StateGroup]) -> None:
         """Take states of members, told by their load balancer or by themselves."""
-        changes: list[tuple[Conversation, Group, Sequence[StatedMember]]] = []
+        changes: list[tuple[Conversation, Group, Sequence[MemberState]]] = []
         for name, states in groups:
             owner = self._owner_of(by_balancer, name)
             class_index = self._registry.class_indices.get(name[1])
@@ -151,7 +151,7 @@
             if owner.push:
                 owner.connection.request_write()
 
-    def _set_state(self, group: Group, stated: StatedMember, by_balancer: bool) -> None:
+    def _set_state(self, group: Group, stated: MemberState, by_balancer: bool) -> None:
         address = stated.member.endpoint()
         group.states[address] = stated.state
         if not by_balancer:
@@ -170,7 +170,7 @@
         if not group_name:
             raise SaspRequestRejectedError(GROUP_NAME_SIZE)
         if by_balancer:
-            speaker = self._speaker
+            speaker = self._conversation
             if load_balancer_id != speaker.load_balancer_id or speaker.proxy is None:
                 raise SaspRequestRejectedError(UNKNOWN_BALANCER)
             return speaker
--- a/indigodeck/frontends/xds/codec.py
+++ b/indigodeck/frontends/xds/codec.py
@@ -34,10 +34,10 @@
 # What is used comes before what uses it: clusters and endpoints, then what leads there.
 RESOURCE_TYPES = (CLUSTER, ENDPOINTS, LISTENER, ROUTE)
 
-PARTS_OF_ALL = 1_000_000  # the parts that a drop percentage counts in
+DROP_DENOMINATOR = 1_000_000  # the parts that a drop percentage counts in
 DROP_CATEGORY = "level"  # of the requests that a class's admission turns away
 LATENCY_METRIC = "took_ms"
-LONGEST_LATENCY_US = 1e12  # a longer one is no time that a request took
+MAX_LATENCY_US = 1e12  # a longer one is no time that a request took
 NANOSECONDS_PER_MICROSECOND = 1000
 
 _AGGREGATED = config_source_pb2.ConfigSource(
@@ -164,7 +164,7 @@
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name, endpoints=groups)
     if admitted_share < 1:
         overload = assignment.policy.drop_overloads.add(category=DROP_CATEGORY)
-        overload.drop_percentage.numerator = round((1 - admitted_share) * PARTS_OF_ALL)
+        overload.drop_percentage.numerator = round((1 - admitted_share) * DROP_DENOMINATOR)
         overload.drop_percentage.denominator = percent_pb2.FractionalPercent.MILLION
     return _resource(ENDPOINTS, assignment)
 
@@ -275,5 +275,5 @@
         count = metric.num_requests_finished_with_metric
         if metric.metric_name == LATENCY_METRIC and count:
             mean = metric.total_metric_value / count * MILLISECOND
-            return round(mean) if 0 <= mean < LONGEST_LATENCY_US else 0
+            return round(mean) if 0 <= mean < MAX_LATENCY_US else 0
     return 0
--- a/indigodeck/frontends/xds/health_checks.py
+++ b/indigodeck/frontends/xds/health_checks.py
@@ -28,7 +28,7 @@
 PLANNER_METADATA = [("relay", "planner")]
 RETRY_PAUSE_S = 1.0  # between two calls for reports of a host that does not give them
 # A host is followed until nobody has asked for it for so long.
-SHORTEST_IDLE_TIME_S = 30.0
+MIN_IDLE_TIME_S = 30.0
 IDLE_TIME_PERIODS = 10
 
 
@@ -93,7 +93,7 @@
     async def _follow(self, connection: _HostConnection) -> None:
         """Keep the newest report, until nobody has asked for it for a while."""
         loop = asyncio.get_running_loop()
-        idle_time = max(SHORTEST_IDLE_TIME_S, IDLE_TIME_PERIODS * self.report_period / SECOND)
+        idle_time = max(MIN_IDLE_TIME_S, IDLE_TIME_PERIODS * self.report_period / SECOND)
         request = orca_pb2.OrcaLoadReportRequest()
         request.report_interval.FromMicroseconds(self.report_period)
         stream = connection.channel.unary_stream(
--- a/indigodeck/frontends/xds/proxies.py
+++ b/indigodeck/frontends/xds/proxies.py
@@ -17,7 +17,7 @@
 
 # A proxy that answers nothing would gather updates for ever; the newest say all that is asked.
 MAX_DEFERRED_UPDATES = 64
-LONGEST_REASON = 500  # characters of a proxy's own text that are logged
+MAX_REASON_CHARACTERS = 500  # characters of a proxy's own text that are logged
 
 
 class Bounds(NamedTuple):
@@ -91,7 +91,7 @@
             "resources_rejected",
             proxy=self.proxy_id,
             type=type_url.rpartition(".")[2],
-            reason=error[:LONGEST_REASON],
+            reason=error[:MAX_REASON_CHARACTERS],
             resources=sorted(versions),
         )
         if type_url == ENDPOINTS:
--- a/indigodeck/frontends/xds/server.py
+++ b/indigodeck/frontends/xds/server.py
@@ -19,8 +19,8 @@
 from .streams import Stream
 
 FRONTEND_NAME = "xds"
-LONGEST_PROXY_ID = 255  # characters
-SHORTEST_PING_INTERVAL_MS = 300  # clients that ping more often are disconnected
+MAX_PROXY_ID_CHARACTERS = 255  # characters
+MIN_PING_INTERVAL_MS = 300  # clients that ping more often are disconnected
 STOP_GRACE_S = 0.05  # for streams to end when another controller takes over
 LISTEN_RETRY_S = 0.1
 
@@ -55,7 +55,7 @@
             ("grpc.keepalive_time_ms", own_settings.keepalive_ms),
             ("grpc.keepalive_timeout_ms", own_settings.keepalive_ms),
             ("grpc.so_reuseport", 0),
-            ("grpc.http2.min_ping_interval_without_data_ms", SHORTEST_PING_INTERVAL_MS),
+            ("grpc.http2.min_ping_interval_without_data_ms", MIN_PING_INTERVAL_MS),
             ("grpc.keepalive_permit_without_calls", 1),
         ]
         self._server: grpc.aio.Server | None = None
@@ -63,7 +63,7 @@
         self._bound_port = 0
         self._accepting = True
         # One start or stop at a time: grpcio falls over a server that is stopped while it starts.
-        self._switching = asyncio.Lock()
+        self._switch_lock = asyncio.Lock()
 
     # What the service calls (`planner.proxy_sessions.Frontend`).
 
@@ -80,7 +80,7 @@
         return server, server.add_insecure_port(f"{self._address}:{port}")
 
     async def _start(self, server: grpc.aio.Server) -> None:
-        async with self._switching:
+        async with self._switch_lock:
             await server.start()
 
     def port(self) -> int:
@@ -97,7 +97,7 @@
         asyncio.get_running_loop().create_task(self._switch())
 
     async def _switch(self) -> None:
-        async with self._switching:
+        async with self._switch_lock:
             while self._accepting != (self._server is not None):
                 if self._accepting:
                     await self._listen_again()
@@ -172,8 +172,10 @@
         connected = self._proxies_by_id.get(proxy_id)
         if connected is not None and self._proxies.get(connected.index) is connected:
             return connected
-        if not proxy_id or len(proxy_id) > LONGEST_PROXY_ID:
-            raise LimitExceededError(f"a node needs an id of 1 to {LONGEST_PROXY_ID} characters")
+        if not proxy_id or len(proxy_id) > MAX_PROXY_ID_CHARACTERS:
+            raise LimitExceededError(
+                f"the node id must have 1 to {MAX_PROXY_ID_CHARACTERS} characters"
+            )
         if not self.service.leadership.may_serve(proxy_id, zone):
             raise NotLeaderError("another controller is in charge")
         index = None
--- a/indigodeck/frontends/xds/streams.py
+++ b/indigodeck/frontends/xds/streams.py
@@ -101,7 +101,7 @@
         has_new_names = not subscription.names.issuperset(names)
         subscription.names = set(names)
         subscription.started = True
-        subscription.forget_unwanted()
+        subscription.forget_unsubscribed()
         subscription.answer_due = subscription.answer_due or has_new_names or not nonce
         self.connection.request_write()
 
@@ -220,39 +220,41 @@
         subscription = self.subscriptions[type_url]
         if not subscription.started or len(subscription.unanswered) >= MAX_UNANSWERED:
             return False
-        resources = self._wanted_resources(type_url, subscription)
+        resources = self._subscribed_resources(type_url, subscription)
         changed = [
             name
             for name, resource in resources.items()
-            if subscription.needs(name, resource.version)
+            if subscription.is_pending(name, resource.version)
         ]
         removed = self._removed_names(type_url, subscription)
         absent = self._absent_names(subscription)
-        is_whole = not self.is_delta and type_url in WILDCARD_TYPES
-        if not (changed or removed or absent or (subscription.answer_due and is_whole)):
+        is_complete_set = not self.is_delta and type_url in WILDCARD_TYPES
+        if not (changed or removed or absent or (subscription.answer_due and is_complete_set)):
             subscription.answer_due = False
             if type_url == ENDPOINTS:
-                self._settle_what_is_held(subscription, resources)
+                self._settle_held_updates(subscription, resources)
             return False
-        if not (self.is_delta or is_whole or changed):
+        if not (self.is_delta or is_complete_set or changed):
             for name in removed:
                 del subscription.sent[name]  # can't be said in this form; it goes with its cluster
             return False
         included = [
             NamedResource(name, *resources[name])
-            for name in (sorted(resources) if is_whole else changed)
+            for name in (sorted(resources) if is_complete_set else changed)
             if subscription.rejected.get(name) != resources[name].version
         ]
         self._write(type_url, subscription, included, removed, absent)
         return True
 
-    def _wanted_resources(self, type_url: str, subscription: Subscription) -> dict[str, Resource]:
+    def _subscribed_resources(
+        self, type_url: str, subscription: Subscription
+    ) -> dict[str, Resource]:
         """Return the resources that exist and are subscribed to, sorted by name."""
         cache = self.proxy.cache
         return {
             name: resource
             for name in sorted(cache.names())
-            if subscription.wants(name)
+            if subscription.covers(name)
             and (resource := cache.resource(type_url, name, self.proxy.index))
         }
 
@@ -272,8 +274,8 @@
         subscription = self.subscriptions[type_url]
         if subscription.unanswered:
             return True
-        resources = self._wanted_resources(type_url, subscription)
-        if any(subscription.needs(name, found.version) for name, found in resources.items()):
+        resources = self._subscribed_resources(type_url, subscription)
+        if any(subscription.is_pending(name, found.version) for name, found in resources.items()):
             return True
         return bool(subscription.sent.keys() - self.proxy.cache.names())
 
@@ -313,7 +315,7 @@
         updates = self.proxy.take_deferred() if type_url == ENDPOINTS else []
         subscription.unanswered[nonce] = SentResponse(versions, removed, updates)
 
-    def _settle_what_is_held(
+    def _settle_held_updates(
         self, subscription: Subscription, resources: dict[str, Resource]
     ) -> None:
         """Count updates as delivered that a proxy needs not be sent.
--- a/indigodeck/frontends/xds/subscription.py
+++ b/indigodeck/frontends/xds/subscription.py
@@ -32,11 +32,11 @@
     reported_absent: set[str] = field(default_factory=set)  # names that were told not to exist
     answer_due: bool = False  # something was asked that wants an answer even if nothing changed
 
-    def wants(self, name: str) -> bool:
+    def covers(self, name: str) -> bool:
         """Return whether a resource is subscribed to."""
         return self.wildcard or name in self.names
 
-    def needs(self, name: str, version: str) -> bool:
+    def is_pending(self, name: str, version: str) -> bool:
         """Return whether a version was neither sent nor rejected."""
         return self.sent.get(name) != version and self.rejected.get(name) != version
 
@@ -47,10 +47,10 @@
             self.acknowledged.pop(name, None)
             self.rejected.pop(name, None)
 
-    def forget_unwanted(self) -> None:
+    def forget_unsubscribed(self) -> None:
         """Forget the resources that are no longer subscribed to."""
         known = self.sent.keys() | self.acknowledged.keys() | self.rejected.keys()
-        self.forget([name for name in known if not self.wants(name)])
+        self.forget([name for name in known if not self.covers(name)])
 
     def on_acknowledged(self, response: SentResponse) -> None:
         """Take note that the proxy uses what a response held."""
--- a/tests/frontends/test_sasp_codec.py
+++ b/tests/frontends/test_sasp_codec.py
@@ -66,10 +66,13 @@
             10,
             0,
             5,
-            [(GROUP_NAME, [Entry(MEMBER, 65535, codec.CONTACT | codec.CONFIDENT)])],
+            [(GROUP_NAME, [Entry(MEMBER, 65535, codec.CONTACT_SUCCESS | codec.CONFIDENT)])],
         ),
         codec.weights(
-            10, 0, 5, [(GROUP_NAME, [Entry(MEMBER, 65535, codec.CONTACT | codec.CONFIDENT)])]
+            10,
+            0,
+            5,
+            [(GROUP_NAME, [Entry(MEMBER, 65535, codec.CONTACT_SUCCESS | codec.CONFIDENT)])],
         ),
     ),
     # unsolicited: quiesced, weight 0, opaque state 9
--- a/tests/frontends/test_sasp_conversation.py
+++ b/tests/frontends/test_sasp_conversation.py
@@ -91,7 +91,7 @@
 
     def answered(self, message_id, reply_type, return_code):
         """Print an answer."""
-        self.planner.log_event(f"answer to {message_id}: {codec.MEANINGS[return_code]}")
+        self.planner.log_event(f"answer to {message_id}: {codec.RETURN_CODE_MEANINGS[return_code]}")
 
     def weights(self, number, code, interval, groups):
         """Print an answer with weights."""
--- a/tests/frontends/test_sasp_sockets.py
+++ b/tests/frontends/test_sasp_sockets.py
@@ -54,7 +54,7 @@
                     (await asyncio.wait_for(reader.readexactly(18), 5))[-1],
                     await reader.readexactly(18),
                 )
-                self.assertEqual((code, fine[-1]), (codec.NOT_UNDERSTOOD, codec.DONE))
+                self.assertEqual((code, fine[-1]), (codec.NOT_UNDERSTOOD, codec.SUCCESSFUL))
             planner.set_host_states(host_2="draining")
             await until(lambda: ports(tables) == {0, 1, 3, 4, 5})
             client.stop()
