--- a/indigodeck/client/__init__.py
+++ b/indigodeck/client/__init__.py
@@ -1,7 +1,7 @@
-"""For proxies: traffic tables by class, kept up to date by a planner, whichever protocol it speaks.
+"""Client library for proxies: traffic tables by class, kept up to date by a planner.
 
-`Tables` holds what a proxy goes by and picks servers from it. `sasp.SaspClient` and
-`xds.XdsClient` keep one up to date over SASP and over xDS.
+`Tables` holds the tables and picks a server for each request. `sasp.SaspClient` and
+`xds.XdsClient` receive updates of the tables over SASP and over xDS.
 """
 
 from .tables import (
--- a/indigodeck/client/reconnecting.py
+++ b/indigodeck/client/reconnecting.py
@@ -1,7 +1,7 @@
-"""Following planners in turn, over any protocol: connect, follow until that fails, wait, go on.
+"""Connects to planners in turn, over any protocol: connect, receive until an error, wait, repeat.
 
-`ReconnectingClient` is what the clients of all protocols do alike; `ReconnectBackoff` says how long
-to wait between two attempts.
+`ReconnectingClient` is the common base class of the clients of all protocols; `ReconnectBackoff`
+computes the delay between two attempts.
 """
 
 import asyncio
@@ -15,11 +15,11 @@
 RESPONSE_TIMEOUT_S = 3.0
 FIRST_DELAY_US = 200_000
 MAX_DELAY_US = 5_000_000
-MAX_DOUBLINGS = 16  # of the first delay: the longest wait is reached long before
+MAX_DOUBLINGS = 16  # of the first delay, which reaches the longest delay well before that
 
 
 class Session(Protocol):
-    """One connection as the proxy sees it."""
+    """The proxy's end of one connection; `received_table` is set once a table has arrived on it."""
 
     received_table: bool
 
@@ -27,23 +27,23 @@
 class ReconnectingClient:
     """Connects to planners in turn and keeps tables up to date until `stop`.
 
-    A client of a protocol gives `_run_session`, `_client_error`, `_close` and `disconnect`.
+    The client of a protocol implements `_run_session`, `_client_error`, `_close` and `disconnect`.
 
     Parameters
     ----------
     proxy_id
-        The proxy's own id, which also seeds its random waits.
+        The proxy's own id, which also seeds the random delays between attempts.
     planners
-        The planners' addresses, or a call that gives them, made at each attempt.
+        The planners' addresses, or a function that returns them, called at each attempt.
     tables
-        What is kept up to date.
+        The tables to keep up to date.
     response_timeout
-        Seconds within which a planner must answer what it was asked.
+        Seconds within which a planner must answer a request.
     connection_lost
-        Called with the error at each loss.
+        Called with the error each time a connection ends or an attempt to connect fails.
     """
 
-    # The errors that mean a lost planner; others are faults of this program.
+    # Errors that end a connection and are followed by another attempt; any other is a bug here.
     connection_errors: ClassVar[tuple[type[BaseException], ...]] = ()
 
     def __init__(
@@ -66,7 +66,7 @@
         self.session: Session | None = None
 
     async def run(self) -> None:
-        """Follow one planner after the other until `stop`."""
+        """Connect to one planner after the other until `stop`."""
         while not self.stopped:
             addresses = self.planners()
             error = await self._attempt(addresses)
@@ -81,9 +81,12 @@
             await asyncio.sleep(self.backoff.next_delay(len(addresses)) / SECOND)
 
     async def _attempt(self, addresses: Sequence[Address]) -> ClientError:
-        """Follow the planner whose turn it is, and return why that ended."""
+        """Run a session with the planner that is next in turn, and return the error that ended it.
+
+        `addresses` are those of all planners.
+        """
         self.session = None
-        error: ClientError = UnreachableError("no planner is named")
+        error: ClientError = UnreachableError("no planner addresses are known")
         if addresses:
             try:
                 await self._run_session(addresses[self.attempts % len(addresses)])
@@ -92,32 +95,32 @@
         return error
 
     def stop(self) -> None:
-        """End the connection and make no other."""
+        """End the connection and do not reconnect."""
         self.stopped = True
         self.disconnect()
 
     def disconnect(self) -> None:
-        """Break the connection, as a network might; the client connects again."""
+        """Break the connection as a network failure would; the client then reconnects."""
         raise NotImplementedError
 
     async def _run_session(self, address: Address) -> None:
-        """Connect to one planner and follow it until an error ends that."""
+        """Connect to one planner and receive its updates until an error ends the connection."""
         raise NotImplementedError
 
     def _client_error(self, caught: BaseException) -> ClientError:
-        """Return the client's own error for one of `connection_errors`."""
+        """Return the `ClientError` that stands for one of `connection_errors`."""
         raise NotImplementedError
 
     async def _close(self) -> None:
-        """End what is left of the connection."""
+        """Release what is left of the connection."""
         raise NotImplementedError
 
 
 class ReconnectBackoff:
-    """When to connect again: later each time, up to a bound.
+    """Exponential backoff between connection attempts, up to a maximum.
 
-    Waits are jittered over the whole time, so that proxies that lost one planner together do not
-    come back together. Times are microseconds.
+    Delays are jittered over most of their length, so that proxies that lost one planner at the same
+    time do not reconnect at the same time. Times are in microseconds.
     """
 
     def __init__(
@@ -132,10 +135,11 @@
         self.failures = 0
 
     def next_delay(self, address_count: int = 1) -> int:
-        """Count a failure, and return how long to wait before the next attempt.
+        """Count a failure, and return the delay before the next attempt.
 
-        Each of the addresses is tried once before the wait grows: of several controllers all but
-        one reject, and a proxy that waits after each is without orders for most of a takeover.
+        Each of the `address_count` addresses is tried once, with short delays, before the delay
+        grows. Of several controllers all but one reject the proxy; with a long delay after each
+        rejection the proxy would be without orders for most of a takeover.
         """
         doublings, index = divmod(self.failures, max(1, address_count))
         self.failures += 1
@@ -145,5 +149,5 @@
         return bound // 4 + self.random.randbelow(bound - bound // 4)
 
     def reset(self) -> None:
-        """Start over: a connection gave tables."""
+        """Start again with the first delay, after a connection that delivered a table."""
         self.failures = 0
--- a/indigodeck/client/sasp.py
+++ b/indigodeck/client/sasp.py
@@ -1,4 +1,4 @@
-"""Keeps a proxy's tables up to date over SASP (RFC 4678), on Tornado's streams."""
+"""Keeps a proxy's tables up to date over SASP (RFC 4678), on Tornado's I/O streams."""
 
 import asyncio
 from collections.abc import Callable, Iterator, Sequence
@@ -22,12 +22,12 @@
     UnreachableError,
 )
 
-LOAD_BALANCER_HEALTH = 0x7F  # what this proxy says of its own health: the protocol's full mark
+LOAD_BALANCER_HEALTH = 0x7F  # the proxy's own health as stated to the planner: the best value
 MAX_BUFFERED_BYTES = 4 << 20
 
 
 def table_entry(entry: codec.Entry) -> TableEntry:
-    """Return what a weight entry says of one server."""
+    """Convert a SASP weight entry to an entry of `Tables`."""
     return TableEntry(
         entry.member.endpoint(),
         entry.weight,
@@ -37,7 +37,7 @@
 
 
 class SaspSession:
-    """One connection as the proxy sees it, free of I/O: what it asked, what answers mean."""
+    """The proxy's end of one SASP connection, without I/O: its requests and the replies to them."""
 
     def __init__(
         self,
@@ -53,13 +53,13 @@
         self.tables = tables
         self.push = push
         self.last_message_id = 0
-        self.unanswered: dict[int, str] = {}  # what was asked, by message id
-        # Seconds; polled soon at first, to learn how often the planner wants it.
+        self.unanswered: dict[int, str] = {}  # descriptions of pending requests, by message id
+        # In seconds. The first poll comes soon, since its reply carries the planner's interval.
         self.poll_interval = 1
         self.received_table = False
 
     def opening_messages(self) -> Iterator[bytes]:
-        """Yield the first messages: who this is, and what it wants weights for."""
+        """Yield the first messages: this proxy's id and options, and the groups it registers."""
         groups = [
             (
                 (self.load_balancer_id, name.encode()),
@@ -68,73 +68,74 @@
             for name in self.classes
         ]
         yield codec.set_balancer(
-            self._next_message_id("who it is"),
+            self._next_message_id("the load balancer's state"),
             self.load_balancer_id,
             LOAD_BALANCER_HEALTH,
             self.push,
             True,
             True,
         )
-        yield codec.register(self._next_message_id("its groups"), True, groups)
+        yield codec.register(self._next_message_id("the registration of groups"), True, groups)
 
     def poll(self) -> bytes:
-        """Return a request for all weights; its answer also shows that the planner lives."""
+        """Return a request for all weights; the reply also shows that the planner is alive."""
         return codec.get_weights(
             self._next_message_id("weights"),
             [(self.load_balancer_id, name.encode()) for name in self.classes],
         )
 
-    def _next_message_id(self, asked: str) -> int:
+    def _next_message_id(self, request: str) -> int:
+        """Return the id of the next request, and record the request's description as pending."""
         self.last_message_id += 1
-        self.unanswered[self.last_message_id] = asked
+        self.unanswered[self.last_message_id] = request
         return self.last_message_id
 
     def on_message(self, message: bytes) -> None:
-        """Apply one whole message.
+        """Apply one complete message from the planner.
 
         Raises
         ------
         MalformedResponseError
-            If it is no message, or one that a planner does not send.
+            If it is not a valid message, or one that planners do not send.
         RequestRejectedError
-            If it rejects what was asked.
+            If it rejects a request.
         """
         try:
             codec.dispatch(message, self)
         except codec.MalformedSaspMessageError as error:
             raise MalformedResponseError(str(error)) from error
 
-    # The messages that a load balancer receives, as `codec.dispatch` names them.
+    # Handlers of the messages that a load balancer receives, called by `codec.dispatch`.
 
     def answered(self, message_id: int, reply_type: int, return_code: int) -> None:
-        """Take the answer to a request."""
-        asked = self.unanswered.pop(message_id, None)
-        if asked is None:
-            raise MalformedResponseError(f"an answer to {message_id}, which was not asked")
+        """Handle the reply to a request."""
+        request = self.unanswered.pop(message_id, None)
+        if request is None:
+            raise MalformedResponseError(f"reply to message {message_id}, which was not sent")
         if return_code != codec.SUCCESSFUL:
             meaning = codec.RETURN_CODE_MEANINGS.get(return_code, hex(return_code))
-            raise RequestRejectedError(f"{asked}: {meaning}", return_code)
+            raise RequestRejectedError(f"{request}: {meaning}", return_code)
 
     def weights(
         self, message_id: int, return_code: int, interval: int, groups: list[codec.WeightGroup]
     ) -> None:
-        """Take the weights that were polled; `interval` is the planner's, in seconds."""
+        """Handle the reply to a poll; `interval` is the planner's poll interval, in seconds."""
         self.answered(message_id, codec.WEIGHTS, return_code)
         self.poll_interval = max(1, interval)
         self.sent_weights(message_id, groups)
 
     def sent_weights(self, message_id: int, groups: list[codec.WeightGroup]) -> None:
-        """Take weights that the planner pushed."""
+        """Handle weights that the planner pushed."""
         for (load_balancer_id, group_name), entries in groups:
             name = group_name.decode("utf-8", "replace")
-            # Weights may still be on their way for a group that was given up.
+            # Weights of a group that is no longer followed may still be in flight.
             if load_balancer_id != self.load_balancer_id or name not in self.classes:
                 continue
             self.received_table = True
             self.tables.update(name, [table_entry(entry) for entry in entries])
 
     def _reject_request(self, *_: object) -> NoReturn:
-        raise MalformedResponseError("a request, sent to a relay")
+        raise MalformedResponseError("the planner sent a message that only load balancers send")
 
     register = _reject_request
     deregister = _reject_request
@@ -192,7 +193,8 @@
         poller = asyncio.get_running_loop().create_task(self._poll(stream, session))
         try:
             while True:
-                # A planner that does not answer in time, or stops within a message, is left.
+                # The connection is given up if the planner does not answer in time or stops in the
+                # middle of a message.
                 wait = self.response_timeout
                 if not session.unanswered:
                     wait += session.poll_interval
@@ -212,7 +214,7 @@
         return header + await stream.read_bytes(length - codec.HEADER.size)
 
     async def _poll(self, stream: IOStream, session: SaspSession) -> None:
-        """Poll at the planner's interval, also where it pushes: the answers show that it lives."""
+        """Poll at the planner's interval, even if it pushes: the replies show that it is alive."""
         try:
             while True:
                 jitter = 0.9 + self.random.randbelow(200) / 1000
@@ -220,12 +222,12 @@
                 if not session.unanswered:
                     await stream.write(session.poll())
         except StreamClosedError:
-            pass  # the reader meets the same, and reconnects
+            pass  # the reading coroutine gets the same error, and the client reconnects
 
     async def _close(self) -> None:
         self.disconnect()
 
     def disconnect(self) -> None:
-        """Break the connection, as a network might; the client connects again."""
+        """Break the connection as a network failure would; the client then reconnects."""
         if self.stream is not None:
             self.stream.close()
--- a/indigodeck/client/tables.py
+++ b/indigodeck/client/tables.py
@@ -1,8 +1,9 @@
-"""The tables that a proxy holds and goes by, free of I/O: one for each class, and picks from it.
+"""A proxy's traffic tables, one for each class, and the choice of servers by them, without I/O.
 
-Tables outlive the planner that gave them: a broken connection changes nothing but their age. Picks
-are even by weight: stride scheduling (C. Waldspurger and W. Weihl, "Stride Scheduling",
-MIT/LCS/TM-528, 1995), in which a new server starts level with the others and so gets no burst.
+A table stays in use after the connection to the planner that sent it is lost; only its age grows.
+Servers are picked in proportion to their weights by stride scheduling (C. Waldspurger and W. Weihl,
+"Stride Scheduling", MIT/LCS/TM-528, 1995), in which a new server starts at the current pass and so
+gets no burst of requests.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -11,12 +12,12 @@
 from ..errors import IndigodeckError, MalformedMessageError, RejectedError
 
 Address = tuple[str, int]  # a server's host and port
-# Passes above this are counted from zero again, so that sums keep their precision.
+# When a pass exceeds this, all passes of the class are reduced, so that sums keep their precision.
 MAX_PASS = 1e9
 
 
 class ClientError(IndigodeckError):
-    """Whatever a client of a planner may meet."""
+    """The base class of the errors that a client of a planner reports."""
 
 
 class NoServerError(ClientError):
@@ -24,7 +25,7 @@
 
 
 class RequestRejectedError(ClientError, RejectedError):
-    """The planner rejects this proxy or what it asked; `code` is the protocol's own."""
+    """The planner rejects this proxy or its request; `code` is the protocol's return code."""
 
     def __init__(self, text: str, code: int | None = None) -> None:
         super().__init__(text)
@@ -32,18 +33,18 @@
 
 
 class UnreachableError(ClientError):
-    """No planner answers, or one stopped answering."""
+    """No planner can be reached, or the connected one stopped answering."""
 
 
 class MalformedResponseError(ClientError, MalformedMessageError):
-    """A planner sent what its protocol does not allow."""
+    """A planner sent something that its protocol does not allow."""
 
 
 class TableEntry(NamedTuple):
-    """What a planner says of one server in the table of a class.
+    """One server in the table of a class, as stated by a planner.
 
-    A server that is `quiesced` takes no new requests, in any case. An entry that is not
-    `confident` says that the planner has no opinion yet.
+    A server that is `quiesced` gets no new requests, whatever its weight. If `confident` is false,
+    the planner has no opinion on the server yet.
     """
 
     address: Address
@@ -53,7 +54,7 @@
 
 
 class Tables:
-    """Tables by class, as `lines`: `{class: {address: weight}}`.
+    """The tables of a proxy, held in `lines` as `{class: {address: weight}}`.
 
     Parameters
     ----------
@@ -62,7 +63,7 @@
     now
         The clock, in microseconds.
     initial
-        The servers that each table holds, alike, until a planner gives one.
+        The servers that each table holds, with equal weights, until a planner sends a table.
     changed
         Called with the name of a class after its table has changed.
     """
@@ -81,36 +82,37 @@
         self.lines: dict[str, dict[Address, int]] = {
             name: dict.fromkeys(servers, 1) for name in names
         }
-        # When a planner last spoke of a class; None while the table is the initial one.
+        # When a planner last sent entries of a class; None while the table is the initial one.
         self.updated_at: dict[str, int | None] = dict.fromkeys(names)
-        self.confirmed: set[str] = set()  # classes whose table this connection has given
+        self.confirmed: set[str] = set()  # classes whose table came over the current connection
         self.admitted_share = dict.fromkeys(names, 1.0)
         self.versions: dict[str, str] = {}
-        self.epoch = 0  # the highest under which an order came, where orders say
+        self.epoch = 0  # the highest epoch of an order, in protocols whose orders carry one
         self._passes: dict[str, dict[Address, float]] = {name: {} for name in names}
         self._base_pass = dict.fromkeys(names, 0.0)
 
     def connection_opened(self) -> None:
-        """Begin a connection: what it first says of a class replaces the whole table."""
+        """Begin a connection: the first confident entries of a class replace its whole table."""
         self.confirmed.clear()
 
     def age(self, name: str) -> int | None:
-        """Return microseconds since a planner last spoke of the class, or None if none ever did."""
+        """Return the microseconds since a planner last sent entries of the class, or None."""
         updated_at = self.updated_at[name]
         return None if updated_at is None else self.now() - updated_at
 
     def update(self, name: str, entries: Collection[TableEntry]) -> None:
         """Apply entries of one class.
 
-        A quiesced server leaves the table. Entries that are not confident fill an empty table and
-        change nothing of another.
+        Quiesced servers are removed from the table. Entries that are not confident are added to an
+        empty table, and otherwise ignored.
         """
-        # That a server is quiesced is no table: a whole one names who is in, or has weight 0.
+        # Entries of quiesced servers alone are not a whole table: that also has confident entries
+        # of servers that are not quiesced, possibly with weight 0.
         confirms = any(confident and not quiesced for _, _, confident, quiesced in entries)
         self._apply(name, entries, confirms)
 
     def replace(self, name: str, entries: Collection[TableEntry]) -> None:
-        """Replace the table of one class: a server that is not among the entries leaves it."""
+        """Replace the table of one class: servers that are not among the entries are removed."""
         self.confirmed.discard(name)
         self._apply(name, entries, True)
 
@@ -120,9 +122,9 @@
         if confirms and name not in self.confirmed:
             lines = {}
             self.confirmed.add(name)
-        takes_any = not before and name not in self.confirmed
+        accepts_unconfident = not before and name not in self.confirmed
         for address, weight, confident, quiesced in entries:
-            if weight and not quiesced and (confident or takes_any):
+            if weight and not quiesced and (confident or accepts_unconfident):
                 lines[address] = weight
             elif quiesced or confident:
                 lines.pop(address, None)
@@ -139,21 +141,26 @@
             self.changed(name)
 
     def set_admitted_share(self, name: str, share: float) -> None:
-        """Set which part of a class's requests is admitted, where a protocol can say so."""
+        """Set the share of a class's requests that is admitted, for protocols that carry it."""
         self.admitted_share[name] = share
 
     def admits(self, name: str, point: float) -> bool:
-        """Return whether a request is admitted; `point`, 0 to 1, is its own, drawn or hashed."""
+        """Return whether a request is admitted.
+
+        `point` is the request's position between 0 and 1, random or a hash of the request.
+        """
         return point < self.admitted_share[name]
 
     def shares(self, name: str) -> dict[Address, float]:
-        """Return the part of the class's requests that each server gets."""
+        """Return the share of the class's requests that each server gets."""
         lines = self.lines[name]
         total = sum(lines.values())
         return {address: weight / total for address, weight in lines.items()}
 
     def pick(self, name: str, avoid: Collection[Address] = ()) -> Address:
-        """Return the next server of a class, one not to avoid while there is any.
+        """Return the next server of a class.
+
+        Servers in `avoid` are picked only if the table has no others.
 
         Raises
         ------
@@ -162,13 +169,13 @@
         """
         lines = self.lines[name]
         if not lines:
-            raise NoServerError(f"no server for {name}")
+            raise NoServerError(f"the table of class {name} has no servers")
         passes = self._passes[name]
         for address in lines.keys() - passes.keys():
             passes[address] = self._base_pass[name]
         candidates = [address for address in lines if address not in avoid] or list(lines)
         total = sum(lines.values())
-        # By address where passes are equal, so that the same calls give the same picks.
+        # Ties are broken by address, so that the same calls give the same picks.
         picked = min(
             candidates,
             key=lambda address: (passes[address] + total / lines[address] / 2, address),
@@ -182,6 +189,6 @@
     def _rebase_passes(self, name: str) -> None:
         base = self._base_pass[name]
         self._passes[name] = {
-            address: reached - base for address, reached in self._passes[name].items()
+            address: server_pass - base for address, server_pass in self._passes[name].items()
         }
         self._base_pass[name] = 0.0
--- a/indigodeck/client/xds.py
+++ b/indigodeck/client/xds.py
@@ -1,4 +1,4 @@
-"""Keeps a proxy's tables up to date over incremental xDS, and reports its load (LRS), on grpcio."""
+"""Keeps a proxy's tables up to date over incremental xDS and reports its load (LRS), on grpcio."""
 
 import asyncio
 import ipaddress
@@ -27,12 +27,12 @@
 from .xds_session import Locality, XdsSession, read_assignment
 
 LATENCY_METRIC = "took_ms"
-# grpcio pings no more often than this.
+# grpcio raises a shorter keepalive time to this.
 MIN_KEEPALIVE_MS = 1000
 
 
 def channel_target(address: Address) -> str:
-    """Return where a channel leads, named so that an address in figures is not looked up first."""
+    """Return the target URI of a channel; numeric addresses are not resolved through DNS."""
     host, port = address
     try:
         scheme = f"ipv{ipaddress.ip_address(host).version}:"
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Requests of one class to one server; `total_latency`, in us, is of those that succeeded."""
+    """Requests of one class to one server; `total_latency`, in us, covers those that succeeded."""
 
     succeeded: int = 0
     failed: int = 0
@@ -51,7 +51,7 @@
 
 
 def _ignore_event(event: str, tables: list[tuple[str, list[TableEntry]]]) -> None:
-    """Observe nothing."""
+    """Ignore an event; the default observer."""
 
 
 class XdsClient(ReconnectingClient):
@@ -62,10 +62,10 @@
     zone
         The proxy's own zone.
     observer
-        Called for each stream that opens ("joined") or ends ("left"), and with each message
-        ("message") and the tables in it.
+        Called when a stream opens ("joined") or ends ("left"), and for each response ("message")
+        with the tables in it.
 
-    The others are those of `sasp.SaspClient`; `members` is ignored.
+    The other parameters are those of `sasp.SaspClient`; `members` is ignored.
     """
 
     connection_errors = (
@@ -74,7 +74,7 @@
         asyncio.TimeoutError,
         OSError,
         asyncio.CancelledError,
-        # grpcio raises it for a write on a stream whose connection was refused meanwhile.
+        # Raised by grpcio for a write to a stream whose connection has been refused meanwhile.
         asyncio.InvalidStateError,
     )
 
@@ -94,21 +94,21 @@
         self.node = base_pb2.Node(id=proxy_id, locality=base_pb2.Locality(zone=zone))
         self.observer = observer or _ignore_event
         self.channel: grpc.aio.Channel | None = None
-        self.stream: Any = None  # grpcio's own call
+        self.stream: Any = None  # the call object of grpcio
         self._counts: dict[tuple[str, Address], RequestCounts] = defaultdict(RequestCounts)
 
     def _client_error(self, caught: BaseException) -> ClientError:
         if isinstance(caught, RequestRejectedError):
             return caught
         if not isinstance(caught, grpc.aio.AioRpcError):
-            stopped = isinstance(caught, (asyncio.TimeoutError, OSError))
+            stopped_answering = isinstance(caught, (asyncio.TimeoutError, OSError))
             return UnreachableError(
-                "the planner stopped answering" if stopped else "the stream was broken"
+                "the planner stopped answering" if stopped_answering else "the stream was broken"
             )
         details = caught.details() or str(caught.code())
         if caught.code() == grpc.StatusCode.RESOURCE_EXHAUSTED:
             return RequestRejectedError(details)
-        # grpcio gives bytes that are no HTTP/2 the code of a planner that can't be reached.
+        # For bytes that are not HTTP/2, grpcio reports the same code as for an unreachable planner.
         malformed = caught.code() == grpc.StatusCode.INTERNAL or "Failed parsing HTTP/2" in details
         return MalformedResponseError(details) if malformed else UnreachableError(details)
 
@@ -132,11 +132,12 @@
             reporter.cancel()
 
     def _open_channel(self, address: Address) -> grpc.aio.Channel:
-        # Keepalive finds a stopped planner by pings that its library answers, however busy it is.
-        # How long one ping may take is a setting of its own in grpcio, a minute if left out: a
-        # stopped planner was followed for that long. The period counts as well: at 2 s beside a
-        # response time-out of 1 s drains came too late to proxies that followed a stopped one, and
-        # with a whole one after 1 s one of 303 proxies had a drain that was 2.2 s old. So half.
+        # Keepalive pings detect a stopped planner; the gRPC library answers them even while the
+        # planner is busy. The time-out of one ping is a separate setting of grpcio with a default
+        # of a minute: with it, proxies stayed connected to a stopped planner for that long. The
+        # ping period adds to the delay. With a period of 2 s and a response time-out of 1 s, drains
+        # came too late to proxies of a stopped planner; with a period and a time-out of the whole
+        # 1 s, one of 303 proxies had a drain that was 2.2 s old. Hence half the response time-out.
         ping_timeout_ms = round(self.response_timeout * 500)
         return grpc.aio.insecure_channel(
             channel_target(address),
@@ -152,8 +153,9 @@
         )
 
     async def _exchange(self, session: XdsSession) -> None:
-        """Take one response and answer it."""
-        # The first is due in time; afterwards silence means that nothing changed.
+        """Receive one response and answer it."""
+        # The first response must come within the time-out, unless the proxy already holds all
+        # tables. Later on, silence means that nothing has changed.
         complete = all(name in self.tables.versions for name in self.tables.lines)
         due = self.response_timeout if session.awaits_first_response and not complete else None
         response = await asyncio.wait_for(self.stream.read(), due)
@@ -169,7 +171,7 @@
         await self.stream.write(answer)
 
     def count_request(self, name: str, address: Address, succeeded: bool, latency: int) -> None:
-        """Count one request that was sent, for the next load report; `latency` in microseconds."""
+        """Count one finished request for the next load report; `latency` is in microseconds."""
         counts = self._counts[name, address]
         if succeeded:
             counts.succeeded += 1
@@ -181,10 +183,10 @@
         try:
             stream = lrs_pb2_grpc.LoadReportingServiceStub(channel).StreamLoadStats()
             await stream.write(lrs_pb2.LoadStatsRequest(node=self.node))
-            asked = await stream.read()
-            if asked is grpc.aio.EOF:
+            response = await stream.read()
+            if response is grpc.aio.EOF:
                 return
-            period = asked.load_reporting_interval.ToMicroseconds()
+            period = response.load_reporting_interval.ToMicroseconds()
             period_start = self.tables.now()
             while period > 0:
                 await asyncio.sleep(period / SECOND)
@@ -194,12 +196,13 @@
                 await stream.write(self._load_report(counts, now - period_start))
                 period_start = now
         except grpc.aio.AioRpcError:
-            pass  # tables matter more than reports: these go on with the next connection
+            # Tables still arrive over the discovery stream; reports resume on the next connection.
+            pass
 
     def _load_report(
         self, counts: dict[tuple[str, Address], RequestCounts], span: int
     ) -> lrs_pb2.LoadStatsRequest:
-        """Return the load report of all classes over `span` microseconds."""
+        """Return the load report of all classes for the last `span` microseconds."""
         request = lrs_pb2.LoadStatsRequest()
         for name in sorted({name for name, _ in counts}):
             stats = request.cluster_stats.add(cluster_name=name)
@@ -235,6 +238,6 @@
             await channel.close()
 
     def disconnect(self) -> None:
-        """Break the stream, as a network might; the client connects again."""
+        """Break the stream as a network failure would; the client then reconnects."""
         if self.stream is not None:
             self.stream.cancel()
--- a/indigodeck/client/xds_session.py
+++ b/indigodeck/client/xds_session.py
@@ -1,4 +1,4 @@
-"""The proxy's side of an incremental xDS stream, free of I/O."""
+"""The proxy's end of an incremental xDS stream, without I/O."""
 
 from typing import NamedTuple
 
@@ -10,21 +10,21 @@
 from .tables import Address, RequestRejectedError, TableEntry, Tables
 
 ENDPOINTS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-# By type.v3.FractionalPercent.DenominatorType.
+# By the values of envoy.type.v3.FractionalPercent.DenominatorType.
 PERCENT_DENOMINATORS = {0: 100, 1: 10_000, 2: 1_000_000}
-INVALID_ARGUMENT = 3  # of google.rpc.Code
+INVALID_ARGUMENT = 3  # in google.rpc.Code
 MAX_ERROR_CHARACTERS = 500
 
 
 class Locality(NamedTuple):
-    """Where a server is: its zone, and its id as the planner knows it."""
+    """The zone of a server, and the host id under which the planner lists it."""
 
     zone: str
     host_id: str
 
 
 class Assignment(NamedTuple):
-    """One class's resource: its table, its admitted share of requests, its servers' places."""
+    """The endpoints resource of a class: table, admitted share of requests, servers' localities."""
 
     name: str
     entries: list[TableEntry]
@@ -33,12 +33,12 @@
 
 
 def read_assignment(data: bytes) -> Assignment:
-    """Read the bytes of a ClusterLoadAssignment.
+    """Read a serialized ClusterLoadAssignment.
 
     Raises
     ------
     Exception
-        Whatever the protobuf library raises for bytes that are none.
+        Any error of the protobuf library, if the bytes are not a valid message.
     """
     message = endpoint_pb2.ClusterLoadAssignment.FromString(data)
     entries = []
@@ -59,7 +59,7 @@
 
 
 class XdsSession:
-    """One stream as the proxy sees it, free of I/O: what it holds, what came, what it answers."""
+    """The state of one stream: applies responses to the tables, and returns the answers to them."""
 
     def __init__(self, tables: Tables, localities: dict[Address, Locality]) -> None:
         self.tables = tables
@@ -69,7 +69,7 @@
         self.newest_version = (0, 0)  # epoch and serial of the newest response
 
     def opening_request(self, node: base_pb2.Node) -> discovery_pb2.DeltaDiscoveryRequest:
-        """Return the first request: who this is, what it wants, and what it holds."""
+        """Return the first request: the node, the subscribed names and the versions held."""
         return discovery_pb2.DeltaDiscoveryRequest(
             node=node,
             type_url=ENDPOINTS,
@@ -82,18 +82,18 @@
     ) -> discovery_pb2.DeltaDiscoveryRequest | None:
         """Apply a response, and return the request that acknowledges or rejects it.
 
-        Returns None for a response that repeats an earlier one, or came after a later one.
+        Returns None for a response that is a duplicate or arrives after a later one.
 
         Raises
         ------
         RequestRejectedError
-            If a controller sent it that was replaced and does not know it.
+            If the response has an old epoch: its sender was replaced and does not know it yet.
         """
         self.awaits_first_response = False
         epoch, serial = _version_numbers(response.system_version_info)
         if epoch < self.tables.epoch:
             raise RequestRejectedError(
-                f"an order under epoch {epoch}, {self.tables.epoch} was seen", epoch
+                f"response has epoch {epoch}, but {self.tables.epoch} was already seen", epoch
             )
         self.tables.epoch = epoch
         if serial and (epoch, serial) <= self.newest_version:
@@ -104,7 +104,7 @@
         )
         try:
             accepted = self._read_resources(response)
-        except Exception as error:  # whatever the bytes hold: the last good tables stay
+        except Exception as error:  # no content may crash the proxy: it keeps its last good tables
             answer.error_detail.code = INVALID_ARGUMENT
             answer.error_detail.message = f"{type(error).__name__}: {error}"[:MAX_ERROR_CHARACTERS]
             return answer
@@ -115,16 +115,16 @@
     def _read_resources(
         self, response: discovery_pb2.DeltaDiscoveryResponse
     ) -> list[tuple[str, Assignment]]:
-        """Return all assignments with their versions, or raise an error if any is wrong."""
+        """Return all assignments with their versions, or raise an error if any is invalid."""
         if response.type_url != ENDPOINTS:
-            raise ValueError(f"{response.type_url} was not asked for")
+            raise ValueError(f"resource type {response.type_url} was not requested")
         accepted = []
         for resource in response.resources:
             assignment = read_assignment(resource.resource.value)
             if assignment.name not in self.tables.lines or assignment.name != resource.name:
-                raise ValueError(f"{resource.name!r} was not asked for")
+                raise ValueError(f"resource {resource.name!r} was not requested")
             if resource.version != xxhash.xxh3_64_hexdigest(resource.resource.value):
-                raise ValueError(f"{resource.name!r} is not what its version says")
+                raise ValueError(f"content of {resource.name!r} does not match its version")
             accepted.append((resource.version, assignment))
         return accepted
 
@@ -138,7 +138,7 @@
 
 
 def _version_numbers(version: str) -> tuple[int, int]:
-    """Return the epoch and the serial number of a response; 0 for what is no number."""
+    """Return the epoch and the serial number in a response's version, 0 for a missing one."""
     epoch, _, serial = version.partition(".")
     return _number(epoch), _number(serial)
 
--- a/tests/client/test_sasp_client.py
+++ b/tests/client/test_sasp_client.py
@@ -1,4 +1,4 @@
-"""The SASP client beside planners that misbehave."""
+"""Tests of the SASP client with planners that fail in various ways."""
 
 import asyncio
 import unittest
@@ -11,19 +11,21 @@
 from indigodeck.frontends.sasp import codec
 
 
-class SaspClientAndBadPlanners(unittest.IsolatedAsyncioTestCase):
-    """A client that reconnects, and a planner that answers by a script."""
+class SaspClientFailuresTest(unittest.IsolatedAsyncioTestCase):
+    """A client that reconnects to a planner with scripted responses."""
 
-    async def test_tables_outlive_planners_that_stall_send_nonsense_and_restart(self):
-        """Each loss has its error, and the table that was given once is kept."""
+    async def test_tables_outlive_planners_that_stall_send_garbage_and_restart(self):
+        """Each failure is reported as its own error, and the table received first is kept."""
         table = [
             (
                 (b"r", b"reading"),
                 [codec.Entry(codec.Member.at("127.0.0.1", 9001), 7, codec.CONFIDENT)],
             )
         ]
-        good = codec.answer(1, codec.BALANCER_SET, 0) + codec.answer(2, codec.REGISTERED, 0)
-        half = codec.send_weights(
+        opening_replies = codec.answer(1, codec.BALANCER_SET, 0) + codec.answer(
+            2, codec.REGISTERED, 0
+        )
+        truncated = codec.send_weights(
             9,
             [
                 (
@@ -32,25 +34,28 @@
                 )
             ],
         )
-        says = [
-            good + codec.send_weights(9, table),
-            good + half[:30],
+        # What the planner sends on each connection in turn.
+        scripts = [
+            opening_replies + codec.send_weights(9, table),
+            opening_replies + truncated[:30],
             b"",
             b"nonsense, at length, in place of a header",
             codec.answer(1, codec.BALANCER_SET, codec.NOT_ACCEPTED),
             codec.answer(77, codec.REGISTERED, 0),
-            good + codec.send_weights(9, [((b"r", b"other"), table[0][1])]),
-            good + codec.send_weights(9, table),
+            opening_replies + codec.send_weights(9, [((b"r", b"other"), table[0][1])]),
+            opening_replies + codec.send_weights(9, table),
         ]
-        errors, calls, held = [], [], []
+        errors, connected_at, held_tables = [], [], []
 
         async def planner(reader, writer):
-            calls.append(now())
-            said = says[len(calls) - 1] if len(calls) <= len(says) else says[-1]
-            writer.write(said)
-            if len(calls) in (1, 7):
+            connected_at.append(now())
+            script = (
+                scripts[len(connected_at) - 1] if len(connected_at) <= len(scripts) else scripts[-1]
+            )
+            writer.write(script)
+            if len(connected_at) in (1, 7):
                 await asyncio.sleep(0.1)
-                writer.close()  # it restarts
+                writer.close()  # as a planner that restarts
             else:
                 await reader.read()
                 writer.close()
@@ -64,12 +69,12 @@
             response_timeout=0.3,
             connection_lost=lambda error: (
                 errors.append(type(error)),
-                held.append(dict(tables.lines["reading"])),
+                held_tables.append(dict(tables.lines["reading"])),
             ),
         )
         client.backoff.first_delay, client.backoff.max_delay = 10_000, 40_000
         task = asyncio.get_running_loop().create_task(client.run())
-        await until(lambda: len(calls) >= 8)
+        await until(lambda: len(connected_at) >= 8)
         self.assertEqual(
             errors[:7],
             [
@@ -82,8 +87,8 @@
                 UnreachableError,
             ],
         )
-        # Whatever came after it, the table that was given once is kept, and its age is known.
-        self.assertEqual(held, [{("127.0.0.1", 9001): 7}] * len(held))
+        # The table received on the first connection is kept through all failures, with its age.
+        self.assertEqual(held_tables, [{("127.0.0.1", 9001): 7}] * len(held_tables))
         self.assertGreater(tables.age("reading"), 0)
         client.stop()
         await task
--- a/tests/client/test_xds_session.py
+++ b/tests/client/test_xds_session.py
@@ -1,4 +1,4 @@
-"""The client's side of an xDS stream, without sockets."""
+"""Tests of the client's end of an xDS stream, without sockets."""
 
 import unittest
 
@@ -10,17 +10,17 @@
 
 
 class XdsSessionTest(unittest.TestCase):
-    """What a proxy does with responses."""
+    """Which responses a proxy applies, ignores and rejects."""
 
-    def test_what_comes_after_a_later_one_or_twice_says_nothing(self):
-        """A response whose content is not what its version says is rejected."""
+    def test_duplicate_and_late_responses_are_ignored_and_a_wrong_version_is_rejected(self):
+        """A response is applied once, in order, and only if its content matches its version."""
         tables = Tables(CLASSES, lambda: 0)
         session = XdsSession(tables, {})
 
         def response(serial, port):
-            made = codec.endpoints("read", [("a", "h", "127.0.0.1", port, 5)], [], 1.0)
+            resource = codec.endpoints("read", [("a", "h", "127.0.0.1", port, 5)], [], 1.0)
             return codec.delta_response(
-                codec.ENDPOINTS, f"7.{serial}", str(serial), [("read", *made)], []
+                codec.ENDPOINTS, f"7.{serial}", str(serial), [("read", *resource)], []
             )
 
         self.assertEqual(
@@ -30,9 +30,7 @@
         self.assertEqual(tables.lines["read"], {("127.0.0.1", 4): 5})
         wrong = response(5, 80)
         wrong.resources[0].version = "0" * 16
-        self.assertIn(
-            "is not what its version says", session.on_response(wrong).error_detail.message
-        )
+        self.assertIn("does not match its version", session.on_response(wrong).error_detail.message)
         self.assertEqual(tables.lines["read"], {("127.0.0.1", 4): 5})
 
 
