--- a/indigodeck/frontends/__init__.py
+++ b/indigodeck/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Frontends: each speaks one protocol to proxies, and hands what they say to the planner."""
+"""Frontends: each serves proxies over one protocol, and passes their requests to the planner."""
--- a/indigodeck/frontends/xds/__init__.py
+++ b/indigodeck/frontends/xds/__init__.py
@@ -1,1 +1,1 @@
-"""The xDS transport protocol, version 3, over aggregated streams, with its load reports (LRS)."""
+"""The xDS transport protocol, version 3, over aggregated streams, and its load reports (LRS)."""
--- a/indigodeck/frontends/xds/codec.py
+++ b/indigodeck/frontends/xds/codec.py
@@ -1,9 +1,10 @@
-"""Resources of the xDS protocol as bytes, and what proxies send as plain values.
+"""Encodes the resources of the xDS protocol, and reads the messages of proxies into plain values.
 
-Messages are the generated ones of xds-protos. A class is a listener, a route, a cluster and its
-endpoints, all named after it; docs/xds.md says what each carries. Bytes are deterministic: the
-version of a resource is the hash of its content, so that two planners, or one before and after a
-restart, give the same table the same version.
+The message classes are generated ones from xds-protos. A class of requests is represented by a
+listener, a route, a cluster and its endpoints, all with the name of the class; docs/xds.md
+describes their content. Encoding is deterministic: the version of a resource is the hash of its
+content, so that two planners, or one planner before and after a restart, give the same table the
+same version.
 """
 
 from collections.abc import Collection, Iterable, Iterator, Sequence
@@ -31,13 +32,14 @@
 ENDPOINTS = TYPE_URL_PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment"
 LISTENER = TYPE_URL_PREFIX + "envoy.config.listener.v3.Listener"
 ROUTE = TYPE_URL_PREFIX + "envoy.config.route.v3.RouteConfiguration"
-# What is used comes before what uses it: clusters and endpoints, then what leads there.
+# In the order in which responses are sent: clusters and endpoints come before the listeners and
+# routes that refer to them.
 RESOURCE_TYPES = (CLUSTER, ENDPOINTS, LISTENER, ROUTE)
 
-DROP_DENOMINATOR = 1_000_000  # the parts that a drop percentage counts in
-DROP_CATEGORY = "level"  # of the requests that a class's admission turns away
+DROP_DENOMINATOR = 1_000_000  # drop percentages are given in millionths
+DROP_CATEGORY = "level"  # of requests that are rejected by the admission control of their class
 LATENCY_METRIC = "took_ms"
-MAX_LATENCY_US = 1e12  # a longer one is no time that a request took
+MAX_LATENCY_US = 1e12  # a longer latency in a report is not plausible, and is ignored
 NANOSECONDS_PER_MICROSECOND = 1000
 
 _AGGREGATED = config_source_pb2.ConfigSource(
@@ -47,14 +49,14 @@
 
 
 class Resource(NamedTuple):
-    """One resource: the hash of its content, and the bytes of its Any."""
+    """One resource: its version, the hash of its content, and its serialized Any message."""
 
     version: str
     data: bytes
 
 
 class NamedResource(NamedTuple):
-    """A resource with its name, as a response carries it."""
+    """A resource with its name, as part of a response."""
 
     name: str
     version: str
@@ -62,7 +64,7 @@
 
 
 class Endpoint(NamedTuple):
-    """A server in a class's endpoints; weight 0 for one that drains."""
+    """A server among the endpoints of a class; a draining server has weight 0."""
 
     zone: str
     host_id: str
@@ -72,14 +74,14 @@
 
 
 class NodeIdentity(NamedTuple):
-    """Who a proxy says it is; its zone, or None if that is none of the deployment's."""
+    """The id that a proxy states, and its zone, or None if the deployment has no such zone."""
 
     proxy_id: str
     zone: str | None
 
 
 class ServerCounts(NamedTuple):
-    """What a proxy met at one server; `mean_latency`, in us, is of the requests that succeeded."""
+    """A proxy's requests to one server; `mean_latency`, in us, covers those that succeeded."""
 
     host_id: str
     issued: int
@@ -89,7 +91,10 @@
 
 
 class ClassReport(NamedTuple):
-    """A proxy's load report on one class over `span` us; `rejected` requests it shed itself."""
+    """A proxy's load report on one class.
+
+    It covers `span` microseconds; `rejected` counts the requests that the proxy itself dropped.
+    """
 
     name: str
     span: int
@@ -114,9 +119,10 @@
 
 
 def route(name: str, retries: int) -> Resource:
-    """Return the route of a class with the retries after any failure that the assigner allows.
+    """Return the route of a class, with the number of retries that the assigner allows.
 
-    One retry after proof that the first attempt never ran is what clients do by themselves.
+    These are retries after any failure. Without such a policy clients still retry once if it is
+    certain that the first attempt was not executed.
     """
     action = route_components_pb2.RouteAction(cluster=name)
     if retries:
@@ -155,10 +161,11 @@
     draining: Iterable[Endpoint],
     admitted_share: float,
 ) -> Resource:
-    """Return the endpoints of a class: those in its table and those that drain.
+    """Return the endpoints of a class: the servers in its table and the draining ones.
 
-    Each server is a locality of its own within its zone: clients weigh localities, and many of them
-    not the endpoints within one. A locality without a weight gets nothing.
+    Each server is a locality of its own within its zone, because clients apply the weights of
+    localities, but many ignore those of endpoints within a locality. A locality without a weight
+    gets no requests.
     """
     groups = [_locality(*endpoint) for endpoint in [*sorted(serving), *sorted(draining)]]
     assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name=name, endpoints=groups)
@@ -230,7 +237,7 @@
 
 
 def load_report_request(period: int) -> lrs_pb2.LoadStatsResponse:
-    """Return what asks a proxy for a load report each `period` microseconds."""
+    """Return the message that requests a load report every `period` microseconds."""
     return lrs_pb2.LoadStatsResponse(
         send_all_clusters=True,
         report_endpoint_granularity=True,
@@ -240,17 +247,17 @@
     )
 
 
-# What proxies send.
+# Messages from proxies.
 
 
 def node_identity(node: base_pb2.Node, zone_names: Collection[str]) -> NodeIdentity:
-    """Return who a proxy is by its node message."""
+    """Return the identity that a proxy states in its node message."""
     zone = node.locality.zone
     return NodeIdentity(node.id, zone if zone in zone_names else None)
 
 
 def read_load_report(request: lrs_pb2.LoadStatsRequest) -> Iterator[ClassReport]:
-    """Yield what a load report says of each class. Servers are localities of their own."""
+    """Yield the report of each class in a load report. Each server is a locality of its own."""
     for stats in request.cluster_stats:
         interval = stats.load_report_interval
         yield ClassReport(
--- a/indigodeck/frontends/xds/connection.py
+++ b/indigodeck/frontends/xds/connection.py
@@ -1,4 +1,4 @@
-"""One discovery stream on grpcio's asyncio server: one task reads requests, one writes answers."""
+"""One discovery stream on grpcio's asyncio server, with a task that reads and one that writes."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -23,7 +23,7 @@
 
     def __init__(self, frontend: "XdsFrontend", context: Any, is_delta: bool) -> None:
         self.frontend = frontend
-        self.context = context  # grpcio's own
+        self.context = context  # the servicer context of grpcio
         self.is_delta = is_delta
         self.proxy: XdsProxy | None = None
         self.stream: Stream | None = None
@@ -32,7 +32,7 @@
         self._reader: asyncio.Task[None] | None = None
         self._writer: asyncio.Task[None] | None = None
 
-    # What the stream may do (`streams.StreamConnection`).
+    # The interface for the stream (`streams.StreamConnection`).
 
     def send(
         self,
@@ -42,18 +42,18 @@
         resources: Sequence[NamedResource],
         removed: Sequence[str],
     ) -> None:
-        """Make the response that is written next."""
+        """Build the response that is written next."""
         if self.is_delta:
             self._response = codec.delta_response(type_url, version, nonce, resources, removed)
         else:
             self._response = codec.full_response(type_url, version, nonce, resources)
 
     def request_write(self) -> None:
-        """Have `send_next` called as soon as the proxy may be written to."""
+        """Have the stream's `send_next` called as soon as the message limits allow a write."""
         self._write_requested.set()
 
     def call_after(self, after: int, call: Callable[..., None], *arguments: Any) -> None:
-        """Call back after this time, in microseconds."""
+        """Call a function after this many microseconds."""
         asyncio.get_running_loop().call_later(after / SECOND, call, *arguments)
 
     def end(self) -> None:
@@ -62,11 +62,11 @@
             self._reader.cancel()
 
     async def run(self) -> None:
-        """Serve the stream until the proxy ends it, or the planner does."""
+        """Serve the stream until the proxy or the planner ends it."""
         reader = asyncio.get_running_loop().create_task(self._read_requests())
         self._reader = reader
         status = grpc.StatusCode.UNAVAILABLE
-        reason = "this relay is spoken to elsewhere now"
+        reason = "this relay is now served over another connection or by another controller"
         try:
             await asyncio.wait([reader])
             error = None if reader.cancelled() else reader.exception()
@@ -81,7 +81,7 @@
                 raise error
         finally:
             self._close()
-        # With a status of its own: a handler that is merely cancelled leaves the stream hanging.
+        # An explicit status is needed: the stream stays open if its handler is merely cancelled.
         await self.context.abort(status, reason)
 
     def _close(self) -> None:
@@ -95,8 +95,8 @@
         while (request := await self.context.read()) is not grpc.aio.EOF:
             if self.stream is None:
                 self.stream = await self._open_stream(request.node)
-            self._take_request(self.stream, request)
-            # A flood of requests from one proxy gives way to the others after each.
+            self._handle_request(self.stream, request)
+            # Yield to other tasks, so that a flood of requests from one proxy does not block them.
             await asyncio.sleep(0)
 
     async def _open_stream(self, node: base_pb2.Node) -> Stream:
@@ -105,7 +105,7 @@
             not frontend.is_connected(node)
             and not await frontend.service.proxies.wait_for_admission()
         ):
-            raise LimitExceededError("too many relays wait to join")
+            raise LimitExceededError("too many relays are waiting to join")
         self.proxy = frontend.proxy_of(node)
         stream = Stream.open(self.proxy, self, self.is_delta)
         self._writer = asyncio.get_running_loop().create_task(
@@ -113,10 +113,10 @@
         )
         return stream
 
-    def _take_request(self, stream: Stream, request: Any) -> None:
+    def _handle_request(self, stream: Stream, request: Any) -> None:
         error = None
         if request.HasField("error_detail"):
-            error = request.error_detail.message or "refused without a reason"
+            error = request.error_detail.message or "rejected without a reason"
         if self.is_delta:
             stream.on_delta_request(
                 request.type_url,
@@ -143,32 +143,34 @@
             self.end()
 
     async def _write_next(self, proxy: XdsProxy, stream: Stream) -> bool:
-        """Write the response that is due, and return whether there was one.
+        """Write the next response that is due, and return whether there was one.
 
         Raises
         ------
         NotLeaderError
-            If another controller leads the proxy's group by now.
+            If another controller now leads the relay group of the proxy.
         """
         service = self.frontend.service
         quota = service.proxies.message_quota(proxy.proxy_id)
         while wait := quota.order_wait(service.now()):
             await asyncio.sleep(wait / SECOND)
-        proxy.take_updates()  # the newest, after whatever it waited for
-        # Answers to subscriptions have a part of the limit: a proxy that asks for ever delays no
-        # order to itself.
+        proxy.take_updates()  # includes those that arrived while this task slept
+        # Answers to subscriptions are limited to a part of the message quota, so that a proxy that
+        # subscribes without end does not delay its own orders.
         answer_wait = quota.answer_wait(service.now())
         type_url = stream.send_next((ENDPOINTS,) if answer_wait else RESOURCE_TYPES)
         if type_url is None:
             if answer_wait:
                 self.call_after(answer_wait, self._write_requested.set)
             return False
-        # An answer to a subscription counts apart from orders: only endpoints change by themselves.
+        # Endpoints are the only resources that change without a request, and count as orders; other
+        # resources count as answers to subscriptions.
         quota.on_written(service.now(), is_answer=type_url != ENDPOINTS)
         response = self._response
         self._response = None
         if not service.leadership.may_write(proxy.index):
-            # Asked here, for much may have passed since it was made.
-            raise NotLeaderError("another controller is in charge")
+            # Checked directly before the write, as the lease may have ended since the response was
+            # built.
+            raise NotLeaderError("another controller leads this relay group")
         await self.context.write(response)
         return True
--- a/indigodeck/frontends/xds/health_checks.py
+++ b/indigodeck/frontends/xds/health_checks.py
@@ -1,7 +1,7 @@
-"""How a planner reaches hosts over gRPC: a real request as a check, ORCA reports out of band.
+"""The planner's access to hosts over gRPC: health checks, and ORCA load reports out of band.
 
-Reports come over the OpenRcaService's stream, at the period that is asked for; the newest one is
-what `fetch_report` gives.
+A health check is a real request. Load reports arrive on a stream of the OpenRcaService, at the
+requested period; `fetch_report` returns the newest one.
 """
 
 import asyncio
@@ -26,27 +26,28 @@
 REPORT_METHOD = "/xds.service.orca.v3.OpenRcaService/StreamCoreMetrics"
 REPORT_TRAILER = "endpoint-load-metrics-bin"
 PLANNER_METADATA = [("relay", "planner")]
-RETRY_PAUSE_S = 1.0  # between two calls for reports of a host that does not give them
-# A host is followed until nobody has asked for it for so long.
+RETRY_PAUSE_S = 1.0  # between two attempts to open the report stream of a host
+# The report stream of a host is closed after this time without a health check or a `fetch_report`,
+# or after this many report periods if that is longer.
 MIN_IDLE_TIME_S = 30.0
 IDLE_TIME_PERIODS = 10
 
 
 @dataclass(slots=True)
 class _HostConnection:
-    """The channel to one host, the newest report from it, and when it was last asked for."""
+    """The channel to one host, the time of its last use, and the newest load report."""
 
     channel: grpc.aio.Channel
-    used_at: float  # on the loop's clock, in seconds
+    used_at: float  # on the event loop's clock, in seconds
     last_report: HostReport | None = None
     follower: asyncio.Task[None] | None = None
 
 
 class GrpcHostClient:
-    """Reaches hosts over gRPC (`planner.host_client.HostClient`).
+    """Checks hosts and follows their load reports over gRPC (`planner.host_client.HostClient`).
 
-    `check_method` is the path of a request that may be executed twice; `report_period` is in
-    microseconds.
+    `check_method` is the path of the method to call in health checks, which must be safe to execute
+    more than once; `report_period` is in microseconds.
     """
 
     def __init__(self, check_method: str, report_period: int) -> None:
@@ -55,7 +56,7 @@
         self._connections: dict[Address, _HostConnection] = {}
 
     async def check(self, address: Address, timeout: float) -> CheckResult:
-        """Send a host one real request; `timeout` in seconds."""
+        """Check a host by one real request; `timeout` is in seconds."""
         connection = self._connection_to(address)
         call = connection.channel.unary_unary(self.check_method)(
             b"", timeout=timeout, metadata=PLANNER_METADATA
@@ -68,11 +69,11 @@
         return CheckResult(outcome, _report_in_trailer(await call.trailing_metadata()))
 
     async def fetch_report(self, address: Address, timeout: float) -> HostReport | None:
-        """Return the newest report of a host, or None if there is none yet."""
+        """Return the newest load report of a host, or None if there is none yet."""
         return self._connection_to(address).last_report
 
     def close(self) -> None:
-        """Follow no host any more."""
+        """Stop following the reports of all hosts."""
         for connection in self._connections.values():
             if connection.follower is not None:
                 connection.follower.cancel()
@@ -91,7 +92,7 @@
         return connection
 
     async def _follow(self, connection: _HostConnection) -> None:
-        """Keep the newest report, until nobody has asked for it for a while."""
+        """Store each new report in the connection, until the connection has been idle too long."""
         loop = asyncio.get_running_loop()
         idle_time = max(MIN_IDLE_TIME_S, IDLE_TIME_PERIODS * self.report_period / SECOND)
         request = orca_pb2.OrcaLoadReportRequest()
@@ -124,7 +125,7 @@
             message = orca_load_report_pb2.OrcaLoadReport()
             try:
                 message.ParseFromString(value)
-            except Exception:  # a host's own bytes: unreadable ones say nothing
+            except Exception:  # whatever bytes a host sends, an unreadable report is no report
                 return None
             return _host_report(message) if message.rps_fractional else None
     return None
--- a/indigodeck/frontends/xds/proxies.py
+++ b/indigodeck/frontends/xds/proxies.py
@@ -1,6 +1,7 @@
-"""A proxy that speaks xDS, free of I/O: its streams share its tables and its message limit.
+"""The state of a proxy that is connected over xDS, without I/O.
 
-Clients with a channel for each class have several streams.
+A client with one channel for each class has several streams. All streams of a proxy share its
+tables and its message limit.
 """
 
 from collections.abc import Mapping
@@ -15,43 +16,44 @@
 if TYPE_CHECKING:
     from .streams import Stream
 
-# A proxy that answers nothing would gather updates for ever; the newest say all that is asked.
+# Bounds the memory for a proxy that acknowledges nothing. The oldest updates are dropped, since the
+# newest cover everything that is still needed.
 MAX_DEFERRED_UPDATES = 64
-MAX_REASON_CHARACTERS = 500  # characters of a proxy's own text that are logged
+MAX_REASON_CHARACTERS = 500  # the longest part of a proxy's error text that is logged
 
 
 class Bounds(NamedTuple):
-    """What one proxy may ask for: names on a stream, streams at one time."""
+    """Limits for one proxy: resource names on a stream, and concurrent streams."""
 
     names: int = 256
     streams: int = 16
 
 
 class NotLeaderError(RejectedError):
-    """Another controller leads the group of this proxy."""
+    """Another controller leads the relay group of this proxy."""
 
 
 class XdsEnvironment(Protocol):
-    """What proxies may ask of the program around them."""
+    """The services of the planner that the state of a proxy uses."""
 
     def lease_epoch(self, proxy: int) -> int:
-        """Return the epoch under which orders leave; 0 where controllers share nothing."""
+        """Return the epoch of the lease under which orders are sent, or 0 without leases."""
 
     def rejected_content(self, proxy_id: str) -> dict[str, str]:
-        """Return the versions by class that a proxy has rejected, here or elsewhere."""
+        """Return the versions, by class, that a proxy rejected, whichever controller sent them."""
 
     def on_content_rejected(self, proxy_id: str, class_name: str, version: str) -> None:
-        """Take note that a proxy rejected a class's endpoints."""
+        """Record that a proxy rejected a version of the endpoints of a class."""
 
-    def log_event(self, event: str, **facts: Any) -> None:
-        """Write a line to the log."""
+    def log_event(self, event: str, **fields: Any) -> None:
+        """Write an event to the log."""
 
 
 class XdsProxy:
-    """A proxy by its node id: its streams, and the updates that no response has carried yet.
+    """A proxy, identified by its node id, with its streams and the updates not yet sent to it.
 
-    An update of its tables leaves with the next endpoints that any stream sends, and counts as
-    delivered when that response is acknowledged.
+    An update of its tables is sent with the next endpoints response on any of its streams, and
+    counts as delivered when that response is acknowledged.
     """
 
     def __init__(
@@ -74,19 +76,23 @@
         self._last_serial = 0
 
     def next_version(self) -> str:
-        """Return a response's number under its epoch: clients reject an epoch below the highest."""
+        """Return the version of the next response, made of the lease's epoch and a serial number.
+
+        Clients reject a response whose epoch is below the highest that they have seen.
+        """
         self._last_serial += 1
         return f"{self.environment.lease_epoch(self.index)}.{self._last_serial}"
 
     def rejected_before(self, type_url: str) -> Mapping[str, str]:
-        """Return the versions by name that the proxy rejected on earlier streams.
+        """Return the versions, by resource name, that the proxy rejected on earlier streams.
 
-        Versions are hashes of content, so that what it rejected of another controller is known.
+        Versions are hashes of the content, so that rejections of resources that another controller
+        sent also apply here.
         """
         return self.environment.rejected_content(self.proxy_id) if type_url == ENDPOINTS else {}
 
     def on_resources_rejected(self, type_url: str, versions: Mapping[str, str], error: str) -> None:
-        """Take note that the proxy can't use these versions, by name."""
+        """Log and record that the proxy rejected these versions, given by resource name."""
         self.environment.log_event(
             "resources_rejected",
             proxy=self.proxy_id,
@@ -99,32 +105,32 @@
                 self.environment.on_content_rejected(self.proxy_id, name, version)
 
     def take_updates(self) -> None:
-        """Take what waits for the proxy; it is on its way from now on."""
+        """Take the pending updates for the proxy from the planner host, to be sent from here."""
         update = self.planner_host.take_updates(self.index)
         if update is not None:
             self.deferred_updates = [*self.deferred_updates, update][-MAX_DEFERRED_UPDATES:]
 
     def take_deferred(self) -> list[TableUpdate]:
-        """Hand over the updates that no response has carried yet."""
+        """Remove and return the updates that no response has carried yet."""
         updates = self.deferred_updates
         self.deferred_updates = []
         return updates
 
     def defer(self, updates: list[TableUpdate]) -> None:
-        """Have these updates, older than those that wait, carried by a later response."""
+        """Put back updates, older than those still deferred, to be sent with a later response."""
         self.deferred_updates = updates + self.deferred_updates
 
     def on_updates_answered(self, updates: list[TableUpdate], accepted: bool) -> None:
-        """Take note that a response was answered.
+        """Report the updates of an answered response as delivered, if it was accepted.
 
-        One that was rejected counts as not applied: the acknowledgements that the assigner asked
-        for stay out, as they would if the stream broke.
+        A rejected response was not applied, and the acknowledgements that the assigner requested
+        are not given, just as when the stream breaks.
         """
         if accepted:
             for update in updates:
                 self.planner_host.on_delivered(update)
 
     def request_write(self) -> None:
-        """Ask all streams to write what waits."""
+        """Request a write on all streams."""
         for stream in self.streams:
             stream.connection.request_write()
--- a/indigodeck/frontends/xds/resources.py
+++ b/indigodeck/frontends/xds/resources.py
@@ -1,4 +1,4 @@
-"""The resources as one proxy should see them, free of I/O, each made once for all that share it."""
+"""The xDS resources that each proxy should hold, without I/O, and a cache of their encodings."""
 
 from collections.abc import Callable, KeysView, Mapping
 from typing import Any, Protocol
@@ -8,7 +8,7 @@
 from . import codec
 from .codec import CLUSTER, LISTENER, ROUTE, Endpoint, Resource
 
-# How many retries after any failure a route states.
+# The number of retries after any failure that a route allows.
 RETRIES = {
     RetryPolicy.NEVER: 0,
     RetryPolicy.ONCE_IF_NOT_EXECUTED: 0,
@@ -18,17 +18,18 @@
 
 
 class EndpointLookup(Protocol):
-    """What the cache may ask of the program around it."""
+    """Looks up the addresses of servers for the cache."""
 
     def endpoint_of(self, server: int) -> tuple[str, str, str, int] | None:
         """Return a server's zone, id, address and port, or None if it was never listed."""
 
 
 class ResourceCache:
-    """The resources of all classes, by proxy.
+    """The resources of all classes, as they should be for each proxy.
 
-    Proxies that share a table share its bytes: made once, whoever asks first. `class_indices` may
-    change while streams are open. `scale_weights` makes whole weights of a table.
+    Proxies that share a table share its encoded endpoints, which are built at the first request.
+    `class_indices` may change while streams are open. `scale_weights` converts the weights of a
+    table to integers.
     """
 
     def __init__(
@@ -42,15 +43,16 @@
         self._planner_host = planner_host
         self._lookup = lookup
         self._scale_weights = scale_weights
-        # The revision of the content and the resource, by type, name and what else tells it apart.
+        # Each resource with the revision of its content. Keys are the type, the name, and for
+        # routes the number of retries, for endpoints the table.
         self._cached: dict[tuple[Any, ...], tuple[Any, Resource]] = {}
 
     def names(self) -> KeysView[str]:
-        """Return the names of all classes, which are those of their resources."""
+        """Return the names of all resources, which are those of the classes."""
         return self.class_indices.keys()
 
     def resource(self, type_url: str, name: str, proxy: int) -> Resource | None:
-        """Return a resource, or None where there is none, or none yet."""
+        """Return the resource that a proxy should hold, or None if it does not exist (yet)."""
         class_index = self.class_indices.get(name)
         if class_index is None:
             return None
@@ -71,10 +73,10 @@
             lambda: self._endpoints(name, class_index, proxy, admission.level),
         )
 
-    def _get(self, key: tuple[Any, ...], revision: Any, make: Callable[[], Resource]) -> Resource:
+    def _get(self, key: tuple[Any, ...], revision: Any, build: Callable[[], Resource]) -> Resource:
         cached = self._cached.get(key)
         if cached is None or cached[0] != revision:
-            cached = (revision, make())
+            cached = (revision, build())
             self._cached[key] = cached
         return cached[1]
 
@@ -82,14 +84,14 @@
         table = self._planner_host.table_for(proxy, class_index) or {}
         weights = self._scale_weights(table)
         serving = [
-            Endpoint(*found, weights[server])
+            Endpoint(*location, weights[server])
             for server in table
-            if (found := self._lookup.endpoint_of(server))
+            if (location := self._lookup.endpoint_of(server))
         ]
         draining = [
-            Endpoint(*found, 0)
+            Endpoint(*location, 0)
             for server in self._planner_host.ejected_servers
-            if self._is_draining(server) and (found := self._lookup.endpoint_of(server))
+            if self._is_draining(server) and (location := self._lookup.endpoint_of(server))
         ]
         return codec.endpoints(name, serving, draining, min(1.0, max(0.0, level)))
 
--- a/indigodeck/frontends/xds/server.py
+++ b/indigodeck/frontends/xds/server.py
@@ -1,4 +1,4 @@
-"""The xDS frontend's server on grpcio's asyncio loop: aggregated discovery and load reports."""
+"""The xDS frontend: a grpcio asyncio server for aggregated discovery and load reports."""
 
 import asyncio
 from typing import Any
@@ -19,9 +19,9 @@
 from .streams import Stream
 
 FRONTEND_NAME = "xds"
-MAX_PROXY_ID_CHARACTERS = 255  # characters
+MAX_PROXY_ID_CHARACTERS = 255
 MIN_PING_INTERVAL_MS = 300  # clients that ping more often are disconnected
-STOP_GRACE_S = 0.05  # for streams to end when another controller takes over
+STOP_GRACE_S = 0.05  # in which streams may end by themselves when another controller takes over
 LISTEN_RETRY_S = 0.1
 
 
@@ -30,7 +30,8 @@
 ):
     """Serves proxies over xDS (`planner.proxy_sessions.Frontend`).
 
-    It is also what their streams ask (`proxies.XdsEnvironment`, `resources.EndpointLookup`).
+    It also implements the interfaces that their streams use (`proxies.XdsEnvironment` and
+    `resources.EndpointLookup`).
     """
 
     def __init__(self, service: PlannerService, settings: PlannerSettings) -> None:
@@ -62,13 +63,13 @@
         self._address = ""
         self._bound_port = 0
         self._accepting = True
-        # One start or stop at a time: grpcio falls over a server that is stopped while it starts.
+        # Held while a server starts or stops: grpcio fails if a server is stopped while it starts.
         self._switch_lock = asyncio.Lock()
 
-    # What the service calls (`planner.proxy_sessions.Frontend`).
+    # The interface for the planner service (`planner.proxy_sessions.Frontend`).
 
     def listen(self, port: int, address: str) -> None:
-        """Open the socket."""
+        """Open the socket, and start to serve."""
         self._address = address
         self._server, self._bound_port = self._make_server(port)
         asyncio.get_running_loop().create_task(self._start(self._server))
@@ -84,14 +85,14 @@
             await server.start()
 
     def port(self) -> int:
-        """Return the port that was opened."""
+        """Return the port of the open socket."""
         return self._bound_port
 
     def set_accepting(self, accepting: bool) -> None:
-        """Listen, or do not while another controller leads.
+        """Open the socket, or close it while another controller leads.
 
-        The stock client stays with an address for as long as it accepts connections, however often
-        its streams are ended there; refused, it goes on to the next that it knows.
+        The stock gRPC client keeps to an address as long as that accepts connections, even if its
+        streams are ended each time. It tries the next address only if a connection is refused.
         """
         self._accepting = accepting
         asyncio.get_running_loop().create_task(self._switch())
@@ -109,10 +110,10 @@
             self._server, _ = self._make_server(self._bound_port)
             await self._server.start()
         except RuntimeError as error:
-            # Whoever had the socket before may not have let go of it.
+            # The port may not have been released yet by its previous owner.
             self._server = None
-            # A fault kept as it is (docs/ROADMAP.md): `log_event` states the frontend as well, so
-            # that this call raises TypeError and ends the attempts.
+            # Known bug, left as it is for now (docs/ROADMAP.md): `log_event` also passes
+            # `frontend`, so this call raises TypeError and the attempts end.
             self.log_event("listen_failed", frontend=FRONTEND_NAME, reason=str(error))
             await asyncio.sleep(LISTEN_RETRY_S)
 
@@ -123,13 +124,13 @@
             await server.stop(STOP_GRACE_S)
 
     def request_write(self, proxy: int) -> None:
-        """Write to this proxy: something waits for it."""
+        """Request a write on all streams of a proxy that has pending updates."""
         connected = self._proxies.get(proxy)
         if connected is not None:
             connected.request_write()
 
     def disconnect_proxy(self, proxy: int) -> None:
-        """End the streams of a proxy that is not served over them any more."""
+        """End the streams of a proxy that is no longer served over them."""
         connected = self._proxies.pop(proxy, None)
         if connected is not None:
             self._proxies_by_id.pop(connected.proxy_id, None)
@@ -137,14 +138,14 @@
                 stream.connection.end()
 
     def on_servers_changed(self, addresses: list[tuple[str, int]]) -> None:
-        """Do nothing: what is told are tables and ejections, which the planner's host tells of."""
+        """Do nothing, as only tables and ejections are sent, and the planner host reports those."""
 
     def close(self) -> None:
         """Close the socket and all streams."""
         if self._server is not None:
             asyncio.get_running_loop().create_task(self._server.stop(0))
 
-    # Discovery; the methods are named as the services of xDS name them.
+    # Discovery. The names of these methods are given by the xDS services.
 
     async def StreamAggregatedResources(self, requests: Any, context: Any) -> None:  # noqa: N802 as in xDS
         """Serve one state-of-the-world stream."""
@@ -155,18 +156,18 @@
         await Connection(self, context, True).run()
 
     def is_connected(self, node: base_pb2.Node) -> bool:
-        """Return whether a proxy has other streams here already."""
+        """Return whether a proxy already has streams on this frontend."""
         return node.id in self._proxies_by_id
 
     def proxy_of(self, node: base_pb2.Node) -> XdsProxy:
-        """Return the proxy of a node, which has joined with its first stream.
+        """Return the proxy of a node. At its first stream the proxy joins.
 
         Raises
         ------
         LimitExceededError
-            If its id is none, or there are too many proxies.
+            If the node id is missing or too long, or there are too many proxies.
         NotLeaderError
-            If another controller leads its group.
+            If another controller leads the proxy's relay group.
         """
         proxy_id, zone = codec.node_identity(node, self.settings.zone_names)
         connected = self._proxies_by_id.get(proxy_id)
@@ -177,12 +178,12 @@
                 f"the node id must have 1 to {MAX_PROXY_ID_CHARACTERS} characters"
             )
         if not self.service.leadership.may_serve(proxy_id, zone):
-            raise NotLeaderError("another controller is in charge")
+            raise NotLeaderError("another controller leads this relay group")
         index = None
         if len(self._proxies_by_id) < self.max_proxies:
             index = self.service.proxies.proxy_index(proxy_id.encode())
         if index is None:
-            raise LimitExceededError("too many relays")
+            raise LimitExceededError("too many relays are connected or known")
         proxy = XdsProxy(proxy_id, index, self.cache, self.planner_host, self, self.bounds)
         self._proxies_by_id[proxy_id] = proxy
         self._proxies[index] = proxy
@@ -190,7 +191,7 @@
         return proxy
 
     def on_stream_closed(self, proxy: XdsProxy, stream: Stream) -> None:
-        """Take note that a stream has ended; a proxy leaves with its last."""
+        """Remove a stream that has ended; a proxy without streams has left."""
         proxy.streams.remove(stream)
         if not proxy.streams and self._proxies.get(proxy.index) is proxy:
             del self._proxies[proxy.index]
@@ -200,9 +201,10 @@
     # Load reports.
 
     async def StreamLoadStats(self, requests: Any, context: Any) -> None:  # noqa: N802 as in xDS
-        """Take a proxy's load reports.
+        """Receive the load reports of a proxy.
 
-        It may open this before any discovery stream; reports count from when it has joined.
+        A proxy may open this stream before any discovery stream; reports that arrive before it has
+        joined are ignored.
         """
         stream_key = object()
         proxy_id: str | None = None
@@ -224,7 +226,8 @@
             class_index = self.cache.class_indices.get(report.name)
             if class_index is None:
                 continue
-            # What was issued and has not ended is neither yet: a hung host would look well.
+            # Requests still in flight are left out: counted as issued, but not as failed, they
+            # would make a hung host look healthy.
             figures = [
                 (
                     server.host_id,
@@ -238,25 +241,25 @@
                 proxy.index, class_index, report.span, figures, report.rejected, stream_key
             )
 
-    # What streams ask (`proxies.XdsEnvironment`, `resources.EndpointLookup`).
+    # The interface for streams (`proxies.XdsEnvironment`, `resources.EndpointLookup`).
 
     def endpoint_of(self, server: int) -> tuple[str, str, str, int] | None:
         """Return a server's zone, id, address and port, or None if it was never listed."""
         return self.service.endpoints.endpoint_of(server)
 
     def on_content_rejected(self, proxy_id: str, class_name: str, version: str) -> None:
-        """Take note that a proxy rejected a class's endpoints."""
+        """Record that a proxy rejected a version of the endpoints of a class."""
         self.service.leadership.on_content_rejected(proxy_id, class_name, version)
 
     def rejected_content(self, proxy_id: str) -> dict[str, str]:
-        """Return the versions by class that a proxy has rejected, here or elsewhere."""
+        """Return the versions, by class, that a proxy rejected, whichever controller sent them."""
         return self.service.leadership.rejected_content(proxy_id)
 
     def lease_epoch(self, proxy: int) -> int:
-        """Return the epoch under which orders leave; 0 where controllers share nothing."""
+        """Return the epoch of the lease under which orders are sent, or 0 without leases."""
         zone = self.service.proxies.zone_of.get(proxy, 0)
         return self.service.leadership.lease_epoch(zone) or 0
 
-    def log_event(self, event: str, **facts: Any) -> None:
-        """Write a line to the log."""
-        self.service.log_event(event, frontend=FRONTEND_NAME, **facts)
+    def log_event(self, event: str, **fields: Any) -> None:
+        """Write an event to the log, with the name of this frontend."""
+        self.service.log_event(event, frontend=FRONTEND_NAME, **fields)
--- a/indigodeck/frontends/xds/streams.py
+++ b/indigodeck/frontends/xds/streams.py
@@ -1,8 +1,8 @@
-"""Versions, acknowledgements and subscriptions of one xDS stream, free of I/O.
+"""Versions, acknowledgements and subscriptions of one xDS stream, without I/O.
 
-A stream keeps, for each type of resource, what it subscribes to, what it was sent, what it
-acknowledged and what it rejected. (The xDS REST and gRPC protocol, as published with the data plane
-API; docs/xds.md.)
+For each resource type, a stream keeps the names that the proxy subscribed to and the versions that
+were sent, acknowledged and rejected. The protocol is "xDS REST and gRPC protocol", as published
+with Envoy's data plane API; see docs/xds.md.
 """
 
 from collections.abc import Callable, Collection, Mapping, Sequence
@@ -15,17 +15,18 @@
 from .proxies import XdsProxy
 from .subscription import WILDCARD, SentResponse, Subscription
 
-# A proxy that takes longer to answer a response is disconnected, and comes back with what it holds.
+# A proxy that takes longer to answer a response is disconnected; it reconnects and states the
+# versions that it holds.
 ANSWER_TIMEOUT = 10 * SECOND
-# Responses of one type that may wait for their acknowledgement; then the newest state waits.
+# Unanswered responses of one type; with as many, nothing more of the type is sent until an answer.
 MAX_UNANSWERED = 3
-# These may be subscribed to by a wildcard, and come whole in a state-of-the-world response: what is
-# left out is removed.
+# Types that allow wildcard subscriptions. A state-of-the-world response of these types holds all
+# resources, and a resource that is missing in it is thereby removed.
 WILDCARD_TYPES = (CLUSTER, LISTENER)
 
 
 class StreamConnection(Protocol):
-    """What a stream may do with its connection."""
+    """The interface of a connection for its stream."""
 
     def send(
         self,
@@ -38,10 +39,10 @@
         """Send a response."""
 
     def request_write(self) -> None:
-        """Ask to be called for `send_next` as soon as the proxy may be written to."""
+        """Have `send_next` called as soon as the message limits allow a write to the proxy."""
 
     def call_after(self, after: int, call: Callable[..., None], *arguments: Any) -> None:
-        """Call back after this time, in microseconds."""
+        """Call a function after this many microseconds."""
 
     def end(self) -> None:
         """End the stream."""
@@ -64,34 +65,35 @@
         Raises
         ------
         LimitExceededError
-            If it has as many as it may.
+            If the proxy already has the maximum number of streams.
         """
         if len(proxy.streams) >= proxy.bounds.streams:
-            raise LimitExceededError(f"{proxy.bounds.streams} streams are open")
+            raise LimitExceededError(f"{proxy.bounds.streams} streams are already open")
         stream = cls(proxy, connection, is_delta)
         proxy.streams.append(stream)
         return stream
 
-    # What comes in.
+    # Requests.
 
     def on_full_request(
         self, type_url: str, names: Collection[str], nonce: str, error: str | None
     ) -> None:
-        """Take a state-of-the-world request.
+        """Handle a state-of-the-world request.
 
-        It is a subscription, an acknowledgement or a rejection (`error`), often two at once.
+        It is a subscription, an acknowledgement or a rejection (with `error`), or a subscription
+        together with one of the others.
 
         Raises
         ------
         LimitExceededError
-            If the proxy asks for too many names.
+            If the proxy subscribes to too many names.
         """
         subscription = self.subscriptions.get(type_url)
         if subscription is None:
-            return  # a type that is not served: never answered, as the protocol has it
+            return  # as the protocol requires, requests for unsupported types get no response
         self._check_name_count(len(names), subscription)
         if nonce and not self._on_answer(type_url, subscription, nonce, error):
-            return  # an older response's: what it asks for was asked before that one was read
+            return  # an answer to an older response: its names predate the newest one
         if not subscription.started:
             subscription.rejected.update(self.proxy.rejected_before(type_url))
         if names:
@@ -114,14 +116,14 @@
         nonce: str,
         error: str | None,
     ) -> None:
-        """Take an incremental request.
+        """Handle an incremental request.
 
-        `initial_versions` are by name what the proxy brings from an earlier stream.
+        `initial_versions` are the versions, by name, that the proxy holds from an earlier stream.
 
         Raises
         ------
         LimitExceededError
-            If the proxy asks for too many names.
+            If the proxy subscribes to too many names.
         """
         subscription = self.subscriptions.get(type_url)
         if subscription is None:
@@ -141,7 +143,8 @@
             subscription.wildcard = False
         subscription.names |= set(subscribe) - {WILDCARD}
         subscription.names -= set(unsubscribe)
-        subscription.reported_absent -= set(subscribe)  # asked anew: told anew
+        # A new subscription to a name that does not exist has that reported again.
+        subscription.reported_absent -= set(subscribe)
         subscription.forget(unsubscribe)
         self.connection.request_write()
 
@@ -150,16 +153,19 @@
             len(other.names) for other in self.subscriptions.values() if other is not subscription
         )
         if total > self.proxy.bounds.names:
-            raise LimitExceededError(f"{total} names, {self.proxy.bounds.names} at most")
+            raise LimitExceededError(
+                f"subscription to {total} names exceeds the limit of {self.proxy.bounds.names}"
+            )
 
     def _on_answer(
         self, type_url: str, subscription: Subscription, nonce: str, error: str | None
     ) -> bool:
-        """Take the acknowledgement or rejection of one response.
+        """Handle the acknowledgement or rejection of one response.
 
-        In the state-of-the-world form it speaks for those before it too, which the proxy has read
-        by then; in the incremental form each is answered by itself. Return whether it was the
-        newest: only then does a subscription of the whole form that came with it count.
+        On a state-of-the-world stream the answer also covers earlier responses, which the proxy has
+        read by then; on an incremental stream each response is answered on its own. Returns whether
+        this was the newest response: otherwise a state-of-the-world subscription in the same
+        request is ignored.
         """
         unanswered = subscription.unanswered
         if nonce not in unanswered:
@@ -172,13 +178,13 @@
             if self.is_delta:
                 uncertain_updates += self._on_skipped(subscription, response)
             else:
-                # A newer one that was taken speaks for the older, for it held all that they did.
+                # The answer to a newer response covers this one, whose content that one also held.
                 subscription.on_acknowledged(response)
                 self.proxy.on_updates_answered(response.updates, not error)
         response = unanswered.pop(nonce)
         updates = response.updates
         if uncertain_updates:
-            # It is up to date when what it may lack is answered, too.
+            # The proxy is up to date only when the resources that it may lack are answered as well.
             self.proxy.defer(uncertain_updates + updates)
             updates = []
         if error:
@@ -191,25 +197,26 @@
         return not unanswered
 
     def _on_answer_timeout(self, subscription: Subscription, nonce: str) -> None:
-        """End the stream: what waits behind an unanswered response would wait for good."""
+        """End the stream if a response is still unanswered: others would wait behind it forever."""
         if nonce in subscription.unanswered:
             self.connection.end()
 
     def _on_skipped(self, subscription: Subscription, response: SentResponse) -> list[TableUpdate]:
-        """Take note that a later response was answered first; return what this one delivered.
+        """Handle a response that was passed over by the answer to a later one; return its updates.
 
-        This one was skipped, or its answer was. Which is not known, so what it held is told again:
-        else the proxy would hold one class of a newer version beside another of an older for good.
+        Either the response was lost or the answer to it. As that is not known, its resources are
+        sent again: otherwise the proxy could keep an old version of one class beside a new version
+        of another for good.
         """
         subscription.on_uncertain(response)
         return response.updates
 
-    # What goes out.
+    # Responses.
 
     def send_next(self, only: Collection[str] = RESOURCE_TYPES) -> str | None:
-        """Send the next response that is due, if any, of these types, and return its type.
+        """Send the next response that is due among these types, and return its type, if any.
 
-        Additions go before what leads to them, removals after it.
+        Resources are added before those that refer to them, and removed after them.
         """
         for type_url in RESOURCE_TYPES:
             if type_url in only and self._send(type_url):
@@ -236,7 +243,9 @@
             return False
         if not (self.is_delta or is_complete_set or changed):
             for name in removed:
-                del subscription.sent[name]  # can't be said in this form; it goes with its cluster
+                # A state-of-the-world stream can't remove a resource of this type; clients drop it
+                # together with its cluster or listener.
+                del subscription.sent[name]
             return False
         included = [
             NamedResource(name, *resources[name])
@@ -259,13 +268,17 @@
         }
 
     def _removed_names(self, type_url: str, subscription: Subscription) -> list[str]:
-        """Return the resources that were sent and exist no more, once nothing leads to them."""
+        """Return the resources that were sent and no longer exist, once nothing refers to them."""
         names = self.proxy.cache.names()
         removed = sorted(name for name in subscription.sent if name not in names)
         return [] if removed and self._may_be_referenced(type_url) else removed
 
     def _may_be_referenced(self, type_url: str) -> bool:
-        """Return whether something that may lead here is yet to be sent or acknowledged."""
+        """Return whether resources of this type may still be referred to on the proxy.
+
+        Listeners and routes refer to the other types. As long as one of them has changes to be sent
+        or acknowledged, the proxy may use an old one.
+        """
         if type_url in (LISTENER, ROUTE):
             return False
         return any(self._is_unsettled(referrer) for referrer in (LISTENER, ROUTE))
@@ -280,7 +293,10 @@
         return bool(subscription.sent.keys() - self.proxy.cache.names())
 
     def _absent_names(self, subscription: Subscription) -> list[str]:
-        """Return the names that were asked for and never existed, where the form can say so."""
+        """Return the subscribed names that never existed and are not reported as absent yet.
+
+        Only incremental responses can report such names.
+        """
         if not self.is_delta:
             return []
         known = self.proxy.cache.names()
@@ -318,18 +334,20 @@
     def _settle_held_updates(
         self, subscription: Subscription, resources: dict[str, Resource]
     ) -> None:
-        """Count updates as delivered that a proxy needs not be sent.
+        """Report updates as delivered if the proxy already holds the newest resources.
 
-        A proxy that comes with what it should hold is sent nothing and answers nothing.
+        A proxy that connects with the newest versions is sent no response and so answers none.
         """
         if not self.proxy.deferred_updates or subscription.unanswered:
             return
-        held = {
+        held_classes = {
             self.proxy.cache.class_indices[name]
             for name, resource in resources.items()
             if subscription.acknowledged.get(name) == resource.version
         }
-        waiting = self.proxy.take_deferred()
-        self.proxy.defer([update for update in waiting if not update.class_indices <= held])
-        settled = [update for update in waiting if update.class_indices <= held]
+        deferred = self.proxy.take_deferred()
+        self.proxy.defer(
+            [update for update in deferred if not update.class_indices <= held_classes]
+        )
+        settled = [update for update in deferred if update.class_indices <= held_classes]
         self.proxy.on_updates_answered(settled, True)
--- a/indigodeck/frontends/xds/subscription.py
+++ b/indigodeck/frontends/xds/subscription.py
@@ -1,4 +1,4 @@
-"""What one stream knows of one type of resource: asked, sent, acknowledged, rejected."""
+"""The state of one resource type on one stream: names subscribed to, and versions sent."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -11,7 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SentResponse:
-    """A response that was not answered yet: versions by name, what it removes, what it delivers."""
+    """A response that the proxy has not answered yet.
+
+    `versions` are those of the resources in it, by name; `removed` names the resources that it
+    removes; `updates` count as delivered when it is acknowledged.
+    """
 
     versions: dict[str, str]
     removed: list[str]
@@ -20,46 +24,49 @@
 
 @dataclass(slots=True)
 class Subscription:
-    """One type of resource on one stream. `sent`, `acknowledged`, `rejected`: versions by name."""
+    """One resource type on one stream.
+
+    `sent`, `acknowledged` and `rejected` hold versions by resource name.
+    """
 
-    names: set[str] = field(default_factory=set)  # asked for by name
+    names: set[str] = field(default_factory=set)  # subscribed to by name
     wildcard: bool = False
     started: bool = False
     sent: dict[str, str] = field(default_factory=dict)
     acknowledged: dict[str, str] = field(default_factory=dict)
     rejected: dict[str, str] = field(default_factory=dict)
     unanswered: OrderedDict[str, SentResponse] = field(default_factory=OrderedDict)  # by nonce
-    reported_absent: set[str] = field(default_factory=set)  # names that were told not to exist
-    answer_due: bool = False  # something was asked that wants an answer even if nothing changed
+    reported_absent: set[str] = field(default_factory=set)  # names reported as not existing
+    answer_due: bool = False  # the last request needs a response even if nothing has changed
 
     def covers(self, name: str) -> bool:
-        """Return whether a resource is subscribed to."""
+        """Return whether the subscription includes a resource."""
         return self.wildcard or name in self.names
 
     def is_pending(self, name: str, version: str) -> bool:
-        """Return whether a version was neither sent nor rejected."""
+        """Return whether a version must be sent: it was not sent yet, and not rejected either."""
         return self.sent.get(name) != version and self.rejected.get(name) != version
 
     def forget(self, names: Iterable[str]) -> None:
-        """Forget what is known of resources: they are sent again when they are asked for again."""
+        """Drop the versions of resources, so that a new subscription gets them again."""
         for name in names:
             self.sent.pop(name, None)
             self.acknowledged.pop(name, None)
             self.rejected.pop(name, None)
 
     def forget_unsubscribed(self) -> None:
-        """Forget the resources that are no longer subscribed to."""
+        """Drop the versions of resources that are no longer subscribed to."""
         known = self.sent.keys() | self.acknowledged.keys() | self.rejected.keys()
         self.forget([name for name in known if not self.covers(name)])
 
     def on_acknowledged(self, response: SentResponse) -> None:
-        """Take note that the proxy uses what a response held."""
+        """Record that the proxy uses the resources of a response."""
         self.acknowledged.update(response.versions)
         for name in response.removed:
             self.acknowledged.pop(name, None)
 
     def on_rejected(self, response: SentResponse) -> None:
-        """Take note that the proxy goes on with what it had."""
+        """Record that the proxy keeps its previous versions of the resources of a response."""
         self.rejected.update(response.versions)
         for name in response.versions:
             if name in self.acknowledged:
@@ -68,7 +75,7 @@
                 self.sent.pop(name, None)
 
     def on_uncertain(self, response: SentResponse) -> None:
-        """Have the resources of a response sent again: whether the proxy has them is not known."""
+        """Have the resources of a response sent again, as the proxy may not have applied them."""
         for name in response.versions:
             self.sent.pop(name, None)
             self.acknowledged.pop(name, None)
