--- a/indigodeck/frontends/sasp/__init__.py
+++ b/indigodeck/frontends/sasp/__init__.py
@@ -1,1 +1,1 @@
-"""The Server/Application State Protocol, version 1 (RFC 4678): codec, conversation and sockets."""
+"""The Server/Application State Protocol, version 1 (RFC 4678): codec, conversations and sockets."""
--- a/indigodeck/frontends/sasp/codec/__init__.py
+++ b/indigodeck/frontends/sasp/codec/__init__.py
@@ -1,8 +1,8 @@
-"""The bytes of the Server/Application State Protocol, version 1 (RFC 4678).
+"""The message codec of the Server/Application State Protocol, version 1 (RFC 4678).
 
-`dispatch` reads one whole message and calls the method of a handler that is named for it; the
-functions of `encoding` write messages. Numbers are big-endian. docs/sasp.md names the section for
-each layout, and the readings that were chosen where the text was not at hand.
+`dispatch` decodes one complete message and calls the handler method for its type; the functions of
+`encoding` encode messages. Numbers are big-endian. docs/sasp.md gives the section of the RFC for
+each layout, and the interpretations that were chosen where the text was not available.
 """
 
 from .constants import (
--- a/indigodeck/frontends/sasp/codec/constants.py
+++ b/indigodeck/frontends/sasp/codec/constants.py
@@ -1,4 +1,4 @@
-"""The numbers of the Server/Application State Protocol: types, return codes, flags, sizes."""
+"""The constants of the Server/Application State Protocol: types, return codes, flags, sizes."""
 
 import struct
 
@@ -7,7 +7,7 @@
 HEADER_TYPE = 0x2010
 COMPONENT_HEADER = struct.Struct("!HH")  # type, length
 
-# Types of messages.
+# Message types.
 REGISTER = 0x1010
 REGISTERED = 0x1015
 DEREGISTER = 0x1020
@@ -20,7 +20,7 @@
 SET_MEMBERS = 0x1060
 MEMBERS_SET = 0x1065
 
-# Types of components.
+# Component types.
 MEMBER = 0x3010
 GROUP = 0x3011
 WEIGHT_ENTRY = 0x3012
@@ -59,7 +59,7 @@
     BALANCER_ABSENT: "the load balancer of this member has not yet contacted the manager",
 }
 
-# Flags are read from the most significant bit down, as RFCs number bits (docs/sasp.md).
+# Flags. The RFC numbers bits from the most significant one down (docs/sasp.md).
 PUSH = 0x80
 TRUST = 0x40
 NO_CHANGE = 0x20
--- a/indigodeck/frontends/sasp/codec/decoding.py
+++ b/indigodeck/frontends/sasp/codec/decoding.py
@@ -1,4 +1,4 @@
-"""Reads whole messages: `dispatch` calls the method of a handler that is named for each."""
+"""Decodes complete messages: `dispatch` calls the handler method for the type of a message."""
 
 import struct
 from collections.abc import Callable
@@ -30,7 +30,8 @@
 )
 from .reader import MessageReader
 
-# What a message of each type calls: the handler's method, and its arguments after the message id.
+# For each message type, a function that reads the message and returns the name of the handler
+# method and the arguments after the message id.
 
 
 def _read_register(reader: MessageReader) -> tuple[str, tuple[Any, ...]]:
@@ -81,7 +82,11 @@
 
 
 class _MessageLayout(NamedTuple):
-    """How a message is read, the type of its reply, and the length that leaves its groups out."""
+    """The layout of one message type.
+
+    `read` reads the message, `reply_type` is the type of its reply, and `fixed_length` the length
+    of its component up to the groups.
+    """
 
     read: Callable[[MessageReader], tuple[str, tuple[Any, ...]]]
     reply_type: int | None = None
@@ -104,12 +109,12 @@
 
 
 def read_header(data: bytes, bounds: Bounds) -> tuple[int, int]:
-    """Return length and id of the message that begins with these 13 bytes.
+    """Return the length and the id of the message that begins with these 13 bytes.
 
     Raises
     ------
     MalformedSaspMessageError
-        If they are no header, or the message is longer than `bounds` allow.
+        If they are not a valid header, or the message is longer than `bounds` allows.
     """
     header_type, header_length, version, length, message_id = HEADER.unpack(data)
     if header_type != HEADER_TYPE or header_length != HEADER.size:
@@ -117,57 +122,60 @@
             f"no message header: type {header_type:#06x}, length {header_length}"
         )
     if version != VERSION:
-        raise MalformedSaspMessageError(f"version {version}, only {VERSION} is spoken", 4)
+        raise MalformedSaspMessageError(f"version {version}, only {VERSION} is supported", 4)
     if not HEADER.size + COMPONENT_HEADER.size <= length <= bounds.message_bytes:
         raise MalformedSaspMessageError(
-            f"a message of {length} bytes, {bounds.message_bytes} at most", 5
+            f"message of {length} bytes is too short or exceeds {bounds.message_bytes}", 5
         )
     return length, message_id
 
 
 def dispatch(data: bytes, handler: Any, bounds: Bounds | None = None) -> None:
-    """Read one whole message, header included, and call the handler's method for it.
+    """Decode one complete message, including the header, and call the handler method for its type.
 
     The message id is the first argument. A handler has the methods `register(id, by_balancer,
     member groups)`, `deregister(id, by_balancer, reason, member groups)`, `get_weights(id, group
     names)`, `set_balancer(id, load balancer's id, health, push, trust, no_change)`,
-    `set_members(id, by_balancer, state groups)`; and for a load balancer `answered(id, reply type,
-    return code)`, `weights(id, return code, interval in seconds, weight groups)`,
+    `set_members(id, by_balancer, state groups)`; and for messages to a load balancer `answered(id,
+    reply type, return code)`, `weights(id, return code, interval in seconds, weight groups)`,
     `sent_weights(id, weight groups)`.
 
     Raises
     ------
     MalformedSaspMessageError
-        If the bytes are no message, or it exceeds a bound; nothing was called then.
+        If the bytes are not a valid message, or exceed a bound. No method is called then.
     """
     bounds = bounds or Bounds()
     length, message_id = read_header(data[: HEADER.size], bounds)
     if length != len(data):
-        raise MalformedSaspMessageError(f"a message of {len(data)} bytes states {length}", 5)
+        raise MalformedSaspMessageError(
+            f"message has {len(data)} bytes, but its header states {length}", 5
+        )
     message_type, component_length = COMPONENT_HEADER.unpack_from(data, HEADER.size)
     layout = _LAYOUTS.get(message_type)
     reader = MessageReader(data, bounds, layout.reply_type if layout else None)
     reader.offset = HEADER.size + COMPONENT_HEADER.size
-    # Whether a message component counts the groups in it is read both ways; nothing else is.
+    # The length of a message component is accepted with and without the groups in it. All other
+    # lengths must be exact.
     fixed_length = layout.fixed_length if layout else None
     if component_length not in (length - HEADER.size, fixed_length):
         reader.fail(
-            f"a message component states {component_length} bytes,"
-            f" {length - HEADER.size} follow the header"
+            f"message component states {component_length} bytes,"
+            f" but {length - HEADER.size} follow the header"
         )
     if layout is None:
         reader.fail(f"unknown message type {message_type:#06x}")
     method_name, arguments = layout.read(reader)
     if reader.offset != reader.end:
-        reader.fail(f"{reader.end - reader.offset} bytes after the end of the message")
+        reader.fail(f"{reader.end - reader.offset} extra bytes after the end of the message")
     getattr(handler, method_name)(message_id, *arguments)
 
 
 def message_id_of(data: bytes) -> int:
-    """Return the id of a whole message, which its reply repeats."""
+    """Return the id of a complete message, which its reply repeats."""
     return int.from_bytes(data[HEADER.size - 4 : HEADER.size], "big")
 
 
 def is_set_balancer(data: bytes) -> bool:
-    """Return whether this message, whole or not, is one in which a load balancer says who it is."""
+    """Return whether a message, complete or not, is a load balancer's statement of its identity."""
     return data[HEADER.size : HEADER.size + 2] == struct.pack("!H", SET_BALANCER)
--- a/indigodeck/frontends/sasp/codec/encoding.py
+++ b/indigodeck/frontends/sasp/codec/encoding.py
@@ -1,7 +1,7 @@
-"""Writes messages.
+"""Encodes messages.
 
-Each function returns one whole message, and raises ValueError if a part is longer than its length
-can state.
+Each public function returns one complete message, or for `entry_bytes` one component. It raises
+ValueError if a part is too long for its length field.
 """
 
 import struct
@@ -47,7 +47,7 @@
 
 
 def register(message_id: int, by_balancer: bool, groups: Iterable[MemberGroup]) -> bytes:
-    """Write a registration of members, by their load balancer or by themselves."""
+    """Encode a registration of members, by their load balancer or by themselves."""
     return message(
         message_id,
         REGISTER,
@@ -59,7 +59,10 @@
 def deregister(
     message_id: int, by_balancer: bool, reason: int, groups: Iterable[MemberGroup]
 ) -> bytes:
-    """Write a deregistration; a group without members goes whole, and no group means all."""
+    """Encode a deregistration of members.
+
+    A group without members is deregistered as a whole; without any group, all are.
+    """
     return message(
         message_id,
         DEREGISTER,
@@ -70,14 +73,14 @@
 
 
 def get_weights(message_id: int, names: Sequence[GroupName]) -> bytes:
-    """Write a request for the weights of groups; none named means all."""
+    """Encode a request for the weights of groups; without names, of all groups."""
     return message(message_id, GET_WEIGHTS, struct.pack("!H", len(names)), *map(_group_name, names))
 
 
 def set_balancer(
     message_id: int, load_balancer_id: bytes, health: int, push: bool, trust: bool, no_change: bool
 ) -> bytes:
-    """Write a load balancer's own state: who it is and how it wants weights."""
+    """Encode a load balancer's own state: its id, its health and how it wants to get weights."""
     flags = (PUSH if push else 0) | (TRUST if trust else 0) | (NO_CHANGE if no_change else 0)
     return message(message_id, SET_BALANCER, _text(load_balancer_id), bytes([health, flags]))
 
@@ -87,7 +90,7 @@
     by_balancer: bool,
     groups: Iterable[tuple[GroupName, Sequence[tuple[Member, int, bool]]]],
 ) -> bytes:
-    """Write states of members."""
+    """Encode a statement of the states of members."""
     return message(
         message_id,
         SET_MEMBERS,
@@ -97,7 +100,7 @@
 
 
 def answer(message_id: int, reply_type: int, return_code: int) -> bytes:
-    """Write the reply to a request; to a request for weights, one without any."""
+    """Encode the reply to a request; a reply to a request for weights holds no groups."""
     if reply_type == WEIGHTS:
         return weights(message_id, return_code, 0, [])
     return message(message_id, reply_type, bytes([return_code]))
@@ -106,7 +109,7 @@
 def weights(
     message_id: int, return_code: int, interval: int, groups: Iterable[WeightGroup]
 ) -> bytes:
-    """Write the reply to a request for weights; `interval`, in seconds, is when to ask again."""
+    """Encode the reply to a request for weights; `interval` is the poll interval in seconds."""
     return message(
         message_id,
         WEIGHTS,
@@ -116,19 +119,19 @@
 
 
 def send_weights(message_id: int, groups: Iterable[WeightGroup]) -> bytes:
-    """Write weights that nobody asked for."""
+    """Encode weights that are pushed without a request."""
     return message(message_id, SEND_WEIGHTS, _groups(GROUP_OF_WEIGHTS, groups, entry_bytes))
 
 
 def message(message_id: int, message_type: int, *parts: bytes) -> bytes:
-    """Write a message of any type with its header."""
+    """Encode a message of any type, with its header."""
     body = _component(message_type, *parts)
     length = HEADER.size + len(body)
     return HEADER.pack(HEADER_TYPE, HEADER.size, VERSION, length, message_id) + body
 
 
 def entry_bytes(entry: Entry) -> bytes:
-    """Write the component of one weight entry."""
+    """Encode the component of one weight entry."""
     return _component(
         WEIGHT_ENTRY,
         _member(entry.member),
@@ -146,7 +149,7 @@
 
 def _text(text: bytes) -> bytes:
     if len(text) > MAX_TEXT_BYTES:
-        raise ValueError(f"{len(text)} bytes, {MAX_TEXT_BYTES} at most")
+        raise ValueError(f"text of {len(text)} bytes exceeds {MAX_TEXT_BYTES}")
     return bytes([len(text)]) + text
 
 
@@ -167,8 +170,8 @@
     return _component(GROUP, _text(name[0]), _text(name[1]))
 
 
-def _member_state(stated: tuple[Member, int, bool]) -> bytes:
-    member, state, quiesce = stated
+def _member_state(member_state: tuple[Member, int, bool]) -> bytes:
+    member, state, quiesce = member_state
     return _component(MEMBER_STATE, _member(member), bytes([state, QUIESCE if quiesce else 0]))
 
 
--- a/indigodeck/frontends/sasp/codec/model.py
+++ b/indigodeck/frontends/sasp/codec/model.py
@@ -1,4 +1,4 @@
-"""The values that messages of the Server/Application State Protocol carry, and its error."""
+"""The values in messages of the Server/Application State Protocol, and the error of its codec."""
 
 import ipaddress
 from typing import NamedTuple
@@ -8,19 +8,19 @@
     NOT_UNDERSTOOD,
 )
 
-TCP = 6  # of IP's protocol numbers
+TCP = 6  # the IP protocol number
 IPV4_MAPPED_PREFIX = bytes(10) + b"\xff\xff"
 IPV4_COMPATIBLE_PREFIX = bytes(12)
 
-GroupName = tuple[bytes, bytes]  # the load balancer's id, the group's name
+GroupName = tuple[bytes, bytes]  # the id of the load balancer, the name of the group
 Address = tuple[str, int]
 
 
 class MalformedSaspMessageError(MalformedMessageError):
-    """Bytes that are no message of this protocol.
+    """Bytes that are not a valid message of this protocol.
 
-    `return_code` is the code that says so, `offset` where it was found, and `reply_type` the type
-    of the reply that the message would have had, or None.
+    `return_code` is the protocol's code for the problem, `offset` its position in the message, and
+    `reply_type` the type of the reply to such a message, or None if no reply can be given.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
 
 
 class Bounds(NamedTuple):
-    """What one peer may send: bytes in a message, groups in it, members in a group."""
+    """Limits for messages of a peer: bytes and groups in a message, members in a group."""
 
     message_bytes: int = 1 << 20
     groups: int = 64
@@ -45,7 +45,7 @@
 
 
 class Member(NamedTuple):
-    """A member of a group; an IPv4 address is written as ::ffff:a.b.c.d, in 16 bytes."""
+    """A member of a group. `address` has 16 bytes; an IPv4 address is mapped to ::ffff:a.b.c.d."""
 
     protocol: int
     port: int
@@ -54,13 +54,16 @@
 
     @classmethod
     def at(cls, address: str, port: int, label: bytes = b"", protocol: int = TCP) -> "Member":
-        """Return the member at an address in text form."""
+        """Return the member at an IP address in text form."""
         parsed = ipaddress.ip_address(address)
         packed = IPV4_MAPPED_PREFIX + parsed.packed if parsed.version == 4 else parsed.packed
         return cls(protocol, port, packed, label)
 
     def endpoint(self) -> Address:
-        """Return address and port; IPv4 is the same in its mapped and its older compatible form."""
+        """Return the address as text and the port.
+
+        The mapped and the older "compatible" form of an IPv4 address give the same result.
+        """
         prefix = self.address[:12]
         rest = self.address[12:]
         is_ipv4 = prefix == IPV4_MAPPED_PREFIX or (
@@ -70,7 +73,7 @@
 
 
 class Entry(NamedTuple):
-    """A member's weight, 0 to 65535, with flags and the opaque state that its agent last gave."""
+    """A member's weight, 0 to 65535, its flags, and the opaque state last stated for it."""
 
     member: Member
     weight: int
@@ -79,7 +82,7 @@
 
 
 class MemberState(NamedTuple):
-    """What is stated of a member: an opaque state, and whether it wants no new work."""
+    """The stated condition of a member: an opaque state, and whether it wants no new requests."""
 
     member: Member
     state: int
--- a/indigodeck/frontends/sasp/codec/reader.py
+++ b/indigodeck/frontends/sasp/codec/reader.py
@@ -1,4 +1,4 @@
-"""Reads the components of one message, and never past the end of any."""
+"""Reads the components of one message, and never past the end of a component."""
 
 from collections.abc import Callable
 from typing import NoReturn, TypeVar
@@ -33,7 +33,7 @@
 
 
 class MessageReader:
-    """Steps through one message and never past the end of the component that is open."""
+    """A read position in one message, limited to the innermost component that is open."""
 
     def __init__(self, data: bytes, bounds: Bounds, reply_type: int | None = None) -> None:
         self.data = data
@@ -43,27 +43,27 @@
         self.reply_type = reply_type
 
     def fail(self, text: str, return_code: int = NOT_UNDERSTOOD) -> NoReturn:
-        """Raise the error for this message, at this offset."""
+        """Raise an error for this message at the current offset."""
         raise MalformedSaspMessageError(text, self.offset, return_code, self.reply_type)
 
     def take(self, size: int, what: str) -> bytes:
-        """Return the next bytes of the component that is open."""
+        """Return the next bytes of the open component."""
         if self.offset + size > self.end:
             self.fail(f"{what} needs {size} bytes, {self.end - self.offset} are left")
-        piece = self.data[self.offset : self.offset + size]
+        taken = self.data[self.offset : self.offset + size]
         self.offset += size
-        return piece
+        return taken
 
     def number(self, size: int, what: str) -> int:
-        """Read an unsigned number of so many bytes."""
+        """Read an unsigned number of `size` bytes."""
         return int.from_bytes(self.take(size, what), "big")
 
     def text(self, what: str) -> bytes:
-        """Read a text with its length before it."""
+        """Read a text that is preceded by its length."""
         return bytes(self.take(self.number(1, f"length of {what}"), what))
 
     def open(self, component_type: int, what: str) -> int:
-        """Enter a component; return what `close` needs to check that it was filled exactly."""
+        """Enter a component, and return the end of the enclosing one, which `close` restores."""
         start = self.offset
         outer_end = self.end
         found = self.number(2, f"type of {what}")
@@ -72,18 +72,18 @@
             self.offset = start
             self.fail(f"{what} should have type {component_type:#06x}, not {found:#06x}")
         if length < COMPONENT_HEADER.size or start + length > outer_end:
-            self.fail(f"{what} states {length} bytes, {outer_end - start} are left")
+            self.fail(f"{what} states {length} bytes, but {outer_end - start} are left")
         self.end = start + length
         return outer_end
 
     def close(self, outer_end: int, what: str) -> None:
-        """Leave a component, which must be used up."""
+        """Leave a component, which must have been read to its end."""
         if self.offset != self.end:
-            self.fail(f"{what} states {self.end - self.offset} bytes more than it holds")
+            self.fail(f"{what} has {self.end - self.offset} bytes more than its content needs")
         self.end = outer_end
 
     def count(self, limit: int, what: str) -> int:
-        """Read a count, which has a bound."""
+        """Read a count, which must not exceed `limit`."""
         count = self.number(2, f"count of {what}")
         if count > limit:
             self.fail(f"{count} {what}, {limit} at most", NOT_ACCEPTED)
@@ -99,7 +99,7 @@
         return member
 
     def group_name(self) -> GroupName:
-        """Read whose group it is, and its name."""
+        """Read the id of a group's load balancer and the group's name."""
         outer_end = self.open(GROUP, "a group")
         name = (self.text("load balancer's id"), self.text("group's name"))
         self.close(outer_end, "a group")
@@ -116,7 +116,7 @@
         return Entry(member, weight, flags, state)
 
     def member_state(self) -> MemberState:
-        """Read what is stated of a member."""
+        """Read the stated condition of a member."""
         outer_end = self.open(MEMBER_STATE, "a member's state")
         member = self.member()
         state = self.number(1, "state")
@@ -127,7 +127,7 @@
     def groups(
         self, component_type: int, read_item: Callable[[], _Item], what: str
     ) -> list[tuple[GroupName, list[_Item]]]:
-        """Read groups with what they hold."""
+        """Read groups, each with its name and items."""
         groups = []
         for _ in range(self.count(self.bounds.groups, "groups")):
             outer_end = self.open(component_type, what)
@@ -138,11 +138,11 @@
         return groups
 
     def group_names(self) -> list[GroupName]:
-        """Read names of groups."""
+        """Read a list of group names."""
         return [self.group_name() for _ in range(self.count(self.bounds.groups, "groups"))]
 
     def by_balancer(self) -> bool:
-        """Read the flags of a request: whether a load balancer speaks, or a member."""
+        """Read the flags of a request, and return whether a load balancer sent it, not a member."""
         return bool(self.number(1, "flags") & FROM_BALANCER)
 
     def member_groups(self) -> list[MemberGroup]:
@@ -154,5 +154,5 @@
         return self.groups(GROUP_OF_WEIGHTS, self.entry, "a group of weights")
 
     def state_groups(self) -> list[StateGroup]:
-        """Read groups of members' states."""
+        """Read groups of member states."""
         return self.groups(GROUP_OF_STATES, self.member_state, "a group of states")
--- a/indigodeck/frontends/sasp/connection.py
+++ b/indigodeck/frontends/sasp/connection.py
@@ -1,4 +1,4 @@
-"""One SASP connection on Tornado's streams: one coroutine reads and answers, one writes weights."""
+"""One SASP connection on a Tornado stream, with a coroutine for answers and one for weights."""
 
 import asyncio
 import fcntl
@@ -22,8 +22,8 @@
 if TYPE_CHECKING:
     from .server import SaspFrontend
 
-# How often a socket is looked at until its peer has acknowledged all bytes; doubled from the first
-# to the last.
+# The interval at which a socket is polled until its peer has acknowledged all bytes. It doubles
+# from the first value up to the maximum.
 FIRST_ACK_POLL_S = 0.001
 MAX_ACK_POLL_S = 0.05
 
@@ -31,7 +31,7 @@
 
 
 class Connection:
-    """One connection: answers requests one at a time, and writes weights when some wait."""
+    """One connection: answers requests one at a time, and pushes weights when they have changed."""
 
     def __init__(self, frontend: "SaspFrontend", stream: IOStream, address: tuple) -> None:
         self.frontend = frontend
@@ -43,20 +43,20 @@
         self._close_reason: str | None = None
         stream.set_nodelay(True)
 
-    # What the conversation may do (`conversation.ConnectionPort`).
+    # The interface for the conversation (`conversation.ConnectionPort`).
 
     def send(self, data: bytes) -> None:
         """Send an answer."""
         self._answers.append(data)
 
     def request_write(self) -> None:
-        """Have `next_message` written as soon as that is allowed."""
+        """Have `next_message` written as soon as the message limits allow it."""
         self._write_requested.set()
 
     def close(self, reason: str) -> None:
-        """Close the connection, after what was answered has left.
+        """Close the connection after the pending answers have been sent.
 
-        A rejection is worth nothing if it never arrives.
+        Otherwise the peer might not receive the answer that rejects its request.
         """
         if not self.stream.closed() and self._close_reason is None:
             self._close_reason = reason
@@ -82,7 +82,7 @@
         except StreamClosedError:
             pass  # the peer has left
         except DeadlineExceededError:
-            self.close("a message was begun and not ended in time")
+            self.close("the peer did not complete a message in time")
         except codec.MalformedSaspMessageError as error:
             self.frontend.log_event(
                 "message_malformed",
@@ -98,7 +98,8 @@
 
     async def _serve_request(self) -> None:
         message = await self._read_message()
-        # A peer that asks too often waits; what it sends meanwhile stays in its own socket.
+        # Answers to a peer that sends too many requests are delayed. Its further requests stay in
+        # the socket's buffer meanwhile.
         while wait := self._quota().answer_wait(self.frontend.now()):
             await sleep(wait / SECOND)
         if codec.is_set_balancer(message) and self.conversation.proxy is None:
@@ -111,20 +112,25 @@
             await self._write(data)
 
     async def _read_message(self) -> bytes:
-        """Read one whole message. It may be long in coming; once begun, it must end in time."""
+        """Read one complete message.
+
+        There is no time limit for the first byte, but one for the rest of the message.
+        """
         first_byte = await self.stream.read_bytes(1)
         deadline = IOLoop.current().time() + self.frontend.message_timeout_s
-        header = first_byte + await self._by(
+        header = first_byte + await self._with_deadline(
             deadline, self.stream.read_bytes(codec.HEADER.size - 1)
         )
         length, _ = codec.read_header(header, self.frontend.registry.bounds)
-        return header + await self._by(deadline, self.stream.read_bytes(length - codec.HEADER.size))
+        return header + await self._with_deadline(
+            deadline, self.stream.read_bytes(length - codec.HEADER.size)
+        )
 
     async def _wait_for_admission(self) -> None:
         if not await self.frontend.service.proxies.wait_for_admission():
-            self.close("too many relays wait to join")
+            self.close("too many relays are waiting to join")
         if self.stream.closed() or self._close_reason is not None:
-            # It did not wait for its turn, and would be told all for nothing.
+            # The peer has left while waiting, and all tables would be sent to it in vain.
             raise StreamClosedError
 
     # Writing.
@@ -136,12 +142,13 @@
                 self._write_requested.clear()
                 await self._write_next_message()
         except StreamClosedError:
-            pass  # the reader meets the same
+            pass  # the reading coroutine gets the same error
         except DeadlineExceededError:
-            self.close("it reads nothing")
+            self.close("the peer does not read from the connection")
 
     async def _write_next_message(self) -> None:
-        # Registered or not, ejections wait until they can be told; one message at a time.
+        # One message at a time. Pending updates, such as ejections, stay with the planner host
+        # until the quota allows a message, even if the peer has not registered any group yet.
         while wait := self._quota().order_wait(self.frontend.now()):
             await sleep(wait / SECOND)
         planner_host = self.frontend.planner_host
@@ -158,17 +165,18 @@
     async def _write(self, data: bytes) -> None:
         proxy = self.conversation.proxy
         if proxy is not None and not self.frontend.service.leadership.may_write(proxy):
-            # Another may lead by now: asked here, for much may have passed since it was queued.
+            # Another controller may lead the group by now. This is checked directly before the
+            # write, as the message may have been queued for long.
             raise StreamClosedError
-        # A peer that reads nothing holds up its own connection, and not for ever.
+        # A peer that does not read blocks only its own connection, which is closed after a time.
         deadline = IOLoop.current().time() + self.frontend.stalled_timeout_s
-        await self._by(deadline, self.stream.write(data))
+        await self._with_deadline(deadline, self.stream.write(data))
 
     async def _wait_for_tcp_ack(self) -> None:
-        """Wait until the peer's machine has acknowledged every byte.
+        """Wait until the peer's TCP stack has acknowledged all bytes.
 
-        The next state is made only then, so that what was ordered meanwhile is one message and not
-        many. This protocol knows no acknowledgement of its own.
+        Only then is the next message built, so that all changes in between are combined in one
+        message. SASP itself has no acknowledgement of pushed weights.
         """
         remaining = self.frontend.stalled_timeout_s
         pause = FIRST_ACK_POLL_S
@@ -182,16 +190,16 @@
             raise StreamClosedError
 
     def _quota(self) -> MessageQuota:
-        """Return the proxy's quota, or its address's until it has said who it is."""
+        """Return the message quota of the proxy, or that of its address until its id is known."""
         return self.frontend.service.proxies.message_quota(
             self.conversation.load_balancer_id or self.address
         )
 
     @staticmethod
-    async def _by(deadline: float, awaited: Awaitable[_T]) -> _T:
+    async def _with_deadline(deadline: float, awaited: Awaitable[_T]) -> _T:
         return await with_timeout(deadline, awaited, StreamClosedError)
 
 
 def unacknowledged_bytes(sock: socket.socket) -> int:
-    """Return how many bytes were written to a socket that the other side has not acknowledged."""
+    """Return the number of bytes written to a socket that its peer has not acknowledged yet."""
     return struct.unpack("i", fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, bytes(4)))[0]
--- a/indigodeck/frontends/sasp/conversation.py
+++ b/indigodeck/frontends/sasp/conversation.py
@@ -1,7 +1,7 @@
-"""What is said on one SASP connection, free of I/O: who registers what, and what it is told.
+"""The protocol logic of one SASP connection, without I/O: requests, answers and pushed weights.
 
-A load balancer is a proxy, a group is a class, a member is a server; the weights of a group are the
-class's table as the planner's host holds it for that proxy (docs/sasp.md).
+In the terms of SASP, a load balancer is a proxy, a group is a class, and a member is a server. The
+weights of a group are the class's table for that proxy, as held by the planner host (docs/sasp.md).
 """
 
 from collections.abc import Callable, Sequence
@@ -33,22 +33,23 @@
 
 
 class ConnectionPort(Protocol):
-    """What a conversation may do with its connection."""
+    """The interface of a connection for its conversation."""
 
     def send(self, data: bytes) -> None:
         """Send an answer."""
 
     def request_write(self) -> None:
-        """Ask to be called for `next_message` as soon as the peer may be written to."""
+        """Have `next_message` called as soon as the message limits allow a write to the peer."""
 
     def close(self, reason: str) -> None:
-        """Close the connection after what was answered has left."""
+        """Close the connection after the pending answers have been sent."""
 
 
 class Conversation:
-    """One connection, of a load balancer or of members. Each request is answered once.
+    """The exchange with one peer, a load balancer or an agent of members.
 
-    A request is checked as a whole before anything is changed: a rejected one changes nothing.
+    Each request is answered once. It is checked completely before it changes anything, so that a
+    rejected request has no effect.
     """
 
     def __init__(self, registry: RegistrationRegistry, connection: ConnectionPort) -> None:
@@ -61,17 +62,17 @@
         self.trust = False
         self.no_change = False
         self.groups: dict[int, Group] = {}  # by class
-        self._membership = GroupMembership(registry, self)
+        self._membership = GroupMembership(registry, self)  # carries out changes to groups
         self._weights = GroupWeights(registry.planner_host, registry.environment)
 
     def name(self) -> str | None:
-        """Return the load balancer's id for the log, or None if it has not said who it is."""
+        """Return the load balancer's id as text for the log, or None if it is not known yet."""
         if not self.load_balancer_id:
             return None
         return self.load_balancer_id.decode("utf-8", "replace")
 
     def on_message(self, message: bytes) -> None:
-        """Take one whole message in, and answer it or close the connection."""
+        """Handle one complete message: answer it, or close the connection."""
         if self.proxy is not None:
             self.planner_host.on_proxy_request(self.proxy)
         try:
@@ -86,7 +87,7 @@
             message_id = codec.message_id_of(message)
             self.connection.send(codec.answer(message_id, error.reply_type, error.return_code))
 
-    # The messages of load balancers and members, as `codec.dispatch` names them.
+    # Handlers of the messages from load balancers and members, called by `codec.dispatch`.
 
     def set_balancer(
         self,
@@ -97,18 +98,18 @@
         trust: bool,
         no_change: bool,
     ) -> None:
-        """Take who this load balancer is, and how it wants weights."""
-        self._answer(message_id, BALANCER_SET, lambda: self._introduce(load_balancer_id))
+        """Handle a load balancer's statement of its id, and of how it wants to get weights."""
+        self._answer(message_id, BALANCER_SET, lambda: self._identify(load_balancer_id))
         if self.load_balancer_id != load_balancer_id or self.proxy is None:
             return
-        turned_on = push and not self.push
+        push_enabled = push and not self.push
         self.push = push
         self.trust = trust
         self.no_change = no_change
-        if turned_on and self.groups:
+        if push_enabled and self.groups:
             self.connection.request_write()
 
-    def _introduce(self, load_balancer_id: bytes) -> None:
+    def _identify(self, load_balancer_id: bytes) -> None:
         if not load_balancer_id:
             raise SaspRequestRejectedError(BALANCER_SIZE)
         if self.load_balancer_id not in (None, load_balancer_id):
@@ -118,7 +119,7 @@
         environment = self.registry.environment
         proxy = environment.proxy_index(load_balancer_id)
         if proxy is None:
-            self._reject_proxy(load_balancer_id, "not in charge of it, or too many relays")
+            self._reject_proxy(load_balancer_id, "another controller leads it, or too many relays")
         if not self.registry.claim(load_balancer_id, self):
             self._reject_proxy(load_balancer_id, "its id is taken over by turns")
         self.load_balancer_id = load_balancer_id
@@ -132,7 +133,7 @@
         raise SaspRequestRejectedError(NOT_ACCEPTED)
 
     def register(self, message_id: int, by_balancer: bool, groups: Sequence[MemberGroup]) -> None:
-        """Add members to groups."""
+        """Handle a registration of members in groups."""
         owners: list[Conversation] = []
         self._answer(
             message_id,
@@ -146,13 +147,13 @@
     def deregister(
         self, message_id: int, by_balancer: bool, reason: int, groups: Sequence[MemberGroup]
     ) -> None:
-        """Remove members from groups, whole groups where no member is named, or all groups."""
+        """Handle a deregistration of members, of whole groups without members, or of all groups."""
         self._answer(
             message_id, DEREGISTERED, lambda: self._membership.deregister(by_balancer, groups)
         )
 
     def get_weights(self, message_id: int, names: Sequence[GroupName]) -> None:
-        """Answer with the weights of groups; none named means all."""
+        """Answer with the weights of the named groups, or of all groups if none is named."""
         if not names:
             own_id = self.load_balancer_id or b""
             names = [(own_id, self.registry.group_names[index]) for index in sorted(self.groups)]
@@ -160,9 +161,9 @@
         class_indices: list[int | None] = []
         for name in names:
             class_index = self.registry.class_indices.get(name[1])
-            found = self._polled_group_return_code(name, class_index, class_indices)
-            if found != SUCCESSFUL:
-                return_code = found  # the last of several is told
+            group_return_code = self._polled_group_return_code(name, class_index, class_indices)
+            if group_return_code != SUCCESSFUL:
+                return_code = group_return_code  # of several problems, the last one is reported
             class_indices.append(class_index)
         if return_code != SUCCESSFUL:
             self.connection.send(codec.answer(message_id, codec.WEIGHTS, return_code))
@@ -191,40 +192,40 @@
         return SUCCESSFUL
 
     def set_members(self, message_id: int, by_balancer: bool, groups: Sequence[StateGroup]) -> None:
-        """Take states of members, told by their load balancer or by themselves."""
+        """Handle states of members, stated by their load balancer or by themselves."""
         self._answer(
             message_id, MEMBERS_SET, lambda: self._membership.set_states(by_balancer, groups)
         )
 
     def answered(self, message_id: int, reply_type: int, return_code: int) -> None:
-        """Reject a reply."""
+        """Reject a reply, as the planner sends no requests."""
         raise MalformedSaspMessageError(f"a reply ({reply_type:#06x}) to nothing that was asked")
 
     def weights(
         self, message_id: int, return_code: int, interval: int, groups: Sequence[WeightGroup]
     ) -> None:
-        """Reject weights."""
+        """Reject a reply with weights, which only planners send."""
         raise MalformedSaspMessageError("weights are sent to relays, not by them")
 
     def sent_weights(self, message_id: int, groups: Sequence[WeightGroup]) -> None:
-        """Reject weights."""
+        """Reject pushed weights, which only planners send."""
         raise MalformedSaspMessageError("weights are sent to relays, not by them")
 
-    def _answer(self, message_id: int, reply_type: int, carry_out: Callable[[], object]) -> None:
-        """Carry a request out, and answer how that ended."""
+    def _answer(self, message_id: int, reply_type: int, execute: Callable[[], object]) -> None:
+        """Execute a request, and answer with the return code of the outcome."""
         return_code = SUCCESSFUL
         try:
-            carry_out()
+            execute()
         except SaspRequestRejectedError as error:
             return_code = error.return_code
         self.connection.send(codec.answer(message_id, reply_type, return_code))
 
-    # What goes out.
+    # Pushed weights.
 
     def next_message(self) -> bytes | None:
-        """Return the message that brings a load balancer up to date.
+        """Return the message that brings the load balancer up to date.
 
-        None where it wants no pushed weights, or nothing has changed.
+        Returns None if it did not ask for pushed weights, or there is nothing to send.
         """
         if not self.push or self.proxy is None:
             return None
@@ -243,40 +244,44 @@
         return codec.send_weights(self.registry.next_message_id(), groups) if groups else None
 
     def _weight_group(self, class_index: int) -> WeightGroup:
-        """Return all that a group's members are told, and keep it as sent."""
-        assert self.proxy is not None and self.load_balancer_id is not None  # groups are a proxy's
+        """Return the weight entries of a group, and record them as sent."""
+        # Groups only exist on the connection of a proxy.
+        assert self.proxy is not None and self.load_balancer_id is not None
         group = self.groups[class_index]
         table = self.planner_host.table_for(self.proxy, class_index)
         entries = self._weights.entries(group, table, self.trust)
         for entry in entries:
             group.sent[entry.member.endpoint()] = _sent_entry(entry)
-        # A server that was never registered is told once to be out.
-        told_out = [
+        # Weight 0 is sent only once for a server that is not a member of the group.
+        removed_addresses = [
             address
             for address, sent in group.sent.items()
             if sent.weight == 0 and address not in group.members
         ]
-        for address in told_out:
+        for address in removed_addresses:
             del group.sent[address]
         return (self.load_balancer_id, self.registry.group_names[class_index]), entries
 
     def known_addresses(self, class_index: int) -> set[Address | None]:
-        """Return the addresses of a group's members, and of its table where that is trusted."""
+        """Return the addresses of a group's members, and with `trust` also of its table."""
         known: set[Address | None] = set(self.groups[class_index].members)
         if self.trust and self.proxy is not None:
             table = self.planner_host.table_for(self.proxy, class_index) or {}
             known.update(self.registry.environment.address_of(server) for server in table)
         return known
 
-    # How it ends.
+    # The end of the connection.
 
     def on_replaced(self) -> None:
-        """Stop: another connection, or another planner, speaks for this id; its proxy goes on."""
+        """Close the connection, as its proxy is now served elsewhere, and keep the proxy joined.
+
+        Another connection has taken over the load balancer's id, or another planner serves it.
+        """
         self.proxy = None
         self.connection.close("its relay is spoken to elsewhere now")
 
     def on_closed(self) -> None:
-        """Take note that the connection has ended."""
+        """Handle the end of the connection: the proxy leaves, unless it is served elsewhere."""
         if self.load_balancer_id is not None:
             self.registry.release(self.load_balancer_id, self)
         if self.proxy is not None:
--- a/indigodeck/frontends/sasp/group_weights.py
+++ b/indigodeck/frontends/sasp/group_weights.py
@@ -1,7 +1,7 @@
-"""What a load balancer is told of the members of a group: the class's table as weight entries.
+"""Converts the table of a class to the weight entries of a group.
 
-Nothing is weighed here: what can't be told by a weight is told by a flag, and where there is no
-table yet, that there is no opinion (docs/sasp.md).
+No weights are computed here. Conditions that a weight can't express are given as flags, and while
+there is no table, the entries state that there is no opinion yet (docs/sasp.md).
 """
 
 from ...planner.planner_host import PlannerHost
@@ -9,20 +9,20 @@
 from .codec import BY_BALANCER, CONFIDENT, CONTACT_SUCCESS, QUIESCED, Address, Entry, Member
 from .registration import Group, SaspEnvironment
 
-NEUTRAL_WEIGHT = 1  # of a member of which nothing is known: the same for all
+NEUTRAL_WEIGHT = 1  # of all members alike while there is no table
 
 
 class GroupWeights:
-    """Writes the entries of groups."""
+    """Builds the weight entries of groups."""
 
     def __init__(self, planner_host: PlannerHost, environment: SaspEnvironment) -> None:
         self._planner_host = planner_host
         self._environment = environment
 
     def entries(self, group: Group, table: dict[int, float] | None, trust: bool) -> list[Entry]:
-        """Return the entries of a group for a table of weights by server, or for None yet.
+        """Return the entries of a group for a table of weights by server; None means no table yet.
 
-        With `trust` a load balancer also takes servers that nobody has registered with it.
+        With `trust`, the load balancer also accepts servers that are not registered as members.
         """
         if table is None:
             return self._without_table(group, trust)
@@ -36,7 +36,7 @@
                 address: server for address, server in server_at.items() if address in group.members
             }
             if table and not server_at:
-                # None that it may use is in the table: that says nothing of those that it has.
+                # The table has none of the members, and so says nothing about them.
                 return self._without_table(group, trust)
         weights = scale_weights(table)
         entries = [
@@ -50,23 +50,28 @@
         ]
 
     def _without_table(self, group: Group, trust: bool) -> list[Entry]:
-        """Return no opinion: all alike and not confident, but for those that drain or are gone."""
+        """Return entries that state no opinion: equal weights without the confidence flag.
+
+        Ejected servers get weight 0 and the quiesced flag as usual.
+        """
         entries = [
             self._entry(group, address, NEUTRAL_WEIGHT, self._environment.server_at(address))
             for address in sorted(group.members)
         ]
         named = {entry.member.endpoint() for entry in entries}
         for server in sorted(self._planner_host.ejected_servers):
-            # It may hold such a host from an earlier connection, and never have registered it.
+            # The load balancer may know this server from an earlier connection, even if it has not
+            # registered it.
             ejected = self._environment.address_of(server)
             if trust and ejected and ejected not in named:
                 entries.append(self._entry(group, ejected, 0, server))
-        # None of it is from a table: a proxy that took the first confident entry for a whole table
-        # was left without a server.
+        # A proxy takes the first confident entries for its whole table. Confident entries that did
+        # not come from a table have left a proxy without any server.
         return [entry._replace(flags=entry.flags & ~CONFIDENT) for entry in entries]
 
     def _entry(self, group: Group, address: Address, weight: int, server: int | None) -> Entry:
-        # By ejections, never by the list: a host wrongly listed as gone may be kept on purpose.
+        # Decided by the assigner's ejections, not by the endpoint list: the assigner may keep a
+        # server on purpose that is wrongly listed as gone.
         quiesced = server in self._planner_host.ejected_servers or address in group.quiesced
         flags = 0
         if quiesced:
--- a/indigodeck/frontends/sasp/membership.py
+++ b/indigodeck/frontends/sasp/membership.py
@@ -1,4 +1,4 @@
-"""Requests that change what is registered: checked as a whole, then carried out; free of I/O."""
+"""Requests that change registrations, first checked as a whole, then carried out, without I/O."""
 
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, NamedTuple
@@ -29,14 +29,14 @@
 if TYPE_CHECKING:
     from .conversation import Conversation
 
-# The weights of a group must fit one component, whose length is 16 bits: long labels fill that
-# with few members.
-ENTRY_BYTES = 44  # of an entry without its label, rounded up
-GROUP_BYTES = 1024  # what a component of weights holds beside its entries, rounded up
+# The weights of a group must fit in one component, whose length field has 16 bits. With long labels
+# a few members can exceed that.
+ENTRY_BYTES = 44  # the size of a weight entry without its label, rounded up
+GROUP_BYTES = 1024  # the size of a group of weights without its entries, rounded up
 
 
 class SaspRequestRejectedError(RejectedError):
-    """A request that can't be carried out; `return_code` says why."""
+    """A request that can't be carried out; `return_code` states the reason."""
 
     def __init__(self, return_code: int) -> None:
         super().__init__(codec.RETURN_CODE_MEANINGS[return_code])
@@ -44,7 +44,7 @@
 
 
 class _Deregistration(NamedTuple):
-    """What leaves a group; no addresses: the whole group."""
+    """Members to remove from a group; without addresses, the whole group is removed."""
 
     owner: "Conversation"
     class_index: int
@@ -52,17 +52,17 @@
 
 
 class GroupMembership:
-    """Carries out the requests that one conversation makes: about its own groups, or as a member.
+    """Carries out the requests of one conversation, of a load balancer or of members.
 
-    Each method raises SaspRequestRejectedError before it changes anything.
+    If a method raises SaspRequestRejectedError, it has not changed anything.
     """
 
-    def __init__(self, registry: RegistrationRegistry, speaker: "Conversation") -> None:
+    def __init__(self, registry: RegistrationRegistry, conversation: "Conversation") -> None:
         self._registry = registry
-        self._conversation = speaker
+        self._conversation = conversation
 
     def register(self, by_balancer: bool, groups: Sequence[MemberGroup]) -> "Conversation":
-        """Add members, and return the conversation whose groups they are in."""
+        """Add members to groups, and return the conversation that owns the groups."""
         additions: dict[int, Sequence[Member]] = {}
         owner = self._conversation
         for name, members in groups:
@@ -74,9 +74,9 @@
                 raise SaspRequestRejectedError(DUPLICATE_MEMBER)
             self._check_addition(owner.groups.get(class_index, Group()), members)
             additions[class_index] = members
-        for class_index, added in additions.items():
+        for class_index, added_members in additions.items():
             group = owner.groups.setdefault(class_index, Group())
-            for member in added:
+            for member in added_members:
                 group.members[member.endpoint()] = member
                 if by_balancer:
                     group.registered_by_balancer.add(member.endpoint())
@@ -97,22 +97,22 @@
             raise SaspRequestRejectedError(NOT_ACCEPTED)
 
     def deregister(self, by_balancer: bool, groups: Sequence[MemberGroup]) -> None:
-        """Remove members, whole groups where no member is named, or all groups."""
+        """Remove members, whole groups for which no members are named, or all groups."""
         if not groups:
             if not by_balancer or self._conversation.proxy is None:
                 raise SaspRequestRejectedError(UNKNOWN_BALANCER)
             self._conversation.groups.clear()
             return
-        leaving: list[_Deregistration] = []
+        deregistrations: list[_Deregistration] = []
         for name, members in groups:
             deregistration = self._check_deregistration(by_balancer, name, members)
-            if any(deregistration.class_index == other.class_index for other in leaving):
+            if any(deregistration.class_index == other.class_index for other in deregistrations):
                 raise SaspRequestRejectedError(DUPLICATE_GROUP)
             group = deregistration.owner.groups[deregistration.class_index]
             if any(address not in group.members for address in deregistration.addresses):
                 raise SaspRequestRejectedError(NOT_REGISTERED)
-            leaving.append(deregistration)
-        for owner, class_index, addresses in leaving:
+            deregistrations.append(deregistration)
+        for owner, class_index, addresses in deregistrations:
             for address in addresses:
                 owner.groups[class_index].remove(address)
             if not addresses:
@@ -133,7 +133,7 @@
         return _Deregistration(owner, class_index, addresses)
 
     def set_states(self, by_balancer: bool, groups: Sequence[StateGroup]) -> None:
-        """Take states of members, told by their load balancer or by themselves."""
+        """Record states of members, stated by their load balancer or by themselves."""
         changes: list[tuple[Conversation, Group, Sequence[MemberState]]] = []
         for name, states in groups:
             owner = self._owner_of(by_balancer, name)
@@ -141,12 +141,12 @@
             if class_index is None or class_index not in owner.groups:
                 raise SaspRequestRejectedError(UNKNOWN_GROUP)
             group = owner.groups[class_index]
-            known = owner.known_addresses(class_index)
-            if any(stated.member.endpoint() not in known for stated in states):
+            known_addresses = owner.known_addresses(class_index)
+            if any(stated.member.endpoint() not in known_addresses for stated in states):
                 raise SaspRequestRejectedError(NOT_REGISTERED)
             changes.append((owner, group, states))
-        for owner, group, stated_members in changes:
-            for stated in stated_members:
+        for owner, group, member_states in changes:
+            for stated in member_states:
                 self._set_state(group, stated, by_balancer)
             if owner.push:
                 owner.connection.request_write()
@@ -155,7 +155,7 @@
         address = stated.member.endpoint()
         group.states[address] = stated.state
         if not by_balancer:
-            # What a member says of itself holds for all load balancers.
+            # A member's own statement applies to all load balancers.
             self._registry.environment.on_host_quiesced(address, stated.quiesce)
         elif stated.quiesce:
             group.quiesced.add(address)
@@ -163,17 +163,20 @@
             group.quiesced.discard(address)
 
     def _owner_of(self, by_balancer: bool, name: GroupName) -> "Conversation":
-        """Return whose groups are spoken of: members have connections of their own."""
+        """Return the conversation of the load balancer that owns a group.
+
+        Members have connections of their own, and name the load balancer in their requests.
+        """
         load_balancer_id, group_name = name
         if not load_balancer_id:
             raise SaspRequestRejectedError(BALANCER_SIZE)
         if not group_name:
             raise SaspRequestRejectedError(GROUP_NAME_SIZE)
         if by_balancer:
-            speaker = self._conversation
-            if load_balancer_id != speaker.load_balancer_id or speaker.proxy is None:
+            conversation = self._conversation
+            if load_balancer_id != conversation.load_balancer_id or conversation.proxy is None:
                 raise SaspRequestRejectedError(UNKNOWN_BALANCER)
-            return speaker
+            return conversation
         owner = self._registry.conversations.get(load_balancer_id)
         if owner is None:
             raise SaspRequestRejectedError(BALANCER_ABSENT)
--- a/indigodeck/frontends/sasp/registration.py
+++ b/indigodeck/frontends/sasp/registration.py
@@ -1,4 +1,4 @@
-"""Which load balancers are connected over SASP, and what each has registered; free of I/O."""
+"""The load balancers that are connected over SASP, and their registrations, without I/O."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -10,22 +10,22 @@
     from ...planner.planner_host import PlannerHost
     from .conversation import Conversation
 
-# How often connections may take one id from each other within the window of the message limit.
+# How often new connections may take over one load balancer's id within the takeover window.
 MAX_TAKEOVERS = 3
 MESSAGE_ID_MASK = 0xFFFFFFFF
 
 
 class SaspEnvironment(Protocol):
-    """What conversations may ask of the program around them."""
+    """The services of the planner that conversations use."""
 
     def proxy_index(self, load_balancer_id: bytes) -> int | None:
-        """Return the index of a proxy that may be served here, or None."""
+        """Return the index of a proxy, or None if it may not be served by this planner."""
 
     def on_proxy_joined(self, proxy: int, load_balancer_id: bytes) -> None:
-        """Begin to serve a proxy."""
+        """Start to serve a proxy."""
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Serve a proxy no more."""
+        """Stop serving a proxy."""
 
     def server_at(self, address: Address) -> int | None:
         """Return the index of the server at an address, or None."""
@@ -34,17 +34,17 @@
         """Return a server's address, or None."""
 
     def answered_recently(self, server: int) -> bool:
-        """Return whether a server has answered of late."""
+        """Return whether a server has answered the planner recently."""
 
     def on_host_quiesced(self, address: Address, quiesced: bool) -> Any:
-        """Take in what a server says of itself: whether it wants no new work."""
+        """Handle a server's own statement whether it wants no new requests."""
 
-    def log_event(self, event: str, **facts: Any) -> None:
-        """Write a line to the log."""
+    def log_event(self, event: str, **fields: Any) -> None:
+        """Write an event to the log."""
 
 
 class SentEntry(NamedTuple):
-    """What a load balancer was last told of a member."""
+    """The values of a member's weight entry that was last sent to a load balancer."""
 
     weight: int
     flags: int
@@ -53,16 +53,16 @@
 
 @dataclass(slots=True)
 class Group:
-    """One group of one load balancer: its members by address, and what is known of each."""
+    """One group of one load balancer: its members, their states and the entries last sent."""
 
     members: dict[Address, Member] = field(default_factory=dict)
     registered_by_balancer: set[Address] = field(default_factory=set)
-    quiesced: set[Address] = field(default_factory=set)  # by the load balancer's own wish
+    quiesced: set[Address] = field(default_factory=set)  # at the load balancer's request
     states: dict[Address, int] = field(default_factory=dict)
     sent: dict[Address, SentEntry] = field(default_factory=dict)
 
     def remove(self, address: Address) -> None:
-        """Forget a member that was registered."""
+        """Remove a registered member."""
         del self.members[address]
         self.registered_by_balancer.discard(address)
         self.quiesced.discard(address)
@@ -75,17 +75,17 @@
     Parameters
     ----------
     planner_host
-        Holds the tables.
+        The planner host, which holds the tables.
     environment
-        The program around.
+        The planner's services for conversations.
     class_names
-        The classes, which are the groups of this protocol.
+        The names of the classes, which are the groups of this protocol.
     bounds
-        What one peer may send.
+        The limits for messages of one peer.
     poll_interval
-        Seconds after which a load balancer that polls should do so again.
+        The interval in seconds at which load balancers should poll.
     takeover_window
-        Microseconds within which takeovers of one id are counted.
+        The time in microseconds over which takeovers of one id are counted.
     """
 
     def __init__(
@@ -105,14 +105,15 @@
         self.class_indices = {name.encode(): index for index, name in enumerate(class_names)}
         self.group_names = [name.encode() for name in class_names]
         self.conversations: dict[bytes, Conversation] = {}  # by the load balancer's id
-        self._takeovers: dict[bytes, list[int]] = {}  # the times of the recent ones, by id
+        self._takeovers: dict[bytes, list[int]] = {}  # the times of recent takeovers, by id
         self._last_message_id = 0
 
     def claim(self, load_balancer_id: bytes, conversation: "Conversation") -> bool:
-        """Let a conversation speak for an id, and return whether it may.
+        """Give a load balancer's id to a conversation, and return whether that is allowed.
 
-        The newest does: the older is most often a broken one that nobody noticed. Two that take the
-        id from each other by turns are told apart from that by their pace, and the newest waits.
+        The newest conversation takes over the id, since the older one is most often on a broken
+        connection that was not detected as such. If two load balancers with the same id take it
+        from each other in turn, takeovers become too frequent, and the newest is rejected.
         """
         older = self.conversations.get(load_balancer_id)
         if older is conversation:
@@ -130,10 +131,10 @@
             self._takeovers[load_balancer_id] = [*recent, now]
             older.on_replaced()
         self.conversations[load_balancer_id] = conversation
-        self._forget_old_takeovers(now)
+        self._drop_old_takeovers(now)
         return True
 
-    def _forget_old_takeovers(self, now: int) -> None:
+    def _drop_old_takeovers(self, now: int) -> None:
         old = [
             load_balancer_id
             for load_balancer_id, times in self._takeovers.items()
@@ -143,14 +144,14 @@
             del self._takeovers[load_balancer_id]
 
     def release(self, load_balancer_id: bytes, conversation: "Conversation") -> None:
-        """Forget a conversation, unless another speaks for its id by now."""
+        """Remove a conversation, unless another one has taken over its id."""
         if self.conversations.get(load_balancer_id) is conversation:
             del self.conversations[load_balancer_id]
 
     def next_message_id(self) -> int:
-        """Return the id of a message that nobody asked for.
+        """Return the id for a message that is not a reply.
 
-        These count downwards from the top: a load balancer's own requests count upwards.
+        These ids count down from the highest, as load balancers count the ids of requests up.
         """
         self._last_message_id = (self._last_message_id - 1) & MESSAGE_ID_MASK
         return self._last_message_id
--- a/indigodeck/frontends/sasp/server.py
+++ b/indigodeck/frontends/sasp/server.py
@@ -1,4 +1,4 @@
-"""The SASP frontend: listens on Tornado's TCP server, and serves each connection."""
+"""The SASP frontend: a Tornado TCP server that serves load balancers and members."""
 
 from typing import Any
 
@@ -19,9 +19,9 @@
 
 
 class SaspFrontend(TCPServer):
-    """Listens for load balancers and members (`planner.proxy_sessions.Frontend`).
+    """Serves load balancers and members over SASP (`planner.proxy_sessions.Frontend`).
 
-    It is also what their conversations ask (`registration.SaspEnvironment`).
+    It also implements the interface that their conversations use (`registration.SaspEnvironment`).
     """
 
     def __init__(self, service: PlannerService, settings: PlannerSettings) -> None:
@@ -47,34 +47,35 @@
         self._ids: dict[int, bytes] = {}  # load balancers' ids, by proxy
         self._bound_port = 0
 
-    # What the service calls (`planner.proxy_sessions.Frontend`).
+    # The interface for the planner service (`planner.proxy_sessions.Frontend`).
 
     def listen(self, port: int, address: str) -> None:  # type: ignore[override]
-        """Open the socket."""
-        # All proxies of a fleet may connect at once. What doesn't fit here the kernel drops, and
-        # it comes again a second later: of 303 proxies 87 did.
+        """Open the socket, and start to serve."""
+        # All proxies of a fleet may connect at the same time. The kernel drops connection attempts
+        # that exceed the backlog, and clients repeat them a second later; with a shorter backlog
+        # this happened to 87 of 303 proxies.
         sockets = bind_sockets(port, address, backlog=self.max_connections)
         self.add_sockets(sockets)
         self._bound_port = sockets[0].getsockname()[1]
 
     def port(self) -> int:
-        """Return the port that was opened."""
+        """Return the port of the open socket."""
         return self._bound_port
 
     def set_accepting(self, accepting: bool) -> None:
-        """Go on to take connections while another controller leads.
+        """Do nothing: connections are accepted even while another controller leads.
 
-        Whoever connects is rejected with a code, and goes on to the next controller.
+        A proxy that connects then is rejected with a return code, and tries the next controller.
         """
 
     def request_write(self, proxy: int) -> None:
-        """Write to this proxy: something waits for it."""
+        """Request a write to a proxy that has pending updates."""
         conversation = self._conversation_of(proxy)
         if conversation is not None:
             conversation.connection.request_write()
 
     def disconnect_proxy(self, proxy: int) -> None:
-        """End the connection of a proxy that is not served over it any more."""
+        """End the connection of a proxy that is no longer served over it."""
         conversation = self._conversation_of(proxy)
         if conversation is not None:
             conversation.on_replaced()
@@ -86,9 +87,9 @@
         return self.registry.conversations.get(load_balancer_id)
 
     def on_servers_changed(self, addresses: list[Address]) -> None:
-        """Write to those who know these servers.
+        """Request a write to all load balancers that know one of these servers.
 
-        Something about them changed that no table tells: flags, or who may be told of them.
+        This is for changes that are not part of a table, such as those of flags or members.
         """
         for conversation in self.registry.conversations.values():
             if conversation.push and any(
@@ -102,7 +103,7 @@
         """Close the socket and all connections."""
         self.stop()
         for connection in list(self._connections):
-            connection.close("the planner ends")
+            connection.close("the planner is stopping")
 
     async def handle_stream(self, stream: IOStream, address: tuple) -> None:
         """Serve one connection."""
@@ -121,14 +122,14 @@
         finally:
             self._connections.discard(connection)
 
-    # What conversations ask (`registration.SaspEnvironment`).
+    # The interface for conversations (`registration.SaspEnvironment`).
 
     def now(self) -> int:
-        """Return the time on a clock that never goes back."""
+        """Return the time in microseconds on a monotonic clock."""
         return self.service.now()
 
     def proxy_index(self, load_balancer_id: bytes) -> int | None:
-        """Return the index of a proxy that may be served here, or None."""
+        """Return the index of a proxy, or None if it may not be served by this planner."""
         if not self.service.leadership.may_serve(load_balancer_id.decode("utf-8", "replace")):
             return None
         proxy = self.service.proxies.proxy_index(load_balancer_id)
@@ -137,12 +138,12 @@
         return proxy
 
     def on_proxy_joined(self, proxy: int, load_balancer_id: bytes) -> None:
-        """Begin to serve a proxy."""
+        """Start to serve a proxy."""
         name = load_balancer_id.decode("utf-8", "replace")
         self.service.proxies.on_proxy_joined(self, proxy, name)
 
     def on_proxy_left(self, proxy: int) -> None:
-        """Serve a proxy no more."""
+        """Stop serving a proxy."""
         self.service.proxies.on_proxy_left(self, proxy)
 
     def server_at(self, address: Address) -> int | None:
@@ -154,13 +155,13 @@
         return self.service.endpoints.address_of(server)
 
     def answered_recently(self, server: int) -> bool:
-        """Return whether a server has answered of late."""
+        """Return whether a server has answered the planner recently."""
         return self.service.health_checker.answered_recently(server)
 
     def on_host_quiesced(self, address: Address, quiesced: bool) -> bool:
-        """Take in what a server says of itself: whether it wants no new work."""
+        """Handle a server's own statement whether it wants no new requests."""
         return self.service.endpoints.on_host_quiesced(address, quiesced)
 
-    def log_event(self, event: str, **facts: Any) -> None:
-        """Write a line to the log."""
-        self.service.log_event(event, frontend=FRONTEND_NAME, **facts)
+    def log_event(self, event: str, **fields: Any) -> None:
+        """Write an event to the log, with the name of this frontend."""
+        self.service.log_event(event, frontend=FRONTEND_NAME, **fields)
--- a/tests/frontends/test_sasp_codec.py
+++ b/tests/frontends/test_sasp_codec.py
@@ -1,4 +1,4 @@
-"""The bytes of RFC 4678, worked out by hand from its diagrams, and what is not a message."""
+"""Tests of the SASP codec on messages encoded by hand from RFC 4678, and on malformed ones."""
 
 import unittest
 
@@ -17,22 +17,22 @@
 
 
 class RecordingHandler:
-    """Keeps the one call that a message leads to."""
+    """Records the one call that `dispatch` makes for a message."""
 
     def __getattr__(self, name):
-        """Return a method that keeps its own name and arguments."""
+        """Return a method that records its own name and arguments."""
         return lambda *given: self.__dict__.__setitem__("call", (name, *given))
 
 
 def read(data, bounds=None):
-    """Return the method and arguments that a message, as bytes or in hexadecimal digits, calls."""
+    """Return the handler method and the arguments for a message, in bytes or hexadecimal digits."""
     handler = RecordingHandler()
     codec.dispatch(bytes.fromhex(data) if isinstance(data, str) else data, handler, bounds)
     return handler.call
 
 
 def with_header(number, body):
-    """Return a body after its 13 bytes of header: type 2010, length 13, version 1, length, id."""
+    """Return a body with its header of 13 bytes: type 2010, length 13, version 1, length, id."""
     return f"2010000d01{13 + len(body) // 2:08x}{number:08x}{body}"
 
 
@@ -105,28 +105,28 @@
 
 
 class MessageLayoutTest(unittest.TestCase):
-    """Messages as bytes, read and written, and what is rejected."""
+    """Decoding and encoding of messages, and the rejection of malformed ones."""
 
-    def test_bytes_by_hand_are_read_and_written(self):
-        """Byte strings worked out from the diagrams match both ways."""
-        for data, (call, written) in MESSAGES.items():
+    def test_messages_encoded_by_hand_are_decoded_and_encoded_alike(self):
+        """Each message decodes to the expected call, and encodes to the same bytes."""
+        for data, (call, encoded) in MESSAGES.items():
             self.assertEqual(read(data), call)
-            self.assertEqual(written.hex(), data)
+            self.assertEqual(encoded.hex(), data)
 
-    def test_a_component_that_does_not_count_its_groups_is_read_as_well(self):
-        """A message component may state its length without its groups."""
+    def test_a_message_component_may_state_its_length_without_its_groups(self):
+        """The length up to the groups is accepted as well as the length with them."""
         self.assertEqual(
             read(with_header(10, "103000060001" + READING)), ("get_weights", 10, [GROUP_NAME])
         )
 
     def test_both_forms_of_an_ipv4_address_name_one_endpoint(self):
-        """Mapped and compatible forms are one address."""
-        older = Member(6, 80, bytes(12) + bytes([10, 1, 2, 3]))
-        self.assertEqual(older.endpoint(), MEMBER.endpoint())
+        """The IPv4-mapped and the older IPv4-compatible form give the same endpoint."""
+        compatible = Member(6, 80, bytes(12) + bytes([10, 1, 2, 3]))
+        self.assertEqual(compatible.endpoint(), MEMBER.endpoint())
         self.assertEqual(Member.at("::1", 80).endpoint(), ("::1", 80))
 
     def test_a_malformed_message_is_rejected_with_return_code_and_offset(self):
-        """The error says what was wrong, and where."""
+        """The error states the problem and its position in the message."""
         rejections = []
         for data in (
             with_header(1, "99990004"),
@@ -148,21 +148,23 @@
                 "0x10 unknown message type 0x9999 (byte 17)",
                 "0x10 type of a group needs 2 bytes, 0 are left (byte 35)",
                 "0x10 count of groups needs 2 bytes, 0 are left (byte 18)",
-                "0x10 a message component states 23 bytes, 22 follow the header (byte 17)",
-                "0x10 version 2, only 1 is spoken (byte 4)",
+                "0x10 message component states 23 bytes, but 22 follow the header (byte 17)",
+                "0x10 version 2, only 1 is supported (byte 4)",
                 "0x10 no message header: type 0x3010, length 13 (byte 0)",
-                "0x10 a message component states 22 bytes, 23 follow the header (byte 17)",
-                "0x10 a group of members states 65535 bytes, 73 are left (byte 24)",
+                "0x10 message component states 22 bytes, but 23 follow the header (byte 17)",
+                "0x10 a group of members states 65535 bytes, but 73 are left (byte 24)",
                 "0x11 9 members, 8 at most (byte 26)",
             ],
         )
 
     @settings(max_examples=300, deadline=None)
     @given(st.sampled_from(sorted(MESSAGES)), st.integers(0, 400), st.binary(max_size=6))
-    def test_damage_anywhere_is_malformed_or_another_message_never_a_crash(self, data, at, put):
-        """No damaged message raises any other error."""
+    def test_damaged_messages_raise_no_error_but_that_of_a_malformed_message(
+        self, data, offset, replacement
+    ):
+        """A damaged message is malformed, or is by chance another valid message."""
         data = bytearray.fromhex(data)
-        data[at % len(data) : at % len(data) + len(put)] = put
+        data[offset % len(data) : offset % len(data) + len(replacement)] = replacement
         try:
             read(bytes(data), Bounds(members=64))
         except MalformedSaspMessageError as error:
@@ -193,8 +195,8 @@
             max_size=4,
         )
     )
-    def test_weights_come_back_as_they_were_written(self, groups):
-        """What is written is read back the same."""
+    def test_decoding_encoded_weights_gives_the_same_groups(self, groups):
+        """Any groups of weight entries survive encoding and decoding."""
         groups = [((b"lb", name), entries) for name, entries in groups]
         self.assertEqual(read(codec.weights(5, 0, 9, groups)), ("weights", 5, 0, 9, groups))
 
