--- a/tests/frontends/__init__.py
+++ b/tests/frontends/__init__.py
@@ -2,5 +2,5 @@
 
 import os
 
-# Before any module here imports grpc: it writes its log to standard error otherwise.
+# Set before any module here imports grpc, which otherwise logs to standard error.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
--- a/tests/frontends/test_xds_codec.py
+++ b/tests/frontends/test_xds_codec.py
@@ -1,4 +1,4 @@
-"""The resources of the xDS protocol as bytes."""
+"""Tests of the encoding of xDS resources."""
 
 import unittest
 
@@ -8,26 +8,28 @@
 
 
 class EndpointsTest(unittest.TestCase):
-    """The endpoints of a class as bytes, written by the planner and read by the client."""
+    """The endpoints of a class, as encoded by the planner and decoded by the client."""
 
     def test_endpoints_carry_weights_zones_drains_and_admission(self):
-        """What is read is what was written, and its order does not matter."""
+        """Decoding returns the encoded values; the order of servers does not affect the version."""
         version, data = codec.endpoints(
             "read",
             [("hall-a", "h1", "10.0.0.1", 80, 300), ("hall-b", "h2", "::1", 81, 1)],
             [("hall-a", "h3", "10.0.0.3", 80, 0)],
             0.25,
         )
-        again, _ = codec.endpoints(
+        reordered_version, _ = codec.endpoints(
             "read",
             [("hall-b", "h2", "::1", 81, 1), ("hall-a", "h1", "10.0.0.1", 80, 300)],
             [("hall-a", "h3", "10.0.0.3", 80, 0)],
             0.25,
         )
-        self.assertEqual(version, again)
+        self.assertEqual(version, reordered_version)
         response = codec.delta_response(ENDPOINTS, "1", "n", [("read", version, data)], [])
-        name, entries, level, names = read_assignment(response.resources[0].resource.value)
-        self.assertEqual((name, level), ("read", 0.25))
+        name, entries, admitted_share, localities = read_assignment(
+            response.resources[0].resource.value
+        )
+        self.assertEqual((name, admitted_share), ("read", 0.25))
         self.assertEqual(
             entries,
             [
@@ -36,7 +38,7 @@
                 (("10.0.0.3", 80), 0, True, True),
             ],
         )
-        self.assertEqual(names["::1", 81], ("hall-b", "h2"))
+        self.assertEqual(localities["::1", 81], ("hall-b", "h2"))
 
 
 if __name__ == "__main__":
--- a/tests/frontends/test_xds_streams.py
+++ b/tests/frontends/test_xds_streams.py
@@ -1,4 +1,4 @@
-"""Versions, acknowledgements and subscriptions of xDS streams, without sockets."""
+"""Tests of versions, acknowledgements and subscriptions of xDS streams, without sockets."""
 
 import unittest
 
@@ -17,7 +17,10 @@
 
 
 class XdsPlanner(SimulatedLoop):
-    """A resource cache, a planner's host and an environment; a test says what resources are."""
+    """Stands in for a resource cache, a planner host and an environment.
+
+    Resources consist of their versions alone, which the tests set.
+    """
 
     def __init__(self, *names):
         super().__init__()
@@ -32,24 +35,24 @@
         return {name for _, name in self.resources}
 
     def resource(self, kind, name, proxy):
-        """Return a resource, which holds its version alone."""
+        """Return a resource, which has a version and no content."""
         version = self.resources.get((kind, name))
         return None if version is None else codec.Resource(version, b"")
 
     def take_updates(self, proxy):
-        """Return the update that a test has put here."""
+        """Return the last update that a test has added to `updates`, if any."""
         return self.updates.pop() if self.updates else None
 
     def lease_epoch(self, proxy):
-        """Return the same epoch for all."""
+        """Return the same epoch for all proxies."""
         return 3
 
     def on_content_rejected(self, proxy_id, name, version):
-        """Keep what was rejected."""
+        """Record a rejected version."""
         self.rejected[name] = version
 
     def rejected_content(self, proxy_id):
-        """Return what was rejected."""
+        """Return the rejected versions by name."""
         return dict(self.rejected)
 
     def on_delivered(self, update):
@@ -61,46 +64,48 @@
         self.resources[TYPE_URLS[kind], name] = version
 
     def drop(self, name):
-        """Remove all resources of a name."""
+        """Remove all resources with a name."""
         self.resources = {key: version for key, version in self.resources.items() if key[1] != name}
 
 
 class RecordedStream:
-    """A relay's end of one stream, that prints what it is sent and can answer any of it."""
+    """A proxy's end of one stream, which prints each response and can answer any of them."""
 
     def __init__(self, planner, delta=False):
         self.planner, self.nonces, self.names = planner, {}, {}
         self.stream = Stream.open(planner.proxy, self, delta)
 
     def request_write(self):
-        """Do nothing: a test calls `drain`."""
+        """Do nothing: a test calls `drain` instead."""
         pass
 
-    def call_after(self, after, call, *given):
-        """No test here waits for so long."""
+    def call_after(self, after, call, *arguments):
+        """Do nothing: no test here lasts as long as the time-out of an answer."""
 
     def send(self, kind, version, nonce, resources, removed):
-        """Print a response, and keep its nonce."""
+        """Print a response, and record its nonce."""
         self.nonces.setdefault(kind, []).append(nonce)
-        told = " ".join(f"{name}={held}" for name, held, _ in resources) + "".join(
-            f" -{name}" for name in removed
-        )
-        self.planner.log_event(f"{SHORT_NAMES[kind]} #{nonce}: {told}")
+        content = " ".join(
+            f"{name}={resource_version}" for name, resource_version, _ in resources
+        ) + "".join(f" -{name}" for name in removed)
+        self.planner.log_event(f"{SHORT_NAMES[kind]} #{nonce}: {content}")
 
-    def ask(self, kind, *names, nonce="", error=None):
+    def request(self, kind, *names, nonce="", error=None):
         """Send a state-of-the-world request."""
         kind = TYPE_URLS[kind]
         self.names[kind] = names
         self.stream.on_full_request(kind, names, nonce, error)
 
-    def change(self, kind, subscribe=(), unsubscribe=(), holding=None, nonce="", error=None):
+    def request_delta(
+        self, kind, subscribe=(), unsubscribe=(), initial_versions=None, nonce="", error=None
+    ):
         """Send an incremental request."""
         self.stream.on_delta_request(
-            TYPE_URLS[kind], subscribe, unsubscribe, holding or {}, nonce, error
+            TYPE_URLS[kind], subscribe, unsubscribe, initial_versions or {}, nonce, error
         )
 
     def drain(self):
-        """Have all responses sent that are due."""
+        """Have the stream send all responses that are due."""
         while self.stream.send_next():
             self.planner.proxy.take_updates()
 
@@ -117,11 +122,11 @@
     """Subscriptions, acknowledgements and rejections on one stream."""
 
     def test_make_before_break_stale_answers_and_rejections(self):
-        """Responses in flight are bounded, and rejected content is not sent again."""
+        """Unanswered responses are limited, and rejected content is not sent again."""
         planner = XdsPlanner("read", "write")
         client = RecordedStream(planner)
         for kind in ("listener", "route", "cluster", "endpoints"):
-            client.ask(kind, "read", "write")
+            client.request(kind, "read", "write")
         client.drain()
         for kind in SHORT_NAMES.values():
             client.answer(kind)
@@ -147,21 +152,21 @@
         planner.log_event(
             "a subscription that grows and shrinks; a nonce of long ago asks for nothing"
         )
-        client.ask("endpoints", "read", nonce=client.nonces[ENDPOINTS][-1])
+        client.request("endpoints", "read", nonce=client.nonces[ENDPOINTS][-1])
         planner.set("2", name="write")
         client.drain()
-        client.ask("endpoints", "read", "write", nonce="1")
+        client.request("endpoints", "read", "write", nonce="1")
         client.drain()
-        client.ask("endpoints", "read", "write", nonce=client.nonces[ENDPOINTS][-1])
+        client.request("endpoints", "read", "write", nonce=client.nonces[ENDPOINTS][-1])
         client.drain()
         self.compare("xds-whole", planner)
 
-    def test_removals_come_after_what_leads_to_them(self):
-        """Clusters and endpoints go when no route or listener may use them."""
+    def test_resources_are_removed_after_those_that_refer_to_them(self):
+        """Clusters and endpoints are removed once no route or listener may refer to them."""
         planner = XdsPlanner("read", "write")
         client = RecordedStream(planner, delta=True)
         for kind in ("listener", "route", "cluster", "endpoints"):
-            client.change(kind, ("read", "write", "other"))
+            client.request_delta(kind, ("read", "write", "other"))
         client.drain()
         for kind in SHORT_NAMES.values():
             client.answer(kind)
@@ -171,7 +176,7 @@
         planner.drop("write")
         for kind in SHORT_NAMES.values():
             planner.resources[TYPE_URLS[kind], "store"] = "1"
-            client.change(kind, ("store",), ())
+            client.request_delta(kind, ("store",), ())
         client.drain()
         planner.log_event("its route and listener are acknowledged")
         client.answer("listener")
@@ -179,34 +184,34 @@
         client.drain()
         self.compare("xds-removals", planner)
 
-    def test_a_relay_that_comes_back_gets_only_what_it_lacks(self):
-        """Initial versions that are current are not sent."""
+    def test_a_proxy_that_reconnects_is_sent_only_the_versions_that_it_lacks(self):
+        """Resources whose initial versions are current are not sent."""
         planner = XdsPlanner("read", "write", "store")
         client = RecordedStream(planner, delta=True)
-        client.change(
+        client.request_delta(
             "endpoints",
             ("read", "write", "store", "lost"),
-            holding={"read": "1", "write": "of another planner", "lost": "7"},
+            initial_versions={"read": "1", "write": "of another planner", "lost": "7"},
         )
         client.drain()
         other = RecordedStream(planner, delta=True)
         planner.log_event("a wildcard of clusters, on a second stream")
-        other.change("cluster")
+        other.request_delta("cluster")
         other.drain()
         planner.drop("store")
         other.drain()
-        other.change("cluster", (), ("*",))
+        other.request_delta("cluster", (), ("*",))
         other.drain()
         self.compare("xds-back", planner)
 
-    def test_a_proxy_that_asks_for_too_much_is_rejected(self):
-        """Streams and names are bounded; unknown types are not answered."""
+    def test_a_proxy_that_exceeds_its_limits_is_rejected(self):
+        """Streams and names are limited, and requests for unknown types are not answered."""
         planner = XdsPlanner("read")
         client, _ = RecordedStream(planner), RecordedStream(planner)
         with self.assertRaises(LimitExceededError):
             RecordedStream(planner)
         with self.assertRaises(LimitExceededError):
-            client.ask("endpoints", *[f"n{nth}" for nth in range(17)])
+            client.request("endpoints", *[f"n{nth}" for nth in range(17)])
         client.stream.on_full_request("type.googleapis.com/unknown", ["x"] * 1000, "", None)
         client.drain()
 
@@ -225,22 +230,26 @@
             max_size=40,
         ),
     )
-    def test_whatever_is_said_every_relay_ends_on_the_newest_state(self, delta, steps):
-        """Any order of steps ends with each resource acknowledged or rejected."""
+    def test_after_any_requests_and_changes_a_proxy_ends_on_the_newest_state(self, delta, steps):
+        """After any sequence of steps each resource ends up acknowledged or rejected."""
         planner = XdsPlanner("read", "write")
         client = RecordedStream(planner, delta)
         for kind in SHORT_NAMES.values():
-            client.change(kind, ("read", "write")) if delta else client.ask(kind, "read", "write")
+            (
+                client.request_delta(kind, ("read", "write"))
+                if delta
+                else client.request(kind, "read", "write")
+            )
         for step, kind, name, number in steps:
             if step in ("ask", "answer", "reject"):
-                self._say(client, step, kind, number)
+                self._send_request(client, step, kind, number)
             elif step == "drain":
                 client.drain()
             else:
-                self._change(planner, step, kind, name, number)
-            for each in RESOURCE_TYPES:
+                self._change_resource(planner, step, kind, name, number)
+            for type_url in RESOURCE_TYPES:
                 self.assertLessEqual(
-                    len(client.stream.subscriptions[each].unanswered), MAX_UNANSWERED
+                    len(client.stream.subscriptions[type_url].unanswered), MAX_UNANSWERED
                 )
         for _ in range(20):
             client.drain()
@@ -255,8 +264,8 @@
                 f"{SHORT_NAMES[kind]} {name}",
             )
 
-    def _say(self, client, step, kind, number):
-        """Have the client ask without a change, or answer one of the responses it got."""
+    def _send_request(self, client, step, kind, number):
+        """Repeat the client's subscription, or answer one of the responses that it received."""
         type_url = TYPE_URLS[kind]
         if step == "ask" and not client.stream.is_delta:
             client.stream.on_full_request(
@@ -266,8 +275,8 @@
             which = -1 - number % len(client.nonces[type_url])
             client.answer(kind, which, "no" if step == "reject" else None)
 
-    def _change(self, planner, step, kind, name, number):
-        """Change, remove or add a resource, where that may be."""
+    def _change_resource(self, planner, step, kind, name, number):
+        """Change, remove or add a resource, if the step is possible."""
         if step == "set" and (TYPE_URLS[kind], name) in planner.resources:
             planner.set(f"v{number}", kind, name)
         elif step == "drop" and name != "read":
