--- a/tests/frontends/lossy_network.py
+++ b/tests/frontends/lossy_network.py
@@ -1,4 +1,4 @@
-"""A planner and proxies over xDS, without sockets, on a network that loses messages."""
+"""A simulation of a planner and xDS proxies on a network that loses messages, without sockets."""
 
 import xxhash
 from envoy.config.core.v3 import base_pb2
@@ -27,7 +27,10 @@
 
 
 class ScriptedAssigner:
-    """Stands for an assigner: each proxy is on one of two tables, whose weights a schedule sets."""
+    """Stands in for an assigner: binds each proxy to one of two tables per class.
+
+    The weights of the tables are set by the schedule.
+    """
 
     def __init__(self, planner_host, settings, seed):
         self.planner_host = planner_host
@@ -51,9 +54,11 @@
 
 
 class LossyNetwork(SimulatedLoop):
-    """A planner and four proxies; messages are lost, delayed, repeated and reordered.
+    """A planner and four proxies; messages are lost, delayed, duplicated and reordered.
 
-    Either side may restart. `loss_percent` of the messages are lost.
+    Either side may restart. `loss_percent` of the messages are lost. `published` holds the versions
+    of all endpoints that proxies may be sent, and `versions` the content hash of each version that
+    the planner published, by number.
     """
 
     def __init__(self, seed):
@@ -68,10 +73,10 @@
         self.proxies = [SimulatedProxy(self, number) for number in range(4)]
         self.restart_planner()
 
-    # The planner's side.
+    # The planner.
 
     def restart_planner(self):
-        """Start the planner anew on what it stored, under the next epoch."""
+        """Start a new planner with the stored data of the last one, under the next epoch."""
         self.epoch += 1
         self.servers = IdRegistry()
         self.proxy_ids = IdRegistry()
@@ -114,7 +119,10 @@
         self.record_published()
 
     def record_published(self):
-        """Keep what may be served from now on; a version number never has two contents."""
+        """Record the endpoints that may be served from now on, and all published versions.
+
+        Raises AssertionError if a version number was published with two different contents.
+        """
         for table in range(4):
             lines = {
                 server: weight
@@ -122,17 +130,23 @@
             }
             _, data = codec.endpoints(
                 CLASSES[table % 2],
-                [self.endpoint_of(one) + (weight,) for one, weight in scale_weights(lines).items()],
+                [
+                    self.endpoint_of(server) + (weight,)
+                    for server, weight in scale_weights(lines).items()
+                ],
                 [],
                 1.0,
             )
             self.published.add(xxhash.xxh3_64_hexdigest(codec.any_pb2.Any.FromString(data).value))
         for number, version in self.publisher.version_log.versions.items():
             if self.versions.setdefault(number, version.content_hash) != version.content_hash:
-                raise AssertionError(f"{number} is two")
+                raise AssertionError(f"version {number} was published with two contents")
 
     def give_operator_command(self):
-        """Roll back one class or all, again and again, or release, while messages are in flight."""
+        """Release one class or all, or roll them back, once or twice, with messages in flight.
+
+        Raises AssertionError if a rollback is said to change nothing, but publishes a version.
+        """
         numbers = sorted(self.publisher.version_log.versions)
         classes = [[], ["read"], ["write"]][self.random.randbelow(3)]
         if self.random.randbelow(3) == 0:
@@ -145,39 +159,39 @@
                     "nothing changes" in self.commands.roll_back(number, classes, "duty", "")
                     and len(self.publisher.version_log.versions) > before
                 ):
-                    raise AssertionError(f"{number} took effect twice")
+                    raise AssertionError(f"rollback to {number} took effect twice")
         self.planner_host.flush_orders("a turn")
         self.record_published()
 
     def endpoint_of(self, server):
-        """Return the zone, id and address of a server."""
+        """Return the zone, id, address and port of a server."""
         return "hall", f"h{server}", "127.0.0.1", 9000 + server
 
     def put(self, changes):
-        """Store what the publisher stores."""
+        """Store changes of the publisher's data."""
         self.stored.save(changes)
 
     def request_write(self, proxy):
-        """Have a proxy written to."""
+        """Request a write to a proxy, if it is connected."""
         if proxy in self.connected:
             self.connected[proxy].request_write()
 
     def lease_epoch(self, proxy):
-        """Return the epoch of the planner."""
+        """Return the current planner's epoch."""
         return self.epoch
 
     def on_content_rejected(self, proxy_id, name, version):
-        """Fail: nothing that is published may be rejected."""
+        """Fail, as proxies may not reject published content."""
         raise AssertionError(f"{proxy_id} rejected {name}")
 
     def rejected_content(self, proxy_id):
-        """Return nothing."""
+        """Return no rejected versions."""
         return {}
 
-    # The network between.
+    # The network.
 
     def deliver(self, proxy, incarnation, call, *arguments):
-        """Deliver a message: never, twice or late; not once its connection is gone."""
+        """Deliver a message by a call: possibly never, twice or late, and only while connected."""
         if self.random.randbelow(100) < self.loss_percent:
             return
         for _ in range(2 if self.random.randbelow(8) == 0 else 1):
@@ -188,19 +202,22 @@
 
 
 class EnvironmentStandIn:
-    """What a proxy's streams ask of the program around them; nothing is logged."""
+    """Stands in for the environment of a proxy's streams, without a log."""
 
     def __init__(self, network):
         self.on_content_rejected = network.on_content_rejected
         self.rejected_content = network.rejected_content
         self.lease_epoch = network.lease_epoch
 
-    def log_event(self, event, **facts):
-        """Write nothing."""
+    def log_event(self, event, **fields):
+        """Log nothing."""
 
 
 class SimulatedProxy:
-    """A proxy that connects, breaks off and restarts, and proves by what it serves."""
+    """A proxy that connects, disconnects and restarts, and checks the tables that it serves from.
+
+    `incarnation` counts its connections, so that messages and timers of earlier ones are dropped.
+    """
 
     def __init__(self, network, number):
         self.network = network
@@ -210,7 +227,7 @@
         self.tables = Tables(CLASSES, network.now)
 
     def disconnect(self):
-        """End the connection, and connect again after a while."""
+        """End the connection, and reconnect after a random time."""
         if self.stream is not None and self.index in self.network.connected:
             del self.network.connected[self.index]
             self.network.planner_host.on_proxy_left(self.index)
@@ -238,7 +255,7 @@
         self.network.connected[self.index] = self
         self.network.planner_host.on_proxy_joined(self.index, 0, 1.0, False)
         opening = self.session.opening_request(base_pb2.Node(id=self.proxy_id))
-        # The first message opens the connection: without it there is none.
+        # The first request is not subject to loss, since it opens the connection.
         self.stream.on_delta_request(
             opening.type_url,
             opening.resource_names_subscribe,
@@ -248,14 +265,14 @@
             None,
         )
 
-    # What a stream may do with its connection (`streams.StreamConnection`).
+    # The interface for the stream (`streams.StreamConnection`).
 
     def request_write(self):
-        """Write soon."""
+        """Write as soon as other timers of this moment have run."""
         self.network.call_later(0, self.write)
 
     def call_after(self, after, call, *arguments):
-        """Call back, unless the connection has ended by then."""
+        """Call a function later, unless the connection has ended by then."""
         incarnation = self.incarnation
         self.network.call_later(after, lambda: self.incarnation == incarnation and call(*arguments))
 
@@ -264,21 +281,23 @@
         self.disconnect()
 
     def write(self):
-        """Write what is due."""
+        """Send the next response that is due."""
         if self.stream is not None:
             self.xds_proxy.take_updates()
             self.stream.send_next()
 
-    def send(self, kind, version, nonce, resources, removed):
+    def send(self, type_url, version, nonce, resources, removed):
         """Send a response over the network."""
-        data = codec.delta_response(kind, version, nonce, resources, removed).SerializeToString()
-        self.network.deliver(self, self.incarnation, self.read, data)
+        data = codec.delta_response(
+            type_url, version, nonce, resources, removed
+        ).SerializeToString()
+        self.network.deliver(self, self.incarnation, self.receive, data)
         self.request_write()
 
-    # The proxy's own side.
+    # The proxy.
 
-    def read(self, data):
-        """Take a response and answer it."""
+    def receive(self, data):
+        """Apply a response, and answer it over the network."""
         try:
             answer = self.session.on_response(discovery_pb2.DeltaDiscoveryResponse.FromString(data))
         except RequestRejectedError:
@@ -294,30 +313,30 @@
                 error,
             )
 
-    def on_answer(self, kind, nonce, error):
-        """Take the proxy's answer, on the planner's side."""
+    def on_answer(self, type_url, nonce, error):
+        """Handle the proxy's answer on the planner's end of the stream."""
         if self.stream is not None:
-            self.stream.on_delta_request(kind, [], [], {}, nonce, error)
+            self.stream.on_delta_request(type_url, [], [], {}, nonce, error)
 
-    def intended(self):
-        """Return the versions that the proxy should hold."""
+    def intended_versions(self):
+        """Return the versions of endpoints, by class, that the proxy should hold."""
         return {
             name: self.network.cache.resource(codec.ENDPOINTS, name, self.index)[0]
             for name in CLASSES
         }
 
     def serve(self):
-        """Check that each request goes by a table that was published, whole."""
+        """Check that each class is served from a complete table that was published."""
         for name, version in self.tables.versions.items():
             if version not in self.network.published:
                 raise AssertionError(
-                    f"{self.proxy_id} serves {name} from {version}, which never was"
+                    f"{self.proxy_id} serves {name} from {version}, which was never published"
                 )
             self.network.serve_count += 1
 
 
 def play_schedule(seed):
-    """Play 30 random events of a seed and check all; return how many tables were served."""
+    """Play 30 random events from a seed with all checks; return how many tables were served."""
     network = LossyNetwork(seed)
     for _ in range(30):
         _play_event(network)
@@ -325,7 +344,8 @@
             network.run(network.random.randbelow(200) / 1000)
             for proxy in network.proxies:
                 proxy.serve()
-    # Faults end; what was lost last shows with the next change.
+    # From here on nothing is lost. Losses before this point take effect at the latest with the next
+    # change of tables.
     network.loss_percent = 0
     network.run(15)
     _check_known_versions(network, seed)
@@ -345,27 +365,29 @@
     elif event < 8:
         proxy.disconnect()
     elif event == 8:
-        proxy.tables = Tables(CLASSES, network.now)  # a process of its own, that knows nothing
+        proxy.tables = Tables(CLASSES, network.now)  # the proxy restarts without any tables
         proxy.disconnect()
     else:
         network.restart_planner()
 
 
 def _check_known_versions(network, seed):
-    """Check that whom the publisher says to be up to date is so to the letter."""
+    """Check that proxies which the publisher reports as up to date hold the intended versions."""
     statuses = network.publisher.relay_versions.statuses()
     up_to_date = {proxy_id for proxy_id, _, newest, _ in statuses if newest}
     for proxy in network.proxies:
-        holds_all = proxy.tables.versions == proxy.intended()
+        holds_all = proxy.tables.versions == proxy.intended_versions()
         if proxy.proxy_id in up_to_date and not holds_all:
-            raise AssertionError(f"seed {seed}: {proxy.proxy_id} is said to hold what it does not")
+            raise AssertionError(
+                f"seed {seed}: {proxy.proxy_id} is reported as up to date, but is not"
+            )
 
 
 def _check_end(network, seed):
-    """Check that all proxies hold the newest version, and are known to."""
+    """Check that all proxies hold the newest version, and that the publisher reports that."""
     for proxy in network.proxies:
         proxy.serve()
-        intended = proxy.intended()
+        intended = proxy.intended_versions()
         statuses = network.publisher.relay_versions.statuses()
         if (
             proxy.tables.versions != intended
@@ -374,5 +396,5 @@
         ):
             raise AssertionError(
                 f"seed {seed}: {proxy.proxy_id} ends on {proxy.tables.versions}, not {intended};"
-                f" {statuses}"
+                f" statuses: {statuses}"
             )
--- a/tests/frontends/test_lossy_network.py
+++ b/tests/frontends/test_lossy_network.py
@@ -1,4 +1,4 @@
-"""Proxies whose messages are lost, late, twice and out of order."""
+"""Tests of xDS proxies whose messages are lost, delayed, duplicated and reordered."""
 
 import unittest
 import unittest.mock
@@ -9,13 +9,13 @@
 
 
 class PublishedTablesTest(unittest.TestCase):
-    """Which tables a version holds."""
+    """Which tables a published version includes."""
 
-    def test_a_table_is_part_of_the_version_from_when_somebody_is_bound_to_it(self):
-        """A table without a proxy is not published."""
+    def test_a_version_includes_a_table_once_a_proxy_is_bound_to_it(self):
+        """A table to which no proxy is bound is not published."""
         network = LossyNetwork(1)
         for proxy in network.proxies:
-            proxy.incarnation += 1  # none connects by itself
+            proxy.incarnation += 1  # invalidates the timer by which the proxy would connect
         network.planner_host.class_of_table.clear()
         network.publisher.retain_tables_until = 0
         for proxy, tables in ((0, ["0", "1"]), (1, ["0", "1", "2", "3"])):
@@ -26,16 +26,16 @@
 
 
 class LossyNetworkTest(unittest.TestCase):
-    """Whatever is lost, no proxy serves by a table that was not published."""
+    """Whichever messages are lost, no proxy serves from a table that was not published."""
 
-    def test_all_end_on_the_intended_version_and_never_serve_from_another(self):
-        """1,400 schedules."""
+    def test_proxies_serve_from_published_tables_only_and_end_on_the_intended_version(self):
+        """Plays 1,400 random schedules."""
         self.assertGreater(sum(play_schedule(seed) for seed in range(1400)), 200_000)
 
-    def test_what_guards_against_it_is_needed(self):
-        """Without either guard some schedule of 60 fails."""
+    def test_schedules_fail_without_the_handling_of_lost_responses_or_answers(self):
+        """If either kind of handling is switched off, at least one of 60 schedules fails."""
 
-        def caught():
+        def any_schedule_fails():
             try:
                 for seed in range(60):
                     play_schedule(seed)
@@ -43,11 +43,11 @@
                 return True
             return False
 
-        self.assertFalse(caught())
-        with unittest.mock.patch.object(Stream, "_on_skipped", lambda *given: []):
-            self.assertTrue(caught())
-        with unittest.mock.patch.object(Stream, "_on_answer_timeout", lambda *given: None):
-            self.assertTrue(caught())
+        self.assertFalse(any_schedule_fails())
+        with unittest.mock.patch.object(Stream, "_on_skipped", lambda *arguments: []):
+            self.assertTrue(any_schedule_fails())
+        with unittest.mock.patch.object(Stream, "_on_answer_timeout", lambda *arguments: None):
+            self.assertTrue(any_schedule_fails())
 
 
 if __name__ == "__main__":
