--- a/tests/frontends/test_stock_client.py
+++ b/tests/frontends/test_stock_client.py
@@ -1,4 +1,4 @@
-"""Clients that nobody here wrote, as proxies of a planner over xDS."""
+"""Tests of gRPC's own xDS client, unmodified, as a proxy of a planner."""
 
 import asyncio
 import json
@@ -14,18 +14,19 @@
 
 
 class StockClientTest(unittest.IsolatedAsyncioTestCase):
-    """gRPC's own client as a proxy.
+    """The stock gRPC client as a proxy.
 
-    Hosts, planner and health checks share this process with what it can carry on this machine:
-    proxies have few requests in flight, and asyncio's debug mode, which costs as much, is off.
+    The hosts, the planner and its health checks all run in this process, which limits the load that
+    it can carry. So the proxies have few requests in flight, and asyncio's debug mode, which costs
+    as much as the rest, is off.
     """
 
     async def asyncSetUp(self):
         """Turn asyncio's debug mode off."""
         asyncio.get_running_loop().set_debug(False)
 
-    async def test_the_stock_client_follows_the_tables_with_a_bootstrap_alone(self):
-        """Its requests follow the weights, and leave a draining host in time."""
+    async def test_the_stock_client_follows_the_tables_with_only_a_bootstrap_file(self):
+        """Its requests follow the weights, and stop in time at a draining host."""
         hosts = [GrpcHost(now, f"host-{nth}", 5_000) for nth in range(8)]
         for host in hosts:
             await host.open()
@@ -53,45 +54,51 @@
                 for nth in range(2)
             ]
 
-            # Shares count from when both are connected to every host, in both classes; the
-            # planner's health checks are not of them.
-            def brought(host):
+            # Shares are measured once both proxies have sent requests of both classes to every
+            # host. The planner's health checks do not count.
+            def requests(host):
                 return [(relay, kind) for _, relay, kind in host.receipts if relay != "planner"]
 
-            await until(lambda: all(len(set(brought(host))) == 4 for host in hosts), 60)
-            before = [len(brought(host)) for host in hosts]
-            await until(lambda: sum(len(brought(host)) for host in hosts) > sum(before) + 600, 60)
-            counts = [len(brought(host)) - met for host, met in zip(hosts, before, strict=True)]
+            await until(lambda: all(len(set(requests(host))) == 4 for host in hosts), 60)
+            before = [len(requests(host)) for host in hosts]
+            await until(lambda: sum(len(requests(host)) for host in hosts) > sum(before) + 600, 60)
+            counts = [
+                len(requests(host)) - count for host, count in zip(hosts, before, strict=True)
+            ]
             total = sum(counts)
             for nth, count in enumerate(counts):
                 share = (2 + 4 * (nth % 2)) / 32
                 self.assertAlmostEqual(
                     count / total, share, delta=5 * (share * (1 - share) / total) ** 0.5, msg=counts
                 )
-            drained = now()
+            drained_at = now()
             planner.set_host_states(host_1="draining")
-            said = [
+            outcomes = [
                 json.loads(line)
                 for relay in relays
                 for line in (await relay.communicate())[0].splitlines()
             ]
-            self.assertEqual(Counter(line["outcome"] for line in said), {"ok": len(said)})
+            self.assertEqual(Counter(line["outcome"] for line in outcomes), {"ok": len(outcomes)})
             late = [
-                at - drained
+                at - drained_at
                 for at, relay, _ in hosts[1].receipts
-                if relay != "planner" and at > drained
+                if relay != "planner" and at > drained_at
             ]
             self.assertLess(max(late, default=0), planner.service.settings.deployment.drain_grace)
-            # Their load reports reached the assigner: it is told of nothing else here.
+            # The proxies' load reports have reached the assigner, which gets no other figures of
+            # completed requests in this test.
             self.assertGreater(planner.service.frontends[0].reports_counted, 4)
             self.assertTrue(planner.service.planner_host.assigner.admission.fleet.completion_rates)
-            # The last orders were acknowledged.
+            # All but possibly the last orders were acknowledged.
             self.assertLessEqual(
                 len(planner.service.planner_host.assigner.state.channel.pending_acks), 2
             )
 
-    async def test_stock_clients_in_several_processes_on_a_bad_day(self):
-        """A hang, a release and a restart at once lose only what went to the hung host."""
+    async def test_stock_clients_lose_only_requests_to_a_hung_host(self):
+        """A host hangs while most others are replaced and the planner restarts.
+
+        Each of the three clients runs in a process of its own.
+        """
         hosts = [GrpcHost(now, f"host-{nth}", 5_000) for nth in range(15)]
         for host in hosts:
             await host.open()
@@ -133,8 +140,9 @@
                 ),
                 10,
             )
-            # Two thirds are replaced by cold successors at once, and the planner restarts amid it.
-            drained = now()
+            # Two thirds of the hosts are replaced by cold successors at the same time, and the
+            # planner restarts meanwhile.
+            drained_at = now()
             for host in hosts[9:]:
                 planner.hosts[host.name] = {
                     "port": host.port,
@@ -148,24 +156,26 @@
                 PlannerSettings(planner.document, planner.folder.name)
             )
             planner.service.health_checker.timeout = 1_000_000
-            said = [
+            outcomes = [
                 json.loads(line)
                 for relay in relays
                 for line in (await relay.communicate())[0].splitlines()
             ]
             grace = planner.service.settings.deployment.drain_grace
-            lost = [line for line in said if line["outcome"] != "ok"]
-            outcomes = Counter(line["outcome"][:30] for line in said)
+            failed = [line for line in outcomes if line["outcome"] != "ok"]
+            outcome_counts = Counter(line["outcome"][:30] for line in outcomes)
             hung = [at for at, relay, _ in hosts[0].receipts if relay != "planner"]
-            # What failed was sent to the hung host, before it was ejected and before the restarted
-            # planner had found it anew; nothing failed for drains or the restart.
-            self.assertLessEqual(len(lost), len(hung), outcomes)
-            self.assertEqual([at for at in hung if at > said[-1]["at"] - 3_000_000], [], outcomes)
+            # All failed requests were sent to the hung host, before it was ejected or before the
+            # restarted planner had detected it again. None failed because of drains or the restart.
+            self.assertLessEqual(len(failed), len(hung), outcome_counts)
+            self.assertEqual(
+                [at for at in hung if at > outcomes[-1]["at"] - 3_000_000], [], outcome_counts
+            )
             late = [
-                (host.name, at - drained)
+                (host.name, at - drained_at)
                 for host in hosts[3:9]
                 for at, relay, _ in host.receipts
-                if relay != "planner" and at > drained + grace
+                if relay != "planner" and at > drained_at + grace
             ]
             self.assertEqual(late, [])
             self.assertTrue(
