--- a/indigodeck/client/sasp.py
+++ b/indigodeck/client/sasp.py
@@ -111,7 +111,9 @@
         """Handle the reply to a request."""
         request = self.unanswered.pop(message_id, None)
         if request is None:
-            raise MalformedResponseError(f"reply to message {message_id}, which was not sent")
+            raise MalformedResponseError(
+                f"reply to {message_id}, which is not the id of a pending request"
+            )
         if return_code != codec.SUCCESSFUL:
             meaning = codec.RETURN_CODE_MEANINGS.get(return_code, hex(return_code))
             raise RequestRejectedError(f"{request}: {meaning}", return_code)
@@ -193,7 +195,7 @@
         poller = asyncio.get_running_loop().create_task(self._poll(stream, session))
         try:
             while True:
-                # The connection is given up if the planner does not answer in time or stops in the
+                # The client disconnects if the planner does not answer in time, or stops in the
                 # middle of a message.
                 wait = self.response_timeout
                 if not session.unanswered:
--- a/indigodeck/frontends/sasp/registration.py
+++ b/indigodeck/frontends/sasp/registration.py
@@ -37,7 +37,7 @@
         """Return whether a server has answered the planner recently."""
 
     def on_host_quiesced(self, address: Address, quiesced: bool) -> Any:
-        """Handle a server's own statement whether it wants no new requests."""
+        """Handle a server's own statement of whether it wants no new requests."""
 
     def log_event(self, event: str, **fields: Any) -> None:
         """Write an event to the log."""
--- a/indigodeck/frontends/sasp/server.py
+++ b/indigodeck/frontends/sasp/server.py
@@ -159,7 +159,7 @@
         return self.service.health_checker.answered_recently(server)
 
     def on_host_quiesced(self, address: Address, quiesced: bool) -> bool:
-        """Handle a server's own statement whether it wants no new requests."""
+        """Handle a server's own statement of whether it wants no new requests."""
         return self.service.endpoints.on_host_quiesced(address, quiesced)
 
     def log_event(self, event: str, **fields: Any) -> None:
--- a/indigodeck/frontends/xds/server.py
+++ b/indigodeck/frontends/xds/server.py
@@ -21,7 +21,7 @@
 FRONTEND_NAME = "xds"
 MAX_PROXY_ID_CHARACTERS = 255
 MIN_PING_INTERVAL_MS = 300  # clients that ping more often are disconnected
-STOP_GRACE_S = 0.05  # in which streams may end by themselves when another controller takes over
+STOP_GRACE_S = 0.05  # for streams to end by themselves when another controller takes over
 LISTEN_RETRY_S = 0.1
 
 
--- a/tests/frontends/lossy_network.py
+++ b/tests/frontends/lossy_network.py
@@ -145,7 +145,7 @@
     def give_operator_command(self):
         """Release one class or all, or roll them back, once or twice, with messages in flight.
 
-        Raises AssertionError if a rollback is said to change nothing, but publishes a version.
+        Raises AssertionError if a rollback reports that nothing changes, but publishes a version.
         """
         numbers = sorted(self.publisher.version_log.versions)
         classes = [[], ["read"], ["write"]][self.random.randbelow(3)]
--- a/tests/frontends/test_both_frontends.py
+++ b/tests/frontends/test_both_frontends.py
@@ -89,7 +89,7 @@
             await flooder
             written = planner.service.proxies.message_quota("hall-a/flood").written
             self.assertLessEqual(len(written), planner.service.settings.message_limits.max_messages)
-            # A subscription to too many names ends the stream with a status that tells why.
+            # A subscription to too many names ends the stream with a status that states the reason.
             with self.assertRaises(grpc.aio.AioRpcError) as caught:
                 await stream.write(
                     discovery_pb2.DiscoveryRequest(
--- a/tests/frontends/test_sasp_conversation.py
+++ b/tests/frontends/test_sasp_conversation.py
@@ -225,7 +225,7 @@
         self.assertEqual(sorted(connection.conversation.groups), [0])
 
     def test_endpoint_lists_that_are_empty_or_have_none_of_a_proxys_members(self):
-        """Members that the list says nothing about get weights without confidence."""
+        """Members that are not in the list get weights without confidence."""
         planner = SaspPlanner(servers=0)
         connection, untrusting = RecordedConnection(planner), RecordedConnection(planner)
         planner.log_event("no list yet: no opinion")
@@ -248,8 +248,8 @@
 
     def test_a_server_wrongly_listed_as_gone_and_kept_by_the_assigner_keeps_its_weight(self):
         """The endpoint list alone does not remove a server."""
-        # Guards against a frontend that goes by the list itself: in the first bad-day test that
-        # sent weight 0 for half of the servers.
+        # Guards against a frontend that evaluates the list itself. In the first bad-day test such a
+        # frontend sent weight 0 for half of the servers.
         planner = SaspPlanner(removal_is_final=False, health_checks_allowed=True)
         connection = RecordedConnection(planner)
         connection.receive(*opening_messages())
