--- a/indigodeck/planner/planner_host.py
+++ b/indigodeck/planner/planner_host.py
@@ -122,7 +122,7 @@
         if self.updates.on_proxy_left(proxy):
             self.assigner.on_proxy_left(proxy)
             if self.publisher is not None:
-                self.publisher.relay_versions.on_left(proxy)
+                self.publisher.relay_versions.on_proxy_left(proxy)
             self.flush_orders("a relay left")
 
     def on_load_report(self, report: LoadReport) -> None:
@@ -143,7 +143,7 @@
     def on_proxy_request(self, proxy: int) -> None:
         """Record a request of a proxy, which shows that its process runs since its last update."""
         if self.publisher is not None:
-            self.publisher.relay_versions.on_request(proxy)
+            self.publisher.relay_versions.on_proxy_request(proxy)
 
     def on_delivered(self, update: TableUpdate, by_application: bool = True) -> None:
         """Record that an update was delivered to a proxy.
@@ -155,7 +155,7 @@
         for number, requested_at in update.requested_acks:
             self.assigner.on_ack(update.proxy, number, self.environment.now() - requested_at)
         if self.publisher is not None:
-            self.publisher.relay_versions.on_taken(update.proxy, update.version, by_application)
+            self.publisher.relay_versions.on_delivered(update.proxy, update.version, by_application)
         self.flush_orders("an answer")
 
     def flush_orders(self, event: str) -> None:
@@ -199,7 +199,7 @@
         """Remove and return the pending update of a proxy, or None."""
         if not self.updates.has_pending(proxy):
             return None
-        version = self.publisher.newest() if self.publisher is not None else None
+        version = self.publisher.newest_version() if self.publisher is not None else None
         return self.updates.by_proxy[proxy].take(proxy, version)
 
     def table_for(self, proxy: int, class_index: int) -> dict[int, float] | None:
--- a/indigodeck/planner/version_hooks.py
+++ b/indigodeck/planner/version_hooks.py
@@ -32,9 +32,9 @@
     """The other controllers, for `versions.replication.VersionReplicator`."""
 
     def __init__(
-        self, member_thread: Any, publisher: TablePublisher, later: Callable[..., None]
+        self, member_thread: Any, publisher: TablePublisher, call_later: Callable[..., None]
     ) -> None:
-        self.later = later
+        self.call_later = call_later
         self._member_thread = member_thread
         self._publisher = publisher
 
@@ -46,8 +46,8 @@
         """Send a message to one controller; it may be lost."""
         self._member_thread.send(member, kind, **fields)
 
-    def others(self) -> list[str]:
-        """Return the names of the other controllers."""
+    def peer_ids(self) -> list[str]:
+        """Return the other controllers' names."""
         return self._member_thread.peer_ids()
 
     def is_leader(self) -> bool:
@@ -125,7 +125,7 @@
         """Use this epoch to number versions from now on."""
         if self.publisher is None:
             return
-        self.publisher.become_leader(epoch, after_another=True)
+        self.publisher.become_leader(epoch, after_other_leader=True)
         self._service.planner_host.has_changes = True
         if self.replicator is not None:
             self.replicator.request_peer_states()
--- a/tests/edge/test_program.py
+++ b/tests/edge/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it, on loopback, with signals into the middle of things."""
+"""Tests of the program as the platform starts it, on loopback, with signals at critical moments."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 from edge.stand_ins import (
     PLATFORM_SETTINGS,
     PROXY_JOINED,
-    HoldingRelay,
+    DelayingRelay,
     ScriptedDiscovery,
     ScriptedRelay,
     list_answer,
@@ -32,35 +32,37 @@
 
 
 class MembersHandler(RequestHandler):
-    """Discovery with one version of a list."""
+    """A discovery that serves one version of the endpoint list."""
 
     def get(self):
         """Answer a poll."""
-        asked = self.get_argument("after", None)
-        self.application.asked.append(asked)
+        requested_versions = self.get_argument("after", None)
+        self.application.requested_versions.append(requested_versions)
         self.write(
             {
                 "seq": 5,
-                "whole": asked is None,
-                "hosts": [list_entry("s-1"), list_entry("s-2")] if asked is None else [],
+                "whole": requested_versions is None,
+                "hosts": [list_entry("s-1"), list_entry("s-2")]
+                if requested_versions is None
+                else [],
             }
         )
 
 
 class ProgramTest(AsyncTestCase):
-    """Start, reload and end; configurations that can't be used."""
+    """Start, reload and stop; invalid configurations."""
 
     def serve_list(self):
-        """Return a discovery and its port."""
+        """Start a discovery; return it and its port."""
         application = Application([("/catalog/members", MembersHandler)])
-        application.asked = []
+        application.requested_versions = []
         server = HTTPServer(application)
         sockets = bind_sockets(0, "127.0.0.1")
         server.add_sockets(sockets)
         return application, sockets[0].getsockname()[1]
 
     def test_the_service_loads_no_package_of_other_commands(self):
-        """On the platform memory is short."""
+        """Memory on the platform is scarce, so unused packages must not be imported."""
         loaded = "import sys, indigodeck.edge.service; print(sorted(sys.modules))"
         names = subprocess.run(
             [sys.executable, "-c", loaded],
@@ -82,11 +84,11 @@
             self.assertNotIn(f"'{unused}", names)
 
     @gen_test(timeout=60)
-    async def test_it_serves_reloads_on_sighup_and_ends_on_sigterm(self):
-        """Assigns tables, survives a cut configuration, moves to a new one, ends with 0."""
+    async def test_it_serves_reloads_on_sighup_and_stops_on_sigterm(self):
+        """It assigns tables, ignores a truncated file, applies a new one, and exits with 0."""
         lists = [self.serve_list() for _ in range(2)]
         relays = [ScriptedRelay(), ScriptedRelay()]
-        addresses = [relay.listen_somewhere() for relay in relays]
+        addresses = [relay.listen_on_free_port() for relay in relays]
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
@@ -120,15 +122,18 @@
                 stream = await connecting.connect(("127.0.0.1", port), SECOND)
                 await stream.write(b'{"type":"probe"}\n')
                 self.assertEqual(
-                    await connecting.read_line(stream, 5 * SECOND), collector_protocol.ALIVE
+                    await connecting.read_line(stream, 5 * SECOND),
+                    collector_protocol.HEALTH_CHECK_RESPONSE,
                 )
-                await until(lambda: "5" in lists[0][0].asked, 20)
+                await until(lambda: "5" in lists[0][0].requested_versions, 20)
                 path.write_text("{ cut")
                 program.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.3)
                 configure(1)
                 program.send_signal(signal.SIGHUP)
-                await until(lambda: len(relays[1].subscriptions) == 2 and lists[1][0].asked, 20)
+                await until(
+                    lambda: len(relays[1].subscriptions) == 2 and lists[1][0].requested_versions, 20
+                )
                 self.assertIsNone(program.poll())
                 program.send_signal(signal.SIGTERM)
                 await until(lambda: program.poll() is not None, 20)
@@ -139,32 +144,32 @@
                 program.wait()
                 program.stderr.close()
 
-    def test_an_unusable_configuration_ends_it_with_exit_code_2(self):
-        """The message names what is wrong."""
+    def test_an_invalid_configuration_ends_it_with_exit_code_2(self):
+        """The message on stderr names the fault."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "config.json"
             for text, word in (
-                ("{", "no JSON"),
+                ("{", "not valid JSON"),
                 ("{}", "listen"),
                 ('{"listen":"127.0.0.1:1","discovery":"127.0.0.1:x"}', "discovery"),
             ):
                 path.write_text(text)
-                ended = subprocess.run(
+                completed = subprocess.run(
                     [sys.executable, "-m", "indigodeck", "edge"],
                     capture_output=True,
                     text=True,
                     timeout=30,
                     env=dict(os.environ, EDGE_CONFIG=str(path)),
                 )
-                self.assertEqual(ended.returncode, 2)
-                self.assertIn(word, ended.stderr)
+                self.assertEqual(completed.returncode, 2)
+                self.assertIn(word, completed.stderr)
 
 
 class ProgramEndingsTest(AsyncTestCase):
-    """Signals into the middle of things, with the crossing forced (docs/edge.md)."""
+    """Signals that arrive during other events, in a forced order (docs/edge.md)."""
 
     def setUp(self):
-        """Choose a folder and a free port."""
+        """Create a folder, and choose a free port."""
         super().setUp()
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
@@ -173,7 +178,7 @@
         accepting.close()
 
     def configuration(self, discovery, relay, **changes):
-        """Return a configuration as text."""
+        """Return a configuration file's text."""
         return json.dumps(
             dict(
                 {
@@ -191,7 +196,7 @@
         )
 
     def start_program(self):
-        """Start the program with its log in a file."""
+        """Start the program, with its log in a file."""
         self.log_path = pathlib.Path(self.folder.name) / "log"
         with self.log_path.open("wb") as log:
             program = subprocess.Popen(
@@ -204,32 +209,32 @@
         return program
 
     def logged(self):
-        """Return the log so far."""
+        """Return the content of the log."""
         return self.log_path.read_text()
 
     @gen_test(timeout=60)
-    async def test_a_drain_that_waits_behind_a_call_is_sent_before_the_end(self):
-        """SIGTERM waits for the call in flight and what is behind it."""
+    async def test_a_drain_pending_behind_a_call_is_sent_before_the_program_exits(self):
+        """After SIGTERM the program waits for the call in flight and the pending orders."""
         changed = Event()
-        relay = HoldingRelay()
+        relay = DelayingRelay()
         discovery = ScriptedDiscovery(
             list_answer(list_entry("s-1"), list_entry("s-2")),
             changed,
             list_answer(list_entry("s-1", state="DRAINING"), version=2, complete=False),
         )
-        address = relay.listen_somewhere()
+        address = relay.listen_on_free_port()
         self.path.write_text(self.configuration(discovery, address))
         program = self.start_program()
-        await until(lambda: relay.state.assignments and len(discovery.asked) == 2, 20)
+        await until(lambda: relay.state.assignments and len(discovery.requested_versions) == 2, 20)
         relay.release = Event()
         before = len(relay.calls)
-        # A joining, so that a call is in flight.
+        # A join, so that a call is in flight.
         await relay.send_event(relay.subscriptions[0], "hello", dict(PROXY_JOINED, proxy=5))
         relay.state.joined.add(5)
         await until(lambda: len(relay.calls) > before, 20)
         changed.set()
-        # The drain was read; its order waits behind that call.
-        await until(lambda: len(discovery.asked) > 2, 20)
+        # The drain has been received; its order is pending behind that call.
+        await until(lambda: len(discovery.requested_versions) > 2, 20)
         program.send_signal(signal.SIGTERM)
         program.send_signal(signal.SIGTERM)
         await until(lambda: "planner_stopping" in self.logged(), 20)
@@ -239,13 +244,13 @@
         self.assertEqual((program.returncode, relay.state.ejected), (0, {"s-1"}))
 
     @gen_test(timeout=60)
-    async def test_it_ends_in_time_beside_a_relay_that_rejects_calls(self):
-        """It ends with 0, and logs that orders are left."""
+    async def test_it_exits_in_time_although_the_relay_rejects_calls(self):
+        """It exits with 0, and logs that orders were left unsent."""
         relay = ScriptedRelay()
         relay.state.apply = lambda line: pack(
             {"id": json.loads(line)["id"], "error": {"message": "throttled"}}
         )
-        self.path.write_text(self.configuration(ScriptedDiscovery(), relay.listen_somewhere()))
+        self.path.write_text(self.configuration(ScriptedDiscovery(), relay.listen_on_free_port()))
         program = self.start_program()
         await until(lambda: len(relay.calls) > 1, 20)
         program.send_signal(signal.SIGTERM)
@@ -256,15 +261,15 @@
 
     @gen_test(timeout=60)
     async def test_sighup_before_the_first_configuration_is_read_is_not_lost(self):
-        """The new configuration is read once the program runs."""
+        """The new configuration is read after the start."""
         relays = [ScriptedRelay(), ScriptedRelay()]
-        addresses = [relay.listen_somewhere() for relay in relays]
-        os.mkfifo(self.path)  # reading it waits until it is written
+        addresses = [relay.listen_on_free_port() for relay in relays]
+        os.mkfifo(self.path)  # the program blocks on reading it until the test writes to it
 
         def write(number):
             try:
                 file = os.open(self.path, os.O_WRONLY | os.O_NONBLOCK)
-            except OSError:  # nobody reads yet
+            except OSError:  # the program has not opened it yet
                 return False
             if number == 0:
                 program.send_signal(signal.SIGHUP)
@@ -275,7 +280,7 @@
         discovery = ScriptedDiscovery()
         program = self.start_program()
         await until(lambda: write(0), 20)
-        # The first has been read to its end.
+        # The first configuration has been read completely.
         await until(lambda: "planner_listening" in self.logged(), 20)
         await until(lambda: write(1), 20)
         await until(lambda: relays[1].state.assignments, 20)
@@ -283,10 +288,10 @@
 
     @gen_test(timeout=60)
     async def test_a_configuration_of_another_planner_or_with_other_settings_changes_no_table(self):
-        """The first is rejected; of the second only the addresses count."""
+        """The first is rejected; of the second only the addresses are applied."""
         relays = [ScriptedRelay(), ScriptedRelay(), ScriptedRelay()]
         discovery = ScriptedDiscovery(list_answer(list_entry("s-1"), list_entry("s-2")))
-        addresses = [relay.listen_somewhere() for relay in relays]
+        addresses = [relay.listen_on_free_port() for relay in relays]
         self.path.write_text(self.configuration(discovery, addresses[0]))
         program = self.start_program()
         await until(lambda: relays[0].state.assignments, 20)
@@ -296,7 +301,8 @@
         other = dict(
             PLATFORM_SETTINGS,
             classes=[
-                dict(kind, name=f"other {kind['name']}") for kind in PLATFORM_SETTINGS["classes"]
+                dict(class_settings, name=f"other {class_settings['name']}")
+                for class_settings in PLATFORM_SETTINGS["classes"]
             ],
         )
         self.path.write_text(self.configuration(discovery, addresses[2], settings=other))
@@ -306,12 +312,14 @@
         await relays[2].send_event(relays[2].subscriptions[0], "hello", dict(PROXY_JOINED, proxy=6))
         await until(lambda: relays[2].state.assignments, 20)
         self.assertFalse(relays[1].subscriptions)
-        # That address is the same, so its polls go on.
-        self.assertEqual(discovery.asked.count(None), 1)
-        named = {
+        # Discovery's address is unchanged, so its polls were not restarted.
+        self.assertEqual(discovery.requested_versions.count(None), 1)
+        route_names = {
             route
             for call in relays[2].calls
             for order in call["params"]["ops"]
             for route in order.get("routes", ())
         }
-        self.assertLessEqual(named, {kind["name"] for kind in PLATFORM_SETTINGS["classes"]})
+        self.assertLessEqual(
+            route_names, {class_settings["name"] for class_settings in PLATFORM_SETTINGS["classes"]}
+        )
--- a/tests/planner/test_stored_endpoint_list.py
+++ b/tests/planner/test_stored_endpoint_list.py
@@ -27,7 +27,7 @@
                 """Return the index."""
                 return int(name.removeprefix("host-"))
 
-        stored = self.open_store().held["roster"]
+        stored = self.open_store().values["roster"]
         listener = Listener()
         endpoint_list = EndpointList(
             listener, IdRegistry(), ["north", "south"], ["small", "big"], 1_749_999_000_000_000 - 7
