--- a/indigodeck/edge/relay_client.py
+++ b/indigodeck/edge/relay_client.py
@@ -1,4 +1,4 @@
-"""The connections to the relay: one for calls, two for events, so that one of these may break.
+"""The connections to the relay: one for calls, and two for events in case one of them breaks.
 
 Times are whole microseconds.
 """
@@ -23,16 +23,16 @@
 from .relay_protocol import Event, EventKind, read_event, subscribe_call
 
 CONNECT_TIMEOUT = SECOND // 2
-# The relay answers within 50 ms or never; the rest is for this planner's own stalls.
+# The relay answers within 50 ms or never; the rest allows for stalls of this planner.
 RESPONSE_TIMEOUT = SECOND // 5
-# The relay closes idle connections, and what is sent into that moment is lost.
+# The relay closes idle connections; a call sent at that moment is lost.
 MAX_IDLE_TIME = SECOND
-MAX_SILENCE = 3 * SECOND  # heartbeats come every second
+EVENT_TIMEOUT = 3 * SECOND  # heartbeats arrive every second
 SUBSCRIPTION_COUNT = 2
 
 
 class CallSender:
-    """Sends what waits in the outbox, one call at a time; `address` may change at any time."""
+    """Sends the orders in the outbox, one call at a time; `address` may change at any time."""
 
     def __init__(
         self, outbox: Outbox, now: Callable[[], int], log: EventLog, random: SeededRandom
@@ -49,13 +49,13 @@
         self.last_used = 0
 
     def notify_orders_pending(self) -> None:
-        """Wake the sender: the outbox has orders."""
+        """Wake the sending loop: the outbox has orders."""
         self.idle.clear()
         self._orders_pending.set()
 
     async def run(self) -> None:
-        """Send calls for good."""
-        self._outbox.on_call_lost()  # after a restart of this loop a call's fate may be unknown
+        """Send calls forever."""
+        self._outbox.on_call_lost()  # if this loop was restarted, a call may still be in flight
         while True:
             delay = self._outbox.time_until_call()
             if delay is None:
@@ -75,7 +75,7 @@
             await self.backoff.wait()
             return
         try:
-            # Made now, with what stands by now: much may have been ordered during the connecting.
+            # Composed only now, so that it includes orders that were added while connecting.
             await with_deadline(RESPONSE_TIMEOUT, stream.write(self._outbox.next_call()))
             self._outbox.on_response(await read_line(stream, RESPONSE_TIMEOUT))
             self.backoff.reset()
@@ -84,7 +84,7 @@
             self._outbox.on_call_lost()
             stream.close()
             self._log("call_response_lost", address=self._connected_address, error=repr(error))
-            # What can't pass now would be written again as fast as this program can.
+            # Without this delay, a call that keeps failing would be sent again in a busy loop.
             await self.backoff.wait()
 
     async def _connected_stream(self) -> IOStream:
@@ -103,10 +103,10 @@
 
 
 class Subscription:
-    """One connection for events at one address, connected again until it is retired.
+    """A connection for events at one address, which reconnects until it is retired.
 
     `on_heartbeat` is called after each heartbeat. A retired subscription ends when the relay
-    closes it; one that is ended closes at once.
+    closes it; `shut_down` closes it at once.
     """
 
     def __init__(
@@ -127,18 +127,20 @@
         self._log = log
         self._backoff = Backoff(random)
         self._stream: IOStream | None = None
-        self._ended = False
+        self._is_shut_down = False
         self.retired = False
 
     async def run(self) -> None:
-        """Follow the relay's events until retired."""
+        """Handle the relay's events; reconnect until retired."""
         while not self.retired:
             try:
                 self._stream = await connect(self._address, CONNECT_TIMEOUT)
-                if self._ended:  # while it was connecting: there was no stream to close then
+                if (
+                    self._is_shut_down
+                ):  # by `shut_down` during the connect, when there was no stream to close
                     return
                 await with_deadline(CONNECT_TIMEOUT, self._stream.write(subscribe_call()))
-                await self._follow(self._stream)
+                await self._read_events(self._stream)
             except (*CONNECTION_ERRORS, MalformedMessageError) as error:
                 self._log("subscription_lost", address=self._address, error=repr(error))
             finally:
@@ -147,28 +149,28 @@
             if not self.retired:
                 await self._backoff.wait()
 
-    def end(self) -> None:
-        """Close the connection: its successors report all that it would."""
+    def shut_down(self) -> None:
+        """Retire and close the connection: newer subscriptions report the same events."""
         self.retired = True
-        self._ended = True
+        self._is_shut_down = True
         self._close()
 
     def _close(self) -> None:
         if self._stream is not None:
             self._stream.close()
 
-    async def _follow(self, stream: IOStream) -> None:
+    async def _read_events(self, stream: IOStream) -> None:
         connected = False
         while True:
-            event = read_event(await read_line(stream, MAX_SILENCE))
+            event = read_event(await read_line(stream, EVENT_TIMEOUT))
             if not connected:
                 connected = True
                 self._membership.on_connected(self)
                 self._backoff.reset()
             if event is not None:
-                self._take_event(event)
+                self._handle_event(event)
 
-    def _take_event(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         fields = event.fields
         try:
             match event.method:
@@ -187,7 +189,7 @@
 
 
 class RelayClient:
-    """All connections to the relay, and their moves to another address."""
+    """All connections to the relay, whose address may change."""
 
     def __init__(
         self,
@@ -204,23 +206,24 @@
         self._log = log
         self._random = random
         self.membership = membership
-        self.calls = CallSender(outbox, now, log, random)
+        self.call_sender = CallSender(outbox, now, log, random)
         self.subscriptions: list[Subscription] = []
         self.former_subscriptions: list[Subscription] = []
 
     def start(self, address: Address) -> None:
-        """Begin to send calls and to follow events at `address`."""
-        IOLoop.current().add_callback(keep_running, self.calls.run, self._log)
-        self.move(address)
+        """Start to send calls and to receive events at `address`."""
+        IOLoop.current().add_callback(keep_running, self.call_sender.run, self._log)
+        self.set_address(address)
 
-    def move(self, address: Address) -> None:
-        """Go on at another address.
+    def set_address(self, address: Address) -> None:
+        """Use another address for the next calls and for new subscriptions.
 
-        The old one closes by itself; until then its subscriptions bridge the beginning of the new.
+        Subscriptions at the former address stay open until the relay closes them or a new one is
+        complete, so that no event is missed in between.
         """
-        if address == self.calls.address:
+        if address == self.call_sender.address:
             return
-        self.calls.address = address
+        self.call_sender.address = address
         for subscription in self.subscriptions:
             subscription.retired = True
         self.former_subscriptions += self.subscriptions
@@ -229,8 +232,8 @@
             IOLoop.current().add_callback(keep_running, subscription.run, self._log)
 
     def notify_orders_pending(self) -> None:
-        """Send what waits in the outbox."""
-        self.calls.notify_orders_pending()
+        """Start to send the orders in the outbox."""
+        self.call_sender.notify_orders_pending()
 
     def _subscription(self, address: Address) -> Subscription:
         return Subscription(
@@ -238,18 +241,18 @@
             self.membership,
             self._host,
             self._codec,
-            self._end_former_subscriptions,
+            self._shut_down_former_subscriptions,
             self._log,
             self._random,
         )
 
-    def _end_former_subscriptions(self) -> None:
-        """End what bridged a move, once a new subscription is complete.
+    def _shut_down_former_subscriptions(self) -> None:
+        """Shut down the subscriptions at former addresses once a new one is complete.
 
-        One that the relay leaves open, as after a move to and fro, would stay for good, and the
-        relay holds so many of a planner's, no more.
+        The relay may leave a former one open, for example if the address changes and then changes
+        back. It would stay open forever, and the relay limits the subscriptions of a planner.
         """
         if any(self.membership.is_complete(subscription) for subscription in self.subscriptions):
             for subscription in self.former_subscriptions:
-                subscription.end()
+                subscription.shut_down()
             self.former_subscriptions = []
--- a/tests/store/test_stored_segments.py
+++ b/tests/store/test_stored_segments.py
@@ -29,7 +29,7 @@
             (store.events, store.store.log.damage, store.store.log.data_lost), ([], [], False)
         )
         self.assertEqual(
-            sorted(store.held),
+            sorted(store.values),
             sorted(
                 [
                     *NON_VERSION_KEYS,
@@ -37,10 +37,10 @@
                 ]
             ),
         )
-        self.assertEqual(store.held, STORE_CONTENT["records"])
-        self.assertEqual(store.held["starts"], 4)
+        self.assertEqual(store.values, STORE_CONTENT["records"])
+        self.assertEqual(store.values["starts"], 4)
         self.assertEqual(
-            store.held["relays"], {"relay-0": [33, 2], "relay-1": [33, 2], "relay-2": [33, 2]}
+            store.values["relays"], {"relay-0": [33, 2], "relay-1": [33, 2], "relay-2": [33, 2]}
         )
 
     def test_a_damaged_base_is_recovered_from_the_previous_base_and_segments(self):
@@ -51,20 +51,20 @@
         base.write_bytes(data)
         store = self.open_store()
         self.assertEqual([event for event, _ in store.events], ["store_tail_truncated"])
-        self.assertEqual(store.held, STORE_CONTENT["records"])
+        self.assertEqual(store.values, STORE_CONTENT["records"])
 
     def test_without_its_last_segment_the_store_holds_the_values_at_compaction(self):
         """Removing the last segment loses only the changes after the last compaction."""
         (self.folder / "00000005.log").unlink()
-        held = self.open_store().held
-        self.assertEqual(held["starts"], 3)
-        self.assertEqual(held["charge"], {"serial": 11, "wards": {"fleet": [17, "c1"]}})
-        self.assertEqual(held["second key to drop"], {"dropped": True})
+        values = self.open_store().values
+        self.assertEqual(values["starts"], 3)
+        self.assertEqual(values["charge"], {"serial": 11, "wards": {"fleet": [17, "c1"]}})
+        self.assertEqual(values["second key to drop"], {"dropped": True})
         self.assertEqual(
-            max(key for key in held if key.startswith("version/")),
+            max(key for key in values if key.startswith("version/")),
             "version/000000000017.000000000002",
         )
-        self.assertNotIn("key to drop", held)
+        self.assertNotIn("key to drop", values)
 
     def test_the_stored_folder_can_be_written_to_and_compacted(self):
         """Nothing else is lost by a change, a compaction and a restart."""
@@ -74,7 +74,7 @@
         store.reopen()
         expected = {**STORE_CONTENT["records"], "starts": 5}
         del expected["relays"]
-        self.assertEqual((store.events, store.held), ([], expected))
+        self.assertEqual((store.events, store.values), ([], expected))
 
 
 if __name__ == "__main__":
