--- a/indigodeck/frontends/sasp/codec/__init__.py
+++ b/indigodeck/frontends/sasp/codec/__init__.py
@@ -1,8 +1,8 @@
-"""The bytes of the Server/Application State Protocol, version 1 (RFC 4678).
+"""The message codec of the Server/Application State Protocol, version 1 (RFC 4678).
 
-`dispatch` reads one whole message and calls the method of a handler that is named for it; the
-functions of `encoding` write messages. Numbers are big-endian. docs/sasp.md names the section for
-each layout, and the readings that were chosen where the text was not at hand.
+`dispatch` decodes one complete message and calls the handler method for its type; the functions of
+`encoding` encode messages. Numbers are big-endian. docs/sasp.md gives the section of the RFC for
+each layout, and the interpretations that were chosen where the text was not available.
 """
 
 from .constants import (
@@ -13,10 +13,9 @@
     BY_BALANCER,
     COMPONENT_HEADER,
     CONFIDENT,
-    CONTACT,
+    CONTACT_SUCCESS,
     DEREGISTER,
     DEREGISTERED,
-    DONE,
     DUPLICATE_GROUP,
     DUPLICATE_MEMBER,
     FROM_BALANCER,
@@ -29,9 +28,8 @@
     HEADER,
     HEADER_TYPE,
     INVALID_GROUP,
-    LONGEST_COMPONENT,
-    LONGEST_TEXT,
-    MEANINGS,
+    MAX_COMPONENT_BYTES,
+    MAX_TEXT_BYTES,
     MEMBER,
     MEMBER_STATE,
     MEMBERS_SET,
@@ -44,9 +42,11 @@
     QUIESCED,
     REGISTER,
     REGISTERED,
+    RETURN_CODE_MEANINGS,
     SEND_WEIGHTS,
     SET_BALANCER,
     SET_MEMBERS,
+    SUCCESSFUL,
     TRUST,
     UNKNOWN_BALANCER,
     UNKNOWN_GROUP,
@@ -56,7 +56,7 @@
 )
 from .decoding import (
     dispatch,
-    introduces,
+    is_set_balancer,
     message_id_of,
     read_header,
 )
@@ -80,7 +80,7 @@
     MalformedSaspMessageError,
     Member,
     MemberGroup,
-    StatedMember,
+    MemberState,
     StateGroup,
     WeightGroup,
 )
@@ -95,10 +95,9 @@
     "Bounds",
     "COMPONENT_HEADER",
     "CONFIDENT",
-    "CONTACT",
+    "CONTACT_SUCCESS",
     "DEREGISTER",
     "DEREGISTERED",
-    "DONE",
     "DUPLICATE_GROUP",
     "DUPLICATE_MEMBER",
     "Entry",
@@ -113,15 +112,15 @@
     "HEADER",
     "HEADER_TYPE",
     "INVALID_GROUP",
-    "LONGEST_COMPONENT",
-    "LONGEST_TEXT",
-    "MEANINGS",
+    "MAX_COMPONENT_BYTES",
+    "MAX_TEXT_BYTES",
     "MEMBER",
     "MEMBERS_SET",
     "MEMBER_STATE",
     "MalformedSaspMessageError",
     "Member",
     "MemberGroup",
+    "MemberState",
     "NOT_ACCEPTED",
     "NOT_REGISTERED",
     "NOT_UNDERSTOOD",
@@ -131,11 +130,12 @@
     "QUIESCED",
     "REGISTER",
     "REGISTERED",
+    "RETURN_CODE_MEANINGS",
     "SEND_WEIGHTS",
     "SET_BALANCER",
     "SET_MEMBERS",
+    "SUCCESSFUL",
     "StateGroup",
-    "StatedMember",
     "TRUST",
     "UNKNOWN_BALANCER",
     "UNKNOWN_GROUP",
@@ -148,7 +148,7 @@
     "dispatch",
     "entry_bytes",
     "get_weights",
-    "introduces",
+    "is_set_balancer",
     "message",
     "message_id_of",
     "read_header",
