--- a/benchmarks/amid.py
+++ b/benchmarks/amid.py
@@ -18,7 +18,7 @@
 from indigodeck.testbed.controller_fleet import ControllerFleet
 from indigodeck.testbed.fleet_scenario import FleetScenarioRunner
 from indigodeck.testbed.recording_proxy import StreamEventType
-from indigodeck.testbed.scenario_result import printed
+from indigodeck.testbed.scenario_result import format_result
 
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 HOSTS = 48
@@ -51,7 +51,7 @@
     script = scenario_script(relays, protocol, with_leader_changes)
     with tempfile.TemporaryDirectory() as folder:
         runner = FleetScenarioRunner(script, folder)
-        result = await runner.play()
+        result = await runner.run()
         evidence = runner.evidence
         assert evidence is not None
         events = evidence.stream_events
@@ -116,7 +116,7 @@
     results = {}
     for name, with_leader_changes in (("taken_over", True), ("left_alone", False)):
         results[name] = await play(relays, protocol, with_leader_changes)
-        print(name, printed(results[name]), json.dumps(results[name]["laid"]), flush=True)
+        print(name, format_result(results[name]), json.dumps(results[name]["laid"]), flush=True)
     kept = {
         "what": "a takeover amid a release and back",
         "relays": relays,
--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -69,7 +69,7 @@
         runners = [
             ScenarioRunner(script, pathlib.Path(folder) / policy, policy) for policy in POLICIES
         ]
-        results = await asyncio.gather(*(runner.play() for runner in runners))
+        results = await asyncio.gather(*(runner.run() for runner in runners))
     counter = ChangeCounter()
     proxy = runners[0].proxy
     for event in proxy.events:
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -14,7 +14,7 @@
 from common import example, machine, write_result
 
 from indigodeck.testbed.scenario import ScenarioRunner
-from indigodeck.testbed.scenario_result import printed
+from indigodeck.testbed.scenario_result import format_result
 
 FAULTS = (
     {"at": 4, "kind": "shrink", "part": 0.12, "size": 1.0, "seconds": 2},
@@ -50,11 +50,11 @@
             name: ScenarioRunner(scenario_script(with_list_down), folder / name)
             for name, with_list_down in (("down", True), ("up", False))
         }
-        played = await asyncio.gather(*(runner.play() for runner in runners.values()))
+        played = await asyncio.gather(*(runner.run() for runner in runners.values()))
         events = cached_list_events(folder / "down" / "planner.log")
     results = dict(zip(runners, played, strict=True))
     for name, result in results.items():
-        print(name, printed(result))
+        print(name, format_result(result))
     print("\n".join(map(str, events)))
     kept = {
         "what": "a start without the list",
--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -44,7 +44,7 @@
             relays = dict(script["relays"], rate=load.rate, wire=protocol)
             path = pathlib.Path(folder) / protocol
             runners.append(ScenarioRunner(dict(script, relays=relays), path))
-        results = await asyncio.gather(*(runner.play() for runner in runners))
+        results = await asyncio.gather(*(runner.run() for runner in runners))
     return [
         {
             "day": load.name,
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -72,7 +72,7 @@
         runner = ScenarioRunner(scenario_script(relays, rate, seconds), folder)
         sampling = sample_planner(runner, relays, samples)
         task = asyncio.get_running_loop().create_task(sampling)
-        result = await runner.play()
+        result = await runner.run()
         task.cancel()
     samples = samples[:-LAST_SAMPLES_IGNORED]
     cores = [
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -14,7 +14,7 @@
 
 from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.testbed.fleet_scenario import FleetScenarioRunner
-from indigodeck.testbed.scenario_result import printed
+from indigodeck.testbed.scenario_result import format_result
 
 FIRST_FAULT_S = 5.0
 QUIET_END_S = 10
@@ -57,10 +57,10 @@
     script["charter"]["channel"].update(messages_most=60, answers_most=30)
     with tempfile.TemporaryDirectory() as folder:
         runner = FleetScenarioRunner(script, folder)
-        result = await runner.play()
+        result = await runner.run()
         acquisitions = runner.lease_acquisitions()
     stops = sum(fault["kind"] == "stall" for fault in faults)
-    print(printed(result))
+    print(format_result(result))
     print(f"  {len(acquisitions)} leases acquired, {stops} stops")
     kept = {
         "what": "random stops of controllers, audited from sockets",
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -16,7 +16,7 @@
 from common import argument, example, machine, quantiles, wait_until, write_result
 
 from indigodeck.clock import SECOND, now
-from indigodeck.testbed.controller_fleet import FIRST_HOST_PORT, ControllerFleet, Relay
+from indigodeck.testbed.controller_fleet import FIRST_HOST_PORT, ConnectedRelay, ControllerFleet
 
 PROTOCOLS = ("sasp", "xds")
 TIMEOUT_S = 40
@@ -26,7 +26,7 @@
     """A relay and its protocol."""
 
     protocol: str
-    relay: Relay
+    relay: ConnectedRelay
 
     def has_tables_without(self, port: int) -> bool:
         """Return whether its table for `reading` names hosts, and not this one."""
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -19,8 +19,8 @@
 from indigodeck.testbed.controller_fleet import (
     FIRST_HOST_PORT,
     HOST_COUNT,
+    ConnectedRelay,
     ControllerFleet,
-    Relay,
 )
 
 TIMEOUT_S = 30
@@ -35,7 +35,7 @@
         self.empty_tables: list[str] = []  # the class of each table that was empty at some time
         self._fleet = fleet
         self._earlier = earlier
-        self._relays: list[Relay] = []
+        self._relays: list[ConnectedRelay] = []
         self._ready_hosts = set(range(HOST_COUNT))
 
     async def start(self) -> None:
@@ -95,7 +95,7 @@
             for lines in relay.tables.lines.values()
         )
 
-    def _watch(self, relay: Relay) -> Callable[[str], None]:
+    def _watch(self, relay: ConnectedRelay) -> Callable[[str], None]:
         def on_change(class_name: str) -> None:
             if not relay.tables.lines[class_name]:
                 self.empty_tables.append(class_name)
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -27,7 +27,7 @@
 from indigodeck.testbed.discovery_server import EndpointListFile
 from indigodeck.testbed.ports import ReservedPorts
 from indigodeck.testbed.scenario import ScenarioRunner
-from indigodeck.testbed.scenario_result import printed
+from indigodeck.testbed.scenario_result import format_result
 from indigodeck.versions.codec import decode_delta, encode_snapshot
 from indigodeck.versions.snapshots import line_count
 from indigodeck.versions.version_log import VersionLog
@@ -251,10 +251,10 @@
     script = example("bad-day.json")
     script["charter"]["store"] = {"folder": "store"}
     with tempfile.TemporaryDirectory() as folder:
-        result = await ScenarioRunner(script, folder).play()
+        result = await ScenarioRunner(script, folder).run()
         stored = StoredVersions(pathlib.Path(folder) / "store")
         log = VersionLog(stored, [key for key in stored.records if key.startswith("version/")])
-    print(printed(result))
+    print(format_result(result))
     kept_bytes = 0
     snapshot_bytes = 0
     kept_lines = 0
--- a/indigodeck/cli/scenario.py
+++ b/indigodeck/cli/scenario.py
@@ -41,11 +41,11 @@
 ) -> None:
     """Play a scripted day on loopback and judge it by its sockets."""
     from ..testbed import scenario, scenario_script
-    from ..testbed.scenario_result import printed
+    from ..testbed.scenario_result import format_result
 
     script = read_document(path)
     if bench_faults_path:
-        script["troubles"], without_counterpart = scenario_script.from_bench(
+        script["troubles"], without_counterpart = scenario_script.convert_bench_faults(
             read_document(bench_faults_path)
         )
         if without_counterpart:
@@ -62,6 +62,6 @@
     if output_format == "json":
         click.echo(json.dumps(results))
     else:
-        click.echo("\n".join(printed(result) for result in results))
+        click.echo("\n".join(format_result(result) for result in results))
     if not all(rule["kept"] for rule in results[0]["rules"]):
         sys.exit(ExitCode.FOUND)
--- a/indigodeck/cli/testbed.py
+++ b/indigodeck/cli/testbed.py
@@ -35,7 +35,7 @@
 
     with open(receipts_path, "w", buffering=1) as receipts:
         pool = HostPool(now, receipts, json.loads(work_times))
-        asyncio.run(_obey(pool.command))
+        asyncio.run(_obey(pool.execute))
 
 
 @standin.command()
@@ -45,7 +45,7 @@
     from ..testbed.relay_pool import RelayPool
 
     with open(outcomes_path, "w", buffering=1) as outcomes:
-        asyncio.run(_obey(RelayPool(now, outcomes).command))
+        asyncio.run(_obey(RelayPool(now, outcomes).execute))
 
 
 @standin.command(
@@ -74,12 +74,14 @@
     concurrency: int,
 ) -> None:
     """Run the stock gRPC client as a relay."""
-    from ..testbed.stock_client import drive
+    from ..testbed.stock_client import send_requests
 
     def write(outcome: dict[str, Any]) -> None:
         click.echo(json.dumps(outcome))
 
-    asyncio.run(drive(planner, uid, zone, class_names, rate, seconds, concurrency, write, now))
+    asyncio.run(
+        send_requests(planner, uid, zone, class_names, rate, seconds, concurrency, write, now)
+    )
 
 
 @standin.command(
--- a/indigodeck/testbed/controller_fleet.py
+++ b/indigodeck/testbed/controller_fleet.py
@@ -16,7 +16,7 @@
 from .faulty_link import FaultyLink
 from .ports import ReservedPorts
 
-PROJECT = pathlib.Path(__file__).parent.parent.parent
+PROJECT_FOLDER = pathlib.Path(__file__).parent.parent.parent
 FIRST_HOST_PORT = 9000  # of hosts that need not exist
 HOST_COUNT = 8
 CLASS_NAMES = ("reading", "setpoint")
@@ -40,7 +40,7 @@
     timestamp: str  # ISO 8601, wall clock
 
 
-class Relay(NamedTuple):
+class ConnectedRelay(NamedTuple):
     """A relay that runs in this process."""
 
     tables: Tables
@@ -159,7 +159,7 @@
             ]
         )
 
-    async def start(self, name: str, program: pathlib.Path = PROJECT) -> None:
+    async def start(self, name: str, program: pathlib.Path = PROJECT_FOLDER) -> None:
         """Start one controller; `program` is the folder of another version of the program."""
         self._logs[name] = open(self._log_path(name), "ab")  # noqa: SIM115 - closed by kill, stop
         self.processes[name] = await asyncio.create_subprocess_exec(
@@ -197,7 +197,9 @@
         await self.processes[name].wait()
         self._logs[name].close()
 
-    async def command(self, command: str, *arguments: str, of: str = "c0") -> tuple[int, str]:
+    async def command(
+        self, command: str, *arguments: str, controller: str = "c0"
+    ) -> tuple[int, str]:
         """Run an operator's command with one controller's settings file; return code and output."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -205,11 +207,11 @@
             "indigodeck",
             command,
             "--charter",
-            str(self._settings_path(of)),
+            str(self._settings_path(controller)),
             *arguments,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
-            cwd=PROJECT,
+            cwd=PROJECT_FOLDER,
         )
         output, _ = await process.communicate()
         assert process.returncode is not None
@@ -217,7 +219,7 @@
 
     def connect_relay(
         self, protocol: str, uid: str, planners: Iterable[Address] | None = None
-    ) -> Relay:
+    ) -> ConnectedRelay:
         """Start a relay in this process that knows all controllers, or those given."""
         known = planners or [
             ("127.0.0.1", ports[protocol]) for ports in self.frontend_ports.values()
@@ -227,7 +229,7 @@
         client = client_type(uid, known, tables, response_timeout=CLIENT_TIMEOUT_S)
         client.backoff.first_delay = FIRST_BACKOFF_US
         client.backoff.max_delay = LONGEST_BACKOFF_US
-        return Relay(tables, client, asyncio.get_running_loop().create_task(client.run()))
+        return ConnectedRelay(tables, client, asyncio.get_running_loop().create_task(client.run()))
 
     async def stop(self) -> None:
         """End all controllers and close what they used."""
--- a/indigodeck/testbed/fleet_scenario.py
+++ b/indigodeck/testbed/fleet_scenario.py
@@ -112,10 +112,10 @@
                 return
         raise PlannerNotStartedError("no controller became the leader")
 
-    async def play(self) -> Result:
+    async def run(self) -> Result:
         """Play the whole script; return how it went."""
         try:
-            return await super().play()
+            return await super().run()
         finally:
             self._reserved_ports.close()
 
--- a/indigodeck/testbed/host_pool.py
+++ b/indigodeck/testbed/host_pool.py
@@ -201,7 +201,7 @@
         """Stop one host."""
         await self.hosts.pop(name).stop()
 
-    async def command(self, line: dict[str, Any]) -> dict[str, Any]:
+    async def execute(self, line: dict[str, Any]) -> dict[str, Any]:
         """Execute one command: {"do": "start" | "stop" | "hurt", "host": .., ..}."""
         name = line["host"]
         match line["do"]:
--- a/indigodeck/testbed/relay_pool.py
+++ b/indigodeck/testbed/relay_pool.py
@@ -16,7 +16,7 @@
         self._relays: dict[str, Relay] = {}
         self._servers_lost: list[tuple[int, int]] = []  # (time, port)
 
-    async def command(self, line: dict[str, Any]) -> dict[str, Any]:
+    async def execute(self, line: dict[str, Any]) -> dict[str, Any]:
         """Execute one command: {"do": "start" | "drop" | "tables" | "changes" | "leave", ..}."""
         match line["do"]:
             case "start":
--- a/indigodeck/testbed/scenario.py
+++ b/indigodeck/testbed/scenario.py
@@ -135,7 +135,7 @@
         """Have a relay lose its stream."""
         await self.relay_process_of[uid].execute(do="drop", uid=uid)
 
-    async def play(self) -> Result:
+    async def run(self) -> Result:
         """Play the whole script; return how it went."""
         fault_tasks: list[asyncio.Task[None]] = []
         errors: list[Exception] = []
@@ -314,4 +314,4 @@
             )
             for policy in policies
         ]
-        return await asyncio.gather(*(runner.play() for runner in runners))
+        return await asyncio.gather(*(runner.run() for runner in runners))
--- a/indigodeck/testbed/scenario_result.py
+++ b/indigodeck/testbed/scenario_result.py
@@ -70,7 +70,7 @@
     return results
 
 
-def printed(result: Result) -> str:
+def format_result(result: Result) -> str:
     """Return a result as text for people."""
     service = result["service"]
     lines = [f"{result['policy']}: {result['seconds']:g} s, {service['asked']} exchanges"]
--- a/indigodeck/testbed/scenario_script.py
+++ b/indigodeck/testbed/scenario_script.py
@@ -60,7 +60,9 @@
         )
 
 
-def from_bench(bench_faults: list[dict[str, Any]]) -> tuple[list[dict[str, Any]], list[str]]:
+def convert_bench_faults(
+    bench_faults: list[dict[str, Any]],
+) -> tuple[list[dict[str, Any]], list[str]]:
     """Return a bench day's faults as entries of a script, and the types without counterpart.
 
     A bench day states kind, at, len, part and size; times in seconds.
--- a/indigodeck/testbed/scripted_conversation.py
+++ b/indigodeck/testbed/scripted_conversation.py
@@ -100,7 +100,7 @@
         self._printed: dict[str, list[str]] = {}
         self._service: Any = None
 
-    async def play(self) -> dict[str, list[str]]:
+    async def run(self) -> dict[str, list[str]]:
         """Play all steps; return the lines printed for each protocol."""
         self._write_list()
         self._start_planner()
--- a/indigodeck/testbed/stock_client.py
+++ b/indigodeck/testbed/stock_client.py
@@ -30,7 +30,7 @@
     )
 
 
-async def drive(
+async def send_requests(
     planner: str,
     uid: str,
     zone: str,
--- a/tests/assignment/test_admission.py
+++ b/tests/assignment/test_admission.py
@@ -17,10 +17,10 @@
         host = RecordingHost()
         host.start(fleet())
         host.run(6, lambda host: host.report())
-        host.printed.clear()
+        host.recorded.clear()
         host.run(4, lambda host: host.report(lambda index: 900_000, lambda index: 6, 30, (80, 40)))
         host.run(20, lambda host: host.report(tries=14))
-        self.compare("flood", host)
+        self.assert_matches_trace("flood", host)
 
     def test_planner_without_proxies_cuts_no_level(self):
         """Load from other planners' proxies does not cut the levels of proxies that join later."""
@@ -40,7 +40,7 @@
         host = RecordingHost()
         host.start(fleet())
         host.run(8, lambda host: host.report(failed=lambda index: 40, tries=40))
-        levels = [line for line in host.printed if "level" in line and "level 1.00" not in line]
+        levels = [line for line in host.recorded if "level" in line and "level 1.00" not in line]
         self.assertTrue(levels)
 
     def test_admitted_share_rises_by_half_at_most_in_a_step(self):
@@ -54,7 +54,7 @@
         host.run(16, lambda host: host.report(tries=6, demand=(12, 8)))
         shares = [
             float(line.split("admitted_share=")[1].split()[0])
-            for line in host.printed
+            for line in host.recorded
             if "admission_changed" in line
         ]
         self.assertLess(shares[0], 0.6)
@@ -74,7 +74,7 @@
             # from the first cut on the reports are far worse.
             cuts[:] = [
                 float(line.split()[0])
-                for line in host.printed
+                for line in host.recorded
                 if "admission_changed zone=None" in line
             ]
             latency = 200_000
@@ -97,7 +97,7 @@
         host.run(
             12, lambda host: host.report(failed=lambda index: 6 if host.clock > 6 * SECOND else 0)
         )
-        self.assertFalse([line for line in host.printed if "admission_changed" in line])
+        self.assertFalse([line for line in host.recorded if "admission_changed" in line])
 
     def test_long_requests_are_not_taken_for_overload(self):
         """Latencies that have always been high do not cut admission."""
@@ -105,7 +105,7 @@
         host.start(fleet())
         host.run(3, lambda host: host.report(lambda index: 380_000))
         host.run(8, lambda host: host.report(lambda index: 455_000))
-        self.assertFalse([line for line in host.printed if "admitted_share=0" in line])
+        self.assertFalse([line for line in host.recorded if "admitted_share=0" in line])
 
     def test_rising_latencies_are_extrapolated(self):
         """A rise of latencies cuts admission one period ahead."""
@@ -113,7 +113,7 @@
         host.start(fleet())
         for latency in (200_000, 330_000, 460_000):
             host.run(2, lambda host, latency=latency: host.report(lambda index: latency))
-        self.assertTrue([line for line in host.printed if "admitted_share=0" in line])
+        self.assertTrue([line for line in host.recorded if "admitted_share=0" in line])
 
 
 class ZoneAdmissionTest(TraceTestCase):
@@ -123,15 +123,15 @@
         """Only the levels of the overloaded zone are cut."""
         host = zone_bound_host()
         host.run(6, lambda host: host.report())
-        host.printed.clear()
+        host.recorded.clear()
         host.run(
             5,
             lambda host: host.report(
                 lambda index: 900_000 if index % 2 else 200_000, lambda index: 8 if index % 2 else 0
             ),
         )
-        host.printed = [line for line in host.printed if "level" in line]
-        self.compare("one-zone", host)
+        host.recorded = [line for line in host.recorded if "level" in line]
+        self.assert_matches_trace("one-zone", host)
 
     def test_reports_of_few_servers_do_not_cut_a_zone(self):
         """At least half of a zone's servers must have reports."""
@@ -155,4 +155,4 @@
                 host.assigner.state.health[index].reports.clear()
 
         host.run(12, reports)
-        self.assertFalse([line for line in host.printed if "admission_changed zone=1" in line])
+        self.assertFalse([line for line in host.recorded if "admission_changed zone=1" in line])
--- a/tests/assignment/test_channel_account.py
+++ b/tests/assignment/test_channel_account.py
@@ -57,7 +57,7 @@
         host.run(4)
         before = host.assigner.state.feedback_delay()
         host.ack_delay = None
-        host.change(server(3, ServerState.DRAINING))
+        host.update_servers(server(3, ServerState.DRAINING))
         host.run(4)
         self.assertGreater(host.assigner.state.feedback_delay(), before + 2 * SECOND)
 
@@ -70,12 +70,12 @@
         host = RecordingHost(deployment_settings(lines_per_second=60, max_waiting_lines=400))
         host.start(fleet())
         host.run(8)
-        host.change(server(0, ServerState.DRAINING))
+        host.update_servers(server(0, ServerState.DRAINING))
         host.assigner.on_ack(0, host.assigner.state.channel.last_ack_number, delay)
-        host.printed.clear()
-        host.change(*[server(index, started=host.clock) for index in range(12, 24)])
+        host.recorded.clear()
+        host.update_servers(*[server(index, started=host.clock) for index in range(12, 24)])
         host.run(2)
-        return len([line for line in host.printed if "table" in line])
+        return len([line for line in host.recorded if "table" in line])
 
     def test_slower_channel_gets_fewer_lines(self):
         """Deferrable lines are limited by the measured throughput."""
--- a/tests/assignment/test_delivery.py
+++ b/tests/assignment/test_delivery.py
@@ -16,11 +16,11 @@
         """Even rapid changes stay below the allowed number of messages."""
         host = RecordingHost(deployment_settings(max_messages=8))
         host.start(fleet())
-        host.printed.clear()
+        host.recorded.clear()
         for step in range(24):
-            host.change(server(step // 2, "ready" if step % 2 else ServerState.DRAINING))
+            host.update_servers(server(step // 2, "ready" if step % 2 else ServerState.DRAINING))
             host.run(0.4)
-        moments = {line[:9] for line in host.printed if "table" in line or " eject server" in line}
+        moments = {line[:9] for line in host.recorded if "table" in line or " eject server" in line}
         self.assertLessEqual(len(moments) + 1, 8)
 
     def test_joins_among_cold_servers_leave_messages_for_the_next_drains(self):
@@ -39,14 +39,14 @@
         highest_count = max(
             len(proxy.message_times) for proxy in host.assigner.state.proxies.values()
         )
-        host.printed = [f"messages to one proxy while 40 joined: {highest_count}"]
+        host.recorded = [f"messages to one proxy while 40 joined: {highest_count}"]
         for index in (4, 7, 9):
-            host.change(server(index, ServerState.DRAINING))
+            host.update_servers(server(index, ServerState.DRAINING))
             host.run(0.4)
-        host.printed = [
-            line for line in host.printed if " eject server" in line or "messages" in line
+        host.recorded = [
+            line for line in host.recorded if " eject server" in line or "messages" in line
         ]
-        self.compare("drains-after-joins", host)
+        self.assert_matches_trace("drains-after-joins", host)
         self.assertEqual(host.assigner.state.ejected, {4, 7, 9})
 
     def test_proxy_at_its_limit_holds_back_its_own_ejections_alone(self):
@@ -60,7 +60,7 @@
             *(table.published_weights for table in host.assigner.state.tables if 0 in table.proxies)
         )
         others = sorted(set(range(30)) - held)
-        host.change(
+        host.update_servers(
             server(others[0], ServerState.DRAINING), server(min(held), ServerState.DRAINING)
         )
         self.assertEqual(host.assigner.state.ejected, {others[0]})
@@ -76,7 +76,7 @@
         host = large_deployment()
         self.assertLess(host.assigner.state.channel.lines_waiting, 6800 / 2)
         host.run(6)
-        assignments = [line.split() for line in host.printed if "assign proxy" in line]
+        assignments = [line.split() for line in host.recorded if "assign proxy" in line]
         self.assertEqual(len(assignments), 2 * 270)
         self.assertLess(len({words[6] for words in assignments}), 270 / 4)
 
@@ -88,10 +88,10 @@
         """After a while no state is kept about it."""
         host = RecordingHost()
         host.start(fleet())
-        host.change(server(3, ServerState.GONE))
+        host.update_servers(server(3, ServerState.GONE))
         host.run(15)
         self.assertIn(3, host.assigner.state.ejected)
         host.run(15)
         self.assertNotIn(3, host.assigner.state.ejected)
         self.assertNotIn(3, host.assigner.state.health)
-        self.assertTrue(any("forget server 3" in line for line in host.printed))
+        self.assertTrue(any("forget server 3" in line for line in host.recorded))
--- a/tests/assignment/test_endpoints.py
+++ b/tests/assignment/test_endpoints.py
@@ -15,11 +15,11 @@
         host = RecordingHost()
         host.start(fleet())
         host.run(1)
-        host.printed.clear()
-        host.change(server(3, ServerState.DRAINING))
+        host.recorded.clear()
+        host.update_servers(server(3, ServerState.DRAINING))
         host.assigner.on_endpoint_update(UpdateKind.INCREMENTAL, [server(5, ServerState.GONE)])
-        host.change(server(5, started=SECOND))
-        self.compare("drain", host)
+        host.update_servers(server(5, started=SECOND))
+        self.assert_matches_trace("drain", host)
 
     def test_servers_wrongly_listed_as_gone_stay_while_they_answer(self):
         """Where removal is not final, health checks decide whether a server is removed."""
@@ -28,25 +28,25 @@
         )
         host.start(fleet())
         host.run(1)
-        host.printed.clear()
-        host.change(
+        host.recorded.clear()
+        host.update_servers(
             server(3, ServerState.GONE),
             server(4, ServerState.GONE),
             server(5, ServerState.DRAINING),
         )
-        host.change(server(5, ServerState.GONE))
+        host.update_servers(server(5, ServerState.GONE))
         host.run(0.3)
         host.assigner.on_health_check(3, "ok", 0, None)
         host.assigner.on_health_check(4, "unreachable", 0, None)
         host.run(1.5)
-        self.compare("wrong-list", host)
+        self.assert_matches_trace("wrong-list", host)
 
     def test_servers_listed_as_gone_stay_without_health_checks_while_they_complete(self):
         """Where health checks are not allowed, completed requests decide."""
         host = RecordingHost(deployment_settings(removal_is_final=False))
         host.start(fleet())
         host.run(3, lambda host: host.report())
-        host.change(server(3, ServerState.GONE), server(4, ServerState.GONE))
+        host.update_servers(server(3, ServerState.GONE), server(4, ServerState.GONE))
         host.run(5, lambda host: host.report(failed=lambda index: 20 if index == 4 else 0))
         self.assertTrue(host.tables[0][3])
         self.assertFalse(host.tables[0][4])
@@ -62,5 +62,5 @@
         for _ in range(4):
             host.assigner.on_endpoint_list_failed()
             host.run(9)
-        host.printed = [line for line in host.printed if "watch" in line]
-        self.compare("list-requests", host)
+        host.recorded = [line for line in host.recorded if "watch" in line]
+        self.assert_matches_trace("list-requests", host)
--- a/tests/assignment/test_key_ranges.py
+++ b/tests/assignment/test_key_ranges.py
@@ -27,7 +27,7 @@
             ],
         )
         self.assertFalse(host.tables)
-        host.change(server(1, ServerState.GONE))
+        host.update_servers(server(1, ServerState.GONE))
         self.assertEqual(len(host.tables[2]), 2)
 
     def test_single_owner_hands_over_after_a_delay(self):
@@ -36,7 +36,7 @@
         host.assigner.on_endpoint_update(UpdateKind.INCREMENTAL, fleet(4))
         host.assigner.on_key_range_assigned(2, True)
         host.assigner.on_key_range_server(2, 1, 1.0)
-        host.change(server(1, ServerState.DRAINING))
+        host.update_servers(server(1, ServerState.DRAINING))
         self.assertFalse(host.tables)
         host.run(2)
         self.assertEqual(len(host.tables[2]), 1)
--- a/tests/assignment/test_outlier_detection.py
+++ b/tests/assignment/test_outlier_detection.py
@@ -14,13 +14,13 @@
         host = RecordingHost()
         host.start(fleet())
         host.run(warm, lambda host: host.report())
-        host.printed.clear()
+        host.recorded.clear()
         host.run(seconds, lambda host: host.report(**report))
         return host
 
     def test_failing_server_is_ejected_and_tried_again(self):
         """It returns with slow start, and is ejected at once when it fails again."""
-        self.compare(
+        self.assert_matches_trace(
             "failing", self.run_with_reports(14, failed=lambda index: 15 if index == 4 else 0)
         )
 
@@ -29,7 +29,7 @@
         host = RecordingHost()
         host.start(fleet())
         host.run(8, lambda host: host.report(demand=(45, 5)))
-        host.printed.clear()
+        host.recorded.clear()
         slow = min(host.tables[2].keys() & host.tables[0].keys())
         host.run(
             6,
@@ -37,12 +37,12 @@
                 lambda index: 900_000 if index == slow else 200_000, demand=(45, 5)
             ),
         )
-        self.compare("slow", host)
+        self.assert_matches_trace("slow", host)
 
     def test_common_cause_ejects_no_server(self):
         """If most servers fail, no server is ejected: moving work would spread the failure."""
         host = self.run_with_reports(5, failed=lambda index: 15 if index % 3 else 0)
-        self.assertFalse([line for line in host.printed if "server_ejected" in line])
+        self.assertFalse([line for line in host.recorded if "server_ejected" in line])
 
     def test_zone_keeps_ejected_servers_when_too_few_are_left(self):
         """A zone-bound table keeps ejected servers when too few others are left."""
@@ -51,7 +51,7 @@
         host.run(
             3, lambda host: host.report(failed=lambda index: 20 if index % 2 and index > 1 else 0)
         )
-        self.assertTrue([line for line in host.printed if "server_ejected" in line])
+        self.assertTrue([line for line in host.recorded if "server_ejected" in line])
         self.assertEqual(sum(1 for weight in host.tables[5].values() if weight), 6)
         self.assertLess(sum(1 for weight in host.tables[0].values() if weight), 12)
 
@@ -64,12 +64,14 @@
         host = RecordingHost()
         host.clock = 200 * SECOND
         host.start(fleet())
-        host.printed.clear()
+        host.recorded.clear()
         for _ in range(2):
             host.run(5)
-            host.change(server(3, started=host.clock))
+            host.update_servers(server(3, started=host.clock))
         host.run(25)
-        host.printed = [
-            line for line in host.printed if "server_ejected" in line or "table 0: server 3" in line
+        host.recorded = [
+            line
+            for line in host.recorded
+            if "server_ejected" in line or "table 0: server 3" in line
         ]
-        self.compare("restarts", host)
+        self.assert_matches_trace("restarts", host)
--- a/tests/assignment/test_shards.py
+++ b/tests/assignment/test_shards.py
@@ -18,8 +18,8 @@
         host = RecordingHost()
         host.start(fleet())
         host.run(8, lambda host: host.report(demand=(40, 10)))
-        host.printed = [line for line in host.printed if "log" not in line]
-        self.compare("shards", host)
+        host.recorded = [line for line in host.recorded if "log" not in line]
+        self.assert_matches_trace("shards", host)
         self.assertEqual(set().union(*host.tables.values()), set(range(12)))
 
     def test_many_classes_leave_no_server_out(self):
@@ -36,7 +36,7 @@
         other = RecordingHost(seed=2)
         for host in (one, other):
             host.start(fleet())
-        self.assertEqual(one.printed, other.printed)
+        self.assertEqual(one.recorded, other.recorded)
 
     def test_full_fleet_serves_every_class_on_every_server(self):
         """While all servers are busy, classes are not kept on separate servers."""
--- a/tests/assignment/test_weights.py
+++ b/tests/assignment/test_weights.py
@@ -15,10 +15,10 @@
         host = RecordingHost()
         host.start(fleet())
         host.run(2)
-        host.printed.clear()
-        host.change(server(12, started=2 * SECOND))
+        host.recorded.clear()
+        host.update_servers(server(12, started=2 * SECOND))
         host.run(20)
-        self.compare("slow-start", host)
+        self.assert_matches_trace("slow-start", host)
 
 
 class ColdServerTest(TraceTestCase):
@@ -29,10 +29,10 @@
         host = RecordingHost()
         host.start(fleet())
         host.run(5, lambda host: host.report())
-        host.printed.clear()
-        host.change(*[server(index, started=host.clock) for index in range(12)])
+        host.recorded.clear()
+        host.update_servers(*[server(index, started=host.clock) for index in range(12)])
         host.run(3)
-        self.compare("all-cold", host)
+        self.assert_matches_trace("all-cold", host)
 
     def test_restarted_planner_limits_the_load_of_cold_servers(self):
         """Before any report, cold servers are planned for half of the declared rates."""
@@ -45,26 +45,28 @@
         for proxy in range(4):
             host.assigner.on_proxy_joined(proxy, 0, 80.0, False)
         host.run(3)
-        self.compare("starting-over", host)
+        self.assert_matches_trace("starting-over", host)
 
     def test_cold_zone_is_planned_for_the_peak_of_its_zone_bound_class(self):
         """Levels depend on the peak of the latest demand reports."""
         host = zone_bound_host()
         host.run(6, lambda host: host.report(demand=(30, 30 if host.clock // SECOND % 3 else 150)))
-        host.printed.clear()
-        host.change(*[server(index, zone=1, started=host.clock) for index in range(1, 12, 2)])
-        host.printed = [line for line in host.printed if "level" in line]
-        self.compare("cold-zone", host)
+        host.recorded.clear()
+        host.update_servers(
+            *[server(index, zone=1, started=host.clock) for index in range(1, 12, 2)]
+        )
+        host.recorded = [line for line in host.recorded if "level" in line]
+        self.assert_matches_trace("cold-zone", host)
 
     def test_cold_server_waits_beside_few_warm_ones(self):
         """It gets no load for half of its warm-up time."""
         host = RecordingHost()
         host.start(fleet(4))
         host.run(4)
-        host.printed.clear()
-        host.change(server(3, started=host.clock))
+        host.recorded.clear()
+        host.update_servers(server(3, started=host.clock))
         host.run(12)
-        self.compare("few-warm", host)
+        self.assert_matches_trace("few-warm", host)
 
     def test_cold_server_waits_while_less_than_all_is_admitted(self):
         """It gets no load while admission is cut."""
@@ -72,7 +74,7 @@
         host.start(fleet())
         host.run(6, lambda host: host.report())
         host.run(4, lambda host: host.report(lambda index: 900_000, lambda index: 15))
-        host.change(server(12, started=host.clock))
+        host.update_servers(server(12, started=host.clock))
         host.run(3, lambda host: host.report(lambda index: 900_000, lambda index: 15))
         self.assertFalse(any(lines.get(12) for lines in host.tables.values()))
         host.run(8, lambda host: host.report())
@@ -86,6 +88,6 @@
             host = RecordingHost(deployment_settings(proxy_failure_limit=failure_limit))
             host.start(fleet())
             host.run(6, lambda host: host.report(failed=lambda index: 4 if index % 2 else 2))
-            host.change(server(12, started=host.clock))
+            host.update_servers(server(12, started=host.clock))
             host.run(3, lambda host: host.report(failed=lambda index: 4 if index % 2 else 2))
             self.assertEqual(any(lines.get(12) for lines in host.tables.values()), gets_weight)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -8,7 +8,7 @@
 import tempfile
 import unittest
 
-from support import EXAMPLE, ROOT
+from support import EXAMPLE_SCRIPT, ROOT
 
 
 class Commands(unittest.TestCase):
@@ -36,7 +36,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "day.json"
             path.write_text(
-                json.dumps(dict(EXAMPLE, troubles=[{"at": 1, "kind": "flood"}], colour=1))
+                json.dumps(dict(EXAMPLE_SCRIPT, troubles=[{"at": 1, "kind": "flood"}], colour=1))
             )
             done = self.run_command("check", str(path))
             self.assertEqual(done.returncode, 1)
--- a/tests/client/test_scripted_conversation.py
+++ b/tests/client/test_scripted_conversation.py
@@ -20,7 +20,7 @@
         structlog.configure(processors=[lambda *_: (_ for _ in ()).throw(structlog.DropEvent)])
         script = json.loads((ROOT / "examples/conversation.json").read_text())
         with tempfile.TemporaryDirectory() as folder:
-            traces = await ScriptedConversation(script, folder).play()
+            traces = await ScriptedConversation(script, folder).run()
         path = ROOT / "tests/traces/conversation.txt"
         if os.environ.get("INDIGODECK_WRITE_TRACES"):
             path.write_text("\n".join(traces["sasp"]) + "\n")
--- a/tests/edge/test_assigner_host.py
+++ b/tests/edge/test_assigner_host.py
@@ -100,7 +100,7 @@
 
         self.host.assigner.on_load_report = fail
         self.host.on_outcome_report(OutcomeReport(0, "s-1", 3, 0, 1000, SECOND, None))
-        self.assertIn("message_lost", "".join(self.environment.printed))
+        self.assertIn("message_lost", "".join(self.environment.recorded))
         self.join(3)
         self.assertTrue(self.orders())
 
--- a/tests/frontends/test_sasp_conversation.py
+++ b/tests/frontends/test_sasp_conversation.py
@@ -161,7 +161,7 @@
         connection.push()
         planner.log_event("the relay asks")
         connection.ask(codec.get_weights(7, [(b"r1", b"write")]))
-        self.compare("sasp-relay", planner)
+        self.assert_matches_trace("sasp-relay", planner)
 
     def test_return_codes(self):
         """Each rejection has its code."""
@@ -205,7 +205,7 @@
             codec.get_weights(17, []),
         )
         connection.ask(codec.answer(18, codec.REGISTERED, 0))
-        self.compare("sasp-codes", planner)
+        self.assert_matches_trace("sasp-codes", planner)
 
     def test_a_rejected_request_leaves_nothing_behind(self):
         """The groups before the wrong one are not registered either."""
@@ -237,7 +237,7 @@
         planner.run(12)
         connection.push()
         strict.push()
-        self.compare("sasp-empty", planner)
+        self.assert_matches_trace("sasp-empty", planner)
 
     def test_a_server_wrongly_listed_as_gone_and_kept_by_the_assigner_keeps_its_weight(self):
         """The list alone takes nobody out."""
@@ -271,7 +271,7 @@
         late.ask(*hello())
         planner.run(0.1)
         self.assertTrue(late.push())
-        self.compare("sasp-quarrel", planner)
+        self.assert_matches_trace("sasp-quarrel", planner)
 
     def test_a_group_deregistered_while_its_weights_wait(self):
         """Nothing is told of it."""
@@ -283,7 +283,7 @@
         connection.push()
         planner.change(server(1, ServerState.DRAINING))
         connection.push()
-        self.assertFalse([line for line in planner.printed if " read:" in line])
+        self.assertFalse([line for line in planner.recorded if " read:" in line])
 
     def test_a_relay_that_reads_nothing_gets_one_message_with_the_newest_state(self):
         """What waits does not pile up."""
@@ -343,7 +343,7 @@
         for confident in (False, True):
             held.update("read", [(("127.0.0.1", PORT + 2), 0, confident, True)])
             self.assertEqual(list(held.lines["read"]), [("127.0.0.1", PORT)])
-        self.compare("sasp-old-tables", planner)
+        self.assert_matches_trace("sasp-old-tables", planner)
 
     @settings(max_examples=150, deadline=None)
     @given(
@@ -384,9 +384,11 @@
                 "malformed": [codec.register(5, True, [(read, [member(1)] * 65)])],
                 "state": [codec.set_members(6, True, [(read, [(member(nth), 1, nth % 2 == 0)])])],
             }.get(step, [])
-            before = sum("answer" in line for line in planner.printed)
+            before = sum("answer" in line for line in planner.recorded)
             connection.ask(*asked)
-            self.assertEqual(sum("answer" in line for line in planner.printed) - before, len(asked))
+            self.assertEqual(
+                sum("answer" in line for line in planner.recorded) - before, len(asked)
+            )
             if step == "agent":
                 agent.ask(codec.register(7, False, [(read, [member(nth)])]))
             elif step in ("drain", "ready"):
--- a/tests/frontends/test_sasp_sockets.py
+++ b/tests/frontends/test_sasp_sockets.py
@@ -5,7 +5,7 @@
 import time
 import unittest
 
-from support import Planner, peer, ports, until
+from support import Planner, host_numbers, raw_connection, until
 
 from indigodeck.client import Tables
 from indigodeck.client.sasp import table_entry
@@ -26,7 +26,7 @@
         """Wrong lengths inside a whole message are answered instead."""
         async with Planner(message_ms=200, message_bytes=4096) as planner:
             tables, client, task = planner.client()
-            await until(lambda: ports(tables) == set(range(6)))
+            await until(lambda: host_numbers(tables) == set(range(6)))
             malformed = {
                 "half a message": HELLO[:20],
                 "a huge length": codec.HEADER.pack(0x2010, 13, 1, 1 << 30, 1),
@@ -36,7 +36,7 @@
             }
             for nth, (what, data) in enumerate(malformed.items()):
                 with self.subTest(what):
-                    async with peer(planner.port) as (reader, writer):
+                    async with raw_connection(planner.port) as (reader, writer):
                         writer.write(data)
                         self.assertEqual(await asyncio.wait_for(reader.read(), 5), b"")
                         await until(
@@ -46,7 +46,7 @@
                         )
             # Wrong lengths within a whole message are answered with the protocol's code, and the
             # peer goes on.
-            async with peer(planner.port) as (reader, writer):
+            async with raw_connection(planner.port) as (reader, writer):
                 wrong = bytearray(codec.register(9, True, [((b"raw", b"reading"), [])]))
                 wrong[25] = 200
                 writer.write(bytes(wrong) + HELLO)
@@ -56,13 +56,13 @@
                 )
                 self.assertEqual((code, fine[-1]), (codec.NOT_UNDERSTOOD, codec.DONE))
             planner.set_host_states(host_2="draining")
-            await until(lambda: ports(tables) == {0, 1, 3, 4, 5})
+            await until(lambda: host_numbers(tables) == {0, 1, 3, 4, 5})
             client.stop()
             await task
 
     async def test_one_byte_at_a_time_is_slow_and_fine(self):
         """A message may arrive in pieces."""
-        async with Planner() as planner, peer(planner.port) as (reader, writer):
+        async with Planner() as planner, raw_connection(planner.port) as (reader, writer):
             for byte in HELLO:
                 writer.write(bytes([byte]))
                 await writer.drain()
@@ -82,7 +82,7 @@
         }
         async with Planner(channel=channel) as planner:
             tables, client, task = planner.client()
-            async with peer(planner.port) as (reader, writer):
+            async with raw_connection(planner.port) as (reader, writer):
                 ask = codec.get_weights(3, [(b"raw", b"reading")])
                 writer.write(HELLO + ask * 20)
                 times = []
@@ -92,7 +92,7 @@
                     times.append(now())
                     if len(times) == 6:
                         planner.set_host_states(host_1="draining")
-                        await until(lambda: ports(tables) == {0, 2, 3, 4, 5})
+                        await until(lambda: host_numbers(tables) == {0, 2, 3, 4, 5})
                 # No more than eight within the span, whatever is asked: the ninth comes after it.
                 self.assertGreaterEqual(
                     min(b - a for a, b in zip(times, times[8:], strict=False)), 450_000
@@ -108,10 +108,10 @@
             stalled.connect(("127.0.0.1", planner.port))
             stalled.sendall(HELLO)
             tables, client, task = planner.client()
-            await until(lambda: len(ports(tables)) >= 4)
+            await until(lambda: len(host_numbers(tables)) >= 4)
             for nth in range(30):
                 planner.set_host_states(**{f"host_{nth}": "draining"})
-                await until(lambda drained=set(range(nth + 1)): not ports(tables) & drained)
+                await until(lambda drained=set(range(nth + 1)): not host_numbers(tables) & drained)
             limit = planner.service.planner_host.settings.channel.max_waiting_lines
             self.assertLess(planner.service.planner_host.updates.peak_waiting_lines, limit)
             held, data = Tables(["reading"], now), b""
@@ -140,12 +140,12 @@
         """A planner that stood still stays within the message limit."""
         async with Planner(channel={"messages_most": 30, "answers_most": 10}) as planner:
             tables, client, task = planner.client()
-            await until(lambda: ports(tables) == set(range(6)))
+            await until(lambda: host_numbers(tables) == set(range(6)))
             wrote = planner.service.proxies.message_quota(b"hall-a/r1").written
             before = len(wrote)
             time.sleep(2)  # the whole loop stands still
             planner.set_host_states(host_0="draining")
-            await until(lambda: ports(tables) == set(range(1, 6)))
+            await until(lambda: host_numbers(tables) == set(range(1, 6)))
             self.assertLessEqual(len(wrote) - before, 4)
             client.stop()
             await task
--- a/tests/frontends/test_xds_streams.py
+++ b/tests/frontends/test_xds_streams.py
@@ -154,7 +154,7 @@
         client.drain()
         client.ask("endpoints", "read", "write", nonce=client.nonces[ENDPOINTS][-1])
         client.drain()
-        self.compare("xds-whole", planner)
+        self.assert_matches_trace("xds-whole", planner)
 
     def test_removals_come_after_what_leads_to_them(self):
         """Clusters and endpoints go when no route or listener may use them."""
@@ -177,7 +177,7 @@
         client.answer("listener")
         client.answer("route")
         client.drain()
-        self.compare("xds-removals", planner)
+        self.assert_matches_trace("xds-removals", planner)
 
     def test_a_relay_that_comes_back_gets_only_what_it_lacks(self):
         """Initial versions that are current are not sent."""
@@ -197,7 +197,7 @@
         other.drain()
         other.change("cluster", (), ("*",))
         other.drain()
-        self.compare("xds-back", planner)
+        self.assert_matches_trace("xds-back", planner)
 
     def test_a_proxy_that_asks_for_too_much_is_rejected(self):
         """Streams and names are bounded; unknown types are not answered."""
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -74,21 +74,21 @@
 class RecordingHost:
     """An `AssignerHost` with simulated time that records the orders of one assigner.
 
-    Every order is a line of `printed`, with the time before it; `tables` holds the weights by
+    Every order is a line of `recorded`, with the time before it; `tables` holds the weights by
     table and server.
     """
 
     def __init__(self, settings=None, seed=7):
         self.clock = 0
         self.timers = []
-        self.printed = []
+        self.recorded = []
         self.tables = {}
         self.ack_delay = SECOND // 5  # from a request to its acknowledgement; None: there is none
         self.assigner = Assigner(self, settings or deployment_settings(), seed)
 
-    def note(self, text):
+    def record(self, text):
         """Record a line."""
-        self.printed.append(f"{self.clock / SECOND:7.2f}  {text}")
+        self.recorded.append(f"{self.clock / SECOND:7.2f}  {text}")
 
     def now(self):
         """Return the simulated time."""
@@ -101,31 +101,31 @@
     def set_weight(self, table, server_index, weight):
         """Record one line of a table."""
         self.tables.setdefault(table, {})[server_index] = weight
-        self.note(f"table {table}: server {server_index} {weight:g}")
+        self.record(f"table {table}: server {server_index} {weight:g}")
 
     def clear_table(self, table):
         """Record that a table is cleared."""
-        self.note(f"clear table {table}")
+        self.record(f"clear table {table}")
 
     def assign_table(self, proxy, table, classes):
         """Record that a proxy is put on a table."""
-        self.note(f"assign proxy {proxy} to table {table} for {list(classes)}")
+        self.record(f"assign proxy {proxy} to table {table} for {list(classes)}")
 
     def eject_server(self, server_index):
         """Record an ejection."""
-        self.note(f"eject server {server_index}")
+        self.record(f"eject server {server_index}")
 
     def uneject_server(self, server_index):
         """Record the end of an ejection."""
-        self.note(f"uneject server {server_index}")
+        self.record(f"uneject server {server_index}")
 
     def forget_server(self, server_index):
         """Record that a server is forgotten."""
-        self.note(f"forget server {server_index}")
+        self.record(f"forget server {server_index}")
 
     def set_admission(self, table, classes, level, retry_policy):
         """Record an admission level."""
-        self.note(f"table {table}: level {level:.2f} of {list(classes)}, retry {retry_policy}")
+        self.record(f"table {table}: level {level:.2f} of {list(classes)}, retry {retry_policy}")
 
     def request_ack(self, number, all_proxies):
         """Keep the time at which the acknowledgement comes."""
@@ -134,23 +134,23 @@
 
     def check_health(self, server_index):
         """Record a health check."""
-        self.note(f"check server {server_index}")
+        self.record(f"check server {server_index}")
 
     def send_to_peer(self, peer, data):
         """Record a message to another planner."""
-        self.note(f"send to peer {peer}")
+        self.record(f"send to peer {peer}")
 
     def watch_endpoints(self, enabled):
         """Record a subscription to the endpoint list."""
-        self.note(f"watch {enabled}")
+        self.record(f"watch {enabled}")
 
     def fetch_endpoints(self):
         """Record a request for the endpoint list."""
-        self.note("fetch")
+        self.record("fetch")
 
     def log(self, text):
         """Record a line of the assigner's log."""
-        self.note(f"log: {text}")
+        self.record(f"log: {text}")
 
     def start(self, servers, proxies=2, rate=50.0, zones=1):
         """Tell the assigner of the first endpoint list, and let proxies join."""
@@ -159,7 +159,7 @@
             self.assigner.on_proxy_joined(proxy, proxy % zones, rate, True)
         self.run(1 / SECOND)
 
-    def change(self, *servers):
+    def update_servers(self, *servers):
         """Tell the assigner of changes to the endpoint list."""
         self.assigner.on_endpoint_update(UpdateKind.INCREMENTAL, list(servers))
 
@@ -203,10 +203,10 @@
 class TraceTestCase(unittest.TestCase):
     """A test that compares what was recorded with a trace that people have read."""
 
-    def compare(self, name, recorder):
-        """Compare `recorder.printed` with the trace of that name in tests/traces."""
+    def assert_matches_trace(self, name, recorder):
+        """Compare `recorder.recorded` with the trace of that name in tests/traces."""
         path = TRACES / f"{name}.txt"
-        recorded = "\n".join(recorder.printed) + "\n"
+        recorded = "\n".join(recorder.recorded) + "\n"
         if os.environ.get("INDIGODECK_WRITE_TRACES"):
             path.write_text(recorded)
         kept = path.read_text() if path.exists() else ""
@@ -223,9 +223,9 @@
     def __init__(self):
         self.clock = 100 * SECOND
         self.timers = []
-        self.printed = []
-        self.wanting = []  # proxies for which something waits, in the order they were named
-        self.nth = 0  # keeps timers of one moment in order
+        self.recorded = []
+        self.write_requests = []  # proxies for which something waits, in the order they were named
+        self.timer_count = 0  # keeps timers of one moment in order
 
     def now(self):
         """Return the simulated time."""
@@ -233,8 +233,8 @@
 
     def call_later(self, delay, callback):
         """Keep a call for later."""
-        self.nth += 1
-        self.timers.append((self.clock + delay, self.nth, callback))
+        self.timer_count += 1
+        self.timers.append((self.clock + delay, self.timer_count, callback))
 
     def run(self, seconds):
         """Let time pass."""
@@ -249,7 +249,7 @@
 
     def request_write(self, proxy):
         """Record that something waits for a proxy."""
-        self.wanting.append(proxy)
+        self.write_requests.append(proxy)
 
     def check_health(self, server_index):
         """Record a health check."""
@@ -263,4 +263,4 @@
         """Record a line."""
         stated = " ".join(f"{name}={value}" for name, value in facts.items())
         elapsed = (self.clock - 100 * SECOND) / SECOND
-        self.printed.append(f"{elapsed:7.2f}  {text} {stated}".rstrip())
+        self.recorded.append(f"{elapsed:7.2f}  {text} {stated}".rstrip())
--- a/tests/leadership/test_controllers.py
+++ b/tests/leadership/test_controllers.py
@@ -103,7 +103,7 @@
         script["charter"]["channel"].update(messages_most=60, answers_most=30)
         with tempfile.TemporaryDirectory() as folder:
             runner = FleetScenarioRunner(script, pathlib.Path(folder))
-            result = await runner.play()
+            result = await runner.run()
             acquisitions = runner.lease_acquisitions()
         self.assertEqual(
             [rule["rule"] for rule in result["rules"] if not rule["kept"]], [], result["rules"]
@@ -167,7 +167,7 @@
         self.assertEqual((code, output), (0, "members by number 1: c0, c1, c2, c3"))
         old = self.fleet.leader()
         removed = "c1" if old != "c1" else "c2"
-        code, output = await self.fleet.command("fleet", "remove", removed, of=old)
+        code, output = await self.fleet.command("fleet", "remove", removed, controller=old)
         self.assertEqual(code, 0, output)
         await self.fleet.kill(removed)
         # After a restart the added member still knows the members, whatever its charter says.
@@ -177,7 +177,7 @@
         await until(lambda: self.all_relays_hold({0, 1, 2, 4, 5, 6, 7}), 20)
         for _ in range(50):
             statuses = json.loads(
-                (await self.fleet.command("fleet", "--format", "json", of=old))[1]
+                (await self.fleet.command("fleet", "--format", "json", controller=old))[1]
             )
             if statuses["c3"].get("settled"):
                 break
@@ -196,9 +196,9 @@
         await self.fleet.kill("c3")
         self.fleet.set_host_states(h4="draining")
         await asyncio.sleep(2.5)
-        self.assertEqual((await self.fleet.command("fleet", "force", last, of=last))[0], 2)
+        self.assertEqual((await self.fleet.command("fleet", "force", last, controller=last))[0], 2)
         self.assertEqual(
-            await self.fleet.command("fleet", "force", last, "--others-are-gone", of=last),
+            await self.fleet.command("fleet", "force", last, "--others-are-gone", controller=last),
             (0, f"{last} holds {last} to be the whole fleet"),
         )
         await until(lambda: self.all_relays_hold({0, 1, 5, 6, 7}), 20)
--- a/tests/planner/stored_planner.py
+++ b/tests/planner/stored_planner.py
@@ -8,7 +8,7 @@
 from collections.abc import AsyncIterator
 from typing import Any, NamedTuple
 
-from support import Planner, ports, until
+from support import Planner, host_numbers, until
 
 from indigodeck.client import Tables
 
@@ -49,7 +49,7 @@
 
     def ports(self) -> set[int]:
         """Return the numbers of the hosts in the table of the class `reading`."""
-        return ports(self.tables)
+        return host_numbers(self.tables)
 
     async def until_ports(self, numbers: set[int]) -> None:
         """Wait until the table holds exactly these hosts."""
--- a/tests/planner/test_cached_endpoint_list.py
+++ b/tests/planner/test_cached_endpoint_list.py
@@ -80,7 +80,7 @@
         # The host was down in between, so it counts as newly started.
         self.assertGreater(stub.used["d"]["started_ms"], 0)
         self.assertNotIn("started_ms", stub.used["a"])
-        self.compare("cached-list", stub)
+        self.assert_matches_trace("cached-list", stub)
 
     def test_nothing_is_used_before_half_of_the_weight_has_answered(self):
         """Otherwise the first few hosts to answer would receive all requests."""
@@ -98,12 +98,12 @@
         early, late = StubEnvironment("abc", "abc"), StubEnvironment("abc", "abc")
         early.cached_list.on_newer_list({"a": {}})
         early.run(20)
-        self.assertEqual((early.checked, early.printed), ([], []))
+        self.assertEqual((early.checked, early.recorded), ([], []))
         late.run(3)
         late.cached_list.on_newer_list({"a": {}, "z": {}})
         late.run(20)
         self.assertEqual((len(late.checked), late.cached_list.superseded), (3, True))
-        self.assertIn("more=1 fewer=2", late.printed[-1])
+        self.assertIn("more=1 fewer=2", late.recorded[-1])
 
     def test_a_stale_list_adds_hosts_that_answer_and_removes_none(self):
         """Hosts that only the stale list names are checked."""
--- a/tests/planner/test_planner_sockets.py
+++ b/tests/planner/test_planner_sockets.py
@@ -4,7 +4,7 @@
 import os
 import unittest
 
-from support import Planner, ports, until
+from support import Planner, host_numbers, until
 
 from indigodeck.clock import now
 from indigodeck.testbed.discovery_server import DiscoveryServer
@@ -83,9 +83,9 @@
         }
         async with planner:
             tables, client, task = planner.client()
-            await until(lambda: ports(tables) == set(range(6)))
+            await until(lambda: host_numbers(tables) == set(range(6)))
             discovery.set(dict(hosts[1], state="draining"))
-            await until(lambda: ports(tables) == {0, 2, 3, 4, 5})
+            await until(lambda: host_numbers(tables) == {0, 2, 3, 4, 5})
             discovery.unavailable = True
             await until(
                 lambda: (
@@ -95,7 +95,7 @@
             )
             discovery.set(dict(hosts[2], state="gone"))
             await asyncio.sleep(0.3)
-            self.assertEqual(ports(tables), {0, 2, 3, 4, 5})
+            self.assertEqual(host_numbers(tables), {0, 2, 3, 4, 5})
             discovery.unavailable = False
             await until(lambda: 2 not in planner.service.planner_host.assigner.state.servers, 12)
             client.stop()
--- a/tests/support.py
+++ b/tests/support.py
@@ -18,7 +18,7 @@
 from indigodeck.serve import start_planner_service
 
 ROOT = pathlib.Path(__file__).parent.parent
-EXAMPLE = json.loads((ROOT / "examples/bad-day.json").read_text())
+EXAMPLE_SCRIPT = json.loads((ROOT / "examples/bad-day.json").read_text())
 FIRST_HOST_PORT = 9000  # of hosts that need not exist
 POLL_INTERVAL_S = 0.01
 
@@ -37,13 +37,13 @@
         **sasp: Any,
     ) -> None:
         self.folder = tempfile.TemporaryDirectory()
-        document = json.loads(json.dumps(EXAMPLE["charter"]))
+        document = json.loads(json.dumps(EXAMPLE_SCRIPT["charter"]))
         document["channel"].update(channel)
         document["reports"] = {"period_ms": 300, "probes_per_s": 0, **dict(reports)}
         document["roster"] = {"file": "roster.json", "look_every_ms": 20}
         document["fronts"] = {"sasp": {"address": "127.0.0.1", "port": 0, **sasp}}
         self.document = document
-        self.logged: list[dict[str, Any]] = []
+        self.logged_events: list[dict[str, Any]] = []
         self.version = 0
         self.hosts: dict[str, dict[str, Any]] = {
             f"host-{index}": {"port": FIRST_HOST_PORT + index} for index in range(hosts)
@@ -81,7 +81,7 @@
 
     def log_events(self, name: str) -> list[dict[str, Any]]:
         """Return the log events of this name."""
-        return [event for event in self.logged if event["event"] == name]
+        return [event for event in self.logged_events if event["event"] == name]
 
     def client(
         self, uid: str = "hall-a/r1", **more: Any
@@ -92,12 +92,14 @@
         return tables, client, asyncio.get_running_loop().create_task(client.run())
 
     def _keep_event(self, logger: Any, method: str, event: Any) -> str:
-        self.logged.append(event)
+        self.logged_events.append(event)
         return str(event)
 
 
 @contextlib.asynccontextmanager
-async def peer(port: int) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
+async def raw_connection(
+    port: int,
+) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
     """Open a raw connection, as its reader and writer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
@@ -117,7 +119,7 @@
     raise AssertionError("it did not come true")
 
 
-def ports(tables: Tables, name: str = "reading") -> set[int]:
+def host_numbers(tables: Tables, name: str = "reading") -> set[int]:
     """Return the hosts that a table names, by their numbers."""
     return {port - FIRST_HOST_PORT for _, port in tables.lines[name]}
 
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -7,7 +7,7 @@
 from support import ROOT
 
 from indigodeck.testbed import scenario, scenario_script
-from indigodeck.testbed.scenario_result import printed
+from indigodeck.testbed.scenario_result import format_result
 
 
 class Scenarios(unittest.TestCase):
@@ -23,8 +23,8 @@
         """A release with a planner killed in its middle breaks no rule."""
         # The faults of day h8334b8: relays near their message limit while others' drains are due.
         result, broken = self.play(json.loads((ROOT / "examples/drains-day.json").read_text()))
-        self.assertEqual(broken, [], printed(result))
-        self.assertGreater(result["service"]["whole"], 0.8, printed(result))
+        self.assertEqual(broken, [], format_result(result))
+        self.assertGreater(result["service"]["whole"], 0.8, format_result(result))
 
     def test_a_zone_is_cold_and_the_planner_restarts_meanwhile(self):
         """A zone of cold hosts and a new planner break no rule."""
@@ -44,7 +44,7 @@
             ],
         )
         result, broken = self.play(script)
-        self.assertEqual(broken, [], printed(result))
+        self.assertEqual(broken, [], format_result(result))
 
     def test_relays_that_ignore_drains_and_repeat_effects_are_found(self):
         """Relays that misbehave are named, with the rules they break."""
@@ -60,7 +60,7 @@
             unruly={"hall-a/relay-0": "keeps", "hall-b/relay-1": "repeats"}, retries=0
         )
         result, broken = self.play(script)
-        self.assertEqual(broken, ["no effect twice", "drains kept"], printed(result))
+        self.assertEqual(broken, ["no effect twice", "drains kept"], format_result(result))
         self.assertEqual(
             {case["who"] for rule in result["rules"] for case in rule["cases"]},
             {"hall-a/relay-0", "hall-b/relay-1"},
