--- a/indigodeck/testbed/__init__.py
+++ b/indigodeck/testbed/__init__.py
@@ -1,4 +1,5 @@
-"""Everything that plays the outside world: hosts, relays, the endpoint list, networks and disks.
+"""Test doubles for a planner's environment: hosts, relays, endpoint list, networks and disks.
 
-It knows nothing of the planner's code beyond the client library, and is no part of a deployment.
+The package is not part of a deployment. It depends on the client library, and otherwise not on how
+the planner is implemented.
 """
--- a/indigodeck/testbed/audit.py
+++ b/indigodeck/testbed/audit.py
@@ -1,7 +1,8 @@
-"""Judges a played scenario by what passed its sockets: the rules, and service.
+"""Checks a completed scenario against the rules, and measures the service that clients received.
 
-The audit knows nothing of the planner: it goes by `Evidence` alone. A rule is kept or broken by
-figures, with the moment and who was concerned. Rules' names stand in the results as they are here.
+The audit uses nothing of the planner's internal state, only the `Evidence` collected outside it.
+Each rule compares measured values with a limit; a breach states its time and the relay, host or
+controller involved. The names of the rules appear in results exactly as they are written here.
 """
 
 from collections import Counter, defaultdict
@@ -13,19 +14,19 @@
 from .recording_proxy import StreamEventType
 from .relay_view import count_entries
 from .unserved_time import no_proxy_without_server
-from .verdict import NO_FINDING, Finding, Verdict, judge
+from .verdict import NO_FINDING, Finding, Verdict, compare_with_limit
 
-OVERLOAD_SLACK = 1.1  # for chance, as the limit is a budget over the whole window
-# So long may the proxy take to read what has left, on a machine that is busy.
+OVERLOAD_TOLERANCE = 1.1  # allows for random variation: the limit is a budget per time window
+# On a busy machine the recording proxy may read a message this long after it was sent.
 READ_DELAY = SECOND // 10
 SERVICE_WINDOW_S = 5
 STATES_WITH_EFFECT = ("begun", "silent")
 
 
 def verdicts(evidence: Evidence) -> list[Verdict]:
-    """Return the verdict of each rule; those on leaders where there are several controllers."""
+    """Return the verdict of each rule; leader rules are included only with several controllers."""
     evidence.sort()
-    found = [
+    results = [
         no_proxy_without_server(evidence),
         no_effect_twice(evidence),
         drains_kept(evidence),
@@ -33,12 +34,12 @@
         messages_to_relay(evidence),
     ]
     if evidence.lease_acquisitions:
-        found += [relays_follow_one_controller(evidence), one_leader(evidence)]
-    return found
+        results += [relays_follow_one_controller(evidence), one_leader(evidence)]
+    return results
 
 
 def no_effect_twice(evidence: Evidence) -> Verdict:
-    """Judge how often one request took effect."""
+    """Check how often a single request took effect."""
     by_key: dict[str, list[Receipt]] = defaultdict(list)
     for receipt in evidence.receipts:
         if receipt.state in STATES_WITH_EFFECT and receipt.key:
@@ -53,11 +54,11 @@
         for key, receipts in by_key.items()
         if len(receipts) > 1
     ]
-    return judge("no effect twice", findings or [Finding(1, 0, "", "")], 1, "times")
+    return compare_with_limit("no effect twice", findings or [Finding(1, 0, "", "")], 1, "times")
 
 
 def drains_kept(evidence: Evidence) -> Verdict:
-    """Judge how long a relay still sent requests to a host after the list said that it drains."""
+    """Check how long relays kept sending requests to hosts listed as draining or gone."""
     connections = _connections_by_relay(evidence)
     publications: dict[str, list[Publication]] = defaultdict(list)
     for publication in evidence.publications:
@@ -66,43 +67,46 @@
     for receipt in evidence.receipts:
         joined = _joined_at(connections.get(receipt.relay, []), receipt.at)
         if joined is None:
-            continue  # cut off: it goes on with what it holds
+            continue  # a disconnected relay keeps using the tables that it has
         started_before = (start for start in evidence.planner_starts if start <= joined)
         planner_start = max(started_before, default=0)
-        out_since = _out_since(evidence, publications[receipt.host], planner_start, receipt.at)
-        if out_since is None:
+        unavailable_since = _unavailable_since(
+            evidence, publications[receipt.host], planner_start, receipt.at
+        )
+        if unavailable_since is None:
             continue
-        what = f"sent to {receipt.host}, which is out"
-        late_by = receipt.at - max(out_since, joined)
+        what = f"sent a request to {receipt.host}, which is draining or gone"
+        late_by = receipt.at - max(unavailable_since, joined)
         findings.append(Finding(late_by, receipt.at, receipt.relay, what))
-    return judge("drains kept", findings, evidence.settings.drain_grace, "us")
+    return compare_with_limit("drains kept", findings, evidence.settings.drain_grace, "us")
 
 
 def no_cold_server_overloaded(evidence: Evidence) -> Verdict:
-    """Judge how much work a cold host was sent, as a multiple of what it can do."""
-    known_since: dict[str, int] = {}
+    """Check how much work cold hosts were sent, as a multiple of their capacity."""
+    listed_since: dict[str, int] = {}
     for publication in evidence.publications:
-        known_since.setdefault(publication.host, publication.at)
+        listed_since.setdefault(publication.host, publication.at)
     cold_receipts: dict[str, list[Receipt]] = defaultdict(list)
     for receipt in evidence.receipts:
         if receipt.is_cold:
             cold_receipts[receipt.host].append(receipt)
     findings = []
     for host, receipts in cold_receipts.items():
-        findings += _overloads(evidence, receipts, known_since.get(host))
-    limit = round(evidence.settings.overload_multiple * OVERLOAD_SLACK, 3)
-    return judge("no cold server pushed over", findings, limit, "times")
+        findings += _overloads(evidence, receipts, listed_since.get(host))
+    limit = round(evidence.settings.overload_multiple * OVERLOAD_TOLERANCE, 3)
+    return compare_with_limit("no cold server pushed over", findings, limit, "times")
 
 
 def messages_to_relay(evidence: Evidence) -> Verdict:
-    """Judge how many messages one planner wrote to one relay within the window.
+    """Check how many messages one planner wrote to one relay within the time window.
 
-    A planner that started anew knows nothing of another's messages: it is counted by itself.
+    A restarted planner does not know what its predecessor sent, so its messages are counted
+    separately.
     """
     times: dict[tuple[str, str, int], list[int]] = defaultdict(list)
     for event in evidence.stream_events:
         if event.type == StreamEventType.MESSAGE:
-            planner = evidence.planner_starts_until(event.at)
+            planner = evidence.planner_start_count(event.at)
             times[event.relay, event.controller, planner].append(event.at)
     channel = evidence.settings.channel
     findings = []
@@ -113,11 +117,13 @@
                 first += 1
             count = index - first + 1
             findings.append(Finding(count, at, relay, f"{count} messages"))
-    return judge("messages to a relay", findings, channel.max_messages or float("inf"), "messages")
+    return compare_with_limit(
+        "messages to a relay", findings, channel.max_messages or float("inf"), "messages"
+    )
 
 
 def relays_follow_one_controller(evidence: Evidence) -> Verdict:
-    """Judge messages of any but the controller that the relay joined last, or of an older epoch."""
+    """Check that relays get messages only from the controller joined last, in order of epoch."""
     followed: dict[str, str] = {}
     epochs: dict[str, int] = {}
     findings = [NO_FINDING]
@@ -127,21 +133,21 @@
             followed[relay] = event.controller
         elif event.type == StreamEventType.MESSAGE:
             if followed.get(relay, event.controller) != event.controller:
-                what = f"told by {event.controller}, follows {followed[relay]}"
+                what = f"message from {event.controller}, but the relay follows {followed[relay]}"
                 findings.append(Finding(1, event.at, relay, what))
             newest = epochs.get(relay, 0)
             if event.epoch < newest:
-                what = f"under {event.epoch}, after {newest}"
+                what = f"message of epoch {event.epoch} after epoch {newest}"
                 findings.append(Finding(1, event.at, relay, what))
             epochs[relay] = max(event.epoch, newest)
-    return judge("each relay follows one controller", findings, 0, "orders")
+    return compare_with_limit("each relay follows one controller", findings, 0, "orders")
 
 
 def one_leader(evidence: Evidence) -> Verdict:
-    """Judge how long after a controller became leader the one before still sent table entries."""
+    """Check how long a former leader still sent table entries after another became leader."""
     acquisitions = sorted(evidence.lease_acquisitions)
     findings = [NO_FINDING]
-    leader: LeaseAcquisition | None = None  # the one of the highest epoch so far
+    leader: LeaseAcquisition | None = None  # of the highest epoch so far
     next_index = 0
     for event in evidence.stream_events:
         while next_index < len(acquisitions) and acquisitions[next_index].at <= event.at:
@@ -152,31 +158,34 @@
         if leader is None or event.type != StreamEventType.MESSAGE:
             continue
         if event.controller != leader.controller and count_entries(event.data):
-            what = f"told {event.relay} while {leader.controller} is in charge"
+            what = f"sent table entries to {event.relay} while {leader.controller} is the leader"
             findings.append(Finding(event.at - leader.at, event.at, event.controller, what))
-    return judge("one controller in charge", findings, READ_DELAY, "us")
+    return compare_with_limit("one controller in charge", findings, READ_DELAY, "us")
 
 
-def service(evidence: Evidence) -> dict[str, Any]:
-    """Return the share of priority weight that was earned: in all, by class, and by time."""
+def summarize_service(evidence: Evidence) -> dict[str, Any]:
+    """Return the share of the requested priority weight that was earned: total, by class, by time.
+
+    "worst_10_s" is the lowest share of any two consecutive windows of 5 s.
+    """
     by_class: dict[str, list[Outcome]] = defaultdict(list)
     by_window: dict[int, list[Outcome]] = defaultdict(list)
     for outcome in evidence.outcomes:
         by_class[outcome.class_name].append(outcome)
         window = int(evidence.seconds_since_start(outcome.at) // SERVICE_WINDOW_S)
         by_window[window].append(outcome)
-    of_two_windows = [
+    shares_of_10_s = [
         _earned_share(by_window[window] + by_window[window + 1])
         for window in sorted(by_window)
         if window + 1 in by_window
     ]
-    of_classes = [_earned_share(outcomes) for outcomes in by_class.values()]
+    class_shares = [_earned_share(outcomes) for outcomes in by_class.values()]
     counts = Counter(outcome.outcome for outcome in evidence.outcomes)
     return {
         "asked": len(evidence.outcomes),
         "whole": round(_earned_share(evidence.outcomes), 4),
-        "worst_10_s": round(min(of_two_windows, default=1.0), 4),
-        "worst_class": round(min(of_classes, default=1.0), 4),
+        "worst_10_s": round(min(shares_of_10_s, default=1.0), 4),
+        "worst_class": round(min(class_shares, default=1.0), 4),
         "by_5_s": [round(_earned_share(by_window[window]), 3) for window in sorted(by_window)],
         "outcomes": dict(sorted(counts.items())),
     }
@@ -191,49 +200,53 @@
 def _connections_by_relay(evidence: Evidence) -> dict[str, list[_Connection]]:
     connections: dict[str, list[_Connection]] = defaultdict(list)
     for event in evidence.stream_events:
-        of_relay = connections[event.relay]
+        relay_connections = connections[event.relay]
         if event.type == StreamEventType.JOINED:
-            of_relay.append(_Connection(event.at))
-        elif event.type == StreamEventType.LEFT and of_relay and of_relay[-1].left is None:
-            # A connection that ends before it said anything never joined; it must not stretch
-            # the one before.
-            of_relay[-1].left = event.at
+            relay_connections.append(_Connection(event.at))
+        elif (
+            event.type == StreamEventType.LEFT
+            and relay_connections
+            and relay_connections[-1].left is None
+        ):
+            # A connection that ends before the relay joined has no entry here. Its end must not
+            # overwrite the end of the previous connection.
+            relay_connections[-1].left = event.at
     return connections
 
 
 def _joined_at(connections: list[_Connection], at: int) -> int | None:
-    """Return when a relay joined whose connection stood at this time; None if none did."""
-    standing = (
+    """Return when the connection that was open at this time joined, or None without one."""
+    open_since = (
         connection.joined
         for connection in connections
         if connection.joined <= at and (connection.left is None or at < connection.left)
     )
-    return max(standing, default=None)
+    return max(open_since, default=None)
 
 
-def _out_since(
+def _unavailable_since(
     evidence: Evidence, publications: list[Publication], planner_start: int, until: int
 ) -> int | None:
-    """Return since when a host is draining or gone, as a planner of this start could know."""
-    out_since: int | None = None
+    """Return since when a host is draining or gone, by lists since the planner's start."""
+    unavailable_since: int | None = None
     for publication in publications:
         if not planner_start <= publication.at <= until:
             continue
-        # Where removal is not final, only what was said to drain before counts as out.
-        removal_counts = evidence.settings.removal_is_final or out_since is not None
+        # Where removal is not final, a removed host counts only if it was draining before.
+        removal_counts = evidence.settings.removal_is_final or unavailable_since is not None
         if publication.state == "gone" and not removal_counts:
             continue
         if publication.state == "ready":
-            out_since = None
-        elif out_since is None:
-            out_since = publication.at
-    return out_since
+            unavailable_since = None
+        elif unavailable_since is None:
+            unavailable_since = publication.at
+    return unavailable_since
 
 
 def _overloads(
-    evidence: Evidence, receipts: list[Receipt], known_since: int | None
+    evidence: Evidence, receipts: list[Receipt], listed_since: int | None
 ) -> list[Finding]:
-    """Return what one cold host was sent within each window that ends with a request."""
+    """Return the load of one cold host in each time window that ends with a request."""
     settings = evidence.settings
     findings = []
     first = 0
@@ -243,12 +256,12 @@
         while receipts[first].at < receipt.at - settings.overload_time:
             work -= receipts[first].work
             first += 1
-        known_for = 0 if known_since is None else receipt.at - known_since
-        # Before a planner could know of the start, no table of its own can have caused this.
-        if known_for > settings.drain_grace or receipt.state == "fallen":
+        listed_for = 0 if listed_since is None else receipt.at - listed_since
+        # A planner cannot have caused an overload before it could know that the host had started.
+        if listed_for > settings.drain_grace or receipt.state == "fallen":
             capacity = (receipts[first].capacity + receipt.capacity) / 2
             multiple = work / (capacity * settings.overload_time)
-            what = f"{multiple:.2f} times what it can do, by {receipt.relay} last"
+            what = f"{multiple:.2f} times its capacity, last request from {receipt.relay}"
             findings.append(Finding(round(multiple, 3), receipt.at, receipt.host, what))
     return findings
 
--- a/indigodeck/testbed/baselines.py
+++ b/indigodeck/testbed/baselines.py
@@ -1,4 +1,7 @@
-"""Policies to measure against, hosted as the assigner is: none of them decides anything."""
+"""Baseline policies for comparison with the assigner; they run in its place in a planner.
+
+They follow the endpoint list only and ignore load, health and demand.
+"""
 
 from collections.abc import Iterable
 from typing import Any
@@ -8,9 +11,9 @@
 
 
 class EqualWeights:
-    """One table for every class and proxy: each server that is listed as ready, all alike."""
+    """One table for all classes and proxies, with equal weights for all servers listed as ready."""
 
-    random = None  # of the assigner; a baseline draws nothing
+    random = None  # the assigner has a random source; a baseline needs none
 
     def __init__(self, host: AssignerHost, settings: DeploymentSettings, seed: int) -> None:
         self._host = host
@@ -19,7 +22,7 @@
         self._weights: dict[int, float] = {}
 
     def on_endpoint_update(self, kind: UpdateKind, servers: Iterable[Server]) -> None:
-        """Follow the endpoint list."""
+        """Update the table from the endpoint list."""
         if kind != UpdateKind.INCREMENTAL:
             self._ready = {}
         for server in servers:
@@ -29,7 +32,7 @@
         self._update_table()
 
     def on_proxy_joined(self, proxy: int, zone: int, rate: float, fresh: bool) -> None:
-        """Put each proxy on the one table."""
+        """Assign the proxy to the common table."""
         self._host.assign_table(proxy, 0, range(len(self._settings.classes)))
 
     def _update_table(self) -> None:
@@ -53,7 +56,7 @@
 
 
 class FrozenWeights(EqualWeights):
-    """The weights of the first list, for as long as it runs."""
+    """The weights of the first endpoint list, never changed afterwards."""
 
     def _update_table(self) -> None:
         if not self._weights:
--- a/indigodeck/testbed/controller_fleet.py
+++ b/indigodeck/testbed/controller_fleet.py
@@ -1,4 +1,4 @@
-"""Real controllers in processes of their own, and relays of both protocols that know them all."""
+"""Controllers as separate processes, and relays of both protocols that know all of them."""
 
 import asyncio
 import json
@@ -17,15 +17,15 @@
 from .ports import ReservedPorts
 
 PROJECT_FOLDER = pathlib.Path(__file__).parent.parent.parent
-FIRST_HOST_PORT = 9000  # of hosts that need not exist
+FIRST_HOST_PORT = 9000  # nothing needs to listen on the ports of these hosts
 HOST_COUNT = 8
 CLASS_NAMES = ("reading", "setpoint")
 CLIENT_TIMEOUT_S = 0.5
-FIRST_BACKOFF_US = 50_000
-LONGEST_BACKOFF_US = 300_000
+INITIAL_BACKOFF_US = 50_000
+MAX_BACKOFF_US = 300_000
 
-# The names of two log events: of the present program, and of programs before its renaming, which
-# benchmarks/upgrade.py runs beside it.
+# The names of two log events, in the current version and in older versions of the program, which
+# benchmarks/upgrade.py runs beside the current one.
 LEASE_ACQUIRED_EVENTS = frozenset({"lease_acquired", "in charge"})
 LEASE_LOST_EVENTS = frozenset({"lease_lost", "out of charge"})
 
@@ -33,7 +33,7 @@
 
 
 class LeaseChange(NamedTuple):
-    """A controller's log line: it became the leader of a relay group, or stopped to be."""
+    """A controller's log line: it became the leader of a relay group or ceased to be its leader."""
 
     acquired: bool
     epoch: int
@@ -41,7 +41,7 @@
 
 
 class ConnectedRelay(NamedTuple):
-    """A relay that runs in this process."""
+    """A relay in this process, with its tables, its client and the client's task."""
 
     tables: Tables
     client: SaspClient | XdsClient
@@ -49,11 +49,11 @@
 
 
 def takeover_section(
-    name: str, member_ports: dict[str, int], lease_ms: int, **more: Any
+    name: str, member_ports: dict[str, int], lease_ms: int, **options: Any
 ) -> dict[str, Any]:
     """Return the section `takeover` of one controller's settings file.
 
-    All controllers are at ports of this machine and share a folder with the file `key`.
+    All controllers listen on loopback, and their folder contains the file `key`.
     """
     return {
         "me": name,
@@ -62,12 +62,12 @@
         "record": f"{name}.record",
         "lease_ms": lease_ms,
         "drift": 0.02,
-        **more,
+        **options,
     }
 
 
 def read_lease_changes(log: pathlib.Path) -> list[LeaseChange]:
-    """Return what a controller has logged of its leases, in its order."""
+    """Return the lease changes that a controller has logged, in log order."""
     records = [json.loads(line) for line in log.read_text().splitlines() if line.startswith("{")]
     return [
         LeaseChange(record["event"] in LEASE_ACQUIRED_EVENTS, record["epoch"], record["timestamp"])
@@ -77,11 +77,11 @@
 
 
 class ControllerFleet:
-    """Several controllers of one fleet, their endpoint list, and the paths between them.
+    """Several controllers of one fleet, their endpoint list, and the links between them.
 
-    `settings` is what all are told, but for frontends, endpoint list and takeover, which are
-    filled in; `takeover` adds to that section. `spare` controllers stand by to be added. Each
-    controller has a store where `store` is set.
+    All controllers share `settings`; the sections for frontends, endpoint list and takeover are
+    filled in, and `takeover` adds options to the last. `spare` controllers are not members at the
+    start and can be added later. Each controller has a store if `store` is set.
     """
 
     def __init__(
@@ -117,18 +117,18 @@
             self._settings_path(name).write_text(json.dumps(document))
 
     def host_port(self, index: int) -> int:
-        """Return the port of a host; tests replace this where hosts run."""
+        """Return the port of a host; tests that run real hosts replace this method."""
         return FIRST_HOST_PORT + index
 
     def change_settings(self, name: str, **takeover: Any) -> None:
-        """Change the section `takeover` of one controller, for its next start."""
+        """Change the section `takeover` of one controller's settings, for its next start."""
         path = self._settings_path(name)
         document = json.loads(path.read_text())
         document["takeover"].update(takeover)
         path.write_text(json.dumps(document))
 
     async def add_links(self) -> None:
-        """Put links that can be blocked between all controllers, before they start."""
+        """Connect all controllers through links that can be blocked; call before their start."""
         for name in self.member_ports:
             document = json.loads(self._settings_path(name).read_text())
             addresses = document["takeover"]["members"]
@@ -138,7 +138,7 @@
             self.change_settings(name, members=addresses)
 
     def partition(self, *names: str) -> None:
-        """Block all messages between these controllers and the others; without names, none."""
+        """Block messages between these controllers and the others; without names, unblock all."""
         for (sender, receiver), link in self.links.items():
             link.blocked = (sender in names) != (receiver in names)
 
@@ -160,7 +160,7 @@
         )
 
     async def start(self, name: str, program: pathlib.Path = PROJECT_FOLDER) -> None:
-        """Start one controller; `program` is the folder of another version of the program."""
+        """Start one controller; `program` is the folder of the program version to run."""
         self._logs[name] = open(self._log_path(name), "ab")  # noqa: SIM115 - closed by kill, stop
         self.processes[name] = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -175,11 +175,11 @@
         )
 
     def lease_changes(self, name: str) -> list[LeaseChange]:
-        """Return what one controller has logged of its leases."""
+        """Return the lease changes that one controller has logged."""
         return read_lease_changes(self._log_path(name))
 
     def leader(self) -> str | None:
-        """Return the controller whose lease of the highest epoch is, by its log, not lost."""
+        """Return the controller that, by the logs, holds the lease of the highest epoch."""
         leaders = []
         for name in self.member_ports:
             changes = self.lease_changes(name)
@@ -192,7 +192,7 @@
         self.processes[name].send_signal(number)
 
     async def kill(self, name: str) -> None:
-        """End one controller at once, and wait until it is gone."""
+        """Kill one controller and wait until its process has ended."""
         self.signal(name, signal.SIGKILL)
         await self.processes[name].wait()
         self._logs[name].close()
@@ -200,7 +200,7 @@
     async def command(
         self, command: str, *arguments: str, controller: str = "c0"
     ) -> tuple[int, str]:
-        """Run an operator's command with one controller's settings file; return code and output."""
+        """Run an operator command with one controller's settings; return exit code and output."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -220,19 +220,19 @@
     def connect_relay(
         self, protocol: str, uid: str, planners: Iterable[Address] | None = None
     ) -> ConnectedRelay:
-        """Start a relay in this process that knows all controllers, or those given."""
+        """Start a relay in this process that knows the given controllers, or all of them."""
         known = planners or [
             ("127.0.0.1", ports[protocol]) for ports in self.frontend_ports.values()
         ]
         tables = Tables(CLASS_NAMES, now)
         client_type = {"sasp": SaspClient, "xds": XdsClient}[protocol]
         client = client_type(uid, known, tables, response_timeout=CLIENT_TIMEOUT_S)
-        client.backoff.first_delay = FIRST_BACKOFF_US
-        client.backoff.max_delay = LONGEST_BACKOFF_US
+        client.backoff.first_delay = INITIAL_BACKOFF_US
+        client.backoff.max_delay = MAX_BACKOFF_US
         return ConnectedRelay(tables, client, asyncio.get_running_loop().create_task(client.run()))
 
     async def stop(self) -> None:
-        """End all controllers and close what they used."""
+        """End all controllers, and close their logs, links and reserved ports."""
         for name, process in self.processes.items():
             if process.returncode is None:
                 process.send_signal(signal.SIGCONT)
@@ -278,6 +278,6 @@
         document["fronts"]["sasp"]["interval_s"] = 1
         document["reports"] = {"period_ms": 1000, "probes_per_s": 0}
         document["rules"]["gone_binds"] = True
-        # Relays that poll once a second are answered.
+        # Leaves room for answers to relays, which poll once a second.
         document["channel"].update(messages_most=60, answers_most=30)
         return document
--- a/indigodeck/testbed/discovery_server.py
+++ b/indigodeck/testbed/discovery_server.py
@@ -1,7 +1,7 @@
-"""The endpoint list as others provide it: a file, or a service that is late, wrong or down.
+"""The endpoint list as a file or as an HTTP service that can be late, wrong or unavailable.
 
-`GET /roster` answers with the whole list; `GET /watch` with the whole list and then with each
-change as a JSON line. Keys and paths are those that `planner/endpoint_list.py` reads.
+`GET /roster` returns the whole list. `GET /watch` returns the whole list and then each change as a
+JSON line. Keys and paths are those that `planner/endpoint_list.py` reads.
 """
 
 import contextlib
@@ -19,21 +19,21 @@
 
 from ..clock import SECOND
 
-CHANGES_KEPT = 64  # a watch that falls further behind misses changes
+CHANGES_KEPT = 64  # a watch request that falls further behind misses changes
 SERVICE_UNAVAILABLE = 503
 
-Entry = dict[str, Any]  # one host of the list: id, address, port, state and others
+Entry = dict[str, Any]  # a host in the list: id, address, port, state and other keys
 
 
 class EndpointListFile:
-    """The list as a file, which is replaced as a whole under the next version each time."""
+    """The list as a file; each write replaces the whole file and increments its version."""
 
     def __init__(self, folder: str | pathlib.Path) -> None:
         self.path = pathlib.Path(folder) / "roster.json"
         self.version = 0
 
     def write(self, hosts: Iterable[Entry]) -> None:
-        """Put a new list in place."""
+        """Replace the list."""
         self.version += 1
         replacement = self.path.with_suffix(".new")
         replacement.write_text(json.dumps({"version": self.version, "hosts": list(hosts)}))
@@ -41,11 +41,11 @@
 
 
 class DiscoveryServer:
-    """The list as a service.
+    """The list as an HTTP service.
 
     `delay` is the time from a change to its publication, in microseconds. `on_published(host,
-    state)` is called for each entry that is published. While `unavailable` is set, requests are
-    refused.
+    state)` is called for each published entry. While `unavailable` is set, requests are answered
+    with status 503.
     """
 
     def __init__(
@@ -64,11 +64,11 @@
         self._port = 0
 
     def set(self, host: Entry) -> None:
-        """Change one host's entry; it is published after the delay. Gone hosts are named once."""
+        """Change one host's entry and publish it after the delay; state "gone" removes the host."""
         IOLoop.current().call_later(self.delay / SECOND, self.publish, [host])
 
     def publish(self, hosts: list[Entry]) -> None:
-        """Publish entries at once as one change, true or not."""
+        """Publish entries immediately as one change; they need not match the state of the hosts."""
         self.version += 1
         for host in hosts:
             if host["state"] == "gone":
@@ -81,12 +81,12 @@
         self.changed.notify_all()
 
     def whole_list(self) -> str:
-        """Return the message with the whole list."""
+        """Return the whole list as a JSON message."""
         hosts = list(self.hosts.values())
         return json.dumps({"version": self.version, "kind": "whole", "hosts": hosts})
 
     def listen(self, port: int = 0) -> int:
-        """Accept connections; return the port, which the kernel chooses where none is given."""
+        """Accept connections and return the port; 0 lets the kernel choose one."""
         sockets = bind_sockets(port, "127.0.0.1")
         self._port = sockets[0].getsockname()[1]
         self._server = HTTPServer(
@@ -99,53 +99,53 @@
         return self._port
 
     def stop(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.stop()
 
-    def take_down(self) -> None:
-        """Refuse connections, and end those that are open, until `bring_up`."""
+    def make_unavailable(self) -> None:
+        """Refuse connections and end open watch requests until `make_available` is called."""
         self.unavailable = True
         self.changed.notify_all()
         self.stop()
 
-    def bring_up(self) -> None:
+    def make_available(self) -> None:
         """Accept connections again, on the same port."""
         self.unavailable = False
         self.listen(self._port)
 
 
 class WholeList(RequestHandler):
-    """Answers with the whole list."""
+    """Returns the whole list."""
 
     def initialize(self, server: DiscoveryServer) -> None:
-        """Keep the server whose list is asked for."""
-        self._list = server
+        """Set the server that holds the list."""
+        self._discovery = server
 
     def prepare(self) -> None:
-        """Refuse the request while the service is unavailable."""
-        if self._list.unavailable:
+        """Answer with status 503 while the service is unavailable."""
+        if self._discovery.unavailable:
             self.set_status(SERVICE_UNAVAILABLE)
             self.finish()
 
     async def get(self) -> None:
-        """Answer with the whole list."""
-        self.write(self._list.whole_list())
+        """Return the whole list."""
+        self.write(self._discovery.whole_list())
 
 
 class Watch(WholeList):
-    """Answers with the whole list and then with each change as it is published."""
+    """Returns the whole list and then each change as it is published."""
 
     async def get(self) -> None:
-        """Answer until the client or the service ends it."""
-        known_version = self._list.version
-        self.write(self._list.whole_list() + "\n")
+        """Stream the list and its changes until the client or the service ends the request."""
+        known_version = self._discovery.version
+        self.write(self._discovery.whole_list() + "\n")
         with contextlib.suppress(StreamClosedError):
             await self.flush()
-            while not self._list.unavailable:
-                if known_version == self._list.version:
-                    await self._list.changed.wait(timeout=IOLoop.current().time() + 1)
-                for version, hosts in list(self._list.changes):
+            while not self._discovery.unavailable:
+                if known_version == self._discovery.version:
+                    await self._discovery.changed.wait(timeout=IOLoop.current().time() + 1)
+                for version, hosts in list(self._discovery.changes):
                     if version > known_version:
                         known_version = version
                         change = {"version": version, "kind": "changes", "hosts": hosts}
--- a/indigodeck/testbed/errors.py
+++ b/indigodeck/testbed/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong in playing a scenario. It then proves nothing about the planner."""
+"""Errors that stop a scenario. A scenario that stops early says nothing about the planner."""
 
 from ..errors import IndigodeckError
 
@@ -8,8 +8,8 @@
 
 
 class CommandFailedError(TestbedError):
-    """A process of hosts or relays could not execute a command, or has ended."""
+    """A process that runs hosts or relays failed to execute a command, or has ended."""
 
 
 class PlannerNotStartedError(TestbedError):
-    """A planner did not listen, or no controller became leader, in time."""
+    """The planner did not listen in time, or no controller became the leader in time."""
--- a/indigodeck/testbed/evidence.py
+++ b/indigodeck/testbed/evidence.py
@@ -1,7 +1,7 @@
-"""What is known of a played scenario from outside the planner: receipts, outcomes, messages, lists.
+"""Records of a scenario made outside the planner: receipts, outcomes, messages and endpoint lists.
 
-All times are microseconds of one clock. Hosts and relays write receipts and outcomes as JSON lines
-(`host_pool.py`, `relay_pool.py`); their keys are read here alone.
+All times are in microseconds and come from the same clock. Hosts and relays write receipts and
+outcomes as JSON lines (`host_pool.py`, `relay_pool.py`); only this module reads their keys.
 """
 
 import json
@@ -17,8 +17,9 @@
 class Receipt(NamedTuple):
     """One request as it reached a host.
 
-    `state`: "begun", "full" (rejected), "fallen" (the host is overloaded for good) or "silent"
-    (taken, and never answered). `work` is microseconds of one core, `capacity` cores.
+    `state`: "begun" (accepted), "full" (rejected: the queue is full), "fallen" (the host has
+    crashed from overload) or "silent" (accepted but never answered). `work` is in microseconds of
+    one core, `capacity` in cores.
     """
 
     at: int
@@ -33,7 +34,7 @@
 
     @classmethod
     def from_json(cls, line: dict[str, Any]) -> "Receipt":
-        """Read a line that a host wrote."""
+        """Parse a JSON line written by a host."""
         return cls(
             line["at"],
             line["host"],
@@ -48,18 +49,18 @@
 
 
 class Outcome(NamedTuple):
-    """What became of one client's request: the priority weight it asked for and earned."""
+    """The result of one client request, with the priority weight that it requested and earned."""
 
     at: int
     relay: str
     class_name: str
-    outcome: str  # "ok", "nowhere", "late" and others of relay_pool.py
+    outcome: str  # "ok", "nowhere" (no server), "late" and others; see relay.py
     weight_asked: float
     weight_earned: float
 
     @classmethod
     def from_json(cls, line: dict[str, Any]) -> "Outcome":
-        """Read a line that a relay wrote."""
+        """Parse a JSON line written by a relay."""
         return cls(
             line["at"],
             line["relay"],
@@ -71,7 +72,7 @@
 
 
 class Publication(NamedTuple):
-    """One host's state as the endpoint list stated it."""
+    """One host's state as published in the endpoint list."""
 
     at: int
     host: str
@@ -80,7 +81,7 @@
 
 
 class LeaseAcquisition(NamedTuple):
-    """A controller became the leader, by its own log."""
+    """A controller became the leader, according to its own log."""
 
     at: int
     epoch: int
@@ -89,10 +90,10 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """All that an audit goes by.
+    """The complete input of an audit.
 
-    `settings.channel.max_messages` is what may be written to a relay in all. `lease_acquisitions`
-    is empty where there is one controller.
+    `settings.channel.max_messages` limits all messages to a relay, including answers to its own
+    requests. `lease_acquisitions` is empty if there is only one controller.
     """
 
     settings: DeploymentSettings
@@ -110,19 +111,19 @@
         return (at - self.started_at) / SECOND
 
     def sort(self) -> None:
-        """Put all in the order of time."""
+        """Sort all records by time."""
         self.receipts.sort(key=lambda receipt: receipt.at)
         self.outcomes.sort(key=lambda outcome: outcome.at)
         self.stream_events.sort(key=lambda event: event.at)
         self.publications.sort(key=lambda publication: publication.at)
 
-    def planner_starts_until(self, at: int) -> int:
+    def planner_start_count(self, at: int) -> int:
         """Return how many planners had started by this time."""
         return sum(started <= at for started in self.planner_starts)
 
 
 def read_json_lines(path: pathlib.Path) -> list[dict[str, Any]]:
-    """Return the JSON lines of a file; a last one that was cut off is left out."""
+    """Return the JSON lines of a file, up to the first that is truncated."""
     lines = []
     with path.open() as file:
         for line in file:
--- a/indigodeck/testbed/faulty_disk.py
+++ b/indigodeck/testbed/faulty_disk.py
@@ -1,9 +1,9 @@
-"""A disk in memory that loses what was not synced when its power is cut.
+"""An in-memory disk that can lose unsynced data when its power is cut.
 
-Of each write that was not synced any prefix or any of its sectors may have reached the disk,
-whichever others have: where something later did and something earlier did not, zeros stand between.
-Files are made, renamed and removed on the disk with the folder's sync; before it each of these may
-have happened or not, by itself.
+Of each unsynced write, either all of it, a prefix or any subset of its sectors may survive,
+independently of other writes. Where a later part survives and an earlier one does not, the gap is
+filled with zeros. Creating, renaming and removing files becomes durable when the folder is synced;
+until then each such change may survive or not, independently of the others.
 """
 
 import copy
@@ -18,19 +18,19 @@
 
 
 class RandomSource(Protocol):
-    """What the disk draws from, such as `assignment.seeded_random.SeededRandom`."""
+    """The disk's source of random numbers, such as `assignment.seeded_random.SeededRandom`."""
 
     def randbelow(self, bound: int) -> int:
-        """Return a whole number from 0 up to `bound`, exclusive."""
+        """Return a random integer from 0 up to, but not including, `bound`."""
 
 
 class PowerCutError(IndigodeckError):
-    """The power is gone; the disk answers nothing more."""
+    """The power is cut; every further operation on the disk fails."""
 
 
 @dataclass(slots=True, eq=False)
 class DiskFile:
-    """A file's bytes as a running process sees them, how many are synced, and unsynced writes."""
+    """A file: its bytes as a running process sees them, the synced size, and unsynced writes."""
 
     data: bytearray = field(default_factory=bytearray)
     synced_size: int = 0
@@ -40,7 +40,7 @@
 FilesByName: TypeAlias = dict[str, DiskFile]
 
 
-class _Made(NamedTuple):
+class _Created(NamedTuple):
     name: str
     file: DiskFile
 
@@ -65,11 +65,12 @@
 
 
 class FaultyDisk:
-    """`StoreFiles` in memory, whose operations may fail.
+    """An in-memory implementation of `StoreFiles` whose operations may fail.
 
-    Operations that change something are counted from 0. During operation `cut_at` the power is
-    cut, and PowerCutError raised from then on. The operations in `errors` raise OSError with the
-    error number given there. What is cut or fails may have done a part of its work.
+    Operations that change something are numbered from 0. The power is cut during operation
+    `cut_at`: that operation and all later ones raise PowerCutError. The operations in `errors`
+    raise OSError with the given error number. An interrupted or failed operation may have been
+    carried out in part.
     """
 
     def __init__(
@@ -83,58 +84,58 @@
         self.errors = dict(errors or {})
         self.operation_count = 0
         self.files: FilesByName = {}  # as a running process sees them
-        self._synced_files: FilesByName = {}  # names as they are on the disk
-        self._unsynced_changes: list[_Made | _Renamed | _Removed] = []
+        self._synced_files: FilesByName = {}  # by names as of the last sync of the folder
+        self._unsynced_changes: list[_Created | _Renamed | _Removed] = []
 
-    # `StoreFiles`.
+    # The methods of `StoreFiles`.
 
     def names(self) -> list[str]:
         """Return the names of all files, sorted."""
         return sorted(self.files)
 
     def read(self, name: str) -> bytes:
-        """Return all bytes of a file."""
+        """Return the content of a file."""
         return bytes(self._file(name).data)
 
     def read_at(self, name: str, offset: int, size: int) -> bytes:
-        """Return at most `size` bytes of a file from an offset on."""
+        """Return at most `size` bytes of a file, starting at an offset."""
         return bytes(self._file(name).data[offset : offset + size])
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at the end of a file, which is made if there is none."""
+        """Append to a file; create the file if it does not exist."""
 
         def write(size: int) -> None:
             if name not in self.files:
                 self.files[name] = DiskFile()
-                self._unsynced_changes.append(_Made(name, self.files[name]))
+                self._unsynced_changes.append(_Created(name, self.files[name]))
             file = self.files[name]
             start = len(file.data)
             file.data += data[:size]
             file.unsynced_writes.append(ByteRange(start, len(file.data)))
 
-        self._operate(lambda: write(len(data)), lambda: write(self.random.randbelow(len(data) + 1)))
+        self._perform(lambda: write(len(data)), lambda: write(self.random.randbelow(len(data) + 1)))
 
     def sync(self, name: str) -> None:
-        """Make the bytes of a file outlast a power cut."""
+        """Make the content of a file survive a power cut."""
         file = self._file(name)
 
-        def settle() -> None:
+        def mark_synced() -> None:
             file.synced_size = len(file.data)
             file.unsynced_writes = []
 
-        self._operate(settle)
+        self._perform(mark_synced)
 
     def sync_folder(self) -> None:
-        """Make the files' names outlast a power cut."""
+        """Make the creation, renaming and removal of files survive a power cut."""
 
-        def settle() -> None:
+        def mark_synced() -> None:
             self._synced_files = dict(self.files)
             self._unsynced_changes = []
 
-        self._operate(settle)
+        self._perform(mark_synced)
 
     def rename(self, name: str, new_name: str) -> None:
-        """Rename a file; it takes the place of any that had the new name."""
+        """Rename a file; it replaces any existing file of the new name."""
         self._file(name)
         self._change_names(_Renamed(name, new_name))
 
@@ -144,11 +145,11 @@
         self._change_names(_Removed(name))
 
     def new_store_id(self) -> bytes:
-        """Return random bytes for a store's identity."""
+        """Return random bytes that identify a store."""
         return bytes(self.random.randbelow(256) for _ in range(STORE_ID_BYTES))
 
     def close(self) -> None:
-        """Do nothing: the disk may be opened again."""
+        """Do nothing; the disk can be opened again."""
 
     def _file(self, name: str) -> DiskFile:
         if name not in self.files:
@@ -160,30 +161,30 @@
             change.apply(self.files)
             self._unsynced_changes.append(change)
 
-        self._operate(apply, apply)
+        self._perform(apply, apply)
 
-    def _operate(
-        self, complete: Callable[[], None], partly: Callable[[], None] | None = None
+    def _perform(
+        self, apply: Callable[[], None], apply_partly: Callable[[], None] | None = None
     ) -> None:
-        """Count one operation, and do it; if it is cut or fails, perhaps a part of it."""
+        """Count one operation and carry it out, perhaps in part if it is interrupted or fails."""
         number = self.operation_count
         self.operation_count += 1
         if self.cut_at is not None and number >= self.cut_at:
-            if partly and number == self.cut_at and self.random.randbelow(2):
-                partly()
+            if apply_partly and number == self.cut_at and self.random.randbelow(2):
+                apply_partly()
             raise PowerCutError
         if number in self.errors:
-            if partly and self.random.randbelow(2):
-                partly()
-            raise OSError(self.errors[number], "as the test says")
-        complete()
+            if apply_partly and self.random.randbelow(2):
+                apply_partly()
+            raise OSError(self.errors[number], "simulated disk error")
+        apply()
 
-    # What a next start finds.
+    # The disk as the next process finds it.
 
     def after_power_cut(
         self, cut_at: int | None = None, errors: Mapping[int, int] | None = None
     ) -> "FaultyDisk":
-        """Return the disk after a power cut, with faults of its own."""
+        """Return the disk after a power cut; it has its own `cut_at` and `errors`."""
         files = dict(self._synced_files)
         for change in self._unsynced_changes:
             if not self.random.randbelow(2):
@@ -196,16 +197,16 @@
     def after_process_end(
         self, cut_at: int | None = None, errors: Mapping[int, int] | None = None
     ) -> "FaultyDisk":
-        """Return the disk when only the process ended: all is there, synced or not as before."""
+        """Return the disk after the process ended: data is kept, unsynced data as unsynced."""
         disk = FaultyDisk(self.random, cut_at, errors)
-        # Copied at once, so that the copies refer to one another as the originals do.
+        # Copied in one call, so that references between these objects are preserved.
         disk.files, disk._synced_files, disk._unsynced_changes = copy.deepcopy(
             (self.files, self._synced_files, self._unsynced_changes)
         )
         return disk
 
     def put(self, name: str, data: bytes | bytearray) -> None:
-        """Make a file hold these bytes, synced: for tests that truncate files or flip bits."""
+        """Set a file's content, synced; tests use this to truncate files or flip bits."""
         file = DiskFile(bytearray(data), synced_size=len(data))
         self.files[name] = file
         self._synced_files[name] = file
@@ -219,7 +220,7 @@
         return data
 
     def _surviving_ranges(self, write: ByteRange) -> Iterator[ByteRange]:
-        """Draw what of one write has reached the disk: all of it, a prefix, or some sectors."""
+        """Choose at random which part of a write survives: all, a prefix, or some sectors."""
         length = write.end - write.start
         outcome = self.random.randbelow(3)
         if outcome == 0:
--- a/indigodeck/testbed/faulty_link.py
+++ b/indigodeck/testbed/faulty_link.py
@@ -1,4 +1,4 @@
-"""A network path to one port that can be blocked, or be broken off within an answer."""
+"""A network link to one port that can be blocked, or can truncate responses."""
 
 import asyncio
 
@@ -6,10 +6,10 @@
 
 
 class FaultyLink:
-    """A path to a port of this machine; connections to it go through while it is not blocked.
+    """A TCP forwarder to a loopback port.
 
-    Set `blocked` to drop all that is sent, both ways, while both ends think that they are
-    connected. Set `response_bytes_left` to let only so many more bytes of answers through.
+    While `blocked` is set, data in both directions is dropped, and connections stay open. If
+    `response_bytes_left` is set, only that many more bytes of responses are forwarded.
     """
 
     def __init__(self, target_port: int) -> None:
@@ -20,12 +20,12 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, port: int = 0) -> int:
-        """Accept connections; return the port, which the kernel chooses where none is given."""
+        """Accept connections and return the port; 0 lets the kernel choose one."""
         self._server = await asyncio.start_server(self._connect, "127.0.0.1", port)
         return self._server.sockets[0].getsockname()[1]
 
     def close(self) -> None:
-        """Stop listening and end all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
@@ -53,7 +53,7 @@
         try:
             while data := await reader.read(READ_BYTES):
                 if is_response:
-                    data = self._cut_off(data)
+                    data = self._truncate_response(data)
                 if not self.blocked and data:
                     writer.write(data)
         except OSError:
@@ -61,9 +61,9 @@
         finally:
             writer.close()
 
-    def _cut_off(self, data: bytes) -> bytes:
+    def _truncate_response(self, data: bytes) -> bytes:
         if self.response_bytes_left is None:
             return data
-        passed = data[: self.response_bytes_left]
+        forwarded = data[: self.response_bytes_left]
         self.response_bytes_left = max(0, self.response_bytes_left - len(data))
-        return passed
+        return forwarded
--- a/indigodeck/testbed/grpc_host.py
+++ b/indigodeck/testbed/grpc_host.py
@@ -1,4 +1,4 @@
-"""A host that serves requests over gRPC and reports its load in trailers and out of band (ORCA)."""
+"""A host that serves gRPC requests and reports its load by ORCA, in trailers and out of band."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -10,16 +10,16 @@
 
 from ..clock import SECOND
 
-METHOD_PREFIX = "/exchange.Hosts/"  # before the name of a class
+METHOD_PREFIX = "/exchange.Hosts/"  # followed by the name of a class
 LOAD_REPORT_METHOD = "/xds.service.orca.v3.OpenRcaService/StreamCoreMetrics"
 LOAD_REPORT_TRAILER = "endpoint-load-metrics-bin"
 CPU_UTILIZATION = 0.1
-SMALLEST_RATE = 1e-9  # 0 would say that nothing is reported
+MIN_REPORTED_RATE = 1e-9  # a rate of 0 would mean that none is reported
 HANG_S = 3600
 
 
 class ServedRequest(NamedTuple):
-    """A request as it reached the host; `relay` is empty where it named none."""
+    """A request as it reached the host; `relay` is empty if the request did not name one."""
 
     at: int
     relay: str
@@ -27,9 +27,9 @@
 
 
 class GrpcHost(grpc.GenericRpcHandler):
-    """One host on a port of its own.
+    """One host on its own port.
 
-    It takes `work` microseconds for each request; while it `hangs`, requests never end.
+    Each request takes `work` microseconds. While `hangs` is set, requests are not answered.
     """
 
     def __init__(self, now: Callable[[], int], name: str, work: int) -> None:
@@ -48,7 +48,7 @@
         await self.server.start()
 
     def service(self, handler_call_details: Any) -> Any:
-        """Return what handles a call (called by grpcio), None for a method that is not served."""
+        """Return the handler of a call, None for an unknown method (called by grpcio)."""
         method = handler_call_details.method
         if method == LOAD_REPORT_METHOD:
             return grpc.unary_stream_rpc_method_handler(
@@ -65,12 +65,12 @@
     async def _report_load(
         self, request: orca_pb2.OrcaLoadReportRequest, context: grpc.aio.ServicerContext
     ) -> AsyncIterator[orca_load_report_pb2.OrcaLoadReport]:
-        """Report at the interval that was asked for. Rates are of the last second."""
+        """Send load reports at the requested interval. Rates cover the last second."""
         while True:
             since = self._now() - SECOND
             recent = [served.class_name for served in self.receipts if served.at > since]
             report = orca_load_report_pb2.OrcaLoadReport(
-                cpu_utilization=CPU_UTILIZATION, rps_fractional=len(recent) or SMALLEST_RATE
+                cpu_utilization=CPU_UTILIZATION, rps_fractional=len(recent) or MIN_REPORTED_RATE
             )
             report.named_metrics["latency_ms"] = self._work / 1000
             for class_name in set(recent):
--- a/indigodeck/testbed/host_fleet.py
+++ b/indigodeck/testbed/host_fleet.py
@@ -1,4 +1,4 @@
-"""The hosts of a scenario: they start, drain, end, and are named in the endpoint list."""
+"""The hosts of a scenario: starts, drains and stops them, and publishes them in the list."""
 
 import json
 import pathlib
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class FleetHost:
-    """One host: the process that runs it, when it started (0: long ago), its entry in the list."""
+    """One host: its process, its start time (0: before the scenario), and its list entry."""
 
     process: WorkerProcess
     started: int
@@ -27,7 +27,7 @@
 
 
 class HostFleet:
-    """All hosts of a scenario, spread over some processes."""
+    """All hosts of a scenario, distributed over several processes."""
 
     def __init__(
         self, script: Script, settings: PlannerSettings, discovery: DiscoveryServer
@@ -37,12 +37,13 @@
         self._script = script
         self._settings = settings
         self._discovery = discovery
-        self._serial = 0
+        self._host_count = 0
 
     async def start_processes(self, folder: pathlib.Path) -> None:
-        """Start the processes, which write receipts into a folder."""
+        """Start the processes; they write receipts to files in a folder."""
         work = {
-            stated["name"]: round(stated["work_ms"] * 1000) for stated in self._script["classes"]
+            request_class["name"]: round(request_class["work_ms"] * 1000)
+            for request_class in self._script["classes"]
         }
         for index in range(self._script["hosts"].get("processes", 2)):
             receipts = str(folder / f"receipts-{index}")
@@ -52,25 +53,25 @@
             self.processes.append(process)
 
     async def add(self, zone: str, is_cold: bool) -> str:
-        """Start one more host and return its name; cold ones warm up as the settings say."""
-        self._serial += 1
-        name = f"host-{self._serial}"
-        stated = self._script["hosts"]
-        rules = self._settings.deployment
-        process = self.processes[self._serial % len(self.processes)]
-        cores = stated.get("cores", 4)
+        """Start one more host and return its name; cold hosts warm up according to the settings."""
+        self._host_count += 1
+        name = f"host-{self._host_count}"
+        host_options = self._script["hosts"]
+        deployment = self._settings.deployment
+        process = self.processes[self._host_count % len(self.processes)]
+        cores = host_options.get("cores", 4)
         started = now() if is_cold else 0
         answer = await process.execute(
             do="start",
             host=name,
             cores=cores,
-            slots=stated.get("slots", 2 * cores),
-            room=stated.get("room", 16 * cores),
+            slots=host_options.get("slots", 2 * cores),
+            room=host_options.get("room", 16 * cores),
             started=started,
-            cold_time=rules.warm_up_time,
-            cold_share=rules.cold_capacity_share,
-            tip_multiple=rules.overload_multiple,
-            tip_time=rules.overload_time,
+            cold_time=deployment.warm_up_time,
+            cold_share=deployment.cold_capacity_share,
+            tip_multiple=deployment.overload_multiple,
+            tip_time=deployment.overload_time,
         )
         entry = {
             "id": name,
@@ -86,11 +87,11 @@
         return name
 
     async def add_and_list(self, zone: str) -> None:
-        """Start one more cold host and name it in the list."""
+        """Start one more cold host and add it to the list."""
         self._discovery.set(self.entry(await self.add(zone, is_cold=True), "ready"))
 
     async def replace(self, name: str, drain_s: float, with_successor: bool) -> None:
-        """Drain a host, then end it; its successor, if any, is there from the start, cold."""
+        """Drain a host, then stop it; a successor, if any, starts cold when the drain begins."""
         self._discovery.set(self.entry(name, "draining"))
         if with_successor:
             await self.add_and_list(self.zone(name))
@@ -98,15 +99,15 @@
         await self.remove(name)
 
     async def remove(self, name: str) -> None:
-        """End a host at once; the list says that it is gone."""
+        """Stop a host at once and remove it from the list."""
         entry = self.entry(name, "gone")
         await self.hosts[name].process.execute(do="stop", host=name)
         self._discovery.set(entry)
         self.hosts[name].is_removed = True
 
-    async def set_fault(self, name: str, fault: str | None, **more: Any) -> None:
-        """Have one host fail in some way, or (None) no longer."""
-        await self.hosts[name].process.execute(do="hurt", host=name, fault=fault, **more)
+    async def set_fault(self, name: str, fault: str | None, **options: Any) -> None:
+        """Set the fault of one host, or end it with None."""
+        await self.hosts[name].process.execute(do="hurt", host=name, fault=fault, **options)
 
     async def end(self) -> None:
         """End all processes."""
@@ -114,7 +115,7 @@
             await process.end()
 
     def entry(self, name: str, state: str) -> Entry:
-        """Return a host's entry in the list, with a state."""
+        """Return a host's list entry with the given state."""
         return dict(self.hosts[name].entry, state=state)
 
     def zone(self, name: str) -> str:
@@ -122,11 +123,11 @@
         return self.hosts[name].entry["hall"]
 
     def started(self, name: str) -> int:
-        """Return when a host started, 0 if it was there from the start."""
+        """Return when a host started, 0 if it ran from the start of the scenario."""
         return self.hosts[name].started if name in self.hosts else 0
 
     def running(self, zone: str | None = None) -> list[str]:
-        """Return the hosts that run, of one zone if given."""
+        """Return the running hosts, of one zone if given."""
         return [
             name
             for name, host in self.hosts.items()
@@ -134,10 +135,10 @@
         ]
 
 
-def choose(random: SeededRandom, names: Any, share: float) -> list[str]:
-    """Return a share of the names, drawn at random; one at least, if there is any."""
-    left = list(names)
+def choose_share(random: SeededRandom, names: Any, share: float) -> list[str]:
+    """Return a random share of the names, at least one if there are any."""
+    remaining = list(names)
     chosen = []
-    for _ in range(min(len(left), max(1, round(len(left) * share)))):
-        chosen.append(left.pop(random.randbelow(len(left))))
+    for _ in range(min(len(remaining), max(1, round(len(remaining) * share)))):
+        chosen.append(remaining.pop(random.randbelow(len(remaining))))
     return chosen
--- a/indigodeck/testbed/host_model.py
+++ b/indigodeck/testbed/host_model.py
@@ -1,6 +1,6 @@
-"""The capacity model of a host, free of I/O: few cores, a bounded queue, slow start, overload.
+"""A model of a host's capacity, without I/O: cores, a bounded queue, slow start and overload.
 
-Times are microseconds; work is microseconds of one core at full speed.
+Times are in microseconds; work is in microseconds of one core at full speed.
 """
 
 import json
@@ -13,18 +13,18 @@
 
 from ..clock import SECOND
 
-OVERLOAD_SLACK = 1.1  # for chance: a host falls over a little later than stated
-LONGEST_HISTORY = 4096  # completed requests that reports look back on
+OVERLOAD_TOLERANCE = 1.1  # allows for random variation: a host crashes slightly above its limit
+MAX_COMPLETED_REQUESTS = 4096  # kept for load reports
 
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """What one host can do.
+    """The capacity of one host.
 
     It serves `slots` requests at a time, and `queue_limit` more may wait. A host that started at
-    `started` (0: long ago) is cold for `warm_up_time`, and begins with `cold_capacity_share` of
-    its capacity. A cold host falls over for good when it is sent more than `overload_multiple`
-    times what it can do (0: never), held for `overload_time`.
+    `started` (0: long ago) is cold for `warm_up_time`, and starts with `cold_capacity_share` of
+    its capacity. A cold host crashes when the work that arrives within `overload_time` exceeds
+    `overload_multiple` times its capacity (0: never).
     """
 
     cores: int
@@ -37,29 +37,29 @@
     overload_time: int = 0
 
     @classmethod
-    def from_json(cls, stated: dict[str, Any]) -> "HostSettings":
-        """Read the settings in a command that starts a host."""
+    def from_json(cls, document: dict[str, Any]) -> "HostSettings":
+        """Parse the settings in a command that starts a host."""
         return cls(
-            stated["cores"],
-            stated["slots"],
-            stated["room"],
-            stated.get("started", 0),
-            stated.get("cold_time", 0),
-            stated.get("cold_share", 1.0),
-            stated.get("tip_multiple", 0),
-            stated.get("tip_time", 0),
+            document["cores"],
+            document["slots"],
+            document["room"],
+            document.get("started", 0),
+            document.get("cold_time", 0),
+            document.get("cold_share", 1.0),
+            document.get("tip_multiple", 0),
+            document.get("tip_time", 0),
         )
 
 
 class ArrivedWork(NamedTuple):
-    """Work that reached a cold host."""
+    """Work that arrived at a cold host."""
 
     at: int
     work: int
 
 
 class CompletedRequest(NamedTuple):
-    """A request that was answered."""
+    """A request that was answered, with its service time in microseconds."""
 
     at: int
     class_name: str
@@ -68,57 +68,57 @@
 
 
 class HostModel:
-    """One host's capacity and what occupies it."""
+    """The state of one host: its capacity, requests in flight and queue."""
 
     def __init__(self, settings: HostSettings) -> None:
         self.settings = settings
         self.in_flight = 0
-        self.queue: deque[Event] = deque()  # of requests that wait for a slot
-        self.speed = 1.0  # less while a fault slows the host down
-        self.is_fallen = False
+        self.queue: deque[Event] = deque()  # one event per request that waits for a slot
+        self.speed = 1.0  # below 1 while a fault slows the host down
+        self.has_crashed = False
         self._arrived: deque[ArrivedWork] = deque()
-        self._completed: deque[CompletedRequest] = deque(maxlen=LONGEST_HISTORY)
+        self._completed: deque[CompletedRequest] = deque(maxlen=MAX_COMPLETED_REQUESTS)
 
     def capacity_share(self, now: int) -> float:
-        """Return the part of its capacity that the host has by now."""
+        """Return the share of its full capacity that the host has reached."""
         settings = self.settings
         if not settings.started or now - settings.started >= settings.warm_up_time:
             return 1.0
-        warm_part = (now - settings.started) / settings.warm_up_time
-        return settings.cold_capacity_share + (1 - settings.cold_capacity_share) * warm_part
+        warm_up_progress = (now - settings.started) / settings.warm_up_time
+        return settings.cold_capacity_share + (1 - settings.cold_capacity_share) * warm_up_progress
 
     def capacity(self, now: int) -> float:
-        """Return the cores' worth of work that the host can do by now."""
+        """Return the host's current capacity, in cores."""
         return self.settings.cores * self.capacity_share(now)
 
-    def arrive(self, now: int, work: int) -> bool:
-        """Take note of work that arrives; return whether the host still stands."""
+    def add_arrival(self, now: int, work: int) -> bool:
+        """Record arriving work; return whether the host is still running."""
         settings = self.settings
         if self.capacity_share(now) < 1 and settings.overload_multiple:
             self._arrived.append(ArrivedWork(now, work))
             while self._arrived[0].at < now - settings.overload_time:
                 self._arrived.popleft()
-            possible = self.capacity(now) * settings.overload_time
-            limit = settings.overload_multiple * possible * OVERLOAD_SLACK
+            possible_work = self.capacity(now) * settings.overload_time
+            limit = settings.overload_multiple * possible_work * OVERLOAD_TOLERANCE
             if sum(arrived.work for arrived in self._arrived) > limit:
-                self.is_fallen = True
-        return not self.is_fallen
+                self.has_crashed = True
+        return not self.has_crashed
 
     def service_time(self, now: int, work: int) -> float:
-        """Return how long work takes that begins now: more requests than cores slow all down."""
-        crowding = max(1.0, (self.in_flight + 1) / self.settings.cores)
-        return work * crowding / (self.capacity_share(now) * self.speed)
+        """Return the time that work takes from now; more requests than cores slow it down."""
+        slowdown = max(1.0, (self.in_flight + 1) / self.settings.cores)
+        return work * slowdown / (self.capacity_share(now) * self.speed)
 
     def is_full(self) -> bool:
-        """Return whether no more requests may wait."""
+        """Return whether the queue is full."""
         return len(self.queue) >= self.settings.queue_limit
 
-    def complete(self, request: CompletedRequest) -> None:
-        """Count an answered request for the load reports."""
+    def record_completion(self, request: CompletedRequest) -> None:
+        """Record an answered request for the load reports."""
         self._completed.append(request)
 
     def load_report(self, now: int, class_names: Iterable[str]) -> str:
-        """Return the load report, as the JSON form of an ORCA header. Rates are of the last 1 s."""
+        """Return the load report as a JSON ORCA header; rates cover the last second."""
         while self._completed and self._completed[0].at < now - SECOND:
             self._completed.popleft()
         times = [request.service_time for request in self._completed if request.succeeded]
--- a/indigodeck/testbed/host_pool.py
+++ b/indigodeck/testbed/host_pool.py
@@ -1,6 +1,6 @@
-"""Hosts over HTTP, many in one process: they start, stop, and fail in stated ways.
+"""Several HTTP hosts in one process, which can be started, stopped and made to fail.
 
-Each request leaves a receipt, a JSON line, as it reaches the host (read by `evidence.py`).
+For each request that reaches it, a host writes a receipt, a JSON line that `evidence.py` reads.
 """
 
 import json
@@ -19,15 +19,15 @@
 from .host_model import CompletedRequest, HostModel, HostSettings
 
 LOAD_REPORT_HEADER = "endpoint-load-metrics"
-USUAL_WORK = 1000  # microseconds of one core, of a class that states none
-HUNG_CPU_UTILIZATION = 0.01  # what a hung host reports: from within it looks idle
+DEFAULT_WORK = 1000  # microseconds of one core, for a class without a stated amount
+HUNG_CPU_UTILIZATION = 0.01  # a host that hangs reports itself as idle
 
 
 class Host:
-    """One host on a port of its own.
+    """One host on its own port.
 
-    `fault`: "slow", "hang" (requests begin and never end), "errors" (a share of requests fails),
-    "silent" (nothing is answered), or None.
+    `fault`: "slow", "hang" (requests start but do not finish), "errors" (a share of requests
+    fails), "silent" (neither requests nor health checks are answered), or None.
     """
 
     def __init__(self, pool: "HostPool", name: str, settings: HostSettings) -> None:
@@ -49,9 +49,9 @@
         await self._server.close_all_connections()
 
     def set_fault(self, fault: str | None, size: float = 1.0) -> None:
-        """Have the host fail from now on, or (None) no longer.
+        """Start a fault, or end the current one with None.
 
-        `size` is the part of its speed that a slow host loses, or the share that errors have.
+        `size` is the share of its speed that a slow host loses, or the share of failed requests.
         """
         self.fault = fault
         self._fault_size = size
@@ -61,12 +61,12 @@
             self._fault_ended = Event()
 
     async def serve(self, handler: RequestHandler, class_name: str) -> None:
-        """Answer one request."""
+        """Handle one request according to the host's state and fault."""
         headers = handler.request.headers
-        work = int(headers.get("Work", 0)) or self._pool.work.get(class_name, USUAL_WORK)
+        work = int(headers.get("Work", 0)) or self._pool.work.get(class_name, DEFAULT_WORK)
         now = self._pool.now()
         self._request_count += 1
-        if not self._model.arrive(now, work):
+        if not self._model.add_arrival(now, work):
             self._write_receipt(class_name, work, headers, "fallen")
             await self.stop()
             return
@@ -80,7 +80,7 @@
             return
         self._write_receipt(class_name, work, headers, "begun")
         if self.fault == "errors" and self._request_count % 100 < self._fault_size * 100:
-            self._model.complete(CompletedRequest(now, class_name, False, 0))
+            self._model.record_completion(CompletedRequest(now, class_name, False, 0))
             handler.set_status(HTTPStatus.INTERNAL_SERVER_ERROR)
             return
         await self._execute(class_name, work)
@@ -88,7 +88,7 @@
         handler.set_header(LOAD_REPORT_HEADER, report)
 
     async def load_report(self) -> str:
-        """Return the load report; a silent host gives none until the fault ends."""
+        """Return the load report; a silent host waits until the fault has ended."""
         if self.fault == "silent":
             await self._fault_ended.wait()
         report = self._model.load_report(self._pool.now(), self._pool.work)
@@ -113,19 +113,21 @@
         self._server.add_sockets(sockets)
 
     async def _execute(self, class_name: str, work: int) -> None:
-        """Wait for a slot, then take the time that the work takes."""
+        """Wait for a slot, then for the time that the work takes."""
         model = self._model
         if model.in_flight >= model.settings.slots:
-            turn = Event()
-            model.queue.append(turn)
-            await turn.wait()
+            slot_free = Event()
+            model.queue.append(slot_free)
+            await slot_free.wait()
         model.in_flight += 1
         try:
             if self.fault == "hang":
                 await self._fault_ended.wait()
             service_time = model.service_time(self._pool.now(), work)
             await sleep(service_time / SECOND)
-            model.complete(CompletedRequest(self._pool.now(), class_name, True, service_time))
+            model.record_completion(
+                CompletedRequest(self._pool.now(), class_name, True, service_time)
+            )
         finally:
             model.in_flight -= 1
             if model.queue:
@@ -150,36 +152,36 @@
 
 
 class RequestEndpoint(RequestHandler):
-    """Answers requests of proxies."""
+    """Serves the requests of relays."""
 
     def initialize(self, host: Host) -> None:
-        """Keep the host that serves them."""
+        """Set the host that serves the requests."""
         self._host = host
 
     async def get(self, class_name: str) -> None:
-        """Serve a request of a class."""
+        """Serve one request of a class."""
         await self._host.serve(self, class_name)
 
     post = get
 
 
 class LoadReportEndpoint(RequestHandler):
-    """Answers health checks and reads of the load report."""
+    """Answers health checks with the load report."""
 
     def initialize(self, host: Host) -> None:
-        """Keep the host that is reported on."""
+        """Set the host that the report describes."""
         self._host = host
 
     async def get(self) -> None:
-        """Answer with the load report in a header."""
+        """Return the load report in a header."""
         self.set_header(LOAD_REPORT_HEADER, await self._host.load_report())
 
 
 class HostPool:
-    """Hosts in one process.
+    """The hosts in one process.
 
-    `work` is how long a request of each class takes, in microseconds of one core. Receipts are
-    written to a file.
+    `work` is the work of a request of each class, in microseconds of one core. Receipts are
+    written to `receipts`.
     """
 
     def __init__(self, now: Callable[[], int], receipts: TextIO, work: dict[str, int]) -> None:
@@ -201,14 +203,14 @@
         """Stop one host."""
         await self.hosts.pop(name).stop()
 
-    async def execute(self, line: dict[str, Any]) -> dict[str, Any]:
+    async def execute(self, command: dict[str, Any]) -> dict[str, Any]:
         """Execute one command: {"do": "start" | "stop" | "hurt", "host": .., ..}."""
-        name = line["host"]
-        match line["do"]:
+        name = command["host"]
+        match command["do"]:
             case "start":
-                return {"port": self.start(name, HostSettings.from_json(line))}
+                return {"port": self.start(name, HostSettings.from_json(command))}
             case "stop":
                 await self.stop(name)
             case "hurt":
-                self.hosts[name].set_fault(line["fault"], line.get("part", 1.0))
+                self.hosts[name].set_fault(command["fault"], command.get("part", 1.0))
         return {}
--- a/indigodeck/testbed/ports.py
+++ b/indigodeck/testbed/ports.py
@@ -1,13 +1,14 @@
-"""Ports of this machine that nobody else takes until a process of a test listens on them."""
+"""Reserves ports of this machine for processes that a test starts later."""
 
 import socket
 
 
 class ReservedPorts:
-    """Ports from the kernel, reserved until closed (see `contextlib.closing`).
+    """Ports chosen by the kernel and reserved until `close`; works with `contextlib.closing`.
 
-    Their sockets are bound and do not listen: a controller can take its port and nobody else can.
-    A port that was merely free a moment ago was taken by some other connection now and then.
+    The sockets are bound with SO_REUSEADDR but do not listen, so a controller can listen on its
+    port while the kernel gives the port to no one else. A port that was only found to be free was
+    sometimes taken by another connection before the controller started.
     """
 
     def __init__(self, count: int) -> None:
@@ -18,6 +19,6 @@
         self.numbers: list[int] = [reserved.getsockname()[1] for reserved in self._sockets]
 
     def close(self) -> None:
-        """Give the ports back."""
+        """Release the ports."""
         for reserved in self._sockets:
             reserved.close()
--- a/indigodeck/testbed/recording_proxy.py
+++ b/indigodeck/testbed/recording_proxy.py
@@ -1,6 +1,6 @@
-"""A proxy between relays and their planner: forwards bytes, records them, can cut and misbehave.
+"""A TCP proxy between relays and their planner that records traffic and can inject faults.
 
-Relays connect to the proxy, which stays where it is while planners come and go.
+Relays connect to the proxy, whose address does not change when the planner restarts.
 """
 
 from collections.abc import Callable
@@ -18,10 +18,11 @@
 
 NONSENSE = b"HTTP/1.1 418 I am no planner\r\n\r\n" * 4
 READ_BYTES = 65536
-# Connections that may wait to be accepted: more are dropped by the kernel and retried 1 s later.
+# Connections that may wait to be accepted. The kernel drops any more, and clients retry after 1 s.
 ACCEPT_BACKLOG = 4096
 CONNECT_TIMEOUT_S = 1
-SHORTEST_INTRODUCTION_BYTES = 18  # a relay's first message holds more, its name's length at 17
+# A relay's first message is longer: the length of the relay's name is at offset 17, the name at 18.
+MIN_FIRST_MESSAGE_BYTES = 18
 
 Address = tuple[str, int]
 
@@ -31,12 +32,12 @@
 
     PASS = "pass"  # forward it to the planner
     REFUSE = "refuse"  # close it at once
-    SILENT = "silent"  # leave it open and answer nothing
+    SILENT = "silent"  # keep it open without answering
     NONSENSE = "nonsense"  # answer with bytes of another protocol
 
 
 class StreamEventType(StrEnum):
-    """What was seen on a relay's stream."""
+    """The types of events on a relay's stream."""
 
     JOINED = "joined"
     LEFT = "left"
@@ -44,25 +45,25 @@
 
 
 class StreamEvent(NamedTuple):
-    """One thing that was seen on a relay's stream.
+    """One event on a relay's stream.
 
-    `data` of a message is its bytes (SASP), or [(class, [(endpoint, weight, sure, out)])] where
-    the relay reports itself what it was sent (xDS). `epoch` is 0 where messages carry none.
+    For a message, `data` is its bytes (SASP), or [(class, [(endpoint, weight, confident,
+    quiesced)])] as reported by the relay itself (xDS). `epoch` is 0 if messages carry none.
     """
 
     at: int  # microseconds
     relay: str
     type: StreamEventType
     data: Any = b""
-    controller: str = ""  # where there are several
+    controller: str = ""  # empty if there is only one
     epoch: int = 0
 
 
 class RecordingProxy(TCPServer):
-    """Forwards streams to a planner and records what is sent to relays.
+    """Forwards streams to a planner and records what the planner sends to relays.
 
-    `planner()` gives the planner's present address, or None. `is_sasp`: what passes is SASP and
-    is recorded by message; of other protocols bytes are counted.
+    `planner()` returns the planner's current address, or None. With `is_sasp` each message is
+    recorded as an event; with other protocols only bytes are counted.
     """
 
     def __init__(
@@ -85,31 +86,31 @@
         self._paused_until: dict[str, int] = {}
 
     def open(self) -> int:
-        """Accept connections; return the port."""
+        """Accept connections and return the port."""
         sockets = bind_sockets(0, "127.0.0.1", backlog=ACCEPT_BACKLOG)
         self.add_sockets(sockets)
         return sockets[0].getsockname()[1]
 
-    def cut_all(self) -> None:
+    def disconnect_all(self) -> None:
         """Close all streams of relays."""
         for stream in list(self._open_streams):
             stream.close()
 
-    def cut(self, uid: str) -> None:
+    def disconnect(self, uid: str) -> None:
         """Close one relay's stream."""
         if uid in self._streams:
             self._streams[uid].close()
 
     def pause(self, uid: str, until: int) -> None:
-        """Read nothing more for one relay until this time; its planner's bytes stay queued."""
+        """Forward nothing to one relay until this time; the planner's data stays queued."""
         self._paused_until[uid] = until
 
     async def handle_stream(self, stream: IOStream, address: Address) -> None:
-        """Forward one relay's stream until either end closes it."""
+        """Forward one relay's stream until either side closes it."""
         self._open_streams.add(stream)
         stream.set_close_callback(lambda: self._open_streams.discard(stream))
         if self.mode != ProxyMode.PASS:
-            self._misbehave(stream)
+            self._apply_mode(stream)
             return
         planner = await self._connect()
         if planner is None:
@@ -129,10 +130,10 @@
             stream.close()
 
     def record(self, relay: str, event_type: StreamEventType, data: bytes = b"") -> None:
-        """Keep one event with the present time."""
+        """Record one event with the current time."""
         self.events.append(StreamEvent(self._now(), relay, event_type, data, self.controller))
 
-    def _misbehave(self, stream: IOStream) -> None:
+    def _apply_mode(self, stream: IOStream) -> None:
         if self.mode == ProxyMode.REFUSE:
             stream.close()
         elif self.mode == ProxyMode.NONSENSE:
@@ -153,7 +154,7 @@
         while True:
             data = await planner.read_bytes(READ_BYTES, partial=True)
             if self._is_sasp:
-                recorder.received(data)
+                recorder.add_data(data)
             else:
                 self.bytes_sent += len(data)
             await stream.write(data)
@@ -166,9 +167,9 @@
         try:
             while True:
                 data = await stream.read_bytes(READ_BYTES, partial=True)
-                first = recorder.uid is None
-                if self._is_sasp and first and len(data) > SHORTEST_INTRODUCTION_BYTES:
-                    recorder.uid = _introduced_name(data)
+                is_first = recorder.uid is None
+                if self._is_sasp and is_first and len(data) > MIN_FIRST_MESSAGE_BYTES:
+                    recorder.uid = _name_in_first_message(data)
                     self._streams[recorder.uid] = stream
                 await planner.write(data)
         except StreamClosedError:
@@ -179,13 +180,13 @@
     """Splits what a planner sends on one stream into messages and records them."""
 
     def __init__(self, proxy: RecordingProxy) -> None:
-        self.uid: str | None = None  # of the relay, once it has introduced itself
+        self.uid: str | None = None  # the relay's name, once its first message has arrived
         self._proxy = proxy
         self._has_joined = False
         self._buffer = b""
 
-    def received(self, data: bytes) -> None:
-        """Record each message that is complete; keep the rest until more arrives."""
+    def add_data(self, data: bytes) -> None:
+        """Record each complete message; keep the rest until more data arrives."""
         self._buffer += data
         while len(self._buffer) >= codec.HEADER.size:
             size = int.from_bytes(self._buffer[5:9], "big")
@@ -199,6 +200,6 @@
             self._buffer = self._buffer[size:]
 
 
-def _introduced_name(data: bytes) -> str:
-    """Return who speaks: a byte of length stands after the header and the type."""
+def _name_in_first_message(data: bytes) -> str:
+    """Return the relay's name; a length byte after the header and the type precedes it."""
     return data[18 : 18 + data[17]].decode()
--- a/indigodeck/testbed/relay.py
+++ b/indigodeck/testbed/relay.py
@@ -1,8 +1,9 @@
-"""A relay that goes by a planner's tables, with the clients of one process behind it.
+"""A relay that uses a planner's tables, and simulates the clients that send requests to it.
 
-Clients come at random times, wait until their deadline, and some retry. A relay picks a host by
-weight, retries at one further host only on proof that the first never ran, and avoids for a while
-a host at which its own attempts keep failing. Outcomes are JSON lines (read by `evidence.py`).
+Requests arrive at random times, and clients may retry until a deadline. The relay picks hosts by
+weight. It retries at one other host, and only if the first host provably did not execute the
+request. It avoids a host for some time after its own consecutive failures there. Outcomes are JSON
+lines (read by `evidence.py`).
 """
 
 import math
@@ -20,21 +21,21 @@
 from ..clock import SECOND
 
 AVOIDANCE_TIME = 5 * SECOND
-MOST_ATTEMPTS = 2  # of a relay for one attempt of its client
-MOST_CONNECTIONS = 4096
-LONGEST_CONNECT_S = 0.25
-SHORTEST_REQUEST_S = 0.01  # with less time left nothing is sent
-ATTEMPT_TIME_PER_MS = 600  # microseconds of an attempt for each millisecond of the deadline
-NEVER_RAN = ("nowhere", "full", "refused")  # outcomes after which any request may be repeated
+MAX_ATTEMPTS = 2  # by a relay, for one attempt of its client
+MAX_CONNECTIONS = 4096
+CONNECT_TIMEOUT_S = 0.25
+MIN_REQUEST_TIME_S = 0.01  # nothing is sent with less time left
+ATTEMPT_TIME_PER_MS = 600  # microseconds per attempt for each millisecond of the deadline
+NEVER_EXECUTED = ("nowhere", "full", "refused")  # outcomes after which any request may be retried
 
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: its share of all, its work, and what an answer in time is worth.
+    """A class of requests: its share of all requests, its work, and the weight of its answers.
 
-    Times are microseconds, work is of one core.
+    Times are in microseconds if not stated otherwise; work is in microseconds of one core.
     """
 
     name: str
@@ -47,28 +48,28 @@
     is_idempotent: bool
 
     @classmethod
-    def from_json(cls, stated: dict[str, Any]) -> "RequestClass":
-        """Read a class as a script and settings state it; defaults are those of the settings."""
+    def from_json(cls, document: dict[str, Any]) -> "RequestClass":
+        """Parse a class, merged from a script and settings; defaults are those of the settings."""
         return cls(
-            stated["name"],
-            stated["share"],
-            stated["work_ms"] * 1000,
-            stated["patience_ms"],
-            stated["agreed_time_ms"] * 1000,
-            stated.get("credit", 1),
-            stated.get("late_credit", 0),
-            stated.get("repeats", "safe") == "safe",
+            document["name"],
+            document["share"],
+            document["work_ms"] * 1000,
+            document["patience_ms"],
+            document["agreed_time_ms"] * 1000,
+            document.get("credit", 1),
+            document.get("late_credit", 0),
+            document.get("repeats", "safe") == "safe",
         )
 
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """What a relay is told at its start.
+    """The settings of a relay.
 
-    `initial_hosts` make up its tables until a planner gives one. `rate` is requests a second.
-    A client retries `retries` times. The relay avoids a host after `failure_limit` failures in a
-    row (0: never). `misbehaviour`, to see that the audit notices: "keeps" (it goes by its first
-    table for ever) or "repeats" (it retries whatever happened).
+    `initial_hosts` make up its tables until a planner sends one. `rate` is in requests per second.
+    A client retries up to `retries` times. The relay avoids a host after `failure_limit`
+    consecutive failures (0: never). `misbehavior` breaks rules that the audit has to detect:
+    "keeps" (the relay never replaces its first tables) or "repeats" (it retries after any failure).
     """
 
     uid: str
@@ -82,30 +83,30 @@
     initial_hosts: tuple[Address, ...] = ()
     retries: int = 0
     failure_limit: int = 0
-    misbehaviour: str | None = None
+    misbehavior: str | None = None
 
     @classmethod
-    def from_json(cls, stated: dict[str, Any]) -> "RelaySettings":
-        """Read the settings in a command that starts a relay."""
-        classes = [RequestClass.from_json(given) for given in stated["classes"]]
+    def from_json(cls, document: dict[str, Any]) -> "RelaySettings":
+        """Parse the settings in a command that starts a relay."""
+        classes = [RequestClass.from_json(entry) for entry in document["classes"]]
         return cls(
-            stated["uid"],
-            [(address, port) for address, port in stated["planners"]],
-            {given.name: given for given in classes},
-            stated["rate"],
-            stated.get("seed", 0),
-            stated.get("wire", "sasp"),
-            stated.get("hall", ""),
-            stated.get("planner_patience", 3.0),
-            tuple((address, port) for address, port in stated.get("standing", [])),
-            stated.get("retries", 0),
-            stated.get("strikes", 0),
-            stated.get("unruly"),
+            document["uid"],
+            [(address, port) for address, port in document["planners"]],
+            {request_class.name: request_class for request_class in classes},
+            document["rate"],
+            document.get("seed", 0),
+            document.get("wire", "sasp"),
+            document.get("hall", ""),
+            document.get("planner_patience", 3.0),
+            tuple((address, port) for address, port in document.get("standing", [])),
+            document.get("retries", 0),
+            document.get("strikes", 0),
+            document.get("unruly"),
         )
 
 
 class Relay:
-    """One relay. `write` takes its outcomes; requests come until `until`."""
+    """One relay. It passes outcomes to `write`; requests arrive until the time `until`."""
 
     def __init__(
         self,
@@ -121,15 +122,15 @@
         self._settings = settings
         self._until = until
         self._random = SeededRandom(seed_from(self.uid, [str(settings.seed).encode()]))
-        self._http = SimpleAsyncHTTPClient(force_instance=True, max_clients=MOST_CONNECTIONS)
+        self._http = SimpleAsyncHTTPClient(force_instance=True, max_clients=MAX_CONNECTIONS)
         self._request_count = 0
         self._consecutive_failures: dict[Address, int] = {}
         self._avoided_until: dict[Address, int] = {}
-        self._first_tables: Tables | None = None  # of one that keeps them for ever
+        self._kept_tables: Tables | None = None  # the first tables, with misbehavior "keeps"
         self.client = self._make_client()
 
     def start(self) -> None:
-        """Connect to a planner, and let requests come."""
+        """Connect to a planner and start the arrival of requests."""
         IOLoop.current().add_callback(self.client.run)
         if self._settings.rate > 0:
             IOLoop.current().call_later(self._time_to_next_request(), self._on_request)
@@ -156,7 +157,7 @@
         )
 
     def _on_stream_event(self, event_type: str, tables: Any) -> None:
-        """Report what passed the relay's own end of a stream that no proxy can read."""
+        """Report an event on the relay's stream, which the recording proxy cannot read (xDS)."""
         self._write(
             {
                 "at": self._now(),
@@ -169,13 +170,13 @@
         )
 
     def _time_to_next_request(self) -> float:
-        """Return seconds, drawn for requests that come independently of one another."""
+        """Return a random time in seconds, such that requests arrive as a Poisson process."""
         return -math.log((1 + self._random.randbelow(1 << 30)) / (1 << 30)) / self._settings.rate
 
     def _on_request(self) -> None:
         if self._now() >= self._until:
             return
-        # The next comes whatever becomes of this one.
+        # Arrivals do not depend on whether earlier requests have completed.
         IOLoop.current().call_later(self._time_to_next_request(), self._on_request)
         request_class = self._draw_class()
         self._request_count += 1
@@ -183,23 +184,23 @@
         IOLoop.current().add_callback(self._serve_client, request_class, key)
 
     def _draw_class(self) -> RequestClass:
-        point = self._random.randbelow(1000) / 1000
+        remaining_share = self._random.randbelow(1000) / 1000
         classes = list(self._settings.classes.values())
         for request_class in classes:
-            point -= request_class.share
-            if point < 0:
+            remaining_share -= request_class.share
+            if remaining_share < 0:
                 return request_class
         return classes[-1]
 
     async def _serve_client(self, request_class: RequestClass, key: str) -> None:
-        """Serve one client, which retries until its deadline."""
+        """Serve one client, which may retry until its deadline, and write the outcome."""
         started = self._now()
         work = round(request_class.work * (0.6 + 0.8 * self._random.randbelow(1000) / 1000))
         outcome = "nowhere"
         attempts = 0
         for attempt in range(1 + self._settings.retries):
             time_left = request_class.deadline_ms * 1000 - (self._now() - started)
-            may_repeat = request_class.is_idempotent or outcome in NEVER_RAN
+            may_repeat = request_class.is_idempotent or outcome in NEVER_EXECUTED
             if time_left <= 0 or (attempt and not may_repeat):
                 break
             attempts += 1
@@ -225,16 +226,16 @@
         )
 
     async def _forward(self, name: str, key: str, work: int, timeout: float) -> str:
-        """Forward one attempt of a client; a host that never ran it is followed by another."""
+        """Forward one attempt of a client; try another host if the first did not execute it."""
         started = self._now()
-        # A client that retries is rejected again: by what it asks, and not by a new draw.
+        # The admission decision depends on the request only, so that a retry is rejected again.
         client_key = key.rpartition("/")[0]
-        point = SeededRandom(seed_from(client_key, [])).randbelow(1 << 20) / (1 << 20)
-        if not self.tables.admits(name, point):
+        position = SeededRandom(seed_from(client_key, [])).randbelow(1 << 20) / (1 << 20)
+        if not self.tables.admits(name, position):
             return "refused"
         outcome = "nowhere"
         attempted: list[Address] = []
-        for attempt in range(MOST_ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             try:
                 address = self._pick(name, self._avoided() + attempted)
             except NoServerError:
@@ -248,31 +249,31 @@
             self._count_outcome(address, outcome)
             if self._settings.protocol == "xds":
                 self.client.count_request(name, address, outcome == "ok", self._now() - sent)
-            repeats_anything = self._settings.misbehaviour == "repeats" and outcome != "ok"
-            if outcome != "unreachable" and not repeats_anything:
+            always_retries = self._settings.misbehavior == "repeats" and outcome != "ok"
+            if outcome != "unreachable" and not always_retries:
                 return outcome
         return outcome
 
     def _pick(self, name: str, avoid: list[Address]) -> Address:
-        if self._settings.misbehaviour == "keeps":
-            if self._first_tables is None and self.tables.updated_at[name] is not None:
-                self._first_tables = Tables(self._settings.classes, self._now)
-                self._first_tables.lines = {
-                    other: dict(lines) for other, lines in self.tables.lines.items()
+        if self._settings.misbehavior == "keeps":
+            if self._kept_tables is None and self.tables.updated_at[name] is not None:
+                self._kept_tables = Tables(self._settings.classes, self._now)
+                self._kept_tables.lines = {
+                    class_name: dict(lines) for class_name, lines in self.tables.lines.items()
                 }
-            if self._first_tables is not None:
-                return self._first_tables.pick(name, avoid)
+            if self._kept_tables is not None:
+                return self._kept_tables.pick(name, avoid)
         return self.tables.pick(name, avoid)
 
     async def _send(
         self, address: Address, name: str, key: str, attempt: int, work: int, timeout_s: float
     ) -> str:
         """Send one request to one host; return its outcome."""
-        if timeout_s <= SHORTEST_REQUEST_S:
+        if timeout_s <= MIN_REQUEST_TIME_S:
             return "late"
         request = HTTPRequest(
             f"http://{address[0]}:{address[1]}/exchange/{name}",
-            connect_timeout=min(LONGEST_CONNECT_S, timeout_s),
+            connect_timeout=min(CONNECT_TIMEOUT_S, timeout_s),
             request_timeout=timeout_s,
             headers={
                 "Relay": self.uid,
@@ -288,7 +289,7 @@
         except ConnectionRefusedError:
             return "unreachable"
         except (OSError, HTTPClientError):
-            return "broken"  # nothing is known of the attempt
+            return "broken"  # it is unknown whether the host executed the request
         if response.code < 400:
             return "ok"
         return "full" if response.code == 503 else "error"
--- a/indigodeck/testbed/relay_view.py
+++ b/indigodeck/testbed/relay_view.py
@@ -1,4 +1,4 @@
-"""Reads what a planner wrote to a relay, as the relay itself would."""
+"""Rebuilds a relay's tables from the recorded messages that a planner sent to it."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -12,14 +12,14 @@
 
 
 class RelayView:
-    """The tables of one relay, by the messages that it was sent."""
+    """The tables of one relay, according to the messages sent to it."""
 
     def __init__(self, class_names: Iterable[str], now: Callable[[], int]) -> None:
         self.is_joined = False
         self.tables = Tables(class_names, now)
 
     def apply(self, event: StreamEvent) -> None:
-        """Take in what was seen on the relay's stream."""
+        """Apply an event on the relay's stream."""
         if event.type == StreamEventType.JOINED:
             self.is_joined = True
             self.tables.connection_opened()
@@ -31,7 +31,7 @@
             self._apply_reported(event.data)
 
     def has_empty_table(self, class_name: str) -> bool:
-        """Return whether the relay is joined and was given a table that names no server."""
+        """Return whether the relay is joined and has received a table without servers."""
         return (
             self.is_joined
             and self.tables.updated_at[class_name] is not None
@@ -46,19 +46,19 @@
         self.sent_weights(number, groups)
 
     def sent_weights(self, number: int, groups: Groups) -> None:
-        """Apply weights that were pushed (called by the codec)."""
+        """Apply pushed weights (called by the codec)."""
         for (_, name), entries in groups:
             self.tables.update(name.decode(), [table_entry(entry) for entry in entries])
 
     def _apply_reported(self, tables: Any) -> None:
-        """Apply whole tables, as a relay reports them of a stream that only it can read."""
+        """Apply whole tables as reported by a relay whose stream the proxy cannot read."""
         for name, entries in tables:
             reported = [TableEntry(tuple(address), *rest) for address, *rest in entries]
             self.tables.replace(name, reported)
 
 
 class _EntryCounter:
-    """Counts the entries of a SASP message. A rejected relay is answered, too, with none."""
+    """Counts the table entries in a SASP message; an answer to a rejected relay has none."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -74,7 +74,7 @@
 
 
 def count_entries(data: Any) -> int:
-    """Return how many table entries a message gives a relay, over either protocol."""
+    """Return the number of table entries in a message to a relay, of either protocol."""
     if not isinstance(data, bytes):
         return sum(len(entries) for _, entries in data)
     counter = _EntryCounter()
--- a/indigodeck/testbed/scenario.py
+++ b/indigodeck/testbed/scenario.py
@@ -1,8 +1,8 @@
-"""Plays a scripted scenario on loopback: starts a planner and the world around it, and judges it.
+"""Runs a scripted scenario on loopback: a planner with hosts, relays and clients, then an audit.
 
-One process each for the planner, for groups of hosts and for groups of relays with their clients;
-the discovery server and the proxy on the relays' streams are in this one. Every process is ended
-by its own id.
+The planner, each group of hosts and each group of relays with their clients run in separate
+processes. The discovery server and the proxy for the relays' streams run in this process. Each
+process is ended by its own process id.
 """
 
 import asyncio
@@ -24,11 +24,11 @@
 from .errors import PlannerNotStartedError
 from .evidence import Evidence, LeaseAcquisition, Publication
 from .faults import FaultInjector
-from .host_fleet import HostFleet, choose
+from .host_fleet import HostFleet, choose_share
 from .recording_proxy import RecordingProxy, StreamEventType
 from .scenario_result import (
     Result,
-    most_waiting_lines,
+    longest_queue,
     new_evidence,
     read_files,
     rule_results,
@@ -38,40 +38,41 @@
 
 START_POLL_INTERVAL_S = 0.05
 START_POLLS = 200
-TIME_AFTER_END = 2 * SECOND  # in which last requests may still be answered
-FEWEST_STANDING_HOSTS = 3  # a zone with fewer gives its relays no standing tables of its own
-RELAY_TIMEOUT_S = 3.0  # of a relay's connection, where it knows one planner
-RELAY_TIMEOUT_OF_SEVERAL_S = 1.0
+TIME_AFTER_END = 2 * SECOND  # for answers to the last requests
+# Relays in a zone with fewer hosts choose their initial hosts from all zones.
+MIN_INITIAL_HOSTS_IN_ZONE = 3
+RELAY_TIMEOUT_S = 3.0  # a relay's response timeout if it knows only one planner
+RELAY_TIMEOUT_SEVERAL_PLANNERS_S = 1.0
 
-Report = Callable[[str], None]
-Address = list[Any]  # [address, port], as it goes into commands
+ProgressCallback = Callable[[str], None]
+Address = list[Any]  # [address, port], as in commands
 
 
 class ScenarioRunner:
-    """One fleet with its planner. `policy`: "indigodeck" or the name of a baseline."""
+    """One scenario with its planner. `policy` is "indigodeck" or the name of a baseline."""
 
     def __init__(
         self,
         script: Script,
         folder: str | pathlib.Path,
         policy: str = "indigodeck",
-        report: Report = lambda text: None,
+        report_progress: ProgressCallback = lambda text: None,
     ) -> None:
         self.script = script
         self.folder = pathlib.Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.report = report
+        self.report_progress = report_progress
         self.random = SeededRandom(script.get("seed", 1))
         self.planner: asyncio.subprocess.Process | None = None
         self.planner_port: int | None = None
         self.planner_starts: list[int] = []
         self.relay_process_of: dict[str, WorkerProcess] = {}
-        self.evidence: Evidence | None = None  # once it was played
+        self.evidence: Evidence | None = None  # set at the end of `run`
         self._policy = policy
         self._protocol = protocol_of(script)
         self._publications: list[Publication] = []
         self._relay_processes: list[WorkerProcess] = []
-        self._background: set[asyncio.Task[None]] = set()
+        self._background_tasks: set[asyncio.Task[None]] = set()
         self._log = (self.folder / "planner.log").open("ab")
         self.proxy = RecordingProxy(now, self._planner_address, self._protocol == "sasp")
         delay_ms = script.get("roster", {}).get("late_ms", 0)
@@ -81,10 +82,10 @@
         self.hosts = HostFleet(script, self.settings, self.discovery)
         self._faults = FaultInjector(self)
 
-    # What differs where there are several controllers (fleet_scenario.py).
+    # Methods that differ with several controllers (fleet_scenario.py).
 
     def open_proxies(self) -> list[Address]:
-        """Open the proxies; return where relays find them."""
+        """Open the proxies and return their addresses."""
         return [["127.0.0.1", self.proxy.open()]]
 
     def proxies(self) -> list[RecordingProxy]:
@@ -92,7 +93,7 @@
         return [self.proxy]
 
     def lease_acquisitions(self) -> list[LeaseAcquisition]:
-        """Return which controllers became leader, and when; none where there is one."""
+        """Return when controllers became the leader; empty with a single controller."""
         return []
 
     def planners(self) -> list[asyncio.subprocess.Process]:
@@ -123,20 +124,20 @@
         raise PlannerNotStartedError(f"the planner did not listen; see {log}")
 
     async def inject_fault(self, fault: Fault) -> None:
-        """Let one thing go wrong."""
+        """Inject one fault."""
         await self._faults.inject(fault)
 
     def running_planner(self) -> asyncio.subprocess.Process:
-        """Return the planner's process, which was started."""
+        """Return the planner's process, which must have been started."""
         assert self.planner is not None
         return self.planner
 
     async def drop_stream(self, uid: str) -> None:
-        """Have a relay lose its stream."""
+        """Disconnect a relay from its planner."""
         await self.relay_process_of[uid].execute(do="drop", uid=uid)
 
     async def run(self) -> Result:
-        """Play the whole script; return how it went."""
+        """Run the whole script and return its result."""
         fault_tasks: list[asyncio.Task[None]] = []
         errors: list[Exception] = []
         try:
@@ -147,8 +148,8 @@
             started_at = now()
             until = started_at + round(self.script["seconds"] * SECOND)
             await self._start_relays(first_hosts, addresses, until)
-            for stated in self.script.get("troubles", []):
-                inject = self._inject_in_time(started_at, Fault.from_json(stated), errors)
+            for document in self.script.get("troubles", []):
+                inject = self._inject_at_time(started_at, Fault.from_json(document), errors)
                 fault_tasks.append(asyncio.get_running_loop().create_task(inject))
             while now() < until + TIME_AFTER_END:
                 await sleep(0.2)
@@ -159,11 +160,11 @@
         finally:
             for task in fault_tasks:
                 task.cancel()
-            await self._end()
+            await self._stop_all()
         return self._result(started_at)
 
     async def _start_hosts(self) -> list[str]:
-        """Start the hosts of the beginning, over all zones by turns; return their names."""
+        """Start the initial hosts, round-robin over the zones; return their names."""
         await self.hosts.start_processes(self.folder)
         zones = self.settings.zone_names
         names = [
@@ -184,38 +185,38 @@
     ) -> None:
         relays = self.script["relays"]
         zones = self.settings.zone_names
-        # A few relays carry far more than the others.
-        parts = [1 / (1 + index) ** 0.5 for index in range(relays["many"])]
+        # The load is uneven: a few relays carry far more than the others.
+        relative_rates = [1 / (1 + index) ** 0.5 for index in range(relays["many"])]
         for index in range(relays["many"]):
             zone = zones[index % len(zones)]
             uid = f"{zone}/relay-{index}"
-            standing = self._choose_standing_hosts(first_hosts, zone)
+            initial_hosts = self._choose_initial_hosts(first_hosts, zone)
             process = self._relay_processes[index % len(self._relay_processes)]
             self.relay_process_of[uid] = process
-            stated = self._relay_document(uid, zone, addresses, standing)
-            stated["rate"] = relays["rate"] * parts[index] / sum(parts)
-            await process.execute(do="start", until=until, relay=stated)
-
-    def _choose_standing_hosts(self, first_hosts: list[str], zone: str) -> list[str]:
-        """Return the hosts that a relay uses before it was given any table."""
-        near = [name for name in first_hosts if self.hosts.zone(name) == zone]
-        candidates = near if len(near) >= FEWEST_STANDING_HOSTS else first_hosts
-        shuffled = choose(self.random, candidates, 1.0)
+            settings = self._relay_document(uid, zone, addresses, initial_hosts)
+            settings["rate"] = relays["rate"] * relative_rates[index] / sum(relative_rates)
+            await process.execute(do="start", until=until, relay=settings)
+
+    def _choose_initial_hosts(self, first_hosts: list[str], zone: str) -> list[str]:
+        """Return the hosts that a relay uses until it gets its first table."""
+        in_zone = [name for name in first_hosts if self.hosts.zone(name) == zone]
+        candidates = in_zone if len(in_zone) >= MIN_INITIAL_HOSTS_IN_ZONE else first_hosts
+        shuffled = choose_share(self.random, candidates, 1.0)
         return shuffled[: self.script["relays"].get("standing", 5)]
 
     def _relay_document(
-        self, uid: str, zone: str, addresses: list[Address], standing: list[str]
+        self, uid: str, zone: str, addresses: list[Address], initial_hosts: list[str]
     ) -> dict[str, Any]:
-        """Return what a relay is told at its start, but for its rate (see relay_pool.py)."""
+        """Return a relay's settings without its rate (see `RelaySettings` in relay.py)."""
         relays = self.script["relays"]
         classes = [
-            dict(stated, **of_script)
+            dict(of_settings, **of_script)
             for of_script in self.script["classes"]
-            for stated in self.script["charter"]["classes"]
-            if stated["name"] == of_script["name"]
+            for of_settings in self.script["charter"]["classes"]
+            if of_settings["name"] == of_script["name"]
         ]
-        timeout_s = RELAY_TIMEOUT_S if len(addresses) == 1 else RELAY_TIMEOUT_OF_SEVERAL_S
-        ports = [self.hosts.hosts[name].entry["port"] for name in standing]
+        timeout_s = RELAY_TIMEOUT_S if len(addresses) == 1 else RELAY_TIMEOUT_SEVERAL_PLANNERS_S
+        ports = [self.hosts.hosts[name].entry["port"] for name in initial_hosts]
         return {
             "uid": uid,
             "planners": addresses,
@@ -230,14 +231,14 @@
             "unruly": relays.get("unruly", {}).get(uid),
         }
 
-    async def _inject_in_time(self, started_at: int, fault: Fault, errors: list[Exception]) -> None:
+    async def _inject_at_time(self, started_at: int, fault: Fault, errors: list[Exception]) -> None:
         try:
             await sleep(max(0.0, (started_at - now()) / SECOND + fault.at_s))
             await self.inject_fault(fault)
-        except Exception as error:  # the scenario ends: one that cannot be played proves nothing
+        except Exception as error:  # a failed injection ends the scenario: its result would be void
             errors.append(error)
 
-    async def _end(self) -> None:
+    async def _stop_all(self) -> None:
         for planner in self.planners():
             if planner.returncode is None:
                 planner.send_signal(signal.SIGCONT)
@@ -252,7 +253,7 @@
         self._log.close()
 
     async def _read_log(self, planner: asyncio.subprocess.Process) -> None:
-        """Copy a planner's log into the file, and learn its port from it."""
+        """Copy a planner's log to the log file, and read the planner's port from it."""
         assert planner.stdout is not None
         while line := await planner.stdout.readline():
             self._log.write(line)
@@ -266,10 +267,10 @@
     def _on_published(self, host: str, state: str) -> None:
         self._publications.append(Publication(now(), host, state, self.hosts.started(host)))
 
-    def _spawn(self, work: Any) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        self._background.add(task)
-        task.add_done_callback(self._background.discard)
+    def _spawn(self, coroutine: Any) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
     def _result(self, started_at: int) -> Result:
         evidence = self.evidence = new_evidence(self.settings, started_at)
@@ -281,14 +282,14 @@
         evidence.stream_events += [
             event for proxy in proxies for event in proxy.events if event.relay
         ]
-        rules = rule_results(evidence, most_waiting_lines(self.folder))
+        rules = rule_results(evidence, longest_queue(self.folder))
         messages = [e for e in evidence.stream_events if e.type == StreamEventType.MESSAGE]
         return {
             "policy": self._policy,
             "wire": self._protocol,
             "seconds": self.script["seconds"],
             "rules": rules,
-            "service": audit.service(evidence),
+            "service": audit.summarize_service(evidence),
             "wire_bytes": sum(proxy.bytes_sent for proxy in proxies),
             "wire_messages": len(messages),
         }
@@ -298,19 +299,22 @@
     script: Script,
     policies: Sequence[str] = ("indigodeck",),
     folder: str | pathlib.Path | None = None,
-    report: Report = lambda text: None,
+    report_progress: ProgressCallback = lambda text: None,
 ) -> list[Result]:
-    """Play a scenario, under several policies side by side if asked; return a result for each."""
+    """Run a scenario under each policy, all at the same time; return one result per policy."""
 
-    def report_of(policy: str) -> Report:
+    def progress_callback(policy: str) -> ProgressCallback:
         if len(policies) == 1:
-            return report
-        return lambda text: report(f"{policy}: {text}")
+            return report_progress
+        return lambda text: report_progress(f"{policy}: {text}")
 
     with tempfile.TemporaryDirectory() as temporary:
         runners = [
             ScenarioRunner(
-                script, pathlib.Path(folder or temporary) / policy, policy, report_of(policy)
+                script,
+                pathlib.Path(folder or temporary) / policy,
+                policy,
+                progress_callback(policy),
             )
             for policy in policies
         ]
--- a/indigodeck/testbed/scenario_result.py
+++ b/indigodeck/testbed/scenario_result.py
@@ -1,4 +1,4 @@
-"""The result of a played scenario: read from what its processes wrote, as JSON and for people."""
+"""The result of a scenario, from the files that its processes wrote, as JSON and as text."""
 
 import dataclasses
 import json
@@ -12,15 +12,16 @@
 from .recording_proxy import StreamEvent, StreamEventType
 from .verdict import Verdict
 
-MOST_WAITING_KEY = "most_waiting_lines"  # of the event planner_stopping
+LONGEST_QUEUE_KEY = "most_waiting_lines"  # in the log event planner_stopping
 
 Result = dict[str, Any]
 
 
 def new_evidence(settings: PlannerSettings, started_at: int) -> Evidence:
-    """Return evidence without content, judged by a planner's settings."""
+    """Return empty evidence with a planner's settings."""
     deployment = settings.deployment
-    # The audit counts all messages that may be written, answers to relays' own requests too.
+    # The audit counts all messages to a relay, including answers to its own requests, so the limit
+    # is that on all of them.
     channel = dataclasses.replace(
         deployment.channel, max_messages=settings.message_limits.max_messages
     )
@@ -30,7 +31,10 @@
 
 
 def read_files(evidence: Evidence, folder: pathlib.Path, controllers: list[str]) -> None:
-    """Add the receipts and outcomes in a folder; `controllers` by the order relays know them in."""
+    """Add the receipts, outcomes and stream events that processes wrote to a folder.
+
+    `controllers` are in the order in which relays know them.
+    """
     for path in sorted(folder.iterdir()):
         if path.name.startswith("receipts-"):
             evidence.receipts += map(Receipt.from_json, read_json_lines(path))
@@ -42,26 +46,26 @@
                     evidence.outcomes.append(Outcome.from_json(line))
 
 
-def most_waiting_lines(folder: pathlib.Path) -> int:
-    """Return the longest queue that any planner in a folder logged, in table lines."""
+def longest_queue(folder: pathlib.Path) -> int:
+    """Return the longest queue, in table lines, that a planner logged to a file in a folder."""
     logged = [
-        json.loads(line).get(MOST_WAITING_KEY, 0)
+        json.loads(line).get(LONGEST_QUEUE_KEY, 0)
         for path in sorted(folder.glob("*.log"))
         for line in path.read_text().splitlines()
-        if line.startswith("{") and MOST_WAITING_KEY in line
+        if line.startswith("{") and LONGEST_QUEUE_KEY in line
     ]
     return max(logged, default=0)
 
 
-def rule_results(evidence: Evidence, most_waiting: int) -> list[Result]:
-    """Return the verdicts of all rules, as they stand in a result."""
+def rule_results(evidence: Evidence, queue_length: int) -> list[Result]:
+    """Return the verdicts of all rules in the form that results have."""
     results = [_rule_result(evidence, verdict) for verdict in audit.verdicts(evidence)]
     limit = evidence.settings.channel.max_waiting_lines
     results.append(
         {
             "rule": "a short queue (the planner's own count)",
-            "kept": most_waiting <= limit,
-            "worst": most_waiting,
+            "kept": queue_length <= limit,
+            "worst": queue_length,
             "limit": limit,
             "unit": "lines",
             "cases": [],
@@ -71,16 +75,16 @@
 
 
 def format_result(result: Result) -> str:
-    """Return a result as text for people."""
+    """Return a result as human-readable text."""
     service = result["service"]
-    lines = [f"{result['policy']}: {result['seconds']:g} s, {service['asked']} exchanges"]
+    lines = [f"{result['policy']}: {result['seconds']:g} s, {service['asked']} requests"]
     for rule in result["rules"]:
         lines += _rule_lines(rule)
     lines.append(
         f"  service {service['whole']:.3f}, worst 10 s {service['worst_10_s']:.3f}, "
         f"worst class {service['worst_class']:.3f}"
     )
-    lines.append("  by 5 s  " + " ".join(f"{share:.2f}" for share in service["by_5_s"]))
+    lines.append("  service by 5 s  " + " ".join(f"{share:.2f}" for share in service["by_5_s"]))
     counts = service["outcomes"].items()
     lines.append("  " + ", ".join(f"{outcome} {count}" for outcome, count in counts))
     lines.append(
@@ -91,7 +95,7 @@
 
 
 def _stream_event(line: dict[str, Any], controllers: list[str]) -> StreamEvent:
-    """Read what a relay reports of its own stream, where no proxy can read it."""
+    """Parse an event that a relay reports of its own stream, which the proxy cannot read."""
     return StreamEvent(
         line["at"],
         line["relay"],
--- a/indigodeck/testbed/scenario_script.py
+++ b/indigodeck/testbed/scenario_script.py
@@ -1,6 +1,7 @@
-"""Scripts of scenarios: their schema, what is wrong with one, and the settings file they imply.
+"""Scenario scripts: their validation, and the settings file of the planner that they define.
 
-A script's own words (hall, troubles, roster, charter) are keys of its JSON and stay as they are.
+The words hall (zone), troubles (faults), roster (endpoint list) and charter (settings file) are
+keys in the JSON of a script.
 """
 
 import json
@@ -11,9 +12,9 @@
 from ..planner.planner_settings import PlannerSettings
 
 SCHEMA = load_schema(__file__, "scenario.schema.json")
-SHORTEST_FAULT_S = 0.1
-# What a bench day calls its faults, and which of ours each is; others have no counterpart on
-# sockets.
+MIN_FAULT_DURATION_S = 0.1
+# The fault types of benchmark scenarios that can be reproduced over sockets, and the corresponding
+# types in scripts.
 FAULT_BY_BENCH_NAME = {
     "crash": "crash",
     "vanish": "silent",
@@ -36,8 +37,9 @@
 class Fault:
     """One entry of a script's `troubles`.
 
-    `share` of the hosts or relays concerned, of one zone if stated; `size` is its depth: the part
-    of speed lost, the part of requests that fail, the part replaced at a time, or seconds.
+    `share` is the share of hosts or relays affected, of one zone if given. The meaning of `size`
+    depends on the type: the share of speed lost, the share of requests that fail, the share of
+    hosts replaced per wave, the rounds of reconnections, or seconds.
     """
 
     type: str
@@ -48,24 +50,25 @@
     zone: str | None = None
 
     @classmethod
-    def from_json(cls, stated: dict[str, Any]) -> "Fault":
-        """Read one entry of a script."""
+    def from_json(cls, document: dict[str, Any]) -> "Fault":
+        """Parse one entry of a script."""
         return cls(
-            stated["kind"],
-            stated["at"],
-            stated.get("seconds"),
-            stated.get("part", 0.2),
-            stated.get("size", 0.5),
-            stated.get("hall"),
+            document["kind"],
+            document["at"],
+            document.get("seconds"),
+            document.get("part", 0.2),
+            document.get("size", 0.5),
+            document.get("hall"),
         )
 
 
 def convert_bench_faults(
     bench_faults: list[dict[str, Any]],
 ) -> tuple[list[dict[str, Any]], list[str]]:
-    """Return a bench day's faults as entries of a script, and the types without counterpart.
+    """Return a benchmark scenario's faults as entries of a script, and the types left out.
 
-    A bench day states kind, at, len, part and size; times in seconds.
+    A fault of a benchmark scenario has the keys kind, at, len, part and size; times are in seconds.
+    Types without a counterpart in `FAULT_BY_BENCH_NAME` are left out.
     """
     faults = []
     without_counterpart = []
@@ -78,7 +81,7 @@
             {
                 "kind": fault_type,
                 "at": fault["at"],
-                "seconds": max(SHORTEST_FAULT_S, fault.get("len", 5)),
+                "seconds": max(MIN_FAULT_DURATION_S, fault.get("len", 5)),
                 "part": min(1.0, fault.get("part") or 0.2),
                 "size": fault.get("size") or 0.2,
             }
@@ -87,7 +90,7 @@
 
 
 def check(script: Script) -> list[str]:
-    """Return what is wrong with a script, by place; mistakes of its settings among them."""
+    """Return the errors in a script and its settings, each with its location."""
     mistakes = schema_errors(script, SCHEMA)
     if mistakes:
         return mistakes
@@ -95,20 +98,22 @@
         settings = PlannerSettings(settings_document(script, 1))
     except InvalidDocumentError as error:
         return ["charter: " + line for line in str(error).splitlines()]
-    names = sorted(stated["name"] for stated in script["classes"])
+    names = sorted(entry["name"] for entry in script["classes"])
     if names != sorted(settings.class_names):
-        mistakes.append(f"classes: {names}, the charter has {sorted(settings.class_names)}")
+        mistakes.append(
+            f"classes: the script has {names}, its charter {sorted(settings.class_names)}"
+        )
     for index, fault in enumerate(script.get("troubles", [])):
         zone = fault.get("hall")
         if zone not in (None, *settings.zone_names):
             mistakes.append(
-                f"troubles/{index}/hall: {zone!r} is none of the halls {settings.zone_names}"
+                f"troubles/{index}/hall: {zone!r} is not one of the halls {settings.zone_names}"
             )
     return mistakes
 
 
 def settings_document(script: Script, discovery_port: int) -> dict[str, Any]:
-    """Return the planner's settings of a script; its list service is at a local port."""
+    """Return the settings of a script's planner; its discovery server listens on a local port."""
     document = json.loads(json.dumps(script["charter"]))
     document["roster"] = {"service": f"http://127.0.0.1:{discovery_port}"}
     protocol = protocol_of(script)
--- a/indigodeck/testbed/scripted_conversation.py
+++ b/indigodeck/testbed/scripted_conversation.py
@@ -1,10 +1,11 @@
-"""One scripted conversation of several clients with one planner, each over a protocol of its own.
-
-A script is a list of steps. `list`: states of hosts by id; `way`: what the proxy between clients
-and planner does ("pass", "refuse", "silent", "nonsense"); `cut`: all streams break; `stall`: the
-planner stands still for some seconds; `restart`: it ends and another starts; `classes`: the
-settings' names of classes from the next restart on. Each step ends when all clients hold the
-hosts that `until` states, or met the error that it names; then a line is printed for each.
+"""A scripted conversation of several clients, each with its own protocol, with one planner.
+
+A script is a list of steps with these keys: `list` sets states of hosts by id; `way` sets the mode
+of the proxies between clients and planner ("pass", "refuse", "silent", "nonsense"); `cut`
+disconnects all streams; `stall` blocks the planner for some seconds; `restart` replaces the planner
+by a new one; `classes` renames classes in the settings, as of the next restart. A step ends when
+the tables of all clients contain exactly the hosts in `until` and all clients have met the error in
+`error`, if these are given; then one line per client is recorded.
 """
 
 import asyncio
@@ -28,17 +29,17 @@
 FIRST_HOST_PORT = 9000
 RESPONSE_TIMEOUT_S = 0.5
 BACKOFF_SEED = 7
-FIRST_BACKOFF_US = 50_000
-LONGEST_BACKOFF_US = 200_000
+INITIAL_BACKOFF_US = 50_000
+MAX_BACKOFF_US = 200_000
 STEP_TIMEOUT_S = 10
 POLL_INTERVAL_S = 0.01
-STOP_TIME_S = 0.2  # in which what a planner closes is closed
+STOP_TIME_S = 0.2  # for a stopped planner's sockets to close
 
 Step = dict[str, Any]
 
 
 class Participant:
-    """One client, over one protocol, behind a proxy of its own."""
+    """One client of one protocol, with its own proxy."""
 
     def __init__(
         self, protocol: str, class_names: list[str], planner: Callable[[], Address | None]
@@ -54,7 +55,7 @@
             connection_lost=self._on_connection_lost,
         )
         self._client.backoff = ReconnectBackoff(
-            SeededRandom(BACKOFF_SEED), FIRST_BACKOFF_US, LONGEST_BACKOFF_US
+            SeededRandom(BACKOFF_SEED), INITIAL_BACKOFF_US, MAX_BACKOFF_US
         )
         self._task = asyncio.get_running_loop().create_task(self._client.run())
 
@@ -65,11 +66,11 @@
         self.proxy.stop()
 
     def held_ports(self) -> set[int]:
-        """Return the ports of all hosts in any table."""
+        """Return the ports of all hosts that occur in any table."""
         return {port for lines in self.tables.lines.values() for _, port in lines}
 
     def tables_text(self, host_names: dict[int, str]) -> str:
-        """Return the tables as text: hosts, named by their ports, and their shares, by class."""
+        """Return the tables as text: by class, the names of hosts and their shares."""
         return "; ".join(
             f"{class_name} {self._table_text(class_name, host_names)}"
             for class_name in sorted(self.tables.lines)
@@ -86,7 +87,7 @@
 
 
 class ScriptedConversation:
-    """Plays a script with a planner in this process."""
+    """Runs a script with a planner in this process."""
 
     def __init__(self, script: dict[str, Any], folder: str | pathlib.Path) -> None:
         self._script = script
@@ -97,29 +98,29 @@
         }
         self._classes: list[dict[str, Any]] = script["charter"]["classes"]
         self._endpoint_list = EndpointListFile(folder)
-        self._printed: dict[str, list[str]] = {}
+        self._recorded_lines: dict[str, list[str]] = {}
         self._service: Any = None
 
     async def run(self) -> dict[str, list[str]]:
-        """Play all steps; return the lines printed for each protocol."""
+        """Run all steps; return the lines recorded for each protocol."""
         self._write_list()
         self._start_planner()
-        class_names = [stated["name"] for stated in self._classes]
+        class_names = [entry["name"] for entry in self._classes]
         participants = {
             protocol: Participant(protocol, class_names, self._planner_address(protocol))
             for protocol in CLIENTS
         }
-        self._printed = {protocol: [] for protocol in participants}
+        self._recorded_lines = {protocol: [] for protocol in participants}
         try:
             for step in self._script["steps"]:
-                await self._play_step(step, participants)
+                await self._run_step(step, participants)
         finally:
             for participant in participants.values():
                 await participant.stop()
             await self._stop_planner()
-        return self._printed
+        return self._recorded_lines
 
-    async def _play_step(self, step: Step, participants: dict[str, Participant]) -> None:
+    async def _run_step(self, step: Step, participants: dict[str, Participant]) -> None:
         for participant in participants.values():
             participant.errors.clear()
         if "list" in step:
@@ -135,35 +136,34 @@
             self._start_planner()
         if "cut" in step:
             for participant in participants.values():
-                participant.proxy.cut_all()
+                participant.proxy.disconnect_all()
         if "stall" in step:
-            time.sleep(step["stall"])  # the planner is in this process: it stands still
+            time.sleep(step["stall"])  # blocks the planner, which runs in this thread
         await self._finish_step(step, participants)
 
     async def _finish_step(self, step: Step, participants: dict[str, Participant]) -> None:
-        """Wait until all clients are as the step states, and print what each holds."""
+        """Wait until all clients have reached the step's end, and record each client's tables."""
         deadline = time.monotonic() + STEP_TIMEOUT_S
         for protocol, participant in participants.items():
-            while time.monotonic() < deadline and not self._is_reached(step, participant):
+            while time.monotonic() < deadline and not self._is_step_reached(step, participant):
                 await asyncio.sleep(POLL_INTERVAL_S)
             errors = "none"
             if step.get("error"):
                 errors = " ".join(dict.fromkeys(participant.errors))
             tables = participant.tables_text(self._host_names)
-            self._printed[protocol].append(f"{step['name']}: errors {errors}; {tables}")
+            self._recorded_lines[protocol].append(f"{step['name']}: errors {errors}; {tables}")
 
-    def _is_reached(self, step: Step, participant: Participant) -> bool:
+    def _is_step_reached(self, step: Step, participant: Participant) -> bool:
         held = {self._host_names[port] for port in participant.held_ports()}
-        wanted = step.get("until")
+        expected = step.get("until")
         error = step.get("error")
-        return (wanted is None or held == set(wanted)) and (
+        return (expected is None or held == set(expected)) and (
             error is None or error in participant.errors
         )
 
     def _rename_classes(self, new_names: dict[str, str]) -> None:
         self._classes = [
-            dict(stated, name=new_names.get(stated["name"], stated["name"]))
-            for stated in self._classes
+            dict(entry, name=new_names.get(entry["name"], entry["name"])) for entry in self._classes
         ]
 
     def _write_list(self) -> None:
--- a/indigodeck/testbed/stock_client.py
+++ b/indigodeck/testbed/stock_client.py
@@ -1,4 +1,4 @@
-"""A relay that nobody here wrote: the stock gRPC client, configured by a bootstrap alone."""
+"""A relay that is not part of this project: the stock gRPC client with an xDS bootstrap."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 
 
 def bootstrap(planner: str, uid: str, zone: str) -> str:
-    """Return what a stock client is given: where the planner is, and who it is itself."""
+    """Return the xDS bootstrap configuration: the planner's address and the client's identity."""
     return json.dumps(
         {
             "xds_servers": [
@@ -41,10 +41,10 @@
     write: Callable[[dict[str, Any]], None],
     now: Callable[[], int],
 ) -> None:
-    """Send `rate` requests a second, evenly over the classes, and write one outcome each.
+    """Send `rate` requests per second, evenly over the classes, and write an outcome for each.
 
-    No more than `concurrency` are in flight: hosts that a slow machine gives too little time are
-    sent fewer requests, rather than later and later ones.
+    At most `concurrency` requests are in flight. If hosts on a slow machine cannot keep up, they
+    are sent fewer requests, instead of a growing backlog.
     """
     os.environ["GRPC_XDS_BOOTSTRAP_CONFIG"] = bootstrap(planner, uid, zone)
     channels = {name: grpc.aio.insecure_channel(f"xds:///{name}") for name in class_names}
--- a/indigodeck/testbed/unserved_time.py
+++ b/indigodeck/testbed/unserved_time.py
@@ -1,4 +1,4 @@
-"""The rule that no proxy is left without a server, judged by tables and by clients' outcomes."""
+"""The rule that no proxy is left without a server, checked by tables and client outcomes."""
 
 from collections import defaultdict
 from typing import NamedTuple
@@ -6,13 +6,15 @@
 from .evidence import Evidence, Outcome, Publication
 from .recording_proxy import StreamEvent
 from .relay_view import RelayView
-from .verdict import Finding, Verdict, judge
+from .verdict import Finding, Verdict, compare_with_limit
 
 
 def no_proxy_without_server(evidence: Evidence) -> Verdict:
-    """Judge how long a joined relay had no server for a class while a warm host was ready."""
+    """Check how long joined relays had no server for a class while a warm host was ready."""
     findings = _TableReplay(evidence).run() + _clients_without_server(evidence)
-    return judge("no proxy without a server", findings, evidence.settings.max_unserved_time, "us")
+    return compare_with_limit(
+        "no proxy without a server", findings, evidence.settings.max_unserved_time, "us"
+    )
 
 
 class _RelayClass(NamedTuple):
@@ -21,21 +23,21 @@
 
 
 class _TableReplay:
-    """Replays what relays were sent and what the endpoint list stated, in the order of time.
+    """Replays the streams of all relays and the published endpoint lists in order of time.
 
-    The time that a table is empty counts only while a warm host is listed as ready.
+    The time during which a table is empty counts only while a warm host is listed as ready.
     """
 
     def __init__(self, evidence: Evidence) -> None:
         self._evidence = evidence
         self._clock = 0
         self._views: dict[str, RelayView] = {}
-        self._unserved: dict[_RelayClass, int] = {}  # the time so far of each that is empty
-        self._host_starts: dict[str, int] = {}  # of hosts that are ready
+        self._unserved: dict[_RelayClass, int] = {}  # empty tables, each with its time so far
+        self._host_starts: dict[str, int] = {}  # start times of ready hosts
         self._findings: list[Finding] = []
 
     def run(self) -> list[Finding]:
-        """Return how long each table was empty, each time."""
+        """Return one finding for each period in which a table was empty."""
         warm_host_ready = False
         events = self._events_by_time()
         for event in events:
@@ -47,13 +49,13 @@
             warm_host_ready = self._is_warm_host_ready()
         self._advance(self._clock + 1 if events else 0, warm_host_ready)
         still_empty = [
-            Finding(time, self._clock, relay, f"nobody for {class_name}")
+            Finding(time, self._clock, relay, f"no server in the table of {class_name}")
             for (relay, class_name), time in self._unserved.items()
         ]
         return self._findings + still_empty
 
     def _events_by_time(self) -> list[StreamEvent | Publication]:
-        """Return all events; of the same moment, those of streams first."""
+        """Return all events by time; of events at the same time, those of streams come first."""
         events: list[StreamEvent | Publication] = []
         events += self._evidence.stream_events
         events += self._evidence.publications
@@ -82,7 +84,9 @@
                 self._unserved.setdefault(key, 0)
             elif key in self._unserved:
                 time = self._unserved.pop(key)
-                self._findings.append(Finding(time, event.at, event.relay, f"nobody for {name}"))
+                self._findings.append(
+                    Finding(time, event.at, event.relay, f"no server in the table of {name}")
+                )
 
     def _is_warm_host_ready(self) -> bool:
         warm_up_time = self._evidence.settings.warm_up_time
@@ -90,7 +94,7 @@
 
 
 def _clients_without_server(evidence: Evidence) -> list[Finding]:
-    """Return how long relays answered their clients that there was no server to pick."""
+    """Return how long relays had no server to pick for consecutive client requests."""
     runs: dict[_RelayClass, list[Outcome]] = defaultdict(list)
     for outcome in evidence.outcomes:
         runs[_RelayClass(outcome.relay, outcome.class_name)].append(outcome)
@@ -105,7 +109,7 @@
                 first = outcome.at
             if _was_list_published(evidence, first):
                 unserved = outcome.at - first
-                what = f"nowhere for {key.class_name}"
+                what = f"no server for clients of {key.class_name}"
                 findings.append(Finding(unserved, outcome.at, key.relay, what))
     return findings
 
--- a/indigodeck/testbed/verdict.py
+++ b/indigodeck/testbed/verdict.py
@@ -1,21 +1,21 @@
-"""A rule's verdict on a played scenario."""
+"""The verdict of a rule on a scenario."""
 
 from typing import NamedTuple
 
-LONGEST_CASE_LIST = 5
+MAX_CASES = 5
 
 
 class Finding(NamedTuple):
-    """A figure that counts against a rule's limit, with the moment and who was concerned."""
+    """A measured value to compare with a rule's limit, with its time and the party involved."""
 
-    figure: float
+    value: float
     at: int
     who: str
     what: str
 
 
 class Case(NamedTuple):
-    """One breach of a rule; `at` in microseconds."""
+    """One breach of a rule; `at` is in microseconds."""
 
     at: int
     who: str
@@ -23,7 +23,7 @@
 
 
 class Verdict(NamedTuple):
-    """A rule's worst figure against its limit, and the first breaches."""
+    """A rule's worst value, its limit, and the first breaches."""
 
     rule: str
     kept: bool
@@ -36,15 +36,15 @@
 NO_FINDING = Finding(0, 0, "", "")
 
 
-def judge(rule: str, findings: list[Finding], limit: float, unit: str) -> Verdict:
-    """Return the verdict of a rule, which is broken where a figure is over the limit."""
-    breaches = [finding for finding in findings if finding.figure > limit]
+def compare_with_limit(rule: str, findings: list[Finding], limit: float, unit: str) -> Verdict:
+    """Return the verdict of a rule, which is broken if any value exceeds the limit."""
+    breaches = [finding for finding in findings if finding.value > limit]
     breaches.sort(key=lambda finding: finding.at)
     return Verdict(
         rule,
         not breaches,
-        max((finding.figure for finding in findings), default=0),
+        max((finding.value for finding in findings), default=0),
         limit,
         unit,
-        [Case(at, who, what) for _, at, who, what in breaches[:LONGEST_CASE_LIST]],
+        [Case(at, who, what) for _, at, who, what in breaches[:MAX_CASES]],
     )
--- a/indigodeck/testbed/worker_process.py
+++ b/indigodeck/testbed/worker_process.py
@@ -1,4 +1,4 @@
-"""Processes that run hosts or relays and obey commands (`indigodeck standin ..`)."""
+"""Worker processes that run hosts or relays (`indigodeck standin ..`), controlled by commands."""
 
 import asyncio
 import json
@@ -9,11 +9,11 @@
 
 ANSWER_TIMEOUT_S = 20
 END_TIMEOUT_S = 5
-LONGEST_LINE_BYTES = 1 << 24
+MAX_LINE_BYTES = 1 << 24
 
 
 class WorkerProcess:
-    """A process that reads commands, one JSON line each, and answers each with one."""
+    """A process that reads commands as JSON lines and answers each with a JSON line."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self._process = process
@@ -21,7 +21,7 @@
 
     @classmethod
     async def start(cls, *arguments: str) -> "WorkerProcess":
-        """Start the program with these arguments."""
+        """Start `indigodeck` with these arguments."""
         return cls(
             await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -30,7 +30,7 @@
                 *arguments,
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
-                limit=LONGEST_LINE_BYTES,
+                limit=MAX_LINE_BYTES,
             )
         )
 
@@ -56,14 +56,14 @@
         return answer
 
     async def end(self) -> None:
-        """End the process by the end of its input."""
+        """End the process by closing its input."""
         assert self._process.stdin is not None
         self._process.stdin.close()
         await wait_or_kill(self._process)
 
 
 async def wait_or_kill(process: asyncio.subprocess.Process) -> None:
-    """Wait for a process that was told to end; kill it if it does not in time."""
+    """Wait for a process that is ending; kill it if it does not end in time."""
     try:
         await asyncio.wait_for(process.wait(), END_TIMEOUT_S)
     except TimeoutError:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""Simulated hosts that record what they are asked to do, and the comparison with kept traces."""
+"""Simulated environments that record the calls made to them, and comparison with saved traces."""
 
 import dataclasses
 import difflib
@@ -58,24 +58,24 @@
 
 
 def deployment_settings(**changes):
-    """Return settings of two classes and one zone, with changes; the channel's fields count too."""
-    of_channel = {field.name for field in dataclasses.fields(ChannelSettings)}
-    channel = {name: changes.pop(name) for name in of_channel & changes.keys()}
+    """Return settings of two classes and one zone, with changed fields, also of the channel."""
+    channel_fields = {field.name for field in dataclasses.fields(ChannelSettings)}
+    channel = {name: changes.pop(name) for name in channel_fields & changes.keys()}
     return dataclasses.replace(SETTINGS, channel=dataclasses.replace(CHANNEL, **channel), **changes)
 
 
 def server(index, state=ServerState.READY, started=0, zone=0, kind=0, weight=1.0):
-    """Return an entry of the endpoint list; four servers share a cell."""
+    """Return a server of the endpoint list; every four servers share a cell."""
     return Server(
         index, bytes([index * 37 % 251, index]), index // 4, kind, zone, weight, started, state
     )
 
 
 class RecordingHost:
-    """An `AssignerHost` with simulated time that records the orders of one assigner.
+    """An `AssignerHost` with simulated time that records the calls of one assigner.
 
-    Every order is a line of `recorded`, with the time before it; `tables` holds the weights by
-    table and server.
+    `recorded` has one line per call, which starts with the time. `tables` holds weights by table
+    and server.
     """
 
     def __init__(self, settings=None, seed=7):
@@ -83,11 +83,11 @@
         self.timers = []
         self.recorded = []
         self.tables = {}
-        self.ack_delay = SECOND // 5  # from a request to its acknowledgement; None: there is none
+        self.ack_delay = SECOND // 5  # from request to acknowledgement; None: no acknowledgement
         self.assigner = Assigner(self, settings or deployment_settings(), seed)
 
     def record(self, text):
-        """Record a line."""
+        """Record a line with the current time."""
         self.recorded.append(f"{self.clock / SECOND:7.2f}  {text}")
 
     def now(self):
@@ -95,20 +95,20 @@
         return self.clock
 
     def start_timer(self, delay, token):
-        """Keep a timer."""
+        """Start a timer."""
         self.timers.append((self.clock + delay, token))
 
     def set_weight(self, table, server_index, weight):
-        """Record one line of a table."""
+        """Record one entry of a table."""
         self.tables.setdefault(table, {})[server_index] = weight
         self.record(f"table {table}: server {server_index} {weight:g}")
 
     def clear_table(self, table):
-        """Record that a table is cleared."""
+        """Record the clearing of a table."""
         self.record(f"clear table {table}")
 
     def assign_table(self, proxy, table, classes):
-        """Record that a proxy is put on a table."""
+        """Record the assignment of a proxy to a table."""
         self.record(f"assign proxy {proxy} to table {table} for {list(classes)}")
 
     def eject_server(self, server_index):
@@ -120,7 +120,7 @@
         self.record(f"uneject server {server_index}")
 
     def forget_server(self, server_index):
-        """Record that a server is forgotten."""
+        """Record the removal of a server."""
         self.record(f"forget server {server_index}")
 
     def set_admission(self, table, classes, level, retry_policy):
@@ -128,7 +128,7 @@
         self.record(f"table {table}: level {level:.2f} of {list(classes)}, retry {retry_policy}")
 
     def request_ack(self, number, all_proxies):
-        """Keep the time at which the acknowledgement comes."""
+        """Schedule the acknowledgement."""
         if self.ack_delay is not None:
             self.timers.append((self.clock + self.ack_delay, -number))
 
@@ -141,7 +141,7 @@
         self.record(f"send to peer {peer}")
 
     def watch_endpoints(self, enabled):
-        """Record a subscription to the endpoint list."""
+        """Record the start or end of a subscription to the endpoint list."""
         self.record(f"watch {enabled}")
 
     def fetch_endpoints(self):
@@ -153,18 +153,18 @@
         self.record(f"log: {text}")
 
     def start(self, servers, proxies=2, rate=50.0, zones=1):
-        """Tell the assigner of the first endpoint list, and let proxies join."""
+        """Pass the first endpoint list to the assigner and let proxies join."""
         self.assigner.on_endpoint_update(UpdateKind.CACHED, servers)
         for proxy in range(proxies):
             self.assigner.on_proxy_joined(proxy, proxy % zones, rate, True)
         self.run(1 / SECOND)
 
     def update_servers(self, *servers):
-        """Tell the assigner of changes to the endpoint list."""
+        """Pass changes of the endpoint list to the assigner."""
         self.assigner.on_endpoint_update(UpdateKind.INCREMENTAL, list(servers))
 
     def run(self, seconds, reports=None):
-        """Let time pass; `reports`, if any, is called once a second, before the timers."""
+        """Advance the time; `reports`, if given, is called once per second, before timers."""
         end = self.clock + round(seconds * SECOND)
         while self.timers and min(self.timers)[0] <= end:
             due, token = min(self.timers)
@@ -187,7 +187,7 @@
         demand=(30, 20),
         servers=12,
     ):
-        """Report a second of load at each server in a table, and of demand at two proxies."""
+        """Report one second of load of each server in a table, and of demand at two proxies."""
         for index in range(servers):
             if any(weights.get(index) for weights in self.tables.values()):
                 failures = min(tries, failed(index))
@@ -201,43 +201,46 @@
 
 
 class TraceTestCase(unittest.TestCase):
-    """A test that compares what was recorded with a trace that people have read."""
+    """A test that compares recorded lines with a saved and reviewed trace."""
 
     def assert_matches_trace(self, name, recorder):
-        """Compare `recorder.recorded` with the trace of that name in tests/traces."""
+        """Assert that `recorder.recorded` equals the trace of this name in tests/traces.
+
+        With INDIGODECK_WRITE_TRACES in the environment, the trace is overwritten first.
+        """
         path = TRACES / f"{name}.txt"
         recorded = "\n".join(recorder.recorded) + "\n"
         if os.environ.get("INDIGODECK_WRITE_TRACES"):
             path.write_text(recorded)
-        kept = path.read_text() if path.exists() else ""
+        saved = path.read_text() if path.exists() else ""
         difference = difflib.unified_diff(
-            kept.splitlines(), recorded.splitlines(), "kept", "now", lineterm=""
+            saved.splitlines(), recorded.splitlines(), "saved", "recorded", lineterm=""
         )
-        differing = "\n".join(difference)
-        self.assertFalse(differing, f"\n{differing}")
+        diff_text = "\n".join(difference)
+        self.assertFalse(diff_text, f"\n{diff_text}")
 
 
 class SimulatedLoop:
-    """Simulated time and timers for planners without sockets; records what they report."""
+    """Simulated time and timers for planners without sockets; records calls and log events."""
 
     def __init__(self):
         self.clock = 100 * SECOND
         self.timers = []
         self.recorded = []
-        self.write_requests = []  # proxies for which something waits, in the order they were named
-        self.timer_count = 0  # keeps timers of one moment in order
+        self.write_requests = []  # proxies in the order in which writes were requested
+        self.timer_count = 0  # orders timers that are due at the same time
 
     def now(self):
         """Return the simulated time."""
         return self.clock
 
     def call_later(self, delay, callback):
-        """Keep a call for later."""
+        """Schedule a call."""
         self.timer_count += 1
         self.timers.append((self.clock + delay, self.timer_count, callback))
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the time."""
         end = self.clock + round(seconds * SECOND)
         while self.timers and min(self.timers)[0] <= end:
             timer = min(self.timers)
@@ -248,19 +251,19 @@
         self.clock = end
 
     def request_write(self, proxy):
-        """Record that something waits for a proxy."""
+        """Record that data waits to be written to a proxy."""
         self.write_requests.append(proxy)
 
     def check_health(self, server_index):
         """Record a health check."""
-        self.log_event(f"probe {server_index}")
+        self.log_event(f"check server {server_index}")
 
     def fetch_endpoint_list(self):
         """Record a request for the endpoint list."""
-        self.log_event("ask for the list")
+        self.log_event("fetch endpoint list")
 
-    def log_event(self, text, **facts):
-        """Record a line."""
-        stated = " ".join(f"{name}={value}" for name, value in facts.items())
+    def log_event(self, text, **fields):
+        """Record a log event as a line with the current time."""
+        printed_fields = " ".join(f"{name}={value}" for name, value in fields.items())
         elapsed = (self.clock - 100 * SECOND) / SECOND
-        self.recorded.append(f"{elapsed:7.2f}  {text} {stated}".rstrip())
+        self.recorded.append(f"{elapsed:7.2f}  {text} {printed_fields}".rstrip())
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""What tests over sockets share: a planner in this process, raw connections, waiting."""
+"""Helpers for tests over sockets: a planner in this process, raw connections, waiting."""
 
 import asyncio
 import contextlib
@@ -19,14 +19,14 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 EXAMPLE_SCRIPT = json.loads((ROOT / "examples/bad-day.json").read_text())
-FIRST_HOST_PORT = 9000  # of hosts that need not exist
+FIRST_HOST_PORT = 9000  # nothing needs to listen on the ports of these hosts
 POLL_INTERVAL_S = 0.01
 
 
 class Planner:
-    """A planner in this process, with an endpoint list of its own; its log events are kept.
+    """A planner in this process with its own endpoint list; it collects its log events.
 
-    `channel`, `reports` and `sasp` add to these sections of its settings.
+    `channel`, `reports` and `sasp` add keys to these sections of its settings.
     """
 
     def __init__(
@@ -51,12 +51,12 @@
         self.set_host_states()
 
     def set_host_states(self, **states: str) -> None:
-        """Change states of hosts (`host_0="draining"`) and write the list's next version."""
+        """Change states of hosts (`host_0="draining"`) and write the next version of the list."""
         self.version += 1
         for name, state in states.items():
             self.hosts[name.replace("_", "-")]["state"] = state
-        usual = {"address": "127.0.0.1", "state": "ready", "hall": "hall-a", "weight": 4}
-        hosts = [{"id": name, **usual, **host} for name, host in self.hosts.items()]
+        defaults = {"address": "127.0.0.1", "state": "ready", "hall": "hall-a", "weight": 4}
+        hosts = [{"id": name, **defaults, **host} for name, host in self.hosts.items()]
         path = pathlib.Path(self.folder.name) / "roster.json"
         replacement = path.with_suffix(".new")
         replacement.write_text(json.dumps({"version": self.version, "hosts": hosts}))
@@ -80,15 +80,15 @@
         self.folder.cleanup()
 
     def log_events(self, name: str) -> list[dict[str, Any]]:
-        """Return the log events of this name."""
+        """Return the log events with this name."""
         return [event for event in self.logged_events if event["event"] == name]
 
     def client(
-        self, uid: str = "hall-a/r1", **more: Any
+        self, uid: str = "hall-a/r1", **options: Any
     ) -> tuple[Tables, SaspClient, asyncio.Task[None]]:
-        """Start a client over SASP; return its tables, itself and its task."""
+        """Start a SASP client; return its tables, the client and its task."""
         tables = Tables(["reading", "setpoint"], now)
-        client = SaspClient(uid, [("127.0.0.1", self.port)], tables, **more)
+        client = SaspClient(uid, [("127.0.0.1", self.port)], tables, **options)
         return tables, client, asyncio.get_running_loop().create_task(client.run())
 
     def _keep_event(self, logger: Any, method: str, event: Any) -> str:
@@ -100,7 +100,7 @@
 async def raw_connection(
     port: int,
 ) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
-    """Open a raw connection, as its reader and writer."""
+    """Open a TCP connection; yield its reader and writer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         yield reader, writer
@@ -111,23 +111,23 @@
 
 
 async def until(condition: Callable[[], object], seconds: float = 8) -> None:
-    """Wait until a condition holds; the bound only ends what hangs."""
+    """Wait until a condition holds; the time limit only stops tests that hang."""
     for _ in range(round(seconds / POLL_INTERVAL_S)):
         if condition():
             return
         await asyncio.sleep(POLL_INTERVAL_S)
-    raise AssertionError("it did not come true")
+    raise AssertionError(f"condition not met within {seconds:g} s")
 
 
 def host_numbers(tables: Tables, name: str = "reading") -> set[int]:
-    """Return the hosts that a table names, by their numbers."""
+    """Return the numbers of the hosts in a table."""
     return {port - FIRST_HOST_PORT for _, port in tables.lines[name]}
 
 
 async def start_stock_client(
     planner: str, proxy_id: str, class_names: Sequence[str], **options: object
 ) -> asyncio.subprocess.Process:
-    """Start gRPC's own client as a proxy in a process; its outcomes are lines of JSON."""
+    """Start the stock gRPC client as a proxy in a new process; it prints outcomes as JSON lines."""
     arguments = ["--planner", planner, "--uid", proxy_id]
     for name in class_names:
         arguments += ["--class", name]
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -1,4 +1,4 @@
-"""Whole scenarios on loopback, judged by the audit."""
+"""Scenarios on loopback that the audit checks."""
 
 import asyncio
 import json
@@ -10,24 +10,29 @@
 from indigodeck.testbed.scenario_result import format_result
 
 
-class Scenarios(unittest.TestCase):
-    """Scripts that are played, and the rules they keep or break."""
+class ScenarioTest(unittest.TestCase):
+    """Scripts that are run, and the rules that they keep or break."""
 
-    def play(self, script):
-        """Play a script; return its result and the rules that were broken."""
+    def run_script(self, script):
+        """Run a script; return its result and the names of the broken rules."""
         self.assertEqual(scenario_script.check(script), [])
         (result,) = asyncio.run(scenario.run(script))
         return result, [rule["rule"] for rule in result["rules"] if not rule["kept"]]
 
-    def test_drains_with_joins_cold_hosts_and_a_planner_killed_between_waves(self):
-        """A release with a planner killed in its middle breaks no rule."""
-        # The faults of day h8334b8: relays near their message limit while others' drains are due.
-        result, broken = self.play(json.loads((ROOT / "examples/drains-day.json").read_text()))
+    def test_a_deploy_with_a_planner_killed_between_waves(self):
+        """A deploy during which the planner is killed breaks no rule.
+
+        Relays join and cold hosts start meanwhile. Relays are then near their message limit while
+        drains of other hosts are due. The faults are those of benchmark scenario h8334b8.
+        """
+        result, broken = self.run_script(
+            json.loads((ROOT / "examples/drains-day.json").read_text())
+        )
         self.assertEqual(broken, [], format_result(result))
         self.assertGreater(result["service"]["whole"], 0.8, format_result(result))
 
-    def test_a_zone_is_cold_and_the_planner_restarts_meanwhile(self):
-        """A zone of cold hosts and a new planner break no rule."""
+    def test_a_planner_restart_while_a_zone_is_cold(self):
+        """A planner restart while all hosts of a zone are cold breaks no rule."""
         script = json.loads((ROOT / "examples/drains-day.json").read_text())
         script.update(
             seconds=10,
@@ -43,11 +48,11 @@
                 {"at": 2.5, "kind": "planner_killed", "size": 0.2},
             ],
         )
-        result, broken = self.play(script)
+        result, broken = self.run_script(script)
         self.assertEqual(broken, [], format_result(result))
 
-    def test_relays_that_ignore_drains_and_repeat_effects_are_found(self):
-        """Relays that misbehave are named, with the rules they break."""
+    def test_relays_that_ignore_drains_or_retry_executed_requests(self):
+        """The audit names misbehaving relays and the rules that they break."""
         script = json.loads((ROOT / "examples/drains-day.json").read_text())
         script.update(
             seconds=12,
@@ -59,7 +64,7 @@
         script["relays"].update(
             unruly={"hall-a/relay-0": "keeps", "hall-b/relay-1": "repeats"}, retries=0
         )
-        result, broken = self.play(script)
+        result, broken = self.run_script(script)
         self.assertEqual(broken, ["no effect twice", "drains kept"], format_result(result))
         self.assertEqual(
             {case["who"] for rule in result["rules"] for case in rule["cases"]},
