--- a/tests/leadership/test_controllers.py
+++ b/tests/leadership/test_controllers.py
@@ -300,7 +300,7 @@
         """A relay gets no table twice that it rejected, even if all controllers restart."""
         await self.set_up()
         tables, client, _ = next(relay for relay in self.relays if isinstance(relay[1], XdsClient))
-        sent, read = [], XdsSession.read
+        sent, read = [], XdsSession.on_response
 
         def reject(session, response):
             if session.tables is not tables:
@@ -312,7 +312,7 @@
             self.assertTrue(answer.error_detail.message)
             return answer
 
-        with unittest.mock.patch.object(XdsSession, "read", reject):
+        with unittest.mock.patch.object(XdsSession, "on_response", reject):
             self.fleet.set_host_states(h2="draining")
             await until(lambda: len(sent) >= 2, 20)
             await asyncio.sleep(1.5)
