--- a/indigodeck/testbed/faults.py
+++ b/indigodeck/testbed/faults.py
@@ -37,8 +37,8 @@
             "roster_wrong": self._publish_wrong_list,
             "roster_down": self._stop_list_service,
             "planner_killed": self._kill_planner,
-            "planner_stalled": self._stall_planner,
-            "relay_cut": self._cut_relays,
+            "planner_stalled": self._pause_planner,
+            "relay_cut": self._disconnect_relays,
             "relay_deaf": self._pause_relays,
             "relays_join": self._reconnect_relays,
         }
@@ -114,14 +114,14 @@
         await sleep(fault.size)
         await self._scenario.start_planner()
 
-    async def _stall_planner(self, fault: Fault, duration_s: float) -> None:
+    async def _pause_planner(self, fault: Fault, duration_s: float) -> None:
         self._scenario.running_planner().send_signal(signal.SIGSTOP)
         await sleep(duration_s)
         self._scenario.running_planner().send_signal(signal.SIGCONT)
 
-    async def _cut_relays(self, fault: Fault, duration_s: float) -> None:
+    async def _disconnect_relays(self, fault: Fault, duration_s: float) -> None:
         for uid in self._choose_relays(fault):
-            await self._scenario.drop_stream(uid)
+            await self._scenario.disconnect_relay(uid)
 
     async def _pause_relays(self, fault: Fault, duration_s: float) -> None:
         """Stop the delivery of messages to relays for the duration."""
@@ -129,10 +129,10 @@
             self._scenario.proxy.pause(uid, now() + round(duration_s * SECOND))
 
     async def _reconnect_relays(self, fault: Fault, duration_s: float) -> None:
-        """Disconnect all relays one after the other, in `size` rounds."""
+        """Disconnect all relays one after the other, in `size` rounds, so that they rejoin."""
         uids = list(self._scenario.relay_process_of) * max(1, round(fault.size))
         for uid in uids:
-            await self._scenario.drop_stream(uid)
+            await self._scenario.disconnect_relay(uid)
             await sleep(duration_s / len(uids))
 
     def _spawn(self, function: Callable[..., Awaitable[None]], *arguments: object) -> None:
--- a/indigodeck/testbed/faulty_disk.py
+++ b/indigodeck/testbed/faulty_disk.py
@@ -25,7 +25,7 @@
 
 
 class PowerCutError(IndigodeckError):
-    """The power is cut; every further operation on the disk fails."""
+    """The power is cut; every further change to the disk fails."""
 
 
 @dataclass(slots=True, eq=False)
--- a/indigodeck/testbed/host_fleet.py
+++ b/indigodeck/testbed/host_fleet.py
@@ -1,4 +1,4 @@
-"""The hosts of a scenario: starts, drains and stops them, and publishes them in the list."""
+"""Starts, drains and stops the hosts of a scenario, and publishes them in the endpoint list."""
 
 import json
 import pathlib
--- a/indigodeck/testbed/scenario.py
+++ b/indigodeck/testbed/scenario.py
@@ -132,7 +132,7 @@
         assert self.planner is not None
         return self.planner
 
-    async def drop_stream(self, uid: str) -> None:
+    async def disconnect_relay(self, uid: str) -> None:
         """Disconnect a relay from its planner."""
         await self.relay_process_of[uid].execute(do="drop", uid=uid)
 
--- a/indigodeck/testbed/scenario_script.py
+++ b/indigodeck/testbed/scenario_script.py
@@ -91,25 +91,25 @@
 
 def check(script: Script) -> list[str]:
     """Return the errors in a script and its settings, each with its location."""
-    mistakes = schema_errors(script, SCHEMA)
-    if mistakes:
-        return mistakes
+    errors = schema_errors(script, SCHEMA)
+    if errors:
+        return errors
     try:
         settings = PlannerSettings(settings_document(script, 1))
     except InvalidDocumentError as error:
         return ["charter: " + line for line in str(error).splitlines()]
     names = sorted(entry["name"] for entry in script["classes"])
     if names != sorted(settings.class_names):
-        mistakes.append(
+        errors.append(
             f"classes: the script has {names}, its charter {sorted(settings.class_names)}"
         )
     for index, fault in enumerate(script.get("troubles", [])):
         zone = fault.get("hall")
         if zone not in (None, *settings.zone_names):
-            mistakes.append(
+            errors.append(
                 f"troubles/{index}/hall: {zone!r} is not one of the halls {settings.zone_names}"
             )
-    return mistakes
+    return errors
 
 
 def settings_document(script: Script, discovery_port: int) -> dict[str, Any]:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -58,7 +58,7 @@
 
 
 def deployment_settings(**changes):
-    """Return settings of two classes and one zone, with changed fields, also of the channel."""
+    """Return settings of two classes and one zone; fields of the channel can be changed too."""
     channel_fields = {field.name for field in dataclasses.fields(ChannelSettings)}
     channel = {name: changes.pop(name) for name in channel_fields & changes.keys()}
     return dataclasses.replace(SETTINGS, channel=dataclasses.replace(CHANNEL, **channel), **changes)
--- a/tests/testbed/test_audit.py
+++ b/tests/testbed/test_audit.py
@@ -178,21 +178,21 @@
     def test_an_overloaded_cold_host(self):
         """Overloading a cold host is a breach."""
         self.publish(2, "h2", "ready", 2)
-        for nth in range(70):
-            self.add_receipt(5 + nth / 25, f"k{nth}", host="h2", is_cold=True)
+        for index in range(70):
+            self.add_receipt(5 + index / 25, f"k{index}", host="h2", is_cold=True)
         self.assertEqual(list(self.breaches()), ["no cold server pushed over"])
 
     def test_an_overload_before_the_planner_could_know_is_not_counted(self):
         """Overload before the endpoint list contains the host does not count."""
         self.publish(5, "h2", "ready", 2)
-        for nth in range(60):
-            self.add_receipt(4 + nth / 25, f"k{nth}", host="h2", is_cold=True)
+        for index in range(60):
+            self.add_receipt(4 + index / 25, f"k{index}", host="h2", is_cold=True)
         self.assertEqual(self.breaches(), {})
 
     def test_one_message_over_the_limit_in_10_s(self):
         """One message more than allowed within the window is a breach."""
-        for nth in range(31):
-            self.send_weight(2 + nth * 0.34, 100 + nth)
+        for index in range(31):
+            self.send_weight(2 + index * 0.34, 100 + index)
         self.assertEqual(self.breaches(), {})
         self.send_weight(12.0, 99)
         self.send_weight(12.05, 98)
@@ -200,8 +200,8 @@
 
     def test_messages_are_counted_anew_after_a_planner_restart(self):
         """Messages from a planner and its successor are counted separately."""
-        for nth in range(40):
-            self.send_weight(2 + nth * 0.2, 100 + nth)
+        for index in range(40):
+            self.send_weight(2 + index * 0.2, 100 + index)
         self.evidence.planner_starts.append(6 * SECOND)
         self.assertEqual(self.breaches(), {})
 
