--- a/tests/frontends/test_sasp_conversation.py
+++ b/tests/frontends/test_sasp_conversation.py
@@ -166,7 +166,7 @@
         connection.push()
         planner.log_event("the relay asks")
         connection.receive(codec.get_weights(7, [(b"r1", b"write")]))
-        self.compare("sasp-relay", planner)
+        self.assert_matches_trace("sasp-relay", planner)
 
     def test_return_codes(self):
         """Each kind of invalid request is rejected with its own return code."""
@@ -210,7 +210,7 @@
             codec.get_weights(17, []),
         )
         connection.receive(codec.answer(18, codec.REGISTERED, 0))
-        self.compare("sasp-codes", planner)
+        self.assert_matches_trace("sasp-codes", planner)
 
     def test_a_rejected_request_changes_nothing(self):
         """The groups before the one that is at fault are not registered either."""
@@ -244,7 +244,7 @@
         planner.run(12)
         connection.push()
         untrusting.push()
-        self.compare("sasp-empty", planner)
+        self.assert_matches_trace("sasp-empty", planner)
 
     def test_a_server_wrongly_listed_as_gone_and_kept_by_the_assigner_keeps_its_weight(self):
         """The endpoint list alone does not remove a server."""
@@ -278,7 +278,7 @@
         late.receive(*opening_messages())
         planner.run(0.1)
         self.assertTrue(late.push())
-        self.compare("sasp-quarrel", planner)
+        self.assert_matches_trace("sasp-quarrel", planner)
 
     def test_a_group_deregistered_while_its_weights_wait(self):
         """No weights of the group are sent any more."""
@@ -290,7 +290,7 @@
         connection.push()
         planner.change_list(server(1, ServerState.DRAINING))
         connection.push()
-        self.assertFalse([line for line in planner.printed if " read:" in line])
+        self.assertFalse([line for line in planner.recorded if " read:" in line])
 
     def test_a_proxy_that_stops_reading_gets_one_message_with_the_newest_state(self):
         """Pending changes are combined and do not pile up."""
@@ -351,7 +351,7 @@
         for confident in (False, True):
             tables.update("read", [(("127.0.0.1", PORT + 2), 0, confident, True)])
             self.assertEqual(list(tables.lines["read"]), [("127.0.0.1", PORT)])
-        self.compare("sasp-old-tables", planner)
+        self.assert_matches_trace("sasp-old-tables", planner)
 
     @settings(max_examples=150, deadline=None)
     @given(
@@ -392,10 +392,10 @@
                 "malformed": [codec.register(5, True, [(read, [member(1)] * 65)])],
                 "state": [codec.set_members(6, True, [(read, [(member(nth), 1, nth % 2 == 0)])])],
             }.get(step, [])
-            before = sum("answer" in line for line in planner.printed)
+            before = sum("answer" in line for line in planner.recorded)
             connection.receive(*requests)
             self.assertEqual(
-                sum("answer" in line for line in planner.printed) - before, len(requests)
+                sum("answer" in line for line in planner.recorded) - before, len(requests)
             )
             if step == "agent":
                 agent.receive(codec.register(7, False, [(read, [member(nth)])]))
--- a/tests/frontends/test_sasp_sockets.py
+++ b/tests/frontends/test_sasp_sockets.py
@@ -5,7 +5,7 @@
 import time
 import unittest
 
-from support import Planner, peer, ports, until
+from support import Planner, host_numbers, raw_connection, until
 
 from indigodeck.client import Tables
 from indigodeck.client.sasp import table_entry
@@ -26,7 +26,7 @@
         """A complete message with wrong lengths inside is answered instead."""
         async with Planner(message_ms=200, message_bytes=4096) as planner:
             tables, client, task = planner.client()
-            await until(lambda: ports(tables) == set(range(6)))
+            await until(lambda: host_numbers(tables) == set(range(6)))
             malformed = {
                 "half a message": OPENING_MESSAGES[:20],
                 "a huge length": codec.HEADER.pack(0x2010, 13, 1, 1 << 30, 1),
@@ -36,7 +36,7 @@
             }
             for nth, (description, data) in enumerate(malformed.items()):
                 with self.subTest(description):
-                    async with peer(planner.port) as (reader, writer):
+                    async with raw_connection(planner.port) as (reader, writer):
                         writer.write(data)
                         self.assertEqual(await asyncio.wait_for(reader.read(), 5), b"")
                         await until(
@@ -46,7 +46,7 @@
                         )
             # A complete message with wrong lengths inside is answered with a return code, and the
             # connection stays open.
-            async with peer(planner.port) as (reader, writer):
+            async with raw_connection(planner.port) as (reader, writer):
                 wrong = bytearray(codec.register(9, True, [((b"raw", b"reading"), [])]))
                 wrong[25] = 200
                 writer.write(bytes(wrong) + OPENING_MESSAGES)
@@ -58,13 +58,13 @@
                     (return_code, second_answer[-1]), (codec.NOT_UNDERSTOOD, codec.SUCCESSFUL)
                 )
             planner.set_host_states(host_2="draining")
-            await until(lambda: ports(tables) == {0, 1, 3, 4, 5})
+            await until(lambda: host_numbers(tables) == {0, 1, 3, 4, 5})
             client.stop()
             await task
 
     async def test_messages_that_arrive_byte_by_byte_are_answered(self):
         """A message may arrive in any number of pieces within the time limit."""
-        async with Planner() as planner, peer(planner.port) as (reader, writer):
+        async with Planner() as planner, raw_connection(planner.port) as (reader, writer):
             for byte in OPENING_MESSAGES:
                 writer.write(bytes([byte]))
                 await writer.drain()
@@ -84,7 +84,7 @@
         }
         async with Planner(channel=channel) as planner:
             tables, client, task = planner.client()
-            async with peer(planner.port) as (reader, writer):
+            async with raw_connection(planner.port) as (reader, writer):
                 request = codec.get_weights(3, [(b"raw", b"reading")])
                 writer.write(OPENING_MESSAGES + request * 20)
                 times = []
@@ -94,7 +94,7 @@
                     times.append(now())
                     if len(times) == 6:
                         planner.set_host_states(host_1="draining")
-                        await until(lambda: ports(tables) == {0, 2, 3, 4, 5})
+                        await until(lambda: host_numbers(tables) == {0, 2, 3, 4, 5})
                 # At most eight messages within 500 ms, whatever is requested: any ninth message
                 # comes later than that. The bound leaves a margin of 50 ms.
                 self.assertGreaterEqual(
@@ -112,10 +112,10 @@
             stalled.connect(("127.0.0.1", planner.port))
             stalled.sendall(OPENING_MESSAGES)
             tables, client, task = planner.client()
-            await until(lambda: len(ports(tables)) >= 4)
+            await until(lambda: len(host_numbers(tables)) >= 4)
             for nth in range(30):
                 planner.set_host_states(**{f"host_{nth}": "draining"})
-                await until(lambda drained=set(range(nth + 1)): not ports(tables) & drained)
+                await until(lambda drained=set(range(nth + 1)): not host_numbers(tables) & drained)
             limit = planner.service.planner_host.settings.channel.max_waiting_lines
             self.assertLess(planner.service.planner_host.updates.peak_waiting_lines, limit)
             stalled_tables, data = Tables(["reading"], now), b""
@@ -144,12 +144,12 @@
         """A planner whose event loop was blocked stays within the message limit afterwards."""
         async with Planner(channel={"messages_most": 30, "answers_most": 10}) as planner:
             tables, client, task = planner.client()
-            await until(lambda: ports(tables) == set(range(6)))
+            await until(lambda: host_numbers(tables) == set(range(6)))
             written = planner.service.proxies.message_quota(b"hall-a/r1").written
             written_before = len(written)
             time.sleep(2)  # blocks the event loop
             planner.set_host_states(host_0="draining")
-            await until(lambda: ports(tables) == set(range(1, 6)))
+            await until(lambda: host_numbers(tables) == set(range(1, 6)))
             self.assertLessEqual(len(written) - written_before, 4)
             client.stop()
             await task
--- a/tests/frontends/test_xds_streams.py
+++ b/tests/frontends/test_xds_streams.py
@@ -159,7 +159,7 @@
         client.drain()
         client.request("endpoints", "read", "write", nonce=client.nonces[ENDPOINTS][-1])
         client.drain()
-        self.compare("xds-whole", planner)
+        self.assert_matches_trace("xds-whole", planner)
 
     def test_resources_are_removed_after_those_that_refer_to_them(self):
         """Clusters and endpoints are removed once no route or listener may refer to them."""
@@ -182,7 +182,7 @@
         client.answer("listener")
         client.answer("route")
         client.drain()
-        self.compare("xds-removals", planner)
+        self.assert_matches_trace("xds-removals", planner)
 
     def test_a_proxy_that_reconnects_is_sent_only_the_versions_that_it_lacks(self):
         """Resources whose initial versions are current are not sent."""
@@ -202,7 +202,7 @@
         other.drain()
         other.request_delta("cluster", (), ("*",))
         other.drain()
-        self.compare("xds-back", planner)
+        self.assert_matches_trace("xds-back", planner)
 
     def test_a_proxy_that_exceeds_its_limits_is_rejected(self):
         """Streams and names are limited, and requests for unknown types are not answered."""
