--- a/benchmarks/amid.py
+++ b/benchmarks/amid.py
@@ -12,7 +12,7 @@
 import tempfile
 from typing import Any
 
-from common import argument, example, machine, write_result
+from common import command_line_argument, example_document, machine, write_result
 
 from indigodeck.clock import SECOND
 from indigodeck.testbed.controller_fleet import ControllerFleet
@@ -34,7 +34,7 @@
 
 def scenario_script(relays: int, protocol: str, with_leader_changes: bool) -> dict[str, Any]:
     """Return the script of one scenario."""
-    script = example("bad-day.json")
+    script = example_document("bad-day.json")
     faults = [RELEASE, *LEADER_CHANGES] if with_leader_changes else [RELEASE]
     script.update(seconds=60, seed=11, troubles=faults)
     script["hosts"].update(many=HOSTS, processes=3)
@@ -72,7 +72,7 @@
 async def measure_idle(controllers: int) -> dict[str, Any]:
     """Return what each controller costs while nobody is to be served."""
     with tempfile.TemporaryDirectory() as folder:
-        settings = example("charter.json")
+        settings = example_document("charter.json")
         fleet = ControllerFleet(folder, settings, members=controllers, lease_ms=IDLE_LEASE_MS)
         try:
             for name in fleet.member_ports:
@@ -117,17 +117,17 @@
     for name, with_leader_changes in (("taken_over", True), ("left_alone", False)):
         results[name] = await play(relays, protocol, with_leader_changes)
         print(name, printed(results[name]), json.dumps(results[name]["laid"]), flush=True)
-    kept = {
+    document = {
         "what": "a takeover amid a release and back",
         "relays": relays,
         "hosts": HOSTS,
         "machine": machine(),
         **results,
     }
-    write_result(f"amid-{protocol}", kept)
-    kept["at_rest"] = [await measure_idle(controllers) for controllers in (3, 5, 9)]
-    write_result(f"amid-{protocol}", kept)
+    write_result(f"amid-{protocol}", document)
+    document["at_rest"] = [await measure_idle(controllers) for controllers in (3, 5, 9)]
+    write_result(f"amid-{protocol}", document)
 
 
 if __name__ == "__main__":
-    asyncio.run(main(argument(1, 303), argument(2, "sasp", str)))
+    asyncio.run(main(command_line_argument(1, 303), command_line_argument(2, "sasp", str)))
--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -11,7 +11,7 @@
 import tempfile
 from typing import Any
 
-from common import example, machine, rules_broken, write_result
+from common import broken_rules, example_document, machine, write_result
 
 from indigodeck.frontends.sasp import codec
 from indigodeck.testbed.recording_proxy import StreamEventType
@@ -57,14 +57,14 @@
         "worst_10_s": service["worst_10_s"],
         "worst_class": service["worst_class"],
         "by_5_s": service["by_5_s"],
-        "rules_broken": rules_broken(result),
+        "rules_broken": broken_rules(result),
         "lost_over_ours": round(lost / max(1e-9, 1 - own_service), 2),
     }
 
 
 async def main() -> None:
     """Play all three at once, and keep the results."""
-    script = example("bad-day.json")
+    script = example_document("bad-day.json")
     with tempfile.TemporaryDirectory() as folder:
         runners = [
             ScenarioRunner(script, pathlib.Path(folder) / policy, policy) for policy in POLICIES
@@ -76,7 +76,7 @@
         if event.type == StreamEventType.MESSAGE:
             codec.dispatch(event.data, counter)
     own_service = results[0]["service"]["whole"]
-    kept = {
+    document = {
         "what": "the scripted bad day",
         "machine": machine(),
         "hosts": script["hosts"]["many"],
@@ -90,8 +90,8 @@
             "entries_over_changed": round(counter.entry_bytes / counter.changed_bytes, 2),
         },
     }
-    print(json.dumps(kept, indent=1))
-    write_result("bad-day", kept)
+    print(json.dumps(document, indent=1))
+    write_result("bad-day", document)
 
 
 if __name__ == "__main__":
--- a/benchmarks/codec.py
+++ b/benchmarks/codec.py
@@ -16,18 +16,18 @@
 
 from indigodeck.frontends.sasp import codec  # noqa: E402  # follows the change of the path above
 
-RESULTS = ROOT / "benchmarks/results/codec.json"
+RESULT_FILE = ROOT / "benchmarks/results/codec.json"
 ENTRY_COUNTS = (1, 10, 105, 1000)
 MEASURED_SECONDS = 1.0
 ENTRY_FLAGS = 0x90
 
 
-class IgnoringHandler:
+class NullHandler:
     """Takes any message, and does nothing."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         """Return a method that does nothing."""
-        return lambda *given: None
+        return lambda *arguments: None
 
 
 def calls_per_second(call: Callable[[], object]) -> float:
@@ -49,7 +49,7 @@
         for number in range(entry_count)
     ]
     groups = [((b"hall-a/relay-1", b"reading"), entries)]
-    handler = IgnoringHandler()
+    handler = NullHandler()
     data = codec.send_weights(1, groups)
     written = calls_per_second(lambda: codec.send_weights(1, groups))
     read = calls_per_second(lambda: codec.dispatch(data, handler))
@@ -74,7 +74,7 @@
         "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
         "results": results,
     }
-    RESULTS.write_text(json.dumps(document, indent=1) + "\n")
+    RESULT_FILE.write_text(json.dumps(document, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 ROOT = pathlib.Path(__file__).parent.parent
-RESULTS = ROOT / "benchmarks/results"
+RESULTS_FOLDER = ROOT / "benchmarks/results"
 
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 # grpcio logs every connection that ends; benchmarks end many.
@@ -26,14 +26,14 @@
     return f"{os.cpu_count()} cores, {platform.python_version()}"
 
 
-def example(name: str) -> dict[str, Any]:
+def example_document(name: str) -> dict[str, Any]:
     """Return a document of the folder `examples`, to be changed at will."""
     return json.loads((ROOT / "examples" / name).read_text())
 
 
 def write_result(name: str, result: dict[str, Any]) -> None:
     """Keep a result under its name."""
-    (RESULTS / f"{name}.json").write_text(json.dumps(result, indent=1) + "\n")
+    (RESULTS_FOLDER / f"{name}.json").write_text(json.dumps(result, indent=1) + "\n")
 
 
 def quantile(values: Sequence[float], share: float) -> float:
@@ -46,7 +46,7 @@
     return {"p50": round(quantile(values, 0.5), 3), "p99": round(quantile(values, 0.99), 3)}
 
 
-def rules_broken(result: dict[str, Any]) -> list[str]:
+def broken_rules(result: dict[str, Any]) -> list[str]:
     """Return the rules that a played scenario broke."""
     return [rule["rule"] for rule in result["rules"] if not rule["kept"]]
 
@@ -68,7 +68,7 @@
         await asyncio.sleep(interval_s)
 
 
-def argument(position: int, default: Any, convert: Callable[[str], Any] = int) -> Any:
+def command_line_argument(position: int, default: Any, convert: Callable[[str], Any] = int) -> Any:
     """Return a command line argument, the first at position 1, or its default."""
     return convert(sys.argv[position]) if len(sys.argv) > position else default
 
--- a/benchmarks/cuts.py
+++ b/benchmarks/cuts.py
@@ -25,14 +25,14 @@
 PARTS = 8  # of the power cuts, played by the processes one after the other
 
 
-class CutsPlayed(NamedTuple):
+class PowerCutResults(NamedTuple):
     """How many scenarios were played, and what was wrong in the first that failed, or None."""
 
     played: int
     problem: str | None
 
 
-def play_power_cuts(part: int, times: int) -> CutsPlayed:
+def play_power_cuts(part: int, times: int) -> PowerCutResults:
     """Play one of `PARTS` parts of all scenarios, up to the first that fails."""
     with unittest.mock.patch.multiple(write_ahead_log, **SMALL_LIMITS):
         operation_count = CrashScenario(seed=1).run().operation_count
@@ -51,8 +51,8 @@
             played += 1
             problem = scenario.run().problem
             if problem:
-                return CutsPlayed(played, problem)
-        return CutsPlayed(played, None)
+                return PowerCutResults(played, problem)
+        return PowerCutResults(played, None)
 
 
 def damage_every_byte(seed: int) -> int:
@@ -71,7 +71,7 @@
 
 def main(times: int) -> None:
     """Play everything, write the result to benchmarks/results/cuts.json and print it."""
-    began = time.monotonic()
+    started = time.monotonic()
     with ProcessPoolExecutor(4) as pool:
         cuts = list(pool.map(play_power_cuts, range(PARTS), [times] * PARTS))
         damage = list(pool.map(damage_every_byte, range(5, 5 + times)))
@@ -81,7 +81,7 @@
         "power_cuts": sum(part.played for part in cuts),
         "broken": [part.problem for part in cuts if part.problem],
         "files_cut_or_flipped": sum(damage),
-        "seconds": round(time.monotonic() - began),
+        "seconds": round(time.monotonic() - started),
     }
     (ROOT / "benchmarks/results/cuts.json").write_text(json.dumps(result, indent=1) + "\n")
     print(json.dumps(result))
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -11,7 +11,7 @@
 import tempfile
 from typing import Any
 
-from common import example, machine, write_result
+from common import example_document, machine, write_result
 
 from indigodeck.testbed.scenario import ScenarioRunner
 from indigodeck.testbed.scenario_result import printed
@@ -21,16 +21,16 @@
     {"at": 13, "kind": "crash", "part": 0.06, "seconds": 40},
     {"at": 14, "kind": "planner_killed", "size": 1.0},
 )
-LIST_DOWN = {"at": 12, "kind": "roster_down", "seconds": 30}
+LIST_SERVICE_DOWN = {"at": 12, "kind": "roster_down", "seconds": 30}
 # How the events begin of a planner that starts from its cached list.
 CACHED_LIST_EVENTS = ("cached_list_", "stale_list_names_more")
 
 
 def scenario_script(with_list_down: bool) -> dict[str, Any]:
     """Return the script of one of the two."""
-    script = example("bad-day.json")
+    script = example_document("bad-day.json")
     script["charter"]["store"] = {"folder": "store"}
-    faults = [*FAULTS, LIST_DOWN] if with_list_down else list(FAULTS)
+    faults = [*FAULTS, LIST_SERVICE_DOWN] if with_list_down else list(FAULTS)
     script.update(seconds=40, seed=3, troubles=faults)
     script["relays"].update(rate=120)
     return script
@@ -44,8 +44,8 @@
 
 async def main() -> None:
     """Play both at once, and keep the results."""
-    with tempfile.TemporaryDirectory() as made:
-        folder = pathlib.Path(made)
+    with tempfile.TemporaryDirectory() as folder_name:
+        folder = pathlib.Path(folder_name)
         runners = {
             name: ScenarioRunner(scenario_script(with_list_down), folder / name)
             for name, with_list_down in (("down", True), ("up", False))
@@ -56,13 +56,13 @@
     for name, result in results.items():
         print(name, printed(result))
     print("\n".join(map(str, events)))
-    kept = {
+    document = {
         "what": "a start without the list",
         "machine": machine(),
         **results,
         "belief": events,
     }
-    write_result("discovery", kept)
+    write_result("discovery", document)
 
 
 if __name__ == "__main__":
--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -11,7 +11,7 @@
 import tempfile
 from typing import Any, NamedTuple
 
-from common import example, machine, rules_broken, write_result
+from common import broken_rules, example_document, machine, write_result
 
 from indigodeck.testbed.scenario import ScenarioRunner
 
@@ -35,7 +35,7 @@
 
 async def play(load: Load) -> list[dict[str, Any]]:
     """Play one load over both protocols at once; return what is kept of each."""
-    script = example("bad-day.json")
+    script = example_document("bad-day.json")
     script.update(seconds=load.seconds, troubles=script["troubles"][: load.fault_count])
     script["charter"]["relays"]["rate"] = load.rate / script["relays"]["many"]
     with tempfile.TemporaryDirectory() as folder:
@@ -56,7 +56,7 @@
             "outcomes": result["service"]["outcomes"],
             "messages": result["wire_messages"],
             "bytes": result["wire_bytes"],
-            "rules_broken": rules_broken(result),
+            "rules_broken": broken_rules(result),
         }
         for result in results
     ]
--- a/benchmarks/full_size.py
+++ b/benchmarks/full_size.py
@@ -34,15 +34,15 @@
 ZONES = ["x", "y", "z"]
 SEED = 7
 CELL_SIZE = 4
-TURNS_PER_SECOND = 4
-OUTCOME_REPORTS_PER_TURN = 10
-DEMAND_REPORTS_PER_TURN = 5
+STEPS_PER_SECOND = 4
+OUTCOME_REPORTS_PER_STEP = 10
+DEMAND_REPORTS_PER_STEP = 5
 ACK_DELAY = 1000  # microseconds
 # Each event, and how many times it is played: the mean is reported.
 EVENTS = (("start", 1), ("joinings", 1), ("second", 5), ("change", 3), ("second", 5))
 
 
-def stated_settings(proxies: int, planners: int) -> dict[str, Any]:
+def platform_settings(proxies: int, planners: int) -> dict[str, Any]:
     """Return the settings as a platform states them."""
     read_class = {
         "name": "read",
@@ -87,28 +87,28 @@
     }
 
 
-class QuietEnvironment(SimulatedLoop):
+class StubEnvironment(SimulatedLoop):
     """A host's environment: time and timers, and nobody to notify."""
 
-    def ignore(self, *_given: object, **_facts: object) -> None:
+    def do_nothing(self, *_given: object, **_facts: object) -> None:
         """Do nothing."""
 
-    notify_orders_pending = ignore
-    check_health = ignore
-    send_to_peer = ignore
-    fetch_endpoints = ignore
-    log = ignore
-    log_event = ignore
-    trace = ignore
+    notify_orders_pending = do_nothing
+    check_health = do_nothing
+    send_to_peer = do_nothing
+    fetch_endpoints = do_nothing
+    log = do_nothing
+    log_event = do_nothing
+    trace = do_nothing
 
 
 class Planner:
     """One planner of a fleet, its share of the proxies, and a relay that takes every order."""
 
     def __init__(self, proxies: int, servers: int, planners: int) -> None:
-        settings = settings_from_object(stated_settings(proxies, planners))
+        settings = settings_from_object(platform_settings(proxies, planners))
         self.codec = MessageCodec(settings)
-        self.environment = QuietEnvironment()
+        self.environment = StubEnvironment()
         self.proxies = range(0, proxies, planners)
         self.outbox = Outbox(self.environment.now, self.environment.log)
         self.host = EdgeAssignerHost(self.environment, self.outbox, settings, SEED)
@@ -132,10 +132,10 @@
     def second(self) -> None:
         """Play 60 reports, the assigner's own timers, and what they order."""
         names = sorted(self.entries)
-        for _turn in range(TURNS_PER_SECOND):
+        for _step in range(STEPS_PER_SECOND):
             self.send_outcome_reports(names)
             self.send_demand_reports()
-            self.environment.run(1 / TURNS_PER_SECOND)
+            self.environment.run(1 / STEPS_PER_SECOND)
             self.take_orders()
 
     def change(self) -> None:
@@ -170,14 +170,14 @@
         """Hand these entries of the list to the host."""
         self.version += 1
         entries = [self.entries[name] for name in names]
-        found = self.codec.read_endpoint_list(
+        endpoint_list = self.codec.read_endpoint_list(
             {"seq": self.version, "whole": complete, "hosts": entries}
         )
-        self.host.on_endpoint_list(found, cached=self.version == 1)
+        self.host.on_endpoint_list(endpoint_list, cached=self.version == 1)
 
     def send_outcome_reports(self, names: list[str]) -> None:
         """Hand one turn's reports of servers to the host."""
-        for number in range(OUTCOME_REPORTS_PER_TURN):
+        for number in range(OUTCOME_REPORTS_PER_STEP):
             name = names[(self.environment.now() // 1000 + number * 7) % len(names)]
             latency = 150_000 + number * 900
             self.host.on_outcome_report(
@@ -186,9 +186,9 @@
 
     def send_demand_reports(self) -> None:
         """Hand one turn's reports of proxies to the host."""
-        for number in range(DEMAND_REPORTS_PER_TURN):
-            turn = self.environment.now() // 50_000 + number * 11
-            proxy = self.proxies[turn % len(self.proxies)]
+        for number in range(DEMAND_REPORTS_PER_STEP):
+            position = self.environment.now() // 50_000 + number * 11
+            proxy = self.proxies[position % len(self.proxies)]
             self.host.on_demand_report(DemandReport(proxy, number % 2, 2, 0, SECOND))
 
     def take_orders(self) -> None:
@@ -203,20 +203,20 @@
                     self.host.on_ack(Ack(self.proxies[0], order["nonce_out"], ACK_DELAY))
 
 
-def cpu_seconds(play: Callable[[], None], times: int) -> float:
+def cpu_seconds(event: Callable[[], None], times: int) -> float:
     """Return the mean CPU time of an event."""
-    began = time.process_time()
+    started = time.process_time()
     for _ in range(times):
-        play()
-    return (time.process_time() - began) / times
+        event()
+    return (time.process_time() - started) / times
 
 
-def call_count(play: Callable[[], None], times: int) -> int:
+def call_count(event: Callable[[], None], times: int) -> int:
     """Return the mean number of function calls of an event."""
     profile = cProfile.Profile()
     profile.enable()
     for _ in range(times):
-        play()
+        event()
     profile.disable()
     total: int = pstats.Stats(profile).total_calls  # type: ignore[attr-defined]  # not in typeshed
     return total // times
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -14,7 +14,7 @@
 from itertools import pairwise
 from typing import Any, NamedTuple
 
-from common import example, machine, write_result
+from common import example_document, machine, write_result
 
 from indigodeck.testbed.scenario import ScenarioRunner
 
@@ -22,7 +22,7 @@
 PAGE_BYTES = os.sysconf("SC_PAGESIZE")
 HOSTS = 105
 SETTLING_SECONDS = 4
-LAST_SAMPLES_IGNORED = 2  # in which the scenario may have ended
+IGNORED_LAST_SAMPLES = 2  # in which the scenario may have ended
 
 
 class Sample(NamedTuple):
@@ -55,7 +55,7 @@
 
 def scenario_script(relays: int, rate: int, seconds: int) -> dict[str, Any]:
     """Return the script that is played: a tenth of the hosts are replaced in its middle."""
-    script = example("bad-day.json")
+    script = example_document("bad-day.json")
     release = {"at": seconds / 2, "kind": "deploy", "part": 0.1, "size": 0.5, "seconds": 5}
     script.update(seconds=seconds, troubles=[release])
     script["hosts"].update(many=HOSTS, processes=3)
@@ -74,12 +74,12 @@
         task = asyncio.get_running_loop().create_task(sampling)
         result = await runner.play()
         task.cancel()
-    samples = samples[:-LAST_SAMPLES_IGNORED]
+    samples = samples[:-IGNORED_LAST_SAMPLES]
     cores = [
         (after.cpu_s - before.cpu_s) / (after.at_s - before.at_s)
         for before, after in pairwise(samples)
     ]
-    kept = {
+    document = {
         "what": "planner at load",
         "machine": machine(),
         "relays": relays,
@@ -92,8 +92,8 @@
         "rules_kept": all(rule["kept"] for rule in result["rules"]),
         "wire_bytes": result["wire_bytes"],
     }
-    print(json.dumps(kept))
-    write_result(f"load-{relays}", kept)
+    print(json.dumps(document))
+    write_result(f"load-{relays}", document)
 
 
 if __name__ == "__main__":
--- a/benchmarks/lossy.py
+++ b/benchmarks/lossy.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import NamedTuple
 
-from common import argument, machine, write_result
+from common import command_line_argument, machine, write_result
 
 # These follow the import above, which puts them on the path.
 from frontends import lossy_network  # isort: skip
@@ -19,7 +19,7 @@
 PARTS = 16
 
 
-class Played(NamedTuple):
+class PlayedSchedules(NamedTuple):
     """How many schedules were played, what they proved, and the first problem, if any."""
 
     schedules: int
@@ -27,15 +27,15 @@
     problem: str | None
 
 
-def play(schedule: Callable[[int], int], seeds: Sequence[int]) -> Played:
+def play_schedules(schedule: Callable[[int], int], seeds: Sequence[int]) -> PlayedSchedules:
     """Play schedules up to the first that fails."""
     proved = 0
     for index, seed in enumerate(seeds):
         try:
             proved += schedule(seed)
         except AssertionError as error:
-            return Played(index + 1, proved, str(error))
-    return Played(len(seeds), proved, None)
+            return PlayedSchedules(index + 1, proved, str(error))
+    return PlayedSchedules(len(seeds), proved, None)
 
 
 def main(count: int) -> None:
@@ -50,7 +50,7 @@
             seeds = [
                 range(FIRST_SEED + part, FIRST_SEED + schedules, PARTS) for part in range(PARTS)
             ]
-            parts = list(pool.map(play, [schedule] * PARTS, seeds))
+            parts = list(pool.map(play_schedules, [schedule] * PARTS, seeds))
             result[name] = {
                 "schedules": sum(part.schedules for part in parts),
                 "proved": sum(part.proved for part in parts),
@@ -62,4 +62,4 @@
 
 
 if __name__ == "__main__":
-    main(argument(1, 8000))
+    main(command_line_argument(1, 8000))
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import structlog
-from common import example, host_entries, machine, quantile, write_result
+from common import example_document, host_entries, machine, quantile, write_result
 
 from indigodeck.clock import now
 from indigodeck.planner.planner_settings import PlannerSettings
@@ -40,27 +40,27 @@
         self.acknowledged_after: list[int] = []
         self._service = service
         host = service.planner_host
-        host.eject_server = self._noting(host.eject_server)
-        host.uneject_server = self._noting(host.uneject_server)
+        host.eject_server = self._recording(host.eject_server)
+        host.uneject_server = self._recording(host.uneject_server)
         self._on_ack = host.assigner.on_ack
-        host.assigner.on_ack = self._note_ack
+        host.assigner.on_ack = self._record_ack
 
-    def _noting(self, order: Callable[[int], None]) -> Callable[[int], None]:
-        def noted(server: int) -> None:
+    def _recording(self, order: Callable[[int], None]) -> Callable[[int], None]:
+        def record_and_forward(server: int) -> None:
             _, port = self._service.endpoints.address_of(server)
             self.ejected_at[port] = now()
             order(server)
 
-        return noted
+        return record_and_forward
 
-    def _note_ack(self, proxy: int, number: int, delay: int) -> None:
+    def _record_ack(self, proxy: int, number: int, delay: int) -> None:
         self.acknowledged_after.append(delay)
         self._on_ack(proxy, number, delay)
 
 
 def settings_document(protocol: str, relay_count: int) -> dict[str, Any]:
     """Return the planner's settings: no reports, no limit on messages, a fast channel."""
-    document = example("charter.json")
+    document = example_document("charter.json")
     document["relays"] = {
         "most": relay_count,
         "halls": [{"prefix": hall + "/", "hall": hall} for hall in document["halls"]],
@@ -80,7 +80,9 @@
         await WorkerProcess.start("standin", "relay", "--outcomes", os.devnull)
         for _ in range(RELAY_PROCESSES)
     ]
-    classes = [dict(stated, share=0.5, work_ms=200) for stated in document["classes"]]
+    classes = [
+        dict(class_document, share=0.5, work_ms=200) for class_document in document["classes"]
+    ]
     for index in range(relay_count):
         zone = document["halls"][index % 3]
         relay = {
@@ -165,12 +167,12 @@
         results.append(result)
         result["p99_over_first"] = round(result["p99_ms"] / results[0]["p99_ms"], 2)
         print(json.dumps(result), flush=True)
-    kept = {
+    result_document = {
         "what": f"order to applied over {protocol}",
         "machine": machine(),
         "results": results,
     }
-    write_result(f"orders-{protocol}", kept)
+    write_result(f"orders-{protocol}", result_document)
 
 
 if __name__ == "__main__":
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -10,14 +10,14 @@
 import tempfile
 from typing import Any
 
-from common import argument, example, machine, write_result
+from common import command_line_argument, example_document, machine, write_result
 
 from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.testbed.fleet_scenario import FleetScenarioRunner
 from indigodeck.testbed.scenario_result import printed
 
 FIRST_FAULT_S = 5.0
-QUIET_END_S = 10
+FAULT_FREE_END_S = 10
 HANDOVER_PERCENT = 12
 
 
@@ -25,7 +25,7 @@
     """Return stops and handovers, drawn over the whole time."""
     faults: list[dict[str, Any]] = []
     at = FIRST_FAULT_S
-    while at < seconds - QUIET_END_S:
+    while at < seconds - FAULT_FREE_END_S:
         if random.randbelow(100) < HANDOVER_PERCENT:
             faults.append({"at": at, "kind": "handover"})
         else:
@@ -50,7 +50,7 @@
 async def main(seconds: float, seed: int, protocol: str) -> None:
     """Play the scenario, and keep the result."""
     faults = controller_faults(SeededRandom(seed), seconds) + host_faults(seconds)
-    script = example("bad-day.json")
+    script = example_document("bad-day.json")
     script.update(seconds=seconds, seed=seed, troubles=faults)
     script["relays"].update(rate=120, wire=protocol)
     script["charter"]["fronts"]["sasp"]["interval_s"] = 1
@@ -62,7 +62,7 @@
     stops = sum(fault["kind"] == "stall" for fault in faults)
     print(printed(result))
     print(f"  {len(acquisitions)} leases acquired, {stops} stops")
-    kept = {
+    document = {
         "what": "random stops of controllers, audited from sockets",
         "seed": seed,
         "seconds": seconds,
@@ -73,8 +73,14 @@
         "charges": len(acquisitions),
         **result,
     }
-    write_result(f"pauses-{protocol}", kept)
+    write_result(f"pauses-{protocol}", document)
 
 
 if __name__ == "__main__":
-    asyncio.run(main(argument(1, 600.0, float), argument(2, 1), argument(3, "sasp", str)))
+    asyncio.run(
+        main(
+            command_line_argument(1, 600.0, float),
+            command_line_argument(2, 1),
+            command_line_argument(3, "sasp", str),
+        )
+    )
--- a/benchmarks/plot.py
+++ b/benchmarks/plot.py
@@ -6,7 +6,7 @@
 import json
 
 import matplotlib
-from common import RESULTS, ROOT
+from common import RESULTS_FOLDER, ROOT
 
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402 - after the choice of its output
@@ -16,7 +16,7 @@
     """Plot delivery times and their cost over the number of relays."""
     figure, (times, cost) = pyplot.subplots(1, 2, figsize=(10, 4))
     for protocol in ("sasp", "xds"):
-        results = json.loads((RESULTS / f"orders-{protocol}.json").read_text())["results"]
+        results = json.loads((RESULTS_FOLDER / f"orders-{protocol}.json").read_text())["results"]
         sizes = [result["relays"] for result in results]
         medians = [result["ack_p50_ms"] for result in results]
         percentiles = [result["ack_p99_ms"] for result in results]
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -5,7 +5,7 @@
 import time
 from typing import Any
 
-from common import argument, machine, write_result
+from common import command_line_argument, machine, write_result
 
 from indigodeck.leadership import model, mutants
 
@@ -30,18 +30,18 @@
         mutant.__name__: model.explore(range(MUTANT_SEEDS), election_class=mutant)[0]
         for mutant in mutants.MUTANTS
     }
-    kept = {
+    document = {
         "what": "schedules of takeovers, 60 s of simulated time each",
         "machine": machine(),
         "schedules": sum(played for played, _, _ in results),
-        "takeovers": sum(seen for _, seen, _ in results),
+        "takeovers": sum(takeovers for _, takeovers, _ in results),
         "schedules_a_second": round(count / elapsed, 1),
         "broken": [problem for _, _, problem in results if problem],
         "mutants_caught_after": caught,
     }
-    print(json.dumps(kept))
-    write_result("schedules", kept)
+    print(json.dumps(document))
+    write_result("schedules", document)
 
 
 if __name__ == "__main__":
-    main(argument(1, 100_000))
+    main(command_line_argument(1, 100_000))
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -39,11 +39,11 @@
 def repeats_per_second(operation: Callable[[int], object]) -> float:
     """Call an operation with 0, 1, 2 ... and return how often a second it was done."""
     count = 0
-    began = time.monotonic()
-    while time.monotonic() - began < MEASURED_SECONDS:
+    started = time.monotonic()
+    while time.monotonic() - started < MEASURED_SECONDS:
         operation(count)
         count += 1
-    return count / (time.monotonic() - began)
+    return count / (time.monotonic() - started)
 
 
 def plain_appends(folder: pathlib.Path) -> float:
@@ -58,7 +58,7 @@
         return repeats_per_second(append)
 
 
-def commits(folder: pathlib.Path) -> float:
+def log_commits(folder: pathlib.Path) -> float:
     """Commit to a log, one after the other; commits a second."""
     with closing(StoreFolder(folder / "alone")) as files:
         log = WriteAheadLog(files)
@@ -67,12 +67,12 @@
 
 def sqlite_commits(folder: pathlib.Path) -> float:
     """Commit to SQLite with a write-ahead log that is synced each time; commits a second."""
-    with closing(sqlite3.connect(folder / "base", isolation_level=None)) as base:
-        base.execute("pragma journal_mode=wal")
-        base.execute("pragma synchronous=full")
-        base.execute("create table held (key text primary key, value blob)")
+    with closing(sqlite3.connect(folder / "base", isolation_level=None)) as database:
+        database.execute("pragma journal_mode=wal")
+        database.execute("pragma synchronous=full")
+        database.execute("create table held (key text primary key, value blob)")
         return repeats_per_second(
-            lambda number: base.execute(
+            lambda number: database.execute(
                 "insert or replace into held values (?, ?)",
                 (f"k{number % KEY_COUNT}", json.dumps(RECORD)),
             )
@@ -89,9 +89,9 @@
         def put_until_end(thread: int) -> None:
             number = 0
             while time.monotonic() < end:
-                began = time.monotonic()
+                started = time.monotonic()
                 writer.put([(f"k{thread}/{number % KEYS_PER_THREAD}", RECORD)]).result()
-                waits.append(time.monotonic() - began)
+                waits.append(time.monotonic() - started)
                 number += 1
 
         running = [threading.Thread(target=put_until_end, args=(nth,)) for nth in range(threads)]
@@ -125,10 +125,10 @@
             while compacted and log.compaction_due():
                 log.compact()
     stored_bytes = sum(file.stat().st_size for file in path.iterdir())
-    began = time.monotonic()
+    started = time.monotonic()
     with closing(StoreFolder(path)) as files:
         recovered = WriteAheadLog(files)
-        seconds = time.monotonic() - began
+        seconds = time.monotonic() - started
     assert len(recovered.index) == key_count and not recovered.data_lost
     return {
         "records": record_count,
@@ -145,15 +145,15 @@
     folder.mkdir()
     return {
         "plain_fsync_per_s": round(plain_appends(folder)),
-        "one_after_the_other_per_s": round(commits(folder)),
+        "one_after_the_other_per_s": round(log_commits(folder)),
         "sqlite_per_s": round(sqlite_commits(folder)),
     }
 
 
 def main() -> None:
     """Measure everything, write the result to benchmarks/results/store.json and print it."""
-    with tempfile.TemporaryDirectory(dir=sys.argv[1] if len(sys.argv) > 1 else None) as made:
-        folder = pathlib.Path(made)
+    with tempfile.TemporaryDirectory(dir=sys.argv[1] if len(sys.argv) > 1 else None) as folder_name:
+        folder = pathlib.Path(folder_name)
         rounds = [append_round(folder / f"{nth}") for nth in range(ROUNDS)]
         groups = [
             group_commits(folder, threads, delay)
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -13,7 +13,14 @@
 import tempfile
 from typing import Any, NamedTuple
 
-from common import argument, example, machine, quantiles, wait_until, write_result
+from common import (
+    command_line_argument,
+    example_document,
+    machine,
+    quantiles,
+    wait_until,
+    write_result,
+)
 
 from indigodeck.clock import SECOND, now
 from indigodeck.testbed.controller_fleet import FIRST_HOST_PORT, ControllerFleet, Relay
@@ -34,7 +41,7 @@
         return bool(lines) and ("127.0.0.1", port) not in lines
 
 
-class Takeovers:
+class TakeoverMeasurement:
     """Stops leaders of one fleet, and measures how long relays are without one."""
 
     def __init__(self, fleet: ControllerFleet, relays: list[FleetRelay]) -> None:
@@ -73,7 +80,7 @@
 async def measure(takeovers: int, relay_count: int) -> dict[str, Any]:
     """Measure so many takeovers with so many relays."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = ControllerFleet(folder, example("charter.json"))
+        fleet = ControllerFleet(folder, example_document("charter.json"))
         relays: list[FleetRelay] = []
         try:
             for name in fleet.member_ports:
@@ -84,16 +91,19 @@
                 relay = fleet.connect_relay(protocol, f"hall-a/{protocol}-{index}")
                 relays.append(FleetRelay(protocol, relay))
             await wait_until(
-                lambda: all(one.relay.tables.updated_at["reading"] is not None for one in relays),
+                lambda: all(
+                    fleet_relay.relay.tables.updated_at["reading"] is not None
+                    for fleet_relay in relays
+                ),
                 "tables at all relays",
                 TIMEOUT_S,
             )
-            measured = Takeovers(fleet, relays)
+            measured = TakeoverMeasurement(fleet, relays)
             for index in range(takeovers):
                 await measured.measure(index)
         finally:
-            for one in relays:
-                one.relay.client.stop()
+            for fleet_relay in relays:
+                fleet_relay.relay.client.stop()
             await fleet.stop()
     return {
         "relays": relay_count,
@@ -113,14 +123,16 @@
     for relay_count in relay_counts:
         results.append(await measure(takeovers, relay_count))
         print(json.dumps(results[-1]), flush=True)
-    kept = {
+    document = {
         "what": "takeovers of a stopped controller",
         "machine": machine(),
         "lease_s": 0.6,
         "results": results,
     }
-    write_result(f"takeover-{'-'.join(map(str, relay_counts))}", kept)
+    write_result(f"takeover-{'-'.join(map(str, relay_counts))}", document)
 
 
 if __name__ == "__main__":
-    asyncio.run(main(argument(1, 200), [int(word) for word in sys.argv[2:]] or [31, 103, 303]))
+    asyncio.run(
+        main(command_line_argument(1, 200), [int(word) for word in sys.argv[2:]] or [31, 103, 303])
+    )
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -14,7 +14,7 @@
 import time
 from collections.abc import Callable
 
-from common import example, wait_until, write_result
+from common import example_document, wait_until, write_result
 
 from indigodeck.testbed.controller_fleet import (
     FIRST_HOST_PORT,
@@ -30,11 +30,11 @@
 class Upgrade:
     """One fleet that is upgraded, and the relays that follow it."""
 
-    def __init__(self, fleet: ControllerFleet, earlier: pathlib.Path) -> None:
+    def __init__(self, fleet: ControllerFleet, earlier_version: pathlib.Path) -> None:
         self.drain_known_s: list[float] = []
         self.empty_tables: list[str] = []  # the class of each table that was empty at some time
         self._fleet = fleet
-        self._earlier = earlier
+        self._earlier_version = earlier_version
         self._relays: list[Relay] = []
         self._ready_hosts = set(range(HOST_COUNT))
 
@@ -42,16 +42,16 @@
         """Start all controllers as the earlier version, and the relays."""
         fleet = self._fleet
         for name in fleet.member_ports:
-            await fleet.start(name, self._earlier)
+            await fleet.start(name, self._earlier_version)
         await self._wait(fleet.leader, "a leader")
         self._relays = [
             fleet.connect_relay(protocol, f"hall-a/{protocol}-{index}")
             for index in range(3)
             for protocol in PROTOCOLS
         ]
-        await self._wait(self._all_relays_know, "relays hold tables")
+        await self._wait(self._all_relays_are_current, "relays hold tables")
         for relay in self._relays:
-            relay.tables.changed = self._watch(relay)
+            relay.tables.changed = self._empty_table_recorder(relay)
 
     async def upgrade_all(self) -> None:
         """Replace the controllers, the leader of the beginning last."""
@@ -64,7 +64,7 @@
             started = time.monotonic()
             self._fleet.set_host_states(**{f"h{index}": "draining"})
             self._ready_hosts -= {index}
-            await self._wait(self._all_relays_know, f"a drain after {name} was replaced")
+            await self._wait(self._all_relays_are_current, f"a drain after {name} was replaced")
             self.drain_known_s.append(round(time.monotonic() - started, 2))
 
     async def stop_leader(self) -> None:
@@ -88,14 +88,14 @@
         leader = self._fleet.leader()
         return leader is not None and self._fleet.processes[leader].returncode is None
 
-    def _all_relays_know(self) -> bool:
+    def _all_relays_are_current(self) -> bool:
         return all(
             {port - FIRST_HOST_PORT for _, port in lines} == self._ready_hosts
             for relay in self._relays
             for lines in relay.tables.lines.values()
         )
 
-    def _watch(self, relay: Relay) -> Callable[[str], None]:
+    def _empty_table_recorder(self, relay: Relay) -> Callable[[str], None]:
         def on_change(class_name: str) -> None:
             if not relay.tables.lines[class_name]:
                 self.empty_tables.append(class_name)
@@ -103,11 +103,11 @@
         return on_change
 
 
-async def main(earlier: pathlib.Path) -> None:
+async def main(earlier_version: pathlib.Path) -> None:
     """Upgrade a fleet, and keep the result."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = ControllerFleet(folder, example("charter.json"))
-        upgrade = Upgrade(fleet, earlier)
+        fleet = ControllerFleet(folder, example_document("charter.json"))
+        upgrade = Upgrade(fleet, earlier_version)
         try:
             await upgrade.start()
             await upgrade.upgrade_all()
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -15,7 +15,14 @@
 from collections.abc import AsyncIterator, Iterable
 from typing import Any, NamedTuple
 
-from common import argument, example, machine, quantiles, wait_until, write_result
+from common import (
+    command_line_argument,
+    example_document,
+    machine,
+    quantiles,
+    wait_until,
+    write_result,
+)
 
 from indigodeck.client import Tables
 from indigodeck.client.sasp import SaspClient
@@ -59,7 +66,7 @@
         return self.tables.updated_at["reading"] is not None
 
 
-class Bench:
+class PlannerBench:
     """A planner in a process of its own, with its endpoint list, its operator and relays."""
 
     def __init__(self, folder: pathlib.Path, ports: list[int], relay_count: int) -> None:
@@ -89,7 +96,7 @@
     def write_settings(self) -> None:
         """Write the planner's settings file and its key."""
         (self._folder / "key").write_bytes(KEY)
-        settings = example("charter.json")
+        settings = example_document("charter.json")
         settings.update(
             roster={"file": "roster.json", "look_every_ms": 50},
             store={"folder": "store"},
@@ -156,14 +163,14 @@
         return (await self.request(what="list"))["newest"]
 
 
-class Rollbacks:
+class RollbackMeasurement:
     """Rolls back to one version and to another by turns, and measures when relays hold it."""
 
-    def __init__(self, bench: Bench, telling_relays: list[Relay]) -> None:
+    def __init__(self, bench: PlannerBench, affected_relays: list[Relay]) -> None:
         self.last_relay_s: list[float] = []
         self.each_relay_s: dict[str, list[float]] = {protocol: [] for protocol in PROTOCOLS}
         self._bench = bench
-        self._telling_relays = telling_relays
+        self._affected_relays = affected_relays
 
     async def measure(self, version: str, has_drained_hosts: bool, reason: str) -> None:
         """Roll back once, to a version with or without the hosts that drain."""
@@ -173,14 +180,14 @@
         )
         if "done" not in answer:
             raise RuntimeError(answer)
-        waiting = list(self._telling_relays)
+        waiting = list(self._affected_relays)
         while waiting:
             for relay in list(waiting):
                 if relay.has_drained_hosts() == has_drained_hosts:
                     self.each_relay_s[relay.protocol].append(time.monotonic() - started)
                     waiting.remove(relay)
             if time.monotonic() - started > ROLLBACK_TIMEOUT_S:
-                count = len(self._telling_relays)
+                count = len(self._affected_relays)
                 raise RuntimeError(f"{len(waiting)} of {count} relays did not follow")
             await asyncio.sleep(0.002)
         self.last_relay_s.append(time.monotonic() - started)
@@ -213,14 +220,14 @@
         tempfile.TemporaryDirectory() as folder,
         contextlib.closing(ReservedPorts(3)) as ports,
     ):
-        bench = Bench(pathlib.Path(folder), ports.numbers, relay_count)
+        bench = PlannerBench(pathlib.Path(folder), ports.numbers, relay_count)
         bench.write_list()
         bench.write_settings()
         async with bench.running_planner():
             await bench.connect_relays()
-            full = await bench.newest_version()
+            all_hosts_version = await bench.newest_version()
             # Only relays whose table holds one of them can tell the two versions apart.
-            telling = [relay for relay in bench.relays if relay.has_drained_hosts()]
+            affected = [relay for relay in bench.relays if relay.has_drained_hosts()]
             bench.write_list(draining=DRAINED_HOSTS)
             await wait_until(
                 lambda: not any(relay.has_drained_hosts() for relay in bench.relays),
@@ -228,27 +235,29 @@
                 TIMEOUT_S,
                 0.005,
             )
-            fewer = await bench.newest_version()
+            drained_version = await bench.newest_version()
             bench.write_list()
             await asyncio.sleep(SETTLING_SECONDS)
-            measured = Rollbacks(bench, telling)
+            measured = RollbackMeasurement(bench, affected)
             for index in range(rollbacks):
-                version, has_drained = ((full, True), (fewer, False))[index % 2]
+                version, has_drained = ((all_hosts_version, True), (drained_version, False))[
+                    index % 2
+                ]
                 await measured.measure(version, has_drained, str(index))
-            of_relays = await bench.request(what="relays")
+            relay_versions = await bench.request(what="relays")
     return {
         "relays": relay_count,
-        "that_tell_them_apart": len(telling),
+        "that_tell_them_apart": len(affected),
         "rollbacks": rollbacks,
         "last_relay_s": quantiles(measured.last_relay_s),
         **{f"{protocol}_s": quantiles(times) for protocol, times in measured.each_relay_s.items()},
-        "told_of_first": of_relays["relays"][:2],
+        "told_of_first": relay_versions["relays"][:2],
     }
 
 
 async def measure_bad_day() -> dict[str, Any]:
     """Return what versions of the bad day take in a store."""
-    script = example("bad-day.json")
+    script = example_document("bad-day.json")
     script["charter"]["store"] = {"folder": "store"}
     with tempfile.TemporaryDirectory() as folder:
         result = await ScenarioRunner(script, folder).play()
@@ -279,13 +288,13 @@
 
 async def main(relay_count: int, rollbacks: int) -> None:
     """Measure both, and keep the results."""
-    kept: dict[str, Any] = {"what": "versions", "machine": machine()}
-    kept["bad_day"] = await measure_bad_day()
-    print(json.dumps(kept["bad_day"]))
-    kept["back"] = await measure_rollbacks(relay_count, rollbacks)
-    print(json.dumps(kept["back"]))
-    write_result("versions", kept)
+    document: dict[str, Any] = {"what": "versions", "machine": machine()}
+    document["bad_day"] = await measure_bad_day()
+    print(json.dumps(document["bad_day"]))
+    document["back"] = await measure_rollbacks(relay_count, rollbacks)
+    print(json.dumps(document["back"]))
+    write_result("versions", document)
 
 
 if __name__ == "__main__":
-    asyncio.run(main(argument(1, 303), argument(2, 60)))
+    asyncio.run(main(command_line_argument(1, 303), command_line_argument(2, 60)))
--- a/benchmarks/wire_bytes.py
+++ b/benchmarks/wire_bytes.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import structlog
-from common import example, host_entries, machine, write_result
+from common import example_document, host_entries, machine, write_result
 from envoy.config.core.v3 import base_pb2
 
 from indigodeck.frontends.sasp.conversation import Conversation
@@ -28,7 +28,7 @@
 WAVES = 5
 
 
-class Meter:
+class ByteCounter:
     """A relay's end that counts what it is sent."""
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
         raise NotImplementedError
 
 
-class XdsMeter(Meter):
+class XdsByteCounter(ByteCounter):
     """A relay over xDS, incremental or not, that acknowledges everything."""
 
     def __init__(self, frontend: Any, uid: str, incremental: bool, class_names: list[str]) -> None:
@@ -75,10 +75,10 @@
     ) -> None:
         """Count a response (called by the stream)."""
         if self._incremental:
-            made = codec.delta_response(resource_type, version, nonce, resources, removed)
+            response = codec.delta_response(resource_type, version, nonce, resources, removed)
         else:
-            made = codec.full_response(resource_type, version, nonce, resources)
-        self.bytes += made.ByteSize()
+            response = codec.full_response(resource_type, version, nonce, resources)
+        self.bytes += response.ByteSize()
         self.messages += 1
         self._last_response = resource_type, nonce
 
@@ -97,7 +97,7 @@
                 self._stream.on_full_request(resource_type, self._class_names, nonce, None)
 
 
-class SaspMeter(Meter):
+class SaspByteCounter(ByteCounter):
     """A relay over SASP."""
 
     def __init__(self, frontend: Any, class_names: list[str]) -> None:
@@ -127,7 +127,7 @@
 
 def settings_document() -> dict[str, Any]:
     """Return the planner's settings: no reports and no limit on messages."""
-    document = example("charter.json")
+    document = example_document("charter.json")
     document.update(
         fronts={"xds": {"port": 0}, "sasp": {"port": 0}},
         roster={"file": "roster.json", "look_every_ms": 10},
@@ -145,47 +145,49 @@
         hosts.append({**host, **successor})
 
 
-async def settle(meters: Iterable[Meter], seconds: float) -> None:
+async def settle(counters: Iterable[ByteCounter], seconds: float) -> None:
     """Let all relays take what they are sent, for some time."""
     for _ in range(round(seconds / 0.05)):
         await asyncio.sleep(0.05)
-        for meter in meters:
-            meter.pull()
+        for counter in counters:
+            counter.pull()
 
 
 async def measure(share: float) -> dict[str, Any]:
     """Replace a share of the hosts in waves, as a release does; return what relays were sent."""
     document = settings_document()
     hosts = host_entries(HOSTS, document["halls"], FIRST_HOST_PORT)
-    class_names = [stated["name"] for stated in document["classes"]]
+    class_names = [class_document["name"] for class_document in document["classes"]]
     with tempfile.TemporaryDirectory() as folder:
         endpoint_list = EndpointListFile(folder)
         endpoint_list.write(hosts)
         service = start_planner_service(PlannerSettings(document, pathlib.Path(folder)))
         xds_frontend, sasp_frontend = service.frontends
-        meters = {
-            "whole": XdsMeter(xds_frontend, "hall-a/whole", False, class_names),
-            "incremental": XdsMeter(xds_frontend, "hall-a/delta", True, class_names),
-            "sasp": SaspMeter(sasp_frontend, class_names),
+        counters = {
+            "whole": XdsByteCounter(xds_frontend, "hall-a/whole", False, class_names),
+            "incremental": XdsByteCounter(xds_frontend, "hall-a/delta", True, class_names),
+            "sasp": SaspByteCounter(sasp_frontend, class_names),
         }
-        await settle(meters.values(), 2)
-        first_bytes = {name: meter.bytes for name, meter in meters.items()}
-        for meter in meters.values():
-            meter.reset()
+        await settle(counters.values(), 2)
+        first_bytes = {name: counter.bytes for name, counter in counters.items()}
+        for counter in counters.values():
+            counter.reset()
         replaced = hosts[: round(share * HOSTS)]
         for wave in range(WAVES):
             replace_wave(hosts, replaced[wave::WAVES])
             endpoint_list.write(hosts)
-            await settle(meters.values(), 3)
+            await settle(counters.values(), 3)
         service.close()
         await asyncio.sleep(0.1)
-    whole_bytes = meters["whole"].bytes
+    whole_bytes = counters["whole"].bytes
     return {
         "replaced": share,
         "first_laying": first_bytes,
-        "bytes": {name: meter.bytes for name, meter in meters.items()},
-        "messages": {name: meter.messages for name, meter in meters.items()},
-        "over_whole": {name: round(meter.bytes / whole_bytes, 3) for name, meter in meters.items()},
+        "bytes": {name: counter.bytes for name, counter in counters.items()},
+        "messages": {name: counter.messages for name, counter in counters.items()},
+        "over_whole": {
+            name: round(counter.bytes / whole_bytes, 3) for name, counter in counters.items()
+        },
     }
 
 
@@ -200,13 +202,13 @@
     results = [await measure(share) for share in (0.1, 0.84)]
     for result in results:
         print(json.dumps(result))
-    kept = {
+    result_document = {
         "what": "bytes to one relay",
         "machine": machine(),
         "hosts": HOSTS,
         "results": results,
     }
-    write_result("wire-bytes", kept)
+    write_result("wire-bytes", result_document)
 
 
 if __name__ == "__main__":
--- a/indigodeck/cli/controller_group.py
+++ b/indigodeck/cli/controller_group.py
@@ -23,10 +23,12 @@
     addresses: Mapping[str, Address]
     key: bytes
 
-    def ask(self, request: str, only: str | None = None, **fields: Any) -> dict[str, Answer]:
-        """Return each one's answer to a request; `only` names a single one to be asked."""
-        addresses = self.addresses if only is None else {only: self.addresses[only]}
-        return asyncio.run(ask_all(addresses, self.key, request, **fields))
+    def send_request(
+        self, request: str, target: str | None = None, **fields: Any
+    ) -> dict[str, Answer]:
+        """Return each one's answer to a request; `target` names a single one to be asked."""
+        addresses = self.addresses if target is None else {target: self.addresses[target]}
+        return asyncio.run(send_request_to_all(addresses, self.key, request, **fields))
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,17 +38,17 @@
     states: dict[str, Answer]
 
 
-def is_reached(answer: Answer) -> bool:
+def has_answered(answer: Answer) -> bool:
     """Return whether a controller has answered."""
     return "unreached" not in answer
 
 
-def any_reached(answers: dict[str, Answer]) -> bool:
+def any_answered(answers: dict[str, Answer]) -> bool:
     """Return whether one controller at least has answered."""
-    return any(is_reached(answer) for answer in answers.values())
+    return any(has_answered(answer) for answer in answers.values())
 
 
-async def ask_all(
+async def send_request_to_all(
     addresses: Mapping[str, Address], key: bytes, request: str, **fields: Any
 ) -> dict[str, Answer]:
     """Send one request to several controllers at once; return the answer of each."""
@@ -56,13 +58,13 @@
     from ..leadership.message_codec import MessageRejectedError
     from ..leadership.operator_client import send_operator_request
 
-    async def ask_one(address: Address) -> Answer:
+    async def send_to_one(address: Address) -> Answer:
         try:
             return await send_operator_request(address, key, request, **fields)
         except (OSError, StreamClosedError, DeadlineExceededError, MessageRejectedError) as error:
             return {"unreached": str(error) or type(error).__name__}
 
-    answers = await asyncio.gather(*(ask_one(address) for address in addresses.values()))
+    answers = await asyncio.gather(*(send_to_one(address) for address in addresses.values()))
     return dict(zip(addresses, answers, strict=True))
 
 
@@ -81,15 +83,15 @@
         key = read_key(settings, settings.leadership.key_file)
     except (InvalidDocumentError, OSError) as error:
         fail(str(error))
-    states = asyncio.run(ask_all(addresses, key, "fleet"))
-    added_since = {
+    states = asyncio.run(send_request_to_all(addresses, key, "fleet"))
+    added_members = {
         name: parse_address(member["place"])
         for state in states.values()
         for name, member in state.get("members", {}).items()
         if isinstance(member, dict) and name not in addresses
     }
-    states_of_added = asyncio.run(ask_all(added_since, key, "fleet"))
-    return ControllerGroup({**addresses, **added_since}, key, {**states, **states_of_added})
+    added_states = asyncio.run(send_request_to_all(added_members, key, "fleet"))
+    return ControllerGroup({**addresses, **added_members}, key, {**states, **added_states})
 
 
 def read_operator_targets(settings_path: str) -> OperatorTargets:
--- a/indigodeck/cli/controllers.py
+++ b/indigodeck/cli/controllers.py
@@ -11,14 +11,14 @@
 from .controller_group import (
     Answer,
     ControllerGroup,
-    any_reached,
-    ask_all,
-    is_reached,
+    any_answered,
+    has_answered,
     read_controller_group,
+    send_request_to_all,
 )
 from .output import ExitCode, fail, format_option, settings_option
 
-Members = dict[str, str]  # the address of each controller, "ADDRESS:PORT"
+MemberAddresses = dict[str, str]  # the address of each controller, "ADDRESS:PORT"
 Follower = list[str]  # of one relay: its uid, the frontend it uses, the relay group's name
 
 CHANGE_TIMEOUT_S = 20  # how long a majority may take to agree on a change of members
@@ -50,13 +50,14 @@
         click.echo(json.dumps(group.states))
     else:
         _print_states(group.states, followers)
-    if not any_reached(group.states):
-        sys.exit(ExitCode.UNREACHED)
+    if not any_answered(group.states):
+        sys.exit(ExitCode.UNREACHABLE)
     # A relay may be on its way from one to another while they are asked, one after the other.
-    named_twice = _followers_of_several(followers)
-    if named_twice:
+    listed_twice = _relays_listed_twice(followers)
+    if listed_twice:
         fail(
-            f"named by two controllers, ask again: {', '.join(sorted(named_twice))}", ExitCode.FOUND
+            f"named by two controllers, ask again: {', '.join(sorted(listed_twice))}",
+            ExitCode.PROBLEM_FOUND,
         )
 
 
@@ -80,10 +81,10 @@
 def remove(group: ControllerGroup, name: str) -> None:
     """Take one controller out, whether it runs or not."""
 
-    def without_it(members: Members) -> Members:
+    def without_member(members: MemberAddresses) -> MemberAddresses:
         return {member: address for member, address in members.items() if member != name}
 
-    _change_members(group, without_it)
+    _change_members(group, without_member)
 
 
 @fleet.command()
@@ -102,19 +103,19 @@
             "end them, then say --others-are-gone"
         )
     states = group.states
-    reached = [name for name, state in states.items() if name in names and "members" in state]
-    if not reached:
-        fail("none of them could be reached", ExitCode.UNREACHED)
-    newest = max(reached, key=lambda name: states[name]["number"])
-    known = {name: member["place"] for name, member in states[newest]["members"].items()}
-    unknown = set(names) - known.keys()
-    if unknown:
-        fail(f"{', '.join(sorted(unknown))}: not known to {newest}")
-    members = {name: known[name] for name in names}
-    answer = group.ask("force", only=newest, members=members)[newest]
-    why_not = answer.get("why_not", "unanswered")
-    if why_not:
-        fail(f"not forced: {why_not}", ExitCode.FOUND)
+    reachable = [name for name, state in states.items() if name in names and "members" in state]
+    if not reachable:
+        fail("none of them could be reached", ExitCode.UNREACHABLE)
+    newest = max(reachable, key=lambda name: states[name]["number"])
+    known_addresses = {name: member["place"] for name, member in states[newest]["members"].items()}
+    unknown_names = set(names) - known_addresses.keys()
+    if unknown_names:
+        fail(f"{', '.join(sorted(unknown_names))}: not known to {newest}")
+    members = {name: known_addresses[name] for name in names}
+    answer = group.send_request("force", target=newest, members=members)[newest]
+    rejection = answer.get("why_not", "unanswered")
+    if rejection:
+        fail(f"not forced: {rejection}", ExitCode.PROBLEM_FOUND)
     click.echo(f"{newest} holds {', '.join(sorted(members))} to be the whole fleet")
 
 
@@ -124,11 +125,13 @@
 def handover(settings_path: str, relay_group: str) -> None:
     """Have whoever is in charge of a ward give it up to another controller."""
     group = read_controller_group(settings_path)
-    answers = group.ask("hand over", ward=relay_group)
-    former_leader = next((name for name, said in answers.items() if said.get("handed_over")), None)
+    answers = group.send_request("hand over", ward=relay_group)
+    former_leader = next(
+        (name for name, answer in answers.items() if answer.get("handed_over")), None
+    )
     if former_leader is None:
         click.echo(f"nobody that could be reached is in charge of {relay_group}")
-        sys.exit(ExitCode.FOUND if any_reached(answers) else ExitCode.UNREACHED)
+        sys.exit(ExitCode.PROBLEM_FOUND if any_answered(answers) else ExitCode.UNREACHABLE)
     click.echo(f"{former_leader} handed over {relay_group}")
 
 
@@ -140,20 +143,22 @@
         more = True
         while more:
             last_seen = relays[-1][0] if relays else ""
-            answers = await ask_all({name: address}, group.key, "followers", after=last_seen)
+            answers = await send_request_to_all(
+                {name: address}, group.key, "followers", after=last_seen
+            )
             relays = relays + answers[name].get("relays", [])
             more = answers[name].get("more", False)
         followers[name] = relays
     return followers
 
 
-def _followers_of_several(followers: dict[str, list[Follower]]) -> set[str]:
+def _relays_listed_twice(followers: dict[str, list[Follower]]) -> set[str]:
     """Return the relays that more than one controller names."""
-    named_by: dict[str, set[str]] = {}
+    controllers_by_relay: dict[str, set[str]] = {}
     for controller, relays in followers.items():
         for relay, *_ in relays:
-            named_by.setdefault(relay, set()).add(controller)
-    return {relay for relay, controllers in named_by.items() if len(controllers) > 1}
+            controllers_by_relay.setdefault(relay, set()).add(controller)
+    return {relay for relay, controllers in controllers_by_relay.items() if len(controllers) > 1}
 
 
 def _print_states(states: dict[str, Answer], followers: dict[str, list[Follower]]) -> None:
@@ -164,10 +169,10 @@
 
 
 def _state_lines(name: str, state: Answer) -> Iterator[str]:
-    if not is_reached(state):
+    if not has_answered(state):
         yield f"{name:10} unreached: {state['unreached']}"
         return
-    lost = [
+    unavailable = [
         f"{other} {member['state']}"
         for other, member in state["members"].items()
         if isinstance(member, dict) and member["state"] != "alive"
@@ -175,7 +180,7 @@
     yield (
         f"{name:10} members by number {state.get('number', 0)}: "
         f"{', '.join(sorted(state['members']))}"
-        f"{'; ' + ', '.join(lost) if lost else ''}"
+        f"{'; ' + ', '.join(unavailable) if unavailable else ''}"
         f"{'' if state['settled'] else '; grants nothing yet'}"
         f"{'; a change is under way' if state.get('under_way') else ''}"
     )
@@ -191,34 +196,36 @@
     return f"granted to {lease['granted_to'] or 'nobody'} for {granted_for_s:.1f} s more"
 
 
-def _change_members(group: ControllerGroup, change: Callable[[Members], Members]) -> None:
+def _change_members(
+    group: ControllerGroup, change: Callable[[MemberAddresses], MemberAddresses]
+) -> None:
     """Have the leader of the first relay group change the members, and wait until it is done."""
     leader = _leader_of_first_group(group.states)
     if leader is None:
         fail(
             "nobody that could be reached is in charge: start a majority, or see `fleet force`",
-            ExitCode.UNREACHED,
+            ExitCode.UNREACHABLE,
         )
     if "number" not in group.states[leader]:
-        fail(f"{leader} runs a program that knows no changes of members", ExitCode.FOUND)
-    members = change(_members_in(group.states[leader]))
-    why_not: str | None = "nothing was answered"
+        fail(f"{leader} runs a program that knows no changes of members", ExitCode.PROBLEM_FOUND)
+    members = change(_member_addresses(group.states[leader]))
+    rejection: str | None = "nothing was answered"
     deadline = time.monotonic() + CHANGE_TIMEOUT_S
     while time.monotonic() < deadline:
-        state = group.ask("fleet", only=leader)[leader]
-        if _members_in(state) == members:
+        state = group.send_request("fleet", target=leader)[leader]
+        if _member_addresses(state) == members:
             click.echo(f"members by number {state['number']}: {', '.join(sorted(members))}")
             return
-        answer = group.ask("change", only=leader, members=members)[leader]
-        why_not = answer.get("why_not", answer.get("unreached"))
-        if why_not not in (None, "another change is under way"):
+        answer = group.send_request("change", target=leader, members=members)[leader]
+        rejection = answer.get("why_not", answer.get("unreached"))
+        if rejection not in (None, "another change is under way"):
             break
         time.sleep(CHANGE_POLL_INTERVAL_S)
-    why_not = why_not or "a majority did not agree in time; it may still come about"
-    fail(f"not changed: {why_not}", ExitCode.FOUND)
+    rejection = rejection or "a majority did not agree in time; it may still come about"
+    fail(f"not changed: {rejection}", ExitCode.PROBLEM_FOUND)
 
 
-def _members_in(state: Answer) -> Members:
+def _member_addresses(state: Answer) -> MemberAddresses:
     return {name: member["place"] for name, member in state.get("members", {}).items()}
 
 
--- a/indigodeck/cli/documents.py
+++ b/indigodeck/cli/documents.py
@@ -15,15 +15,15 @@
 @click.argument("paths", nargs=-1, required=True, type=click.Path(dir_okay=False))
 def check(paths: tuple[str, ...]) -> None:
     """Check charters, scripts and rosters against their schemas."""
-    found = False
+    errors_found = False
     for path in paths:
-        document_type, mistakes = _check_document(path)
-        found = found or bool(mistakes)
-        if mistakes:
-            click.echo("\n".join(f"{path}: {mistake}" for mistake in mistakes))
+        document_type, errors = _check_document(path)
+        errors_found = errors_found or bool(errors)
+        if errors:
+            click.echo("\n".join(f"{path}: {message}" for message in errors))
         else:
             click.echo(f"{path}: a {document_type}, nothing wrong")
-    sys.exit(ExitCode.FOUND if found else ExitCode.DONE)
+    sys.exit(ExitCode.PROBLEM_FOUND if errors_found else ExitCode.SUCCESS)
 
 
 def _check_document(path: str) -> tuple[str, list[str]]:
@@ -33,13 +33,15 @@
 
     document = read_document(path)
     if "hosts" in document and isinstance(document["hosts"], list):
-        return "roster", _mistakes(lambda: endpoint_list.parse_endpoint_list(json.dumps(document)))
+        return "roster", _errors_from(
+            lambda: endpoint_list.parse_endpoint_list(json.dumps(document))
+        )
     if "relays" in document and "seconds" in document:
         return "script", scenario_script.check(document)
-    return "charter", _mistakes(lambda: planner_settings.read_settings(path))
+    return "charter", _errors_from(lambda: planner_settings.read_settings(path))
 
 
-def _mistakes(read: Callable[[], Any]) -> list[str]:
+def _errors_from(read: Callable[[], Any]) -> list[str]:
     try:
         read()
     except InvalidDocumentError as error:
--- a/indigodeck/cli/output.py
+++ b/indigodeck/cli/output.py
@@ -9,27 +9,27 @@
 
 import click
 
-FORMATS = ("people", "json")
+OUTPUT_FORMATS = ("people", "json")
 
 
 class ExitCode(IntEnum):
     """Exit codes of all commands."""
 
-    DONE = 0
-    FOUND = 1  # something was found wrong: a rule broken, a document with faults, a rejection
-    WRONG_CALL = 2  # called wrongly, or a document that cannot be read
-    UNREACHED = 3  # nothing could be reached
+    SUCCESS = 0
+    PROBLEM_FOUND = 1  # a broken rule, a document with faults, a rejection
+    USAGE_ERROR = 2  # called wrongly, or a document that cannot be read
+    UNREACHABLE = 3  # nothing could be reached
 
 
 settings_option = click.option(
     "--charter", "settings_path", required=True, type=click.Path(dir_okay=False)
 )
 format_option = click.option(
-    "--format", "output_format", default="people", type=click.Choice(FORMATS)
+    "--format", "output_format", default="people", type=click.Choice(OUTPUT_FORMATS)
 )
 
 
-def fail(message: str, code: ExitCode = ExitCode.WRONG_CALL) -> NoReturn:
+def fail(message: str, code: ExitCode = ExitCode.USAGE_ERROR) -> NoReturn:
     """Print a message on standard error and end the program with an exit code."""
     click.echo(message, err=True)
     sys.exit(code)
--- a/indigodeck/cli/planner.py
+++ b/indigodeck/cli/planner.py
@@ -42,7 +42,7 @@
     except InvalidDocumentError as error:
         fail(str(error))
     except OSError as error:
-        fail(f"{settings_path}: {error}", ExitCode.UNREACHED)
+        fail(f"{settings_path}: {error}", ExitCode.UNREACHABLE)
 
 
 @click.command()
--- a/indigodeck/cli/scenario.py
+++ b/indigodeck/cli/scenario.py
@@ -7,7 +7,7 @@
 
 import click
 
-from .output import FORMATS, ExitCode, fail, read_document
+from .output import OUTPUT_FORMATS, ExitCode, fail, read_document
 
 
 @click.command()
@@ -25,7 +25,7 @@
     type=click.Path(file_okay=False),
     help="Keep receipts, outcomes and logs in this folder.",
 )
-@click.option("--format", "output_format", default="people", type=click.Choice(FORMATS))
+@click.option("--format", "output_format", default="people", type=click.Choice(OUTPUT_FORMATS))
 @click.option(
     "--bench-troubles",
     "bench_faults_path",
@@ -45,23 +45,25 @@
 
     script = read_document(path)
     if bench_faults_path:
-        script["troubles"], without_counterpart = scenario_script.from_bench(
+        script["troubles"], unsupported_types = scenario_script.from_bench(
             read_document(bench_faults_path)
         )
-        if without_counterpart:
-            click.echo(f"no counterpart on sockets: {', '.join(without_counterpart)}", err=True)
-    mistakes = scenario_script.check(script)
-    if mistakes:
-        fail("\n".join(f"{path}: {mistake}" for mistake in mistakes))
+        if unsupported_types:
+            click.echo(f"no counterpart on sockets: {', '.join(unsupported_types)}", err=True)
+    errors = scenario_script.check(script)
+    if errors:
+        fail("\n".join(f"{path}: {error}" for error in errors))
     started = time.monotonic()
 
-    def report(text: str) -> None:
+    def print_progress(text: str) -> None:
         click.echo(f"{time.monotonic() - started:6.1f} s  {text}", err=True)
 
-    results = asyncio.run(scenario.run(script, ("indigodeck", *baselines), kept_folder, report))
+    results = asyncio.run(
+        scenario.run(script, ("indigodeck", *baselines), kept_folder, print_progress)
+    )
     if output_format == "json":
         click.echo(json.dumps(results))
     else:
         click.echo("\n".join(printed(result) for result in results))
     if not all(rule["kept"] for rule in results[0]["rules"]):
-        sys.exit(ExitCode.FOUND)
+        sys.exit(ExitCode.PROBLEM_FOUND)
--- a/indigodeck/cli/tables.py
+++ b/indigodeck/cli/tables.py
@@ -9,7 +9,7 @@
 import click
 
 from ..clock import now
-from .output import FORMATS, ExitCode, fail
+from .output import OUTPUT_FORMATS, ExitCode, fail
 
 Endpoint = tuple[str, int]
 Shares = dict[str, dict[Endpoint, float]]  # of each class: the share of each endpoint
@@ -32,7 +32,7 @@
 @click.option(
     "--wait", "timeout_s", default=3.0, show_default=True, help="Seconds to wait for tables."
 )
-@click.option("--format", "output_format", default="people", type=click.Choice(FORMATS))
+@click.option("--format", "output_format", default="people", type=click.Choice(OUTPUT_FORMATS))
 def weights(
     planner: str, class_names: tuple[str, ...], uid: str, timeout_s: float, output_format: str
 ) -> None:
@@ -46,13 +46,15 @@
     shares, errors = asyncio.run(_read_tables(endpoint, class_names, uid, timeout_s))
     if errors:
         unreached = isinstance(errors[0], UnreachableError)
-        fail(f"{planner}: {errors[0]}", ExitCode.UNREACHED if unreached else ExitCode.FOUND)
+        fail(
+            f"{planner}: {errors[0]}", ExitCode.UNREACHABLE if unreached else ExitCode.PROBLEM_FOUND
+        )
     if output_format == "json":
         click.echo(json.dumps(_as_json(shares)))
     else:
         _print_tables(class_names, shares)
     if len(shares) < len(class_names):
-        sys.exit(ExitCode.FOUND)
+        sys.exit(ExitCode.PROBLEM_FOUND)
 
 
 async def _read_tables(
@@ -87,7 +89,7 @@
 def _print_tables(class_names: tuple[str, ...], shares: Shares) -> None:
     for name in class_names:
         click.echo(name if name in shares else f"{name}: no table")
-        largest_first = sorted(shares.get(name, {}).items(), key=lambda item: -item[1])
-        for (address, port), share in largest_first:
+        entries = sorted(shares.get(name, {}).items(), key=lambda item: -item[1])
+        for (address, port), share in entries:
             endpoint = f"{address}:{port}"
             click.echo(f"  {endpoint:24} {share:7.2%}  {'#' * round(share * BAR_WIDTH)}")
--- a/indigodeck/cli/testbed.py
+++ b/indigodeck/cli/testbed.py
@@ -11,7 +11,7 @@
 from ..clock import now
 from .output import read_document
 
-LONGEST_COMMAND_BYTES = 1 << 24
+MAX_COMMAND_BYTES = 1 << 24
 
 Command = dict[str, Any]
 
@@ -35,7 +35,7 @@
 
     with open(receipts_path, "w", buffering=1) as receipts:
         pool = HostPool(now, receipts, json.loads(work_times))
-        asyncio.run(_obey(pool.command))
+        asyncio.run(_run_commands(pool.command))
 
 
 @standin.command()
@@ -45,7 +45,7 @@
     from ..testbed.relay_pool import RelayPool
 
     with open(outcomes_path, "w", buffering=1) as outcomes:
-        asyncio.run(_obey(RelayPool(now, outcomes).command))
+        asyncio.run(_run_commands(RelayPool(now, outcomes).command))
 
 
 @standin.command(
@@ -105,12 +105,12 @@
             server.set(entry)
         return {"version": server.version}
 
-    await _obey(execute)
+    await _run_commands(execute)
 
 
-async def _obey(execute: Callable[[Command], Awaitable[Any]]) -> None:
+async def _run_commands(execute: Callable[[Command], Awaitable[Any]]) -> None:
     """Execute commands from standard input until it ends; answer each on standard output."""
-    reader = asyncio.StreamReader(limit=LONGEST_COMMAND_BYTES)
+    reader = asyncio.StreamReader(limit=MAX_COMMAND_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
--- a/indigodeck/cli/trust.py
+++ b/indigodeck/cli/trust.py
@@ -5,7 +5,7 @@
 
 import click
 
-from .controller_group import Answer, any_reached, is_reached, read_operator_targets
+from .controller_group import Answer, any_answered, has_answered, read_operator_targets
 from .output import ExitCode, format_option, settings_option
 
 
@@ -14,18 +14,18 @@
 @format_option
 def trust(settings_path: str, output_format: str) -> None:
     """Whether a planner goes by a list that was kept on disk, and how far that is borne out."""
-    answers = read_operator_targets(settings_path).ask("versions", wish={"what": "trust"})
+    answers = read_operator_targets(settings_path).send_request("versions", wish={"what": "trust"})
     if output_format == "json":
         click.echo(json.dumps(answers))
     else:
         for name, answer in answers.items():
-            click.echo(f"{name:10} {_trust_text(answer)}")
-    if not any_reached(answers):
-        sys.exit(ExitCode.UNREACHED)
+            click.echo(f"{name:10} {_answer_text(answer)}")
+    if not any_answered(answers):
+        sys.exit(ExitCode.UNREACHABLE)
 
 
-def _trust_text(answer: Answer) -> str:
-    if not is_reached(answer):
+def _answer_text(answer: Answer) -> str:
+    if not has_answered(answer):
         return f"unreached: {answer['unreached']}"
     cached = answer.get("trust")
     if cached is None:
--- a/indigodeck/cli/versions.py
+++ b/indigodeck/cli/versions.py
@@ -11,7 +11,7 @@
 
 import click
 
-from .controller_group import Answer, OperatorTargets, is_reached, read_operator_targets
+from .controller_group import Answer, OperatorTargets, has_answered, read_operator_targets
 from .output import ExitCode, fail, format_option, print_answer, settings_option
 
 class_option = click.option(
@@ -32,20 +32,24 @@
 
     def request(self, **fields: Any) -> Answer:
         """Return the leader's answer to a request; without one the program ends with a code."""
-        given = {name: value for name, value in fields.items() if value is not None}
-        answers = self.targets.ask("versions", wish=given)
-        reached = {name: answer for name, answer in answers.items() if is_reached(answer)}
-        if not reached:
-            lines = (f"{name}: unreached: {said['unreached']}" for name, said in answers.items())
-            fail("\n".join(lines), ExitCode.UNREACHED)
-        done = [said for said in reached.values() if "why_not" not in said or "done" in said]
-        if not done:
-            lines = (f"{name}: {said['why_not']}" for name, said in reached.items())
-            fail("\n".join(lines), ExitCode.FOUND)
+        wish = {name: value for name, value in fields.items() if value is not None}
+        answers = self.targets.send_request("versions", wish=wish)
+        answered = {name: answer for name, answer in answers.items() if has_answered(answer)}
+        if not answered:
+            lines = (
+                f"{name}: unreached: {answer['unreached']}" for name, answer in answers.items()
+            )
+            fail("\n".join(lines), ExitCode.UNREACHABLE)
+        accepted = [
+            answer for answer in answered.values() if "why_not" not in answer or "done" in answer
+        ]
+        if not accepted:
+            lines = (f"{name}: {answer['why_not']}" for name, answer in answered.items())
+            fail("\n".join(lines), ExitCode.PROBLEM_FOUND)
         # Several answer only where a request changes nothing: the leader knows best.
-        return max(done, key=lambda answer: answer.get("in_charge", True))
+        return max(accepted, key=lambda answer: answer.get("in_charge", True))
 
-    def request_pages(
+    def request_all_pages(
         self, field: str, next_page: Callable[[Answer], Answer], **fields: Any
     ) -> Answer:
         """Return all pages of an answer, joined in `field`.
@@ -55,7 +59,7 @@
         answer = self.request(**fields)
         while answer.get("more"):
             page = self.request(**fields, **next_page(answer))
-            answer = {**page, field: _joined(answer[field], page[field])}
+            answer = {**page, field: _merge_pages(answer[field], page[field])}
             if not page[field]:
                 break
         return answer
@@ -69,7 +73,7 @@
         answer = self.request(**fields)
         self.print(answer, [answer["done"]])
         if "why_not" in answer:
-            fail(answer["why_not"], ExitCode.FOUND)
+            fail(answer["why_not"], ExitCode.PROBLEM_FOUND)
 
 
 @click.group(
@@ -91,8 +95,8 @@
     answer = client.request(what="list")
     while answer["more"] and len(answer["versions"]) < most:
         page = client.request(what="list", before=answer["versions"][-1]["number"])
-        joined = answer["versions"] + page["versions"]
-        answer = {**answer, "versions": joined, "more": page["more"]}
+        listed = answer["versions"] + page["versions"]
+        answer = {**answer, "versions": listed, "more": page["more"]}
     answer["versions"] = answer["versions"][:most]
     lines = [_version_line(version) for version in answer["versions"]]
     lines += [
@@ -108,7 +112,7 @@
 @click.pass_obj
 def show(client: VersionsClient, number: str) -> None:
     """Print the tables of one version."""
-    answer = client.request_pages("tables", _after_last_table, what="show", number=number)
+    answer = client.request_all_pages("tables", _next_tables_page, what="show", number=number)
     version = answer["version"]
     lines = [
         f"{version['number']} after {version['parent']}, {_local_time(version['at'])}, "
@@ -131,7 +135,7 @@
 @click.pass_obj
 def diff(client: VersionsClient, old: str, new: str) -> None:
     """Print the table entries that differ between two versions."""
-    answer = client.request_pages("tables", _after_last_table, what="diff", old=old, new=new)
+    answer = client.request_all_pages("tables", _next_tables_page, what="diff", old=old, new=new)
     lines = []
     for number, change in _by_number(answer["tables"]):
         levels = change["level"]
@@ -148,7 +152,7 @@
 @click.pass_obj
 def relays(client: VersionsClient) -> None:
     """Which version each relay holds, and whether that is the newest as far as its tables go."""
-    answer = client.request_pages(
+    answer = client.request_all_pages(
         "relays", lambda page: {"after": page["relays"][-1][0]}, what="relays"
     )
     lines = [
@@ -158,7 +162,7 @@
     ]
     client.print(answer, lines)
     if not all(newest for _, _, newest, _ in answer["relays"]):
-        sys.exit(ExitCode.FOUND)
+        sys.exit(ExitCode.PROBLEM_FOUND)
 
 
 @versions.command()
@@ -200,10 +204,10 @@
     client.change(what="pin", number=number, on=not off)
 
 
-def _joined(so_far: Any, page: Any) -> Any:
-    if isinstance(so_far, dict):
-        return {**so_far, **page}
-    return so_far + page
+def _merge_pages(earlier: Any, page: Any) -> Any:
+    if isinstance(earlier, dict):
+        return {**earlier, **page}
+    return earlier + page
 
 
 def _version_line(version: Answer) -> str:
@@ -213,7 +217,7 @@
     return f"{version['number']:>10}  {when}  {pinned}{author}{version['cause']}"
 
 
-def _after_last_table(page: Answer) -> Answer:
+def _next_tables_page(page: Answer) -> Answer:
     return {"after": max(page["tables"])}
 
 
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -11,18 +11,18 @@
 from support import EXAMPLE, ROOT
 
 
-class Commands(unittest.TestCase):
+class CommandsTest(unittest.TestCase):
     """Commands that run as processes of their own."""
 
-    def run_command(self, *words, **more):
+    def run_command(self, *arguments, **options):
         """Run one command to its end."""
         return subprocess.run(
-            [sys.executable, "-m", "indigodeck", *words],
+            [sys.executable, "-m", "indigodeck", *arguments],
             capture_output=True,
             text=True,
             timeout=60,
             cwd=ROOT,
-            **more,
+            **options,
         )
 
     def test_check_names_mistakes_by_place_and_sets_exit_codes(self):
@@ -38,10 +38,10 @@
             path.write_text(
                 json.dumps(dict(EXAMPLE, troubles=[{"at": 1, "kind": "flood"}], colour=1))
             )
-            done = self.run_command("check", str(path))
-            self.assertEqual(done.returncode, 1)
-            self.assertIn("troubles/0/kind: 'flood' is not one of", done.stdout)
-            self.assertIn("'colour' was unexpected", done.stdout)
+            completed = self.run_command("check", str(path))
+            self.assertEqual(completed.returncode, 1)
+            self.assertIn("troubles/0/kind: 'flood' is not one of", completed.stdout)
+            self.assertIn("'colour' was unexpected", completed.stdout)
             path.write_text("{")
             self.assertEqual(self.run_command("serve", "--charter", str(path)).returncode, 2)
 
@@ -69,12 +69,19 @@
             )
             try:
                 lines = iter(serve.stdout.readline, "")
-                told = next(line for line in map(json.loads, lines) if line["event"] == "listening")
-                self.assertEqual(told["frontend"], "sasp")
-                asked = self.run_command(
-                    "weights", f"127.0.0.1:{told['port']}", "--class", "reading", "--format", "json"
+                listening = next(
+                    line for line in map(json.loads, lines) if line["event"] == "listening"
                 )
-                shares = json.loads(asked.stdout)["reading"]
+                self.assertEqual(listening["frontend"], "sasp")
+                polled = self.run_command(
+                    "weights",
+                    f"127.0.0.1:{listening['port']}",
+                    "--class",
+                    "reading",
+                    "--format",
+                    "json",
+                )
+                shares = json.loads(polled.stdout)["reading"]
                 self.assertGreaterEqual(len(shares), 4)
                 self.assertAlmostEqual(sum(shares.values()), 1, places=3)
                 serve.send_signal(signal.SIGTERM)
@@ -85,7 +92,7 @@
                 serve.wait()
             self.assertEqual(
                 self.run_command(
-                    "weights", f"127.0.0.1:{told['port']}", "--class", "reading"
+                    "weights", f"127.0.0.1:{listening['port']}", "--class", "reading"
                 ).returncode,
                 3,
             )
