--- a/indigodeck/cli/__init__.py
+++ b/indigodeck/cli/__init__.py
@@ -1,7 +1,8 @@
-"""The command `indigodeck`: one module for each group of commands.
+"""The command `indigodeck`, with one module for each group of commands.
 
-Exit codes are those of `cli.output.ExitCode`. A command's module is loaded when the command runs,
-and imports what it needs then, so that a command loads nothing that only the others use.
+Exit codes are those of `cli.output.ExitCode`. A command's module is loaded only when the command
+is run, and a command imports what it needs only then, so that nothing is loaded that only other
+commands use.
 """
 
 import importlib
@@ -9,7 +10,8 @@
 
 import click
 
-# grpcio logs every connection that ends; this program logs what matters of it. Set, it is kept.
+# By default grpcio logs every connection that ends; this program logs the relevant ones itself.
+# A value set by the user is kept.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
 MODULES_BY_COMMAND = {
@@ -27,14 +29,14 @@
 
 
 class LazyGroup(click.Group):
-    """A group whose commands are functions of their name in modules that are loaded when asked."""
+    """A group that loads the module of a command on demand; the function has the command's name."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return the names of all commands, in order."""
+        """Return the names of all commands, sorted."""
         return sorted(MODULES_BY_COMMAND)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return a command, None if there is none of this name."""
+        """Return the command of this name, or None if there is none."""
         module_name = MODULES_BY_COMMAND.get(cmd_name)
         if module_name is None:
             return None
--- a/indigodeck/cli/controller_group.py
+++ b/indigodeck/cli/controller_group.py
@@ -1,7 +1,8 @@
-"""Which controllers a settings file names, and requests to all of them.
+"""The controllers that a settings file names, and requests to all of them.
 
-Requests and answers are the maps of `leadership/transport.py`; their keys are its words. A
-controller that cannot be reached is stated as {"unreached": why}.
+Requests and answers are JSON objects with the keys of `leadership/transport.py` and
+`leadership/message_codec.py`. {"unreached": reason} stands for the answer of a controller that
+cannot be reached.
 """
 
 import asyncio
@@ -18,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorTargets:
-    """The programs that answer operators' requests, by name, and the key that they share."""
+    """The addresses, by name, of processes that answer operator requests, and their shared key."""
 
     addresses: Mapping[str, Address]
     key: bytes
@@ -26,32 +27,32 @@
     def send_request(
         self, request: str, target: str | None = None, **fields: Any
     ) -> dict[str, Answer]:
-        """Return each one's answer to a request; `target` names a single one to be asked."""
+        """Send a request to all processes, or only to `target`; return the answers by name."""
         addresses = self.addresses if target is None else {target: self.addresses[target]}
         return asyncio.run(send_request_to_all(addresses, self.key, request, **fields))
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerGroup(OperatorTargets):
-    """All controllers, and what each of them says of the group."""
+    """All controllers, and the state of the group as each of them reports it."""
 
     states: dict[str, Answer]
 
 
 def has_answered(answer: Answer) -> bool:
-    """Return whether a controller has answered."""
+    """Return whether an answer came from a controller that was reached."""
     return "unreached" not in answer
 
 
 def any_answered(answers: dict[str, Answer]) -> bool:
-    """Return whether one controller at least has answered."""
+    """Return whether at least one controller has answered."""
     return any(has_answered(answer) for answer in answers.values())
 
 
 async def send_request_to_all(
     addresses: Mapping[str, Address], key: bytes, request: str, **fields: Any
 ) -> dict[str, Answer]:
-    """Send one request to several controllers at once; return the answer of each."""
+    """Send a request to several controllers concurrently; return the answers by name."""
     from tornado.iostream import StreamClosedError
     from tornado.util import TimeoutError as DeadlineExceededError
 
@@ -69,7 +70,7 @@
 
 
 def read_controller_group(settings_path: str) -> ControllerGroup:
-    """Ask the controllers of a settings file, and those that were added since, for their state."""
+    """Query the state of the controllers in a settings file and of those added to them since."""
     from ..leadership.addresses import parse_address
     from ..planner.planner_settings import read_settings
     from ..serve import read_key
@@ -77,7 +78,7 @@
     try:
         settings = read_settings(settings_path)
         if not settings.leadership:
-            fail(f"{settings_path}: controllers share nothing here: no section takeover")
+            fail(f"{settings_path}: no section takeover, so this planner has no other controllers")
         members = settings.leadership.members
         addresses = {name: parse_address(text) for name, text in members.items()}
         key = read_key(settings, settings.leadership.key_file)
@@ -95,7 +96,7 @@
 
 
 def read_operator_targets(settings_path: str) -> OperatorTargets:
-    """Return the programs of a settings file that answer requests about versions."""
+    """Return the processes, named in a settings file, that answer requests about versions."""
     from ..planner.planner_settings import read_settings
     from ..serve import read_key
 
@@ -105,8 +106,8 @@
             return read_controller_group(settings_path)
         if not settings.operators:
             fail(
-                f"{settings_path}: neither a section operators nor takeover: "
-                "this planner hears no operators"
+                f"{settings_path}: neither a section operators nor takeover, "
+                "so this planner accepts no operator requests"
             )
         operators = settings.operators
         address = (operators.address, operators.port)
--- a/indigodeck/cli/documents.py
+++ b/indigodeck/cli/documents.py
@@ -1,4 +1,4 @@
-"""The command `check`, which checks documents against their schemas."""
+"""The command `check`, which validates documents against their schemas."""
 
 import json
 import sys
@@ -14,7 +14,7 @@
 @click.command()
 @click.argument("paths", nargs=-1, required=True, type=click.Path(dir_okay=False))
 def check(paths: tuple[str, ...]) -> None:
-    """Check charters, scripts and rosters against their schemas."""
+    """Validate charters, scripts of scenarios and rosters against their schemas."""
     errors_found = False
     for path in paths:
         document_type, errors = _check_document(path)
@@ -22,12 +22,12 @@
         if errors:
             click.echo("\n".join(f"{path}: {message}" for message in errors))
         else:
-            click.echo(f"{path}: a {document_type}, nothing wrong")
+            click.echo(f"{path}: valid {document_type}")
     sys.exit(ExitCode.PROBLEM_FOUND if errors_found else ExitCode.SUCCESS)
 
 
 def _check_document(path: str) -> tuple[str, list[str]]:
-    """Return the type of the document in a file, and what is wrong with it, by place."""
+    """Return the type of the document in a file, and its errors, each with its position."""
     from ..planner import endpoint_list, planner_settings
     from ..testbed import scenario_script
 
--- a/indigodeck/cli/output.py
+++ b/indigodeck/cli/output.py
@@ -1,4 +1,4 @@
-"""What all commands share: exit codes, failing with a message, options, and reading documents."""
+"""Shared by all commands: exit codes, error exits, common options, and reading documents."""
 
 import json
 import pathlib
@@ -16,9 +16,9 @@
     """Exit codes of all commands."""
 
     SUCCESS = 0
-    PROBLEM_FOUND = 1  # a broken rule, a document with faults, a rejection
-    USAGE_ERROR = 2  # called wrongly, or a document that cannot be read
-    UNREACHABLE = 3  # nothing could be reached
+    PROBLEM_FOUND = 1  # such as a broken rule, an invalid document or a rejected request
+    USAGE_ERROR = 2  # invalid arguments, or a document that cannot be read
+    UNREACHABLE = 3  # no process could be reached; for `serve`, an I/O error
 
 
 settings_option = click.option(
@@ -30,13 +30,13 @@
 
 
 def fail(message: str, code: ExitCode = ExitCode.USAGE_ERROR) -> NoReturn:
-    """Print a message on standard error and end the program with an exit code."""
+    """Print a message on standard error, and exit with a code."""
     click.echo(message, err=True)
     sys.exit(code)
 
 
 def print_answer(output_format: str, answer: Any, lines: Iterable[str]) -> None:
-    """Print an answer as JSON, or as lines for people."""
+    """Print an answer as JSON, or as readable lines."""
     if output_format == "json":
         click.echo(json.dumps(answer))
     else:
@@ -44,7 +44,7 @@
 
 
 def read_document(path: str | pathlib.Path) -> Any:
-    """Return the JSON document in a file; one that cannot be read ends the program."""
+    """Return the JSON document in a file; exit if it cannot be read."""
     try:
         return json.loads(pathlib.Path(path).read_text())
     except (OSError, ValueError) as error:
--- a/indigodeck/cli/planner.py
+++ b/indigodeck/cli/planner.py
@@ -1,4 +1,4 @@
-"""Commands that run a planner: `serve` from a settings file, `edge` on the platform."""
+"""Commands that run a planner: `serve` with a settings file, `edge` on the platform."""
 
 import asyncio
 import sys
@@ -18,14 +18,14 @@
     "settings_path",
     required=True,
     type=click.Path(dir_okay=False),
-    help="What the planner is told at start (JSON).",
+    help="The planner's settings file (JSON).",
 )
 @click.option(
     "--log", "log_format", default="json", type=click.Choice(["json", "people"]), show_default=True
 )
 @click.option("--policy", default="indigodeck", hidden=True)
 def serve(settings_path: str, log_format: str, policy: str) -> None:
-    """Run a planner until it is told to end."""
+    """Run a planner until it receives a signal to end."""
     from ..assignment.assigner import Assigner
     from ..planner.planner_settings import read_settings
     from ..serve import serve as run_planner
@@ -47,14 +47,14 @@
 
 @click.command()
 def edge() -> None:
-    """Run a planner on the platform, told by EDGE_CONFIG (docs/edge.md)."""
+    """Run a planner on the platform, configured by EDGE_CONFIG (docs/edge.md)."""
     from ..edge.service import main as run_on_platform
 
     sys.exit(run_on_platform())
 
 
 def configure_logging(log_format: str) -> None:
-    """Log JSON lines to standard output for programs, or coloured lines to standard error."""
+    """Log JSON lines to standard output, or lines for people (coloured on a TTY) to stderr."""
     as_json = log_format == "json"
     renderer = (
         structlog.processors.JSONRenderer()
--- a/indigodeck/cli/scenario.py
+++ b/indigodeck/cli/scenario.py
@@ -17,7 +17,7 @@
     "baselines",
     multiple=True,
     type=click.Choice(["equal", "frozen"]),
-    help="Play a baseline beside it.",
+    help="Also play the scenario under this baseline policy, at the same time.",
 )
 @click.option(
     "--keep",
@@ -30,7 +30,7 @@
     "--bench-troubles",
     "bench_faults_path",
     type=click.Path(dir_okay=False),
-    help="Troubles as found in a bench day, in place of the script's own.",
+    help="Use the faults in this file, in the format of bench days, instead of the script's.",
 )
 def day(
     path: str,
@@ -39,7 +39,7 @@
     output_format: str,
     bench_faults_path: str | None,
 ) -> None:
-    """Play a scripted day on loopback and judge it by its sockets."""
+    """Play a scripted scenario on loopback, and check the rules on its traffic."""
     from ..testbed import scenario, scenario_script
     from ..testbed.scenario_result import printed
 
@@ -49,7 +49,10 @@
             read_document(bench_faults_path)
         )
         if unsupported_types:
-            click.echo(f"no counterpart on sockets: {', '.join(unsupported_types)}", err=True)
+            click.echo(
+                f"ignored faults that scenarios do not support: {', '.join(unsupported_types)}",
+                err=True,
+            )
     errors = scenario_script.check(script)
     if errors:
         fail("\n".join(f"{path}: {error}" for error in errors))
--- a/indigodeck/cli/tables.py
+++ b/indigodeck/cli/tables.py
@@ -1,4 +1,4 @@
-"""The command `weights`, which polls a running planner for its tables."""
+"""The command `weights`, which requests tables from a running planner."""
 
 import asyncio
 import json
@@ -12,11 +12,11 @@
 from .output import OUTPUT_FORMATS, ExitCode, fail
 
 Endpoint = tuple[str, int]
-Shares = dict[str, dict[Endpoint, float]]  # of each class: the share of each endpoint
+Shares = dict[str, dict[Endpoint, float]]  # by class name: the share of each endpoint
 
 BAR_WIDTH = 40  # characters of the bar for a share of 100%
 POLL_INTERVAL_S = 0.05
-DISCONNECT_TIMEOUT_S = 1  # how long the client may take to leave
+DISCONNECT_TIMEOUT_S = 1  # how long the client may take to disconnect
 
 
 @click.command()
@@ -26,9 +26,14 @@
     "class_names",
     multiple=True,
     required=True,
-    help="A class of exchanges; may be given again.",
+    help="A class of exchanges; may be repeated.",
+)
+@click.option(
+    "--uid",
+    default="indigodeck-weights",
+    show_default=True,
+    help="The id of the relay to connect as.",
 )
-@click.option("--uid", default="indigodeck-weights", show_default=True, help="The relay to ask as.")
 @click.option(
     "--wait", "timeout_s", default=3.0, show_default=True, help="Seconds to wait for tables."
 )
@@ -36,12 +41,12 @@
 def weights(
     planner: str, class_names: tuple[str, ...], uid: str, timeout_s: float, output_format: str
 ) -> None:
-    """Ask a running planner (ADDRESS:PORT) for the tables of classes, over SASP."""
+    """Show the tables that a running planner (ADDRESS:PORT) sends for classes over SASP."""
     from ..client import UnreachableError
 
     address, _, port = planner.rpartition(":")
     if not port.isdigit():
-        fail(f"{planner}: not ADDRESS:PORT")
+        fail(f"{planner}: not of the form ADDRESS:PORT")
     endpoint = (address.strip("[]") or "127.0.0.1", int(port))
     shares, errors = asyncio.run(_read_tables(endpoint, class_names, uid, timeout_s))
     if errors:
@@ -60,7 +65,7 @@
 async def _read_tables(
     endpoint: Endpoint, class_names: tuple[str, ...], uid: str, timeout_s: float
 ) -> tuple[Shares, list[Exception]]:
-    """Connect as one proxy until all tables have arrived; return their shares and the errors."""
+    """Connect as a proxy until all tables have arrived; return their shares and any errors."""
     from ..client import Tables
     from ..client.sasp import SaspClient
 
--- a/indigodeck/cli/testbed.py
+++ b/indigodeck/cli/testbed.py
@@ -1,4 +1,7 @@
-"""Commands `standin ..`: processes that play the outside world for scenarios (`testbed/`)."""
+"""Commands `standin ..`: processes that simulate hosts, relays and the discovery server.
+
+The scenarios of `testbed/` use them.
+"""
 
 import asyncio
 import json
@@ -18,7 +21,7 @@
 
 @click.group()
 def standin() -> None:
-    """Stand-ins, one kind a process; they obey JSON lines on standard input."""
+    """Simulate hosts, relays or a discovery server, controlled by JSON lines on standard input."""
 
 
 @standin.command()
@@ -27,10 +30,10 @@
     "--work",
     "work_times",
     default="{}",
-    help="Core time of an exchange by class, in microseconds (JSON).",
+    help="CPU time of an exchange by class, in microseconds (JSON).",
 )
 def host(receipts_path: str, work_times: str) -> None:
-    """Hosts over HTTP: {"do": "start", "host": "h1", "cores": 4, "slots": 8, "room": 64}."""
+    """Run HTTP hosts: {"do": "start", "host": "h1", "cores": 4, "slots": 8, "room": 64}."""
     from ..testbed.host_pool import HostPool
 
     with open(receipts_path, "w", buffering=1) as receipts:
@@ -41,7 +44,7 @@
 @standin.command()
 @click.option("--outcomes", "outcomes_path", required=True, type=click.Path(dir_okay=False))
 def relay(outcomes_path: str) -> None:
-    """Relays with their clients: {"do": "start", "until": .., "relay": {..}}."""
+    """Run relays with their clients: {"do": "start", "until": .., "relay": {..}}."""
     from ..testbed.relay_pool import RelayPool
 
     with open(outcomes_path, "w", buffering=1) as outcomes:
@@ -49,9 +52,9 @@
 
 
 @standin.command(
-    help="The stock gRPC client as a relay; writes an outcome for each exchange as a JSON line."
+    help="Run the stock gRPC client as a relay; print the outcome of each exchange as a JSON line."
 )
-@click.option("--planner", required=True, help="ADDRESS:PORT of a planner's xDS front.")
+@click.option("--planner", required=True, help="ADDRESS:PORT of a planner's xDS frontend.")
 @click.option("--uid", required=True)
 @click.option("--hall", "zone", default="")
 @click.option("--class", "class_names", multiple=True, required=True)
@@ -62,7 +65,7 @@
     default=256,
     show_default=True,
     type=click.IntRange(1),
-    help="Exchanges under way, at most.",
+    help="Maximum number of concurrent exchanges.",
 )
 def stock(
     planner: str,
@@ -83,7 +86,7 @@
 
 
 @standin.command(
-    help='The list\'s keeper, with the list in a file to begin with: {"do": "set", "hosts": [..]}.'
+    help='Run a discovery server that starts with a list from a file: {"do": "set", "hosts": [..]}.'
 )
 @click.option("--port", default=0, show_default=True)
 @click.option("--late-ms", "delay_ms", default=0.0, show_default=True)
@@ -109,13 +112,13 @@
 
 
 async def _run_commands(execute: Callable[[Command], Awaitable[Any]]) -> None:
-    """Execute commands from standard input until it ends; answer each on standard output."""
+    """Execute commands from standard input until its end; answer each on standard output."""
     reader = asyncio.StreamReader(limit=MAX_COMMAND_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
         try:
             answer = await execute(json.loads(line))
-        except Exception as error:  # reported to whoever sent the command; the others go on
+        except Exception as error:  # reported to the sender; later commands still run
             answer = {"error": f"{type(error).__name__}: {error}"}
         click.echo(json.dumps(answer))
--- a/indigodeck/cli/trust.py
+++ b/indigodeck/cli/trust.py
@@ -1,4 +1,4 @@
-"""The command `trust`: whether a planner works from a cached endpoint list."""
+"""The command `trust`: whether planners use a cached endpoint list, and how far it is verified."""
 
 import json
 import sys
@@ -13,7 +13,7 @@
 @settings_option
 @format_option
 def trust(settings_path: str, output_format: str) -> None:
-    """Whether a planner goes by a list that was kept on disk, and how far that is borne out."""
+    """Show whether planners use an endpoint list cached on disk, and how far it is verified."""
     answers = read_operator_targets(settings_path).send_request("versions", wish={"what": "trust"})
     if output_format == "json":
         click.echo(json.dumps(answers))
@@ -29,9 +29,9 @@
         return f"unreached: {answer['unreached']}"
     cached = answer.get("trust")
     if cached is None:
-        return f"goes by list {answer['list']}"
+        return f"uses list {answer['list']}"
     return (
-        f"goes by list {answer['list']}, kept {cached['age_s']} s ago: "
-        f"of {cached['named']} hosts {cached['answer']} answer, {cached['do_not']} do not; "
+        f"uses cached list {answer['list']}, {cached['age_s']} s old: "
+        f"of {cached['named']} hosts, {cached['answer']} answer and {cached['do_not']} do not; "
         f"trust {cached['trust']}"
     )
--- a/indigodeck/cli/versions.py
+++ b/indigodeck/cli/versions.py
@@ -1,6 +1,6 @@
 """Commands on published versions: `versions list`, `show`, `diff`, `relays`, `rollback` and others.
 
-Requests and answers are those of `versions/admin_api.py`; their keys are its words.
+Requests and answers, and the keys of their JSON objects, are those of `versions/admin_api.py`.
 """
 
 import sys
@@ -15,23 +15,34 @@
 from .output import ExitCode, fail, format_option, print_answer, settings_option
 
 class_option = click.option(
-    "--class", "class_names", multiple=True, help="Only this class; may be given again."
+    "--class",
+    "class_names",
+    multiple=True,
+    help="Only this class; may be repeated. Default: all classes.",
 )
 author_option = click.option(
-    "--author", envvar="USER", default="operator", show_default="$USER", help="Who says so."
+    "--author",
+    envvar="USER",
+    default="operator",
+    show_default="$USER",
+    help="Who requests the change.",
+)
+reason_option = click.option(
+    "--reason",
+    required=True,
+    help="Why the change is requested; becomes part of the version's cause.",
 )
-reason_option = click.option("--reason", required=True, help="Why: stands in the version's cause.")
 
 
 @dataclass(frozen=True, slots=True)
 class VersionsClient:
-    """Asks for versions and prints the answers in one format."""
+    """Sends requests about versions, and prints the answers in one format."""
 
     targets: OperatorTargets
     output_format: str
 
     def request(self, **fields: Any) -> Answer:
-        """Return the leader's answer to a request; without one the program ends with a code."""
+        """Return the leader's answer to a request; exit if none is reached or all reject it."""
         wish = {name: value for name, value in fields.items() if value is not None}
         answers = self.targets.send_request("versions", wish=wish)
         answered = {name: answer for name, answer in answers.items() if has_answered(answer)}
@@ -46,15 +57,16 @@
         if not accepted:
             lines = (f"{name}: {answer['why_not']}" for name, answer in answered.items())
             fail("\n".join(lines), ExitCode.PROBLEM_FOUND)
-        # Several answer only where a request changes nothing: the leader knows best.
+        # Only requests that change nothing are answered by several controllers. The leader's answer
+        # is the most up to date.
         return max(accepted, key=lambda answer: answer.get("in_charge", True))
 
     def request_all_pages(
         self, field: str, next_page: Callable[[Answer], Answer], **fields: Any
     ) -> Answer:
-        """Return all pages of an answer, joined in `field`.
+        """Return all pages of an answer as one, with the contents of `field` merged.
 
-        `next_page(answer)` gives the fields that ask for the page after this answer.
+        `next_page(answer)` returns the request fields for the page after this one.
         """
         answer = self.request(**fields)
         while answer.get("more"):
@@ -65,11 +77,11 @@
         return answer
 
     def print(self, answer: Answer, lines: list[str]) -> None:
-        """Print an answer as JSON, or as lines for people."""
+        """Print an answer as JSON, or as readable lines."""
         print_answer(self.output_format, answer, lines)
 
     def change(self, **fields: Any) -> None:
-        """Request a change and print what was done; what was not done ends with a code."""
+        """Request a change and print what was done; exit with an error if it was not done fully."""
         answer = self.request(**fields)
         self.print(answer, [answer["done"]])
         if "why_not" in answer:
@@ -77,21 +89,23 @@
 
 
 @click.group(
-    help="What was published, why, who holds what; and the way back to any version that is kept."
+    help="Show published versions, their causes and the relays that hold them, or roll back to one."
 )
 @settings_option
 @format_option
 @click.pass_context
 def versions(context: click.Context, settings_path: str, output_format: str) -> None:
-    """Prepare the requests of the sub-commands."""
+    """Create the client for the sub-commands."""
     context.obj = VersionsClient(read_operator_targets(settings_path), output_format)
 
 
-@versions.command("list", help="The newest versions, what is held, and what rules keep as it is.")
-@click.option("--most", default=20, show_default=True, help="So many of the newest.")
+@versions.command(
+    "list", help="List the newest versions, the classes held by rollbacks, and overrides by rules."
+)
+@click.option("--most", default=20, show_default=True, help="Maximum number of versions.")
 @click.pass_obj
 def list_versions(client: VersionsClient, most: int) -> None:
-    """Print the newest versions, the pins of rollbacks, and where rules overrule them."""
+    """Print the newest versions, the pins of rollbacks, and where rules override them."""
     answer = client.request(what="list")
     while answer["more"] and len(answer["versions"]) < most:
         page = client.request(what="list", before=answer["versions"][-1]["number"])
@@ -107,7 +121,7 @@
     client.print(answer, lines + answer["overruled"])
 
 
-@versions.command(help="A version's tables.")
+@versions.command(help="Show the tables of a version.")
 @click.argument("number")
 @click.pass_obj
 def show(client: VersionsClient, number: str) -> None:
@@ -129,12 +143,12 @@
     client.print(answer, lines)
 
 
-@versions.command(help="What changed from one version to another.")
+@versions.command(help="Show what changed from one version to another.")
 @click.argument("old")
 @click.argument("new")
 @click.pass_obj
 def diff(client: VersionsClient, old: str, new: str) -> None:
-    """Print the table entries that differ between two versions."""
+    """Print the lines of tables that differ between two versions."""
     answer = client.request_all_pages("tables", _next_tables_page, what="diff", old=old, new=new)
     lines = []
     for number, change in _by_number(answer["tables"]):
@@ -145,19 +159,19 @@
             f"  {host:24} {_weight_text(before)} -> {_weight_text(after)}"
             for host, (before, after) in change["lines"].items()
         ]
-    client.print(answer, lines or ["nothing differs"])
+    client.print(answer, lines or ["no differences"])
 
 
 @versions.command()
 @click.pass_obj
 def relays(client: VersionsClient) -> None:
-    """Which version each relay holds, and whether that is the newest as far as its tables go."""
+    """Show the version that each relay holds, and whether its tables are up to date."""
     answer = client.request_all_pages(
         "relays", lambda page: {"after": page["relays"][-1][0]}, what="relays"
     )
     lines = [
         f"{relay:32} {version:>10}{'' if newest else '  behind'}"
-        f"{'' if applied else '  (its machine has it)'}"
+        f"{'' if applied else '  (not confirmed by its process)'}"
         for relay, version, newest, applied in answer["relays"]
     ]
     client.print(answer, lines)
@@ -174,7 +188,7 @@
 def rollback(
     client: VersionsClient, number: str, class_names: tuple[str, ...], author: str, reason: str
 ) -> None:
-    """Go back to a version and hold it until released. Rules come first: see docs/versions.md."""
+    """Roll back to a version until it is released. Rules take precedence: see docs/versions.md."""
     client.change(
         what="rollback",
         number=number,
@@ -190,17 +204,17 @@
 @reason_option
 @click.pass_obj
 def release(client: VersionsClient, class_names: tuple[str, ...], author: str, reason: str) -> None:
-    """Let classes follow today's tables again."""
+    """End the rollback of classes: they get the current tables again."""
     classes = list(class_names) or None
     client.change(what="release", classes=classes, author=author, reason=reason)
 
 
 @versions.command()
 @click.argument("number")
-@click.option("--off", is_flag=True, help="It need no longer be kept.")
+@click.option("--off", is_flag=True, help="Undo this: the version may be discarded.")
 @click.pass_obj
 def pin(client: VersionsClient, number: str, off: bool) -> None:
-    """Keep a version however old it gets."""
+    """Keep a version regardless of its age."""
     client.change(what="pin", number=number, on=not off)
 
 
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, and what commands print."""
+"""Tests of the command line: exit codes and output of commands."""
 
 import json
 import pathlib
@@ -12,10 +12,10 @@
 
 
 class CommandsTest(unittest.TestCase):
-    """Commands that run as processes of their own."""
+    """Each command runs as its own process."""
 
     def run_command(self, *arguments, **options):
-        """Run one command to its end."""
+        """Run a command until it ends."""
         return subprocess.run(
             [sys.executable, "-m", "indigodeck", *arguments],
             capture_output=True,
@@ -25,8 +25,8 @@
             **options,
         )
 
-    def test_check_names_mistakes_by_place_and_sets_exit_codes(self):
-        """`check` names what is wrong by place, and its exit codes hold."""
+    def test_check_reports_errors_with_positions_and_sets_exit_codes(self):
+        """`check` reports each error with its position, and sets the documented exit codes."""
         self.assertEqual(
             self.run_command(
                 "check", "examples/charter.json", "examples/roster.json", "examples/bad-day.json"
@@ -45,8 +45,8 @@
             path.write_text("{")
             self.assertEqual(self.run_command("serve", "--charter", str(path)).returncode, 2)
 
-    def test_serve_logs_its_port_weights_polls_it_and_sigterm_ends_it(self):
-        """`serve` logs its port, `weights` polls it, SIGTERM ends it."""
+    def test_weights_reads_tables_from_serve_until_sigterm_ends_it(self):
+        """`serve` logs its port, where `weights` reads a table; SIGTERM ends it with code 0."""
         with tempfile.TemporaryDirectory() as folder:
             charter = json.loads((ROOT / "examples/charter.json").read_text())
             charter["fronts"]["sasp"]["port"] = 0
