--- a/benchmarks/amid.py
+++ b/benchmarks/amid.py
@@ -1,8 +1,8 @@
-"""A change of leader amid a release, and one back: python benchmarks/amid.py [RELAYS] [SASP|XDS].
+"""A takeover during a release, and one back: python benchmarks/amid.py [RELAYS] [SASP|XDS].
 
-Three controllers (lease 0.6 s), 48 hosts, 303 relays unless said, 120 requests a second; a release
-replaces 84% of the hosts over 36 s. The same scenario is played without a change of leader in the
-same run. Then what controllers cost that have nobody to serve: 3, 5 and 9 of them.
+Three controllers (lease 0.6 s), 48 hosts, 303 relays by default and 120 requests a second; a
+release replaces 84% of the hosts over 36 s. The same run also plays the scenario without a change
+of leader, then measures the cost of idle controllers in groups of 3, 5 and 9.
 """
 
 import asyncio
@@ -41,13 +41,13 @@
     script["relays"].update(rate=REQUESTS_PER_SECOND, wire=protocol, many=relays, processes=3)
     script["charter"]["fronts"]["sasp"]["interval_s"] = 2
     script["charter"]["relays"]["rate"] = REQUESTS_PER_SECOND / relays
-    # The rest of the channel is as for 9 relays: 4,500 lines a second, 4,500 may wait.
+    # The other limits of the channel are those for 9 relays: 4,500 lines a second, 4,500 queued.
     script["charter"]["channel"].update(messages_most=60, answers_most=30)
     return script
 
 
 async def play(relays: int, protocol: str, with_leader_changes: bool) -> dict[str, Any]:
-    """Play one scenario; return its result with what new leaders wrote first."""
+    """Play a scenario; return its result and the first tables that each new leader sent."""
     script = scenario_script(relays, protocol, with_leader_changes)
     with tempfile.TemporaryDirectory() as folder:
         runner = FleetScenarioRunner(script, folder)
@@ -70,7 +70,7 @@
 
 
 async def measure_idle(controllers: int) -> dict[str, Any]:
-    """Return what each controller costs while nobody is to be served."""
+    """Return the cost of each controller while there are no relays."""
     with tempfile.TemporaryDirectory() as folder:
         settings = example_document("charter.json")
         fleet = ControllerFleet(folder, settings, members=controllers, lease_ms=IDLE_LEASE_MS)
@@ -99,20 +99,20 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the CPU time that a process has used, in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return sum(map(int, fields[11:13])) / TICKS_PER_SECOND
 
 
 def resident_mb(pid: int) -> int:
-    """Return the memory that a process holds."""
+    """Return the resident memory of a process, in MB."""
     lines = pathlib.Path(f"/proc/{pid}/status").read_text().splitlines()
     line = next(line for line in lines if line.startswith("VmRSS"))
     return int(line.split()[1]) // 1024
 
 
 async def main(relays: int, protocol: str) -> None:
-    """Play both scenarios, then measure idle controllers; keep the result after each part."""
+    """Play both scenarios, then measure idle controllers; write the result after each part."""
     results = {}
     for name, with_leader_changes in (("taken_over", True), ("left_alone", False)):
         results[name] = await play(relays, protocol, with_leader_changes)
--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -1,8 +1,8 @@
-"""Service in the scripted bad day beside two baselines, and bytes: python benchmarks/bad_day.py.
+"""Compares service in the bad day with two baselines: python benchmarks/bad_day.py.
 
-Baselines: equal weights over the whole list, and the weights of the start. Each has a fleet of its
-own; all three play at the same time on this machine. Bytes: all that relays were sent, against
-entries that changed alone.
+The baselines are equal weights over the whole list, and the weights at the start. Each policy has
+its own fleet; all three run at the same time on this machine. The result also compares the bytes of
+all messages to relays with those of the entries that changed.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class ChangeCounter:
-    """Counts the bytes of weight entries that differ from what the relay was sent before."""
+    """Counts the bytes of all weight entries, and of those that changed since last sent."""
 
     def __init__(self) -> None:
         self.entry_bytes = 0
@@ -49,7 +49,7 @@
 
 
 def policy_result(result: dict[str, Any], own_service: float) -> dict[str, Any]:
-    """Return what is kept of one policy's result."""
+    """Return the part of one policy's result that is written."""
     service = result["service"]
     lost = 1 - service["whole"]
     return {
@@ -63,7 +63,7 @@
 
 
 async def main() -> None:
-    """Play all three at once, and keep the results."""
+    """Play the three policies at the same time, and write the results."""
     script = example_document("bad-day.json")
     with tempfile.TemporaryDirectory() as folder:
         runners = [
--- a/benchmarks/codec.py
+++ b/benchmarks/codec.py
@@ -1,7 +1,4 @@
-"""How fast the SASP codec reads and writes.
-
-python benchmarks/codec.py
-"""
+"""Speed of the SASP codec, reading and writing: python benchmarks/codec.py."""
 
 import json
 import os
@@ -14,7 +11,7 @@
 ROOT = pathlib.Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from indigodeck.frontends.sasp import codec  # noqa: E402  # follows the change of the path above
+from indigodeck.frontends.sasp import codec  # noqa: E402 - path set above
 
 RESULT_FILE = ROOT / "benchmarks/results/codec.json"
 ENTRY_COUNTS = (1, 10, 105, 1000)
@@ -23,7 +20,7 @@
 
 
 class NullHandler:
-    """Takes any message, and does nothing."""
+    """Accepts any message and ignores it."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         """Return a method that does nothing."""
@@ -31,7 +28,7 @@
 
 
 def calls_per_second(call: Callable[[], object]) -> float:
-    """Return how often `call` can be made in a second."""
+    """Return the number of calls per second."""
     calls = 0
     end = time.perf_counter() + MEASURED_SECONDS
     while time.perf_counter() < end:
@@ -41,7 +38,7 @@
 
 
 def measure(entry_count: int) -> dict[str, int]:
-    """Return the sizes and rates for messages of so many entries."""
+    """Return the size and rates for messages with a number of entries."""
     entries = [
         codec.Entry(
             codec.Member.at("127.0.0.1", 1 + number, b"host-%d" % number), 1 + number, ENTRY_FLAGS
@@ -64,7 +61,7 @@
 
 
 def main() -> None:
-    """Print one JSON line for each size, and keep the results."""
+    """Print one JSON line for each size, and write the results."""
     results = []
     for entry_count in ENTRY_COUNTS:
         results.append(measure(entry_count))
--- a/benchmarks/cuts.py
+++ b/benchmarks/cuts.py
@@ -1,6 +1,8 @@
-"""The crash tests of the store at ten times the size that CI plays.
+"""The crash tests of the store, with ten times as many cases as in CI.
 
-Run `python benchmarks/cuts.py [TIMES]`; TIMES is 10 unless stated.
+    python benchmarks/cuts.py [TIMES]
+
+TIMES replaces the factor of ten.
 """
 
 import json
@@ -16,24 +18,24 @@
 ROOT = pathlib.Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from store.crash_scenarios import SMALL_LIMITS, CrashScenario  # noqa: E402 - needs the path set above
-from store.test_damage import DamagedFileTest  # noqa: E402 - needs the path set above
+from store.crash_scenarios import SMALL_LIMITS, CrashScenario  # noqa: E402 - path set above
+from store.test_damage import DamagedFileTest  # noqa: E402 - path set above
 
-from indigodeck.store import segments, write_ahead_log  # noqa: E402 - needs the path set above
-from indigodeck.store.segments import FileType  # noqa: E402 - needs the path set above
+from indigodeck.store import segments, write_ahead_log  # noqa: E402 - path set above
+from indigodeck.store.segments import FileType  # noqa: E402 - path set above
 
-PARTS = 8  # of the power cuts, played by the processes one after the other
+PARTS = 8  # into which the power cuts are divided for the pool of processes
 
 
 class PowerCutResults(NamedTuple):
-    """How many scenarios were played, and what was wrong in the first that failed, or None."""
+    """The number of scenarios played, and the problem of the first that failed, or None."""
 
     played: int
     problem: str | None
 
 
 def play_power_cuts(part: int, times: int) -> PowerCutResults:
-    """Play one of `PARTS` parts of all scenarios, up to the first that fails."""
+    """Play one of `PARTS` parts of the scenarios until one fails."""
     with unittest.mock.patch.multiple(write_ahead_log, **SMALL_LIMITS):
         operation_count = CrashScenario(seed=1).run().operation_count
         scenarios = [
@@ -56,7 +58,7 @@
 
 
 def damage_every_byte(seed: int) -> int:
-    """Cut and flip each file of one more store at every byte, and return how many times."""
+    """Cut each file of a new store at every byte and flip bits; return the number of cases."""
     test = DamagedFileTest("test_each_file_cut_at_every_byte")
     test.setUp()
     try:
@@ -70,7 +72,7 @@
 
 
 def main(times: int) -> None:
-    """Play everything, write the result to benchmarks/results/cuts.json and print it."""
+    """Play all scenarios, write the result to benchmarks/results/cuts.json and print it."""
     started = time.monotonic()
     with ProcessPoolExecutor(4) as pool:
         cuts = list(pool.map(play_power_cuts, range(PARTS), [times] * PARTS))
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -1,8 +1,8 @@
-"""A start while the endpoint list cannot be had, against one while it can: benchmarks/discovery.py.
+"""Compares planner starts with and without the list service: python benchmarks/discovery.py.
 
-Two scenarios side by side in one run, 18 hosts, 9 relays over SASP, 120 requests a second, a
-store. Two hosts drain; the list service then refuses connections until the end (or goes on); a
-host crashes, and the planner is killed and started anew 1 s later.
+Two scenarios run side by side, each with 18 hosts, 9 relays over SASP, 120 requests a second and a
+store. Two hosts drain; in one scenario the list service then refuses connections until the end; a
+host crashes, and the planner is killed and restarted 1 s later.
 """
 
 import asyncio
@@ -22,12 +22,12 @@
     {"at": 14, "kind": "planner_killed", "size": 1.0},
 )
 LIST_SERVICE_DOWN = {"at": 12, "kind": "roster_down", "seconds": 30}
-# How the events begin of a planner that starts from its cached list.
+# Prefixes of the events that a planner logs when it starts from its cached list.
 CACHED_LIST_EVENTS = ("cached_list_", "stale_list_names_more")
 
 
 def scenario_script(with_list_down: bool) -> dict[str, Any]:
-    """Return the script of one of the two."""
+    """Return the script of one of the two scenarios."""
     script = example_document("bad-day.json")
     script["charter"]["store"] = {"folder": "store"}
     faults = [*FAULTS, LIST_SERVICE_DOWN] if with_list_down else list(FAULTS)
@@ -37,13 +37,13 @@
 
 
 def cached_list_events(log: pathlib.Path) -> list[dict[str, Any]]:
-    """Return what a planner logged of its cached list."""
+    """Return the log events of a planner about its cached list."""
     records = [json.loads(line) for line in log.read_text().splitlines() if line.startswith("{")]
     return [record for record in records if record["event"].startswith(CACHED_LIST_EVENTS)]
 
 
 async def main() -> None:
-    """Play both at once, and keep the results."""
+    """Play both scenarios at the same time, and write the results."""
     with tempfile.TemporaryDirectory() as folder_name:
         folder = pathlib.Path(folder_name)
         runners = {
--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -1,8 +1,9 @@
-"""What outcomes and admission are worth: SASP beside xDS: python benchmarks/fronts.py.
+"""Compares service over SASP and xDS: python benchmarks/fronts.py.
 
-The bad day, and an overload. Each protocol has a fleet of its own; both play at the same time.
-Over SASP the planner knows hosts' load reports and health checks alone and cannot limit admission;
-over xDS relays report outcomes (LRS) and follow the admitted share.
+Shows the benefit of outcome reports and admission control in the bad day and in an overload. Each
+protocol has its own fleet; both run at the same time. Over SASP the planner knows only hosts' load
+reports and health checks and cannot limit admission; over xDS relays report outcomes (LRS) and
+follow the admitted share.
 """
 
 import asyncio
@@ -19,12 +20,12 @@
 
 
 class Load(NamedTuple):
-    """How much is asked for, in requests a second, for how long, and how much goes wrong."""
+    """A load: requests per second, duration, and how many faults occur."""
 
     name: str
     rate: int
     seconds: int
-    fault_count: int | None = None  # None: all of the bad day
+    fault_count: int | None = None  # None: all faults of the bad day
 
 
 LOADS = (
@@ -34,7 +35,7 @@
 
 
 async def play(load: Load) -> list[dict[str, Any]]:
-    """Play one load over both protocols at once; return what is kept of each."""
+    """Play a load over both protocols at the same time; return the result of each."""
     script = example_document("bad-day.json")
     script.update(seconds=load.seconds, troubles=script["troubles"][: load.fault_count])
     script["charter"]["relays"]["rate"] = load.rate / script["relays"]["many"]
@@ -63,7 +64,7 @@
 
 
 async def main() -> None:
-    """Play all loads, and keep the results."""
+    """Play all loads, and write the results."""
     results = []
     for load in LOADS:
         for result in await play(load):
--- a/benchmarks/full_size.py
+++ b/benchmarks/full_size.py
@@ -1,9 +1,9 @@
-"""What one planner of a fleet spends on single events at full size, in Python calls and CPU time.
+"""Cost of single events in one planner of a full-size fleet, in Python calls and CPU time.
 
     python benchmarks/full_size.py [--proxies 1600] [--servers 200] [--planners 5]
 
-Calls are the same every time; times are this machine's. No sockets: the assigner, its host on the
-platform and the outbox to the relay.
+The number of calls is the same in every run; the times depend on the machine. The benchmark runs
+the assigner, its host on the platform and the outbox to the relay, without sockets.
 """
 
 import cProfile
@@ -20,16 +20,15 @@
 ROOT = pathlib.Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-# These follow the change of the path above.
-from harness import SimulatedLoop  # noqa: E402
+from harness import SimulatedLoop  # noqa: E402 - path set above
 
-from indigodeck.assignment.interface import DemandReport  # noqa: E402
-from indigodeck.clock import SECOND  # noqa: E402
-from indigodeck.edge.assigner_host import EdgeAssignerHost  # noqa: E402
-from indigodeck.edge.codec import MessageCodec  # noqa: E402
-from indigodeck.edge.messages import Ack, OutcomeReport, ProxyJoined  # noqa: E402
-from indigodeck.edge.outbox import Outbox  # noqa: E402
-from indigodeck.settings import settings_from_object  # noqa: E402
+from indigodeck.assignment.interface import DemandReport  # noqa: E402 - path set above
+from indigodeck.clock import SECOND  # noqa: E402 - path set above
+from indigodeck.edge.assigner_host import EdgeAssignerHost  # noqa: E402 - path set above
+from indigodeck.edge.codec import MessageCodec  # noqa: E402 - path set above
+from indigodeck.edge.messages import Ack, OutcomeReport, ProxyJoined  # noqa: E402 - path set above
+from indigodeck.edge.outbox import Outbox  # noqa: E402 - path set above
+from indigodeck.settings import settings_from_object  # noqa: E402 - path set above
 
 ZONES = ["x", "y", "z"]
 SEED = 7
@@ -38,12 +37,12 @@
 OUTCOME_REPORTS_PER_STEP = 10
 DEMAND_REPORTS_PER_STEP = 5
 ACK_DELAY = 1000  # microseconds
-# Each event, and how many times it is played: the mean is reported.
+# Events and how many times each is run: the mean is reported.
 EVENTS = (("start", 1), ("joinings", 1), ("second", 5), ("change", 3), ("second", 5))
 
 
 def platform_settings(proxies: int, planners: int) -> dict[str, Any]:
-    """Return the settings as a platform states them."""
+    """Return the settings object in the form that the platform sends."""
     read_class = {
         "name": "read",
         "aimMs": 800,
@@ -88,7 +87,7 @@
 
 
 class StubEnvironment(SimulatedLoop):
-    """A host's environment: time and timers, and nobody to notify."""
+    """The environment of an assigner host: simulated time and timers; notifications are ignored."""
 
     def do_nothing(self, *_given: object, **_facts: object) -> None:
         """Do nothing."""
@@ -103,7 +102,7 @@
 
 
 class Planner:
-    """One planner of a fleet, its share of the proxies, and a relay that takes every order."""
+    """One planner of a fleet with its share of the proxies, and a relay that accepts all orders."""
 
     def __init__(self, proxies: int, servers: int, planners: int) -> None:
         settings = settings_from_object(platform_settings(proxies, planners))
@@ -119,18 +118,18 @@
             self.add_server()
 
     def start(self) -> None:
-        """Play the endpoint list that was known before the start."""
+        """Deliver the cached endpoint list."""
         self.send_list(list(self.entries), complete=True)
 
     def joinings(self) -> None:
-        """Play the joining of all proxies at once."""
+        """Let all proxies join at once."""
         for proxy in self.proxies:
             self.host.on_proxy_joined(ProxyJoined(proxy, proxy % 3, 1.5, True))
         self.environment.run(2 / SECOND)
         self.take_orders()
 
     def second(self) -> None:
-        """Play 60 reports, the assigner's own timers, and what they order."""
+        """Deliver 60 reports within a second, run the assigner's timers, and accept its orders."""
         names = sorted(self.entries)
         for _step in range(STEPS_PER_SECOND):
             self.send_outcome_reports(names)
@@ -139,7 +138,7 @@
             self.take_orders()
 
     def change(self) -> None:
-        """Play a list change: three servers drain, and three new ones start."""
+        """Deliver a change of the list: three servers drain and three new ones start."""
         leaving = sorted(self.entries)[:3]
         for name in leaving:
             self.entries[name]["health"] = "DRAINING"
@@ -149,7 +148,7 @@
         self.take_orders()
 
     def add_server(self, **changes: object) -> str:
-        """Add a server to the list, and return its name."""
+        """Add a server to the list; return its name."""
         number = self.next_server
         self.next_server += 1
         name = f"s-{number}"
@@ -167,7 +166,7 @@
         return name
 
     def send_list(self, names: Iterable[str], complete: bool) -> None:
-        """Hand these entries of the list to the host."""
+        """Deliver these entries of the list to the host."""
         self.version += 1
         entries = [self.entries[name] for name in names]
         endpoint_list = self.codec.read_endpoint_list(
@@ -176,7 +175,7 @@
         self.host.on_endpoint_list(endpoint_list, cached=self.version == 1)
 
     def send_outcome_reports(self, names: list[str]) -> None:
-        """Hand one turn's reports of servers to the host."""
+        """Deliver the outcome reports of one step to the host."""
         for number in range(OUTCOME_REPORTS_PER_STEP):
             name = names[(self.environment.now() // 1000 + number * 7) % len(names)]
             latency = 150_000 + number * 900
@@ -185,14 +184,14 @@
             )
 
     def send_demand_reports(self) -> None:
-        """Hand one turn's reports of proxies to the host."""
+        """Deliver the demand reports of one step to the host."""
         for number in range(DEMAND_REPORTS_PER_STEP):
             position = self.environment.now() // 50_000 + number * 11
             proxy = self.proxies[position % len(self.proxies)]
             self.host.on_demand_report(DemandReport(proxy, number % 2, 2, 0, SECOND))
 
     def take_orders(self) -> None:
-        """Take all orders as a relay, and acknowledge them as a proxy."""
+        """Accept all orders as the relay, and acknowledge them as a proxy."""
         while self.outbox.time_until_call() is not None:
             call = json.loads(self.outbox.next_call())
             orders = call["params"]["ops"]
@@ -204,7 +203,7 @@
 
 
 def cpu_seconds(event: Callable[[], None], times: int) -> float:
-    """Return the mean CPU time of an event."""
+    """Return the mean CPU time of an event, in seconds."""
     started = time.process_time()
     for _ in range(times):
         event()
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,8 +1,8 @@
-"""What a planner costs under load: python benchmarks/load.py [RELAYS RATE SECONDS].
+"""CPU and memory of a planner under load: python benchmarks/load.py [RELAYS RATE SECONDS].
 
-303 relays and 1,100 requests a second unless stated. All on this machine: 105 hosts, relays with
-their clients and the planner share its cores, so the figures are the planner process's own (utime
-and stime, resident set), from when all relays have joined to the end.
+The default is 303 relays and 1,100 requests a second for 30 s. The planner shares this machine's
+cores with 105 hosts and the relays with their clients, so only the planner process is measured
+(utime and stime, resident set), from when all relays have joined until the end.
 """
 
 import asyncio
@@ -22,11 +22,11 @@
 PAGE_BYTES = os.sysconf("SC_PAGESIZE")
 HOSTS = 105
 SETTLING_SECONDS = 4
-IGNORED_LAST_SAMPLES = 2  # in which the scenario may have ended
+IGNORED_LAST_SAMPLES = 2  # the scenario may have ended before them
 
 
 class Sample(NamedTuple):
-    """What the planner had used by a moment."""
+    """The CPU time that a process had used at some time, and its memory then."""
 
     at_s: float
     cpu_s: float
@@ -34,7 +34,7 @@
 
 
 def take_sample(pid: int) -> Sample:
-    """Return what a process has used by now."""
+    """Read the current sample of a process."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
     return Sample(
         asyncio.get_running_loop().time(),
@@ -44,7 +44,7 @@
 
 
 async def sample_planner(runner: ScenarioRunner, relays: int, samples: list[Sample]) -> None:
-    """Take a sample of the planner each second, once all relays have joined."""
+    """Sample the planner each second after all relays have joined."""
     while runner.planner is None or len(runner.relay_process_of) < relays:
         await asyncio.sleep(0.5)
     await asyncio.sleep(SETTLING_SECONDS)
@@ -54,7 +54,7 @@
 
 
 def scenario_script(relays: int, rate: int, seconds: int) -> dict[str, Any]:
-    """Return the script that is played: a tenth of the hosts are replaced in its middle."""
+    """Return the script, in which a tenth of the hosts are replaced half-way."""
     script = example_document("bad-day.json")
     release = {"at": seconds / 2, "kind": "deploy", "part": 0.1, "size": 0.5, "seconds": 5}
     script.update(seconds=seconds, troubles=[release])
@@ -66,7 +66,7 @@
 
 
 async def main(relays: int, rate: int, seconds: int) -> None:
-    """Play the scenario, and keep the result."""
+    """Play the scenario, and write the result."""
     samples: list[Sample] = []
     with tempfile.TemporaryDirectory() as folder:
         runner = ScenarioRunner(scenario_script(relays, rate, seconds), folder)
--- a/benchmarks/lossy.py
+++ b/benchmarks/lossy.py
@@ -1,6 +1,6 @@
-"""Schedules of lost, late and repeated messages: python benchmarks/lossy.py [COUNT].
+"""Random schedules of lost, late and repeated messages: python benchmarks/lossy.py [COUNT].
 
-Far more than CI plays.
+Runs the schedules of the tests in far larger numbers than CI.
 """
 
 import json
@@ -11,7 +11,7 @@
 
 from common import command_line_argument, machine, write_result
 
-# These follow the import above, which puts them on the path.
+# These need the import above, which puts them on the import path.
 from frontends import lossy_network  # isort: skip
 from versions import test_replication  # isort: skip
 
@@ -20,26 +20,26 @@
 
 
 class PlayedSchedules(NamedTuple):
-    """How many schedules were played, what they proved, and the first problem, if any."""
+    """Counts of schedules and of the tables or versions checked in them, and the first problem."""
 
     schedules: int
-    proved: int
+    checked: int
     problem: str | None
 
 
 def play_schedules(schedule: Callable[[int], int], seeds: Sequence[int]) -> PlayedSchedules:
-    """Play schedules up to the first that fails."""
-    proved = 0
+    """Play schedules until one fails."""
+    checked = 0
     for index, seed in enumerate(seeds):
         try:
-            proved += schedule(seed)
+            checked += schedule(seed)
         except AssertionError as error:
-            return PlayedSchedules(index + 1, proved, str(error))
-    return PlayedSchedules(len(seeds), proved, None)
+            return PlayedSchedules(index + 1, checked, str(error))
+    return PlayedSchedules(len(seeds), checked, None)
 
 
 def main(count: int) -> None:
-    """Play schedules of relays, and a quarter as many of controllers; keep the result."""
+    """Play schedules for relays, and a quarter as many for controllers; write the result."""
     started = time.monotonic()
     result: dict[str, object] = {}
     with ProcessPoolExecutor(4) as pool:
@@ -53,7 +53,7 @@
             parts = list(pool.map(play_schedules, [schedule] * PARTS, seeds))
             result[name] = {
                 "schedules": sum(part.schedules for part in parts),
-                "proved": sum(part.proved for part in parts),
+                "proved": sum(part.checked for part in parts),
                 "broken": [part.problem for part in parts if part.problem],
             }
     result.update(machine=machine(), seconds=round(time.monotonic() - started))
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -1,9 +1,10 @@
-"""From an order to the relay that applied it: python benchmarks/orders.py WIRE [RELAYS ..].
+"""Time from an order to its effect at relays: python benchmarks/orders.py WIRE [RELAYS ..].
 
-On loopback. WIRE: sasp or xds. One planner in this process, relays with the client library in four
-others, 105 hosts listed and none running. Hosts drain one by one. Applied: from the order to eject
-a host to each holder's table without it. Acknowledged: from an order to the acknowledgement that
-the assigner receives (SASP: the relay's TCP; xDS: its ACK).
+WIRE is sasp or xds. All runs on loopback: one planner in this process, and relays with the client
+library in four others. 105 hosts are listed and none is running; they drain one by one. Applied:
+the time from the order to eject a host until a relay that had it in its table has a table without
+it. Acknowledged: the time from an order until the assigner receives the acknowledgement (SASP: by
+the relay's TCP; xDS: its ACK).
 """
 
 import asyncio
@@ -33,7 +34,7 @@
 
 
 class OrderTimes:
-    """Notes when a planner ejects servers, and how long acknowledgements take."""
+    """Records when a planner ejects servers, and how long acknowledgements take."""
 
     def __init__(self, service: Any) -> None:
         self.ejected_at: dict[int, int] = {}  # by port
@@ -59,7 +60,7 @@
 
 
 def settings_document(protocol: str, relay_count: int) -> dict[str, Any]:
-    """Return the planner's settings: no reports, no limit on messages, a fast channel."""
+    """Return the planner's settings: no reports, no limit on messages, and a fast channel."""
     document = example_document("charter.json")
     document["relays"] = {
         "most": relay_count,
@@ -75,7 +76,7 @@
 async def start_relays(
     document: dict[str, Any], protocol: str, relay_count: int, port: int
 ) -> list[WorkerProcess]:
-    """Start relays without clients, spread over some processes."""
+    """Start relays without clients, distributed over `RELAY_PROCESSES`."""
     processes = [
         await WorkerProcess.start("standin", "relay", "--outcomes", os.devnull)
         for _ in range(RELAY_PROCESSES)
@@ -148,18 +149,18 @@
 
 
 def resident_mb() -> float:
-    """Return the memory that this process holds."""
+    """Return the resident memory of this process, in MB."""
     pages = int(pathlib.Path("/proc/self/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGESIZE") / 1e6
 
 
 def drop_event(*_: Any) -> Any:
-    """Log nothing."""
+    """Drop a log event (a structlog processor)."""
     raise structlog.DropEvent
 
 
 async def main(protocol: str, relay_counts: list[int]) -> None:
-    """Measure each number of relays, and keep the results."""
+    """Measure orders for each number of relays, and write the results."""
     structlog.configure(processors=[drop_event])
     results: list[dict[str, Any]] = []
     for relay_count in relay_counts:
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -1,9 +1,9 @@
-"""Controllers stop and go on at random: python benchmarks/pauses.py [SECONDS] [SEED] [SASP|XDS].
+"""Pauses of random controllers: python benchmarks/pauses.py [SECONDS] [SEED] [SASP|XDS].
 
-Audited from sockets. Three controllers with a lease of 0.6 s, 18 hosts, 9 relays, 120 requests a
-second. Every 2 to 7 s one of them, drawn at random, is stopped for 0.1 to 6 s, so that two may
-run as leader at once; now and then one hands over. Hosts are replaced, slow down and recover
-meanwhile.
+Three controllers with a lease of 0.6 s, 18 hosts, 9 relays, 120 requests a second. Every 2 to 7 s a
+random controller is stopped for 0.1 to 6 s, so that two may run as leader at once; in 12% of cases
+the leader hands over instead. Meanwhile hosts are replaced, slow down and recover. The rules are
+checked on the traffic of the sockets.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 def controller_faults(random: SeededRandom, seconds: float) -> list[dict[str, Any]]:
-    """Return stops and handovers, drawn over the whole time."""
+    """Return random stops and handovers over the whole run."""
     faults: list[dict[str, Any]] = []
     at = FIRST_FAULT_S
     while at < seconds - FAULT_FREE_END_S:
@@ -36,7 +36,7 @@
 
 
 def host_faults(seconds: float) -> list[dict[str, Any]]:
-    """Return a release and slow hosts in each minute."""
+    """Return a release and a slowdown of hosts for each minute."""
     faults = []
     for minute in range(int(seconds // 60)):
         start = 60 * minute
@@ -48,7 +48,7 @@
 
 
 async def main(seconds: float, seed: int, protocol: str) -> None:
-    """Play the scenario, and keep the result."""
+    """Play the scenario, and write the result."""
     faults = controller_faults(SeededRandom(seed), seconds) + host_faults(seconds)
     script = example_document("bad-day.json")
     script.update(seconds=seconds, seed=seed, troubles=faults)
--- a/benchmarks/plot.py
+++ b/benchmarks/plot.py
@@ -1,6 +1,6 @@
-"""Curves of the kept results, into docs/img: python benchmarks/plot.py.
+"""Plots stored results to docs/img: python benchmarks/plot.py.
 
-Needs benchmarks/requirements.txt.
+Needs the packages in benchmarks/requirements.txt.
 """
 
 import json
@@ -9,11 +9,11 @@
 from common import RESULTS_FOLDER, ROOT
 
 matplotlib.use("Agg")
-from matplotlib import pyplot  # noqa: E402 - after the choice of its output
+from matplotlib import pyplot  # noqa: E402 - the backend must be chosen first
 
 
 def plot_orders() -> None:
-    """Plot delivery times and their cost over the number of relays."""
+    """Plot delivery times, and the CPU time of the planner, against the number of relays."""
     figure, (times, cost) = pyplot.subplots(1, 2, figsize=(10, 4))
     for protocol in ("sasp", "xds"):
         results = json.loads((RESULTS_FOLDER / f"orders-{protocol}.json").read_text())["results"]
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -1,4 +1,4 @@
-"""Schedules of lease elections explored on all cores: python benchmarks/schedules.py [COUNT]."""
+"""Explores schedules of leader elections on all cores: python benchmarks/schedules.py [COUNT]."""
 
 import json
 import multiprocessing
@@ -15,13 +15,13 @@
 
 
 def explore_part(first_seed: int) -> Any:
-    """Explore the schedules of some seeds, on one core."""
+    """Explore the schedules of `SEEDS_PER_PART` seeds on one core."""
     seeds = range(first_seed, first_seed + SEEDS_PER_PART)
     return model.explore(seeds, members=GROUP_SIZES)
 
 
 def main(count: int) -> None:
-    """Explore all schedules, then look after how many each mutant is caught; keep the result."""
+    """Explore all schedules, count those it takes to catch each mutant, and write the result."""
     started = time.perf_counter()
     with multiprocessing.Pool() as pool:
         results = pool.map(explore_part, range(0, count, SEEDS_PER_PART), chunksize=1)
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,11 +1,11 @@
-"""What the store costs.
+"""Performance of the store: commits, recovery and compaction.
 
-Run `python benchmarks/store.py [FOLDER]`; FOLDER is on the disk to measure.
+    python benchmarks/store.py [FOLDER]
 
-Commits a second, one after the other and from 64 threads together, against plain appends with fsync
-to one file of the same bytes and against SQLite as it comes with Python, by turns in one run;
-recovery over the size of the log, with and without compaction; bytes written by compaction over
-bytes committed.
+FOLDER is on the disk to measure; the default is a temporary folder. Sequential commits per second
+are measured in turns with plain appends of the same bytes to a file with fsync, and with Python's
+SQLite. Group commits come from up to 64 threads. The time of recovery is measured against the size
+of the log, with and without compaction, as is the write amplification of compaction.
 """
 
 import json
@@ -24,20 +24,20 @@
 ROOT = pathlib.Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from indigodeck.store.files import StoreFolder  # noqa: E402 - needs the path set above
-from indigodeck.store.write_ahead_log import WriteAheadLog  # noqa: E402 - likewise
-from indigodeck.store.writer import StoreWriter  # noqa: E402 - likewise
+from indigodeck.store.files import StoreFolder  # noqa: E402 - path set above
+from indigodeck.store.write_ahead_log import WriteAheadLog  # noqa: E402 - path set above
+from indigodeck.store.writer import StoreWriter  # noqa: E402 - path set above
 
 RECORD = {"lines": {f"host-{nth}": 1.25 + nth for nth in range(8)}, "cause": "server leaves"}
 MEASURED_SECONDS = 2.0
 ROUNDS = 3
 KEY_COUNT = 500
 KEYS_PER_THREAD = 50
-BATCHES_PER_COMMIT = 500  # while a log for a recovery is filled
+BATCHES_PER_COMMIT = 500  # while a log is filled to measure its recovery
 
 
 def repeats_per_second(operation: Callable[[int], object]) -> float:
-    """Call an operation with 0, 1, 2 ... and return how often a second it was done."""
+    """Call an operation with 0, 1, 2 ...; return the number of calls per second."""
     count = 0
     started = time.monotonic()
     while time.monotonic() - started < MEASURED_SECONDS:
@@ -47,7 +47,7 @@
 
 
 def plain_appends(folder: pathlib.Path) -> float:
-    """Append with fsync to a plain file, one after the other; appends a second."""
+    """Append to a plain file, with fsync after each; return appends per second."""
     data = json.dumps(RECORD).encode()
     with open(folder / "plain", "ab", buffering=0) as file:
 
@@ -59,14 +59,14 @@
 
 
 def log_commits(folder: pathlib.Path) -> float:
-    """Commit to a log, one after the other; commits a second."""
+    """Commit to a log sequentially; return commits per second."""
     with closing(StoreFolder(folder / "alone")) as files:
         log = WriteAheadLog(files)
         return repeats_per_second(lambda number: log.commit([[(f"k{number % KEY_COUNT}", RECORD)]]))
 
 
 def sqlite_commits(folder: pathlib.Path) -> float:
-    """Commit to SQLite with a write-ahead log that is synced each time; commits a second."""
+    """Commit to SQLite with a write-ahead log synced at each commit; return commits per second."""
     with closing(sqlite3.connect(folder / "base", isolation_level=None)) as database:
         database.execute("pragma journal_mode=wal")
         database.execute("pragma synchronous=full")
@@ -80,7 +80,7 @@
 
 
 def group_commits(folder: pathlib.Path, threads: int, delay: float) -> dict[str, Any]:
-    """Put changes from several threads, each waiting for its own; `delay` is in seconds."""
+    """Put changes from several threads, which each wait for their own; `delay` is in seconds."""
     files = StoreFolder(folder / f"together-{threads}-{delay}")
     with closing(StoreWriter(files, lambda *_, **__: None, delay)) as writer:
         waits: list[float] = []
@@ -115,7 +115,7 @@
 def recovery(
     folder: pathlib.Path, record_count: int, key_count: int, compacted: bool
 ) -> dict[str, Any]:
-    """Fill a log, and time how long it takes to open."""
+    """Fill a log, and measure how long it takes to open."""
     path = folder / f"r{record_count}-{key_count}-{compacted}"
     with closing(StoreFolder(path)) as files:
         log = WriteAheadLog(files)
@@ -141,7 +141,7 @@
 
 
 def append_round(folder: pathlib.Path) -> dict[str, int]:
-    """Measure each way to append once."""
+    """Measure each kind of append once."""
     folder.mkdir()
     return {
         "plain_fsync_per_s": round(plain_appends(folder)),
@@ -151,7 +151,7 @@
 
 
 def main() -> None:
-    """Measure everything, write the result to benchmarks/results/store.json and print it."""
+    """Run all measurements, write the result to benchmarks/results/store.json and print it."""
     with tempfile.TemporaryDirectory(dir=sys.argv[1] if len(sys.argv) > 1 else None) as folder_name:
         folder = pathlib.Path(folder_name)
         rounds = [append_round(folder / f"{nth}") for nth in range(ROUNDS)]
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,9 +1,10 @@
 """Time without a leader, on real processes: python benchmarks/takeover.py [TAKEOVERS] [RELAYS ..].
 
-Three controllers with a lease of 0.6 s, half of the relays over SASP, half over xDS, all with the
-client library in this process. The leader is stopped (SIGSTOP), and goes on after another has
-taken over. Elected: until another acquired the lease. Served: until a relay holds what the new
-one says (a host drains right after the stop).
+Three controllers have a lease of 0.6 s; half of the relays use SASP, half xDS, all with the client
+library in this process. The leader is stopped (SIGSTOP), and continued after another controller has
+taken over. A host starts to drain right at the stop. Elected: the time until another controller
+acquired the lease. Served: the time until a relay holds a table of the new leader, without the
+draining host.
 """
 
 import asyncio
@@ -36,13 +37,13 @@
     relay: Relay
 
     def has_tables_without(self, port: int) -> bool:
-        """Return whether its table for `reading` names hosts, and not this one."""
+        """Return whether its table for `reading` has entries, but none for this host."""
         lines = self.relay.tables.lines["reading"]
         return bool(lines) and ("127.0.0.1", port) not in lines
 
 
 class TakeoverMeasurement:
-    """Stops leaders of one fleet, and measures how long relays are without one."""
+    """Stops the leaders of a fleet, and measures how long relays are without a leader."""
 
     def __init__(self, fleet: ControllerFleet, relays: list[FleetRelay]) -> None:
         self.elected_s: list[float] = []
@@ -51,7 +52,7 @@
         self._relays = relays
 
     async def measure(self, index: int) -> None:
-        """Stop the leader once; odd and even times drain different hosts."""
+        """Stop the leader once; a different host drains at odd and even indexes."""
         fleet = self._fleet
         leader = fleet.leader()
         assert leader is not None
@@ -73,12 +74,14 @@
                 self.served_s[relay.protocol].append((now() - started) / SECOND)
                 waiting.remove(relay)
             if now() - started > TIMEOUT_S * SECOND:
-                raise RuntimeError(f"{len(waiting)} relays follow nobody")
+                raise RuntimeError(
+                    f"{len(waiting)} relays have no tables of the new leader after {TIMEOUT_S} s"
+                )
             await asyncio.sleep(0.01)
 
 
 async def measure(takeovers: int, relay_count: int) -> dict[str, Any]:
-    """Measure so many takeovers with so many relays."""
+    """Measure a number of takeovers with a number of relays."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = ControllerFleet(folder, example_document("charter.json"))
         relays: list[FleetRelay] = []
@@ -118,7 +121,7 @@
 
 
 async def main(takeovers: int, relay_counts: list[int]) -> None:
-    """Measure each number of relays, and keep the results."""
+    """Measure takeovers for each number of relays, and write the results."""
     results = []
     for relay_count in relay_counts:
         results.append(await measure(takeovers, relay_count))
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,8 +1,9 @@
-"""An upgrade from an earlier version, one by one: python benchmarks/upgrade.py FOLDER.
+"""A rolling upgrade from an earlier version: python benchmarks/upgrade.py FOLDER.
 
-FOLDER holds the earlier version (a worktree of this project). All three controllers start as it;
-each is replaced by the present one, those that do not lead first, while relays of both protocols
-follow; after each, a host drains and all relays must learn it. Then one of the new is stopped.
+FOLDER holds the earlier version (a worktree of this project). All three controllers start with it;
+each is then replaced by the current version, the leader last, while relays of both protocols are
+connected. After each replacement a host drains and all relays must learn of it. At the end the
+leader is stopped until another controller has taken over.
 """
 
 import asyncio
@@ -28,18 +29,18 @@
 
 
 class Upgrade:
-    """One fleet that is upgraded, and the relays that follow it."""
+    """A fleet that is upgraded, and its relays."""
 
     def __init__(self, fleet: ControllerFleet, earlier_version: pathlib.Path) -> None:
         self.drain_known_s: list[float] = []
-        self.empty_tables: list[str] = []  # the class of each table that was empty at some time
+        self.empty_tables: list[str] = []  # the class of each table that became empty at some time
         self._fleet = fleet
         self._earlier_version = earlier_version
         self._relays: list[Relay] = []
         self._ready_hosts = set(range(HOST_COUNT))
 
     async def start(self) -> None:
-        """Start all controllers as the earlier version, and the relays."""
+        """Start all controllers with the earlier version, and connect the relays."""
         fleet = self._fleet
         for name in fleet.member_ports:
             await fleet.start(name, self._earlier_version)
@@ -49,26 +50,29 @@
             for index in range(3)
             for protocol in PROTOCOLS
         ]
-        await self._wait(self._all_relays_are_current, "relays hold tables")
+        await self._wait(self._all_relays_are_current, "all relays to hold tables")
         for relay in self._relays:
             relay.tables.changed = self._empty_table_recorder(relay)
 
     async def upgrade_all(self) -> None:
-        """Replace the controllers, the leader of the beginning last."""
+        """Replace all controllers, the initial leader last."""
         leader = self._fleet.leader()
         names = sorted(self._fleet.member_ports, key=lambda name: name == leader)
         for index, name in enumerate(names):
             await self._fleet.kill(name)
             await self._fleet.start(name)
-            await self._wait(self._is_led, "a leader that runs")
+            await self._wait(self._is_led, "a running leader")
             started = time.monotonic()
             self._fleet.set_host_states(**{f"h{index}": "draining"})
             self._ready_hosts -= {index}
-            await self._wait(self._all_relays_are_current, f"a drain after {name} was replaced")
+            await self._wait(
+                self._all_relays_are_current,
+                f"all relays to learn of a drain after {name} was replaced",
+            )
             self.drain_known_s.append(round(time.monotonic() - started, 2))
 
     async def stop_leader(self) -> None:
-        """Stop the leader until another has taken over."""
+        """Stop the leader until another controller has taken over."""
         fleet = self._fleet
         leader = fleet.leader()
         assert leader is not None
@@ -104,7 +108,7 @@
 
 
 async def main(earlier_version: pathlib.Path) -> None:
-    """Upgrade a fleet, and keep the result."""
+    """Upgrade a fleet, and write the result."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = ControllerFleet(folder, example_document("charter.json"))
         upgrade = Upgrade(fleet, earlier_version)
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,8 +1,9 @@
-"""The cost of versions, the speed of rollbacks: python benchmarks/versions.py [RELAYS] [ROLLBACKS].
+"""Size of versions, time of rollbacks: python benchmarks/versions.py [RELAYS] [ROLLBACKS].
 
-A planner of its own, 48 hosts, relays half over each protocol with the client library in this
-process. Two versions are pinned by turns: from the operator's command to when a relay holds it.
-Then the bad day with a store: bytes and lines of what was kept, and of whole snapshots.
+Size: the bad day is played with a store; bytes and lines of the stored versions are compared with
+those of whole snapshots. Time: from the operator's command until a relay holds the version. There,
+a planner in its own process has 48 hosts and relays with the client library in this process, half
+of them over each protocol; rollbacks alternate between two versions.
 """
 
 import asyncio
@@ -41,7 +42,7 @@
 
 KEY = b"a key for measurements, of sixteen bytes"
 HOSTS = 48
-DRAINED_HOSTS = frozenset(range(12))  # of which the two versions differ
+DRAINED_HOSTS = frozenset(range(12))  # ready in one of the two versions, draining in the other
 FIRST_HOST_PORT = 9000
 PROTOCOLS = ("sasp", "xds")
 TIMEOUT_S = 60
@@ -57,17 +58,17 @@
     client: SaspClient | XdsClient
 
     def has_drained_hosts(self) -> bool:
-        """Return whether its table for `reading` names any host that drains in one version."""
+        """Return whether its table for `reading` names any host of `DRAINED_HOSTS`."""
         ports = {port - FIRST_HOST_PORT for _, port in self.tables.lines["reading"]}
         return bool(ports & DRAINED_HOSTS)
 
     def has_tables(self) -> bool:
-        """Return whether a planner has given it a table."""
+        """Return whether it has received a table for `reading`."""
         return self.tables.updated_at["reading"] is not None
 
 
 class PlannerBench:
-    """A planner in a process of its own, with its endpoint list, its operator and relays."""
+    """A planner in its own process, with its endpoint list, an operator and relays."""
 
     def __init__(self, folder: pathlib.Path, ports: list[int], relay_count: int) -> None:
         self.relays: list[Relay] = []
@@ -78,7 +79,7 @@
         self._endpoint_list = EndpointListFile(folder)
 
     def write_list(self, draining: Iterable[int] = ()) -> None:
-        """Write the list, in which these hosts drain."""
+        """Write the endpoint list, in which the hosts `draining` drain."""
         self._endpoint_list.write(
             [
                 {
@@ -94,7 +95,7 @@
         )
 
     def write_settings(self) -> None:
-        """Write the planner's settings file and its key."""
+        """Write the planner's settings file and key file."""
         (self._folder / "key").write_bytes(KEY)
         settings = example_document("charter.json")
         settings.update(
@@ -115,7 +116,7 @@
 
     @contextlib.asynccontextmanager
     async def running_planner(self) -> AsyncIterator[None]:
-        """Run the planner within the context; relays are disconnected before it ends."""
+        """Run the planner during the context; disconnect the relays before it ends."""
         with (self._folder / "log").open("wb") as log:
             planner = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -137,7 +138,7 @@
                 await planner.wait()
 
     async def connect_relays(self) -> None:
-        """Connect all relays, over both protocols by turns, and wait for their tables."""
+        """Connect all relays, with alternating protocols, and wait for their tables."""
         for index in range(self._relay_count):
             protocol = PROTOCOLS[index % 2]
             tables = Tables(["reading", "setpoint"], now)
@@ -148,23 +149,26 @@
             self.relays.append(Relay(protocol, tables, client))
             asyncio.get_running_loop().create_task(client.run())
         await wait_until(
-            lambda: all(relay.has_tables() for relay in self.relays), "tables", TIMEOUT_S, 0.005
+            lambda: all(relay.has_tables() for relay in self.relays),
+            "tables at all relays",
+            TIMEOUT_S,
+            0.005,
         )
 
     async def request(self, **fields: Any) -> dict[str, Any]:
-        """Send an operator's request about versions; return its answer."""
+        """Send an operator's request about versions; return the answer."""
         return await send_operator_request(
             ("127.0.0.1", self._operator_port), KEY, "versions", wish=fields
         )
 
     async def newest_version(self) -> str:
-        """Return the newest version, once all has settled."""
+        """Wait until the tables have settled; return the newest version."""
         await asyncio.sleep(SETTLING_SECONDS)
         return (await self.request(what="list"))["newest"]
 
 
 class RollbackMeasurement:
-    """Rolls back to one version and to another by turns, and measures when relays hold it."""
+    """Rolls back alternately to two versions, and measures when relays hold them."""
 
     def __init__(self, bench: PlannerBench, affected_relays: list[Relay]) -> None:
         self.last_relay_s: list[float] = []
@@ -173,7 +177,7 @@
         self._affected_relays = affected_relays
 
     async def measure(self, version: str, has_drained_hosts: bool, reason: str) -> None:
-        """Roll back once, to a version with or without the hosts that drain."""
+        """Roll back once, to the version with or without the hosts of `DRAINED_HOSTS`."""
         started = time.monotonic()
         answer = await self._bench.request(
             what="rollback", number=version, author="bench", reason=reason
@@ -188,24 +192,27 @@
                     waiting.remove(relay)
             if time.monotonic() - started > ROLLBACK_TIMEOUT_S:
                 count = len(self._affected_relays)
-                raise RuntimeError(f"{len(waiting)} of {count} relays did not follow")
+                raise RuntimeError(
+                    f"{len(waiting)} of {count} relays do not hold version {version} after "
+                    f"{ROLLBACK_TIMEOUT_S} s"
+                )
             await asyncio.sleep(0.002)
         self.last_relay_s.append(time.monotonic() - started)
         await asyncio.sleep(0.5)
 
 
 class StoredVersions:
-    """A store, opened to be read, as a version log sees it."""
+    """Read access to a store, in the form that `VersionLog` expects."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.records = WriteAheadLog(StoreFolder(folder)).read_all()
 
     def load(self, key: str) -> Any:
-        """Return a record."""
+        """Return the record at a key."""
         return self.records[key]
 
     def wall_clock(self) -> int:
-        """Return no time: nothing is written."""
+        """Return 0: nothing is written, so no time is needed."""
         return 0
 
 
@@ -215,7 +222,7 @@
 
 
 async def measure_rollbacks(relay_count: int, rollbacks: int) -> dict[str, Any]:
-    """Return how long relays take to follow a rollback."""
+    """Return how long relays take to hold the version of a rollback."""
     with (
         tempfile.TemporaryDirectory() as folder,
         contextlib.closing(ReservedPorts(3)) as ports,
@@ -226,7 +233,7 @@
         async with bench.running_planner():
             await bench.connect_relays()
             all_hosts_version = await bench.newest_version()
-            # Only relays whose table holds one of them can tell the two versions apart.
+            # The two versions differ only for relays whose table names one of `DRAINED_HOSTS`.
             affected = [relay for relay in bench.relays if relay.has_drained_hosts()]
             bench.write_list(draining=DRAINED_HOSTS)
             await wait_until(
@@ -256,7 +263,7 @@
 
 
 async def measure_bad_day() -> dict[str, Any]:
-    """Return what versions of the bad day take in a store."""
+    """Return the size of the versions of the bad day in a store."""
     script = example_document("bad-day.json")
     script["charter"]["store"] = {"folder": "store"}
     with tempfile.TemporaryDirectory() as folder:
@@ -287,7 +294,7 @@
 
 
 async def main(relay_count: int, rollbacks: int) -> None:
-    """Measure both, and keep the results."""
+    """Measure size and rollbacks, and write the results."""
     document: dict[str, Any] = {"what": "versions", "machine": machine()}
     document["bad_day"] = await measure_bad_day()
     print(json.dumps(document["bad_day"]))
--- a/benchmarks/wire_bytes.py
+++ b/benchmarks/wire_bytes.py
@@ -1,8 +1,8 @@
 """Bytes to one relay when 10% and 84% of 105 hosts are replaced: python benchmarks/wire_bytes.py.
 
-The same planner and tables, three forms: xDS whole, xDS incremental, SASP with changed entries
-alone. Responses are made and measured as they would be written, without sockets; ratios are to
-the whole form.
+The same planner sends the same tables in three forms: whole xDS responses, incremental xDS
+responses, and SASP messages with only the changed entries. Messages are encoded and measured
+without sockets; ratios are relative to whole xDS responses.
 """
 
 import asyncio
@@ -29,27 +29,27 @@
 
 
 class ByteCounter:
-    """A relay's end that counts what it is sent."""
+    """Counts the bytes and messages that are sent to a relay."""
 
     def __init__(self) -> None:
         self.bytes = 0
         self.messages = 0
 
     def reset(self) -> None:
-        """Count from now on."""
+        """Restart the count from zero."""
         self.bytes = 0
         self.messages = 0
 
     def request_write(self) -> None:
-        """Ignore that something waits: it is pulled at intervals."""
+        """Ignore the notification: messages are pulled at intervals."""
 
     def pull(self) -> None:
-        """Take what waits for the relay."""
+        """Receive the messages that wait for the relay."""
         raise NotImplementedError
 
 
 class XdsByteCounter(ByteCounter):
-    """A relay over xDS, incremental or not, that acknowledges everything."""
+    """A relay over xDS, incremental or not, that acknowledges all responses."""
 
     def __init__(self, frontend: Any, uid: str, incremental: bool, class_names: list[str]) -> None:
         super().__init__()
@@ -83,10 +83,10 @@
         self._last_response = resource_type, nonce
 
     def call_after(self, after: int, call: Callable[..., None], *arguments: Any) -> None:
-        """Ignore a time limit on an answer: each response is acknowledged at once."""
+        """Ignore the timeout of an acknowledgement: each response is acknowledged at once."""
 
     def pull(self) -> None:
-        """Take all responses that are due, and acknowledge each."""
+        """Receive all responses that are due, and acknowledge each."""
         self._proxy.take_updates()
         while self._stream.send_next():
             assert self._last_response is not None
@@ -113,11 +113,11 @@
         self.bytes += len(data)
 
     def close(self, reason: str) -> None:
-        """Fail: a conversation that ends cannot be measured."""
+        """Fail, as a closed conversation cannot be measured."""
         raise RuntimeError(reason)
 
     def pull(self) -> None:
-        """Take the message that is due, if any."""
+        """Receive the message that is due, if any."""
         self._conversation.planner_host.take_updates(self._conversation.proxy)
         data = self._conversation.next_message()
         if data:
@@ -138,7 +138,7 @@
 
 
 def replace_wave(hosts: list[dict[str, Any]], leaving: list[dict[str, Any]]) -> None:
-    """Have some hosts drain, and add a cold successor of each."""
+    """Let some hosts drain, and add a cold successor for each."""
     for host in leaving:
         host["state"] = "draining"
         successor = {"id": host["id"] + "-new", "port": host["port"] + 1000, "state": "ready"}
@@ -146,7 +146,7 @@
 
 
 async def settle(counters: Iterable[ByteCounter], seconds: float) -> None:
-    """Let all relays take what they are sent, for some time."""
+    """Let all relays receive messages for some time."""
     for _ in range(round(seconds / 0.05)):
         await asyncio.sleep(0.05)
         for counter in counters:
@@ -154,7 +154,7 @@
 
 
 async def measure(share: float) -> dict[str, Any]:
-    """Replace a share of the hosts in waves, as a release does; return what relays were sent."""
+    """Replace a share of the hosts in waves, as a release does; return what was sent."""
     document = settings_document()
     hosts = host_entries(HOSTS, document["halls"], FIRST_HOST_PORT)
     class_names = [class_document["name"] for class_document in document["classes"]]
@@ -192,12 +192,12 @@
 
 
 def drop_event(*_: Any) -> Any:
-    """Log nothing."""
+    """Drop a log event (a structlog processor)."""
     raise structlog.DropEvent
 
 
 async def main() -> None:
-    """Measure a small and a large release, and keep the results."""
+    """Measure a small and a large release, and write the results."""
     structlog.configure(processors=[drop_event])
     results = [await measure(share) for share in (0.1, 0.84)]
     for result in results:
