--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -22,11 +22,11 @@
 PAGE_BYTES = os.sysconf("SC_PAGESIZE")
 HOSTS = 105
 SETTLING_SECONDS = 4
-IGNORED_LAST_SAMPLES = 2  # the scenario may have ended before them
+IGNORED_LAST_SAMPLES = 2  # taken when the scenario may already have ended
 
 
 class Sample(NamedTuple):
-    """The CPU time that a process had used at some time, and its memory then."""
+    """CPU time and memory that a process has used at a point in time."""
 
     at_s: float
     cpu_s: float
--- a/benchmarks/wire_bytes.py
+++ b/benchmarks/wire_bytes.py
@@ -146,7 +146,7 @@
 
 
 async def settle(counters: Iterable[ByteCounter], seconds: float) -> None:
-    """Let all relays receive messages for some time."""
+    """Let all relays receive messages for a number of seconds."""
     for _ in range(round(seconds / 0.05)):
         await asyncio.sleep(0.05)
         for counter in counters:
--- a/indigodeck/cli/tables.py
+++ b/indigodeck/cli/tables.py
@@ -94,7 +94,7 @@
 def _print_tables(class_names: tuple[str, ...], shares: Shares) -> None:
     for name in class_names:
         click.echo(name if name in shares else f"{name}: no table")
-        entries = sorted(shares.get(name, {}).items(), key=lambda item: -item[1])
-        for (address, port), share in entries:
+        largest_first = sorted(shares.get(name, {}).items(), key=lambda item: -item[1])
+        for (address, port), share in largest_first:
             endpoint = f"{address}:{port}"
             click.echo(f"  {endpoint:24} {share:7.2%}  {'#' * round(share * BAR_WIDTH)}")
--- a/indigodeck/cli/testbed.py
+++ b/indigodeck/cli/testbed.py
@@ -1,6 +1,6 @@
 """Commands `standin ..`: processes that simulate hosts, relays and the discovery server.
 
-The scenarios of `testbed/` use them.
+Each process simulates one kind. The scenarios of `testbed/` start these processes.
 """
 
 import asyncio
