--- a/benchmarks/amid.py
+++ b/benchmarks/amid.py
@@ -1,8 +1,8 @@
 """A takeover during a release, and one back: python benchmarks/amid.py [RELAYS] [SASP|XDS].
 
 Three controllers (lease 0.6 s), 48 hosts, 303 relays by default and 120 requests a second; a
-release replaces 84% of the hosts over 36 s. The same run also plays the scenario without a change
-of leader, then measures the cost of idle controllers in groups of 3, 5 and 9.
+release replaces 84% of the hosts over 36 s. For comparison the same scenario is run without a
+change of leader. Then the cost of idle controllers is measured, in groups of 3, 5 and 9.
 """
 
 import asyncio
@@ -46,8 +46,8 @@
     return script
 
 
-async def play(relays: int, protocol: str, with_leader_changes: bool) -> dict[str, Any]:
-    """Play a scenario; return its result and the first tables that each new leader sent."""
+async def run_scenario(relays: int, protocol: str, with_leader_changes: bool) -> dict[str, Any]:
+    """Run a scenario; return its result and the first tables that each new leader sent."""
     script = scenario_script(relays, protocol, with_leader_changes)
     with tempfile.TemporaryDirectory() as folder:
         runner = FleetScenarioRunner(script, folder)
@@ -112,10 +112,10 @@
 
 
 async def main(relays: int, protocol: str) -> None:
-    """Play both scenarios, then measure idle controllers; write the result after each part."""
+    """Run both scenarios, then measure idle controllers; write the result after each part."""
     results = {}
     for name, with_leader_changes in (("taken_over", True), ("left_alone", False)):
-        results[name] = await play(relays, protocol, with_leader_changes)
+        results[name] = await run_scenario(relays, protocol, with_leader_changes)
         print(name, printed(results[name]), json.dumps(results[name]["laid"]), flush=True)
     document = {
         "what": "a takeover amid a release and back",
--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -63,7 +63,7 @@
 
 
 async def main() -> None:
-    """Play the three policies at the same time, and write the results."""
+    """Run the three policies at the same time, and write the results."""
     script = example_document("bad-day.json")
     with tempfile.TemporaryDirectory() as folder:
         runners = [
--- a/benchmarks/cuts.py
+++ b/benchmarks/cuts.py
@@ -28,14 +28,14 @@
 
 
 class PowerCutResults(NamedTuple):
-    """The number of scenarios played, and the problem of the first that failed, or None."""
+    """The number of scenarios run, and the problem of the first that failed, or None."""
 
-    played: int
+    scenario_count: int
     problem: str | None
 
 
-def play_power_cuts(part: int, times: int) -> PowerCutResults:
-    """Play one of `PARTS` parts of the scenarios until one fails."""
+def run_power_cuts(part: int, times: int) -> PowerCutResults:
+    """Run one of `PARTS` parts of the scenarios until one fails."""
     with unittest.mock.patch.multiple(write_ahead_log, **SMALL_LIMITS):
         operation_count = CrashScenario(seed=1).run().operation_count
         scenarios = [
@@ -48,13 +48,13 @@
             for cut_at in range(operation_count)
             for restart_cut_at in range(2 * times)
         ]
-        played = 0
+        scenario_count = 0
         for scenario in scenarios[part::PARTS]:
-            played += 1
+            scenario_count += 1
             problem = scenario.run().problem
             if problem:
-                return PowerCutResults(played, problem)
-        return PowerCutResults(played, None)
+                return PowerCutResults(scenario_count, problem)
+        return PowerCutResults(scenario_count, None)
 
 
 def damage_every_byte(seed: int) -> int:
@@ -72,15 +72,15 @@
 
 
 def main(times: int) -> None:
-    """Play all scenarios, write the result to benchmarks/results/cuts.json and print it."""
+    """Run all scenarios, write the result to benchmarks/results/cuts.json and print it."""
     started = time.monotonic()
     with ProcessPoolExecutor(4) as pool:
-        cuts = list(pool.map(play_power_cuts, range(PARTS), [times] * PARTS))
+        cuts = list(pool.map(run_power_cuts, range(PARTS), [times] * PARTS))
         damage = list(pool.map(damage_every_byte, range(5, 5 + times)))
     result = {
         "what": "crash tests of the store",
         "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
-        "power_cuts": sum(part.played for part in cuts),
+        "power_cuts": sum(part.scenario_count for part in cuts),
         "broken": [part.problem for part in cuts if part.problem],
         "files_cut_or_flipped": sum(damage),
         "seconds": round(time.monotonic() - started),
--- a/benchmarks/discovery.py
+++ b/benchmarks/discovery.py
@@ -43,16 +43,16 @@
 
 
 async def main() -> None:
-    """Play both scenarios at the same time, and write the results."""
+    """Run both scenarios at the same time, and write the results."""
     with tempfile.TemporaryDirectory() as folder_name:
         folder = pathlib.Path(folder_name)
         runners = {
             name: ScenarioRunner(scenario_script(with_list_down), folder / name)
             for name, with_list_down in (("down", True), ("up", False))
         }
-        played = await asyncio.gather(*(runner.play() for runner in runners.values()))
+        scenario_results = await asyncio.gather(*(runner.play() for runner in runners.values()))
         events = cached_list_events(folder / "down" / "planner.log")
-    results = dict(zip(runners, played, strict=True))
+    results = dict(zip(runners, scenario_results, strict=True))
     for name, result in results.items():
         print(name, printed(result))
     print("\n".join(map(str, events)))
--- a/benchmarks/fronts.py
+++ b/benchmarks/fronts.py
@@ -34,8 +34,8 @@
 )
 
 
-async def play(load: Load) -> list[dict[str, Any]]:
-    """Play a load over both protocols at the same time; return the result of each."""
+async def run_load(load: Load) -> list[dict[str, Any]]:
+    """Run a load over both protocols at the same time; return the result of each."""
     script = example_document("bad-day.json")
     script.update(seconds=load.seconds, troubles=script["troubles"][: load.fault_count])
     script["charter"]["relays"]["rate"] = load.rate / script["relays"]["many"]
@@ -64,10 +64,10 @@
 
 
 async def main() -> None:
-    """Play all loads, and write the results."""
+    """Run all loads, and write the results."""
     results = []
     for load in LOADS:
-        for result in await play(load):
+        for result in await run_load(load):
             results.append(result)
             print(json.dumps(result))
     write_result("fronts", {"what": "SASP beside xDS", "machine": machine(), "results": results})
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -66,7 +66,7 @@
 
 
 async def main(relays: int, rate: int, seconds: int) -> None:
-    """Play the scenario, and write the result."""
+    """Run the scenario, and write the result."""
     samples: list[Sample] = []
     with tempfile.TemporaryDirectory() as folder:
         runner = ScenarioRunner(scenario_script(relays, rate, seconds), folder)
--- a/benchmarks/lossy.py
+++ b/benchmarks/lossy.py
@@ -19,7 +19,7 @@
 PARTS = 16
 
 
-class PlayedSchedules(NamedTuple):
+class ScheduleResults(NamedTuple):
     """Counts of schedules and of the tables or versions checked in them, and the first problem."""
 
     schedules: int
@@ -27,19 +27,19 @@
     problem: str | None
 
 
-def play_schedules(schedule: Callable[[int], int], seeds: Sequence[int]) -> PlayedSchedules:
-    """Play schedules until one fails."""
+def run_schedules(schedule: Callable[[int], int], seeds: Sequence[int]) -> ScheduleResults:
+    """Run schedules until one fails."""
     checked = 0
     for index, seed in enumerate(seeds):
         try:
             checked += schedule(seed)
         except AssertionError as error:
-            return PlayedSchedules(index + 1, checked, str(error))
-    return PlayedSchedules(len(seeds), checked, None)
+            return ScheduleResults(index + 1, checked, str(error))
+    return ScheduleResults(len(seeds), checked, None)
 
 
 def main(count: int) -> None:
-    """Play schedules for relays, and a quarter as many for controllers; write the result."""
+    """Run schedules for relays, and a quarter as many for controllers; write the result."""
     started = time.monotonic()
     result: dict[str, object] = {}
     with ProcessPoolExecutor(4) as pool:
@@ -50,7 +50,7 @@
             seeds = [
                 range(FIRST_SEED + part, FIRST_SEED + schedules, PARTS) for part in range(PARTS)
             ]
-            parts = list(pool.map(play_schedules, [schedule] * PARTS, seeds))
+            parts = list(pool.map(run_schedules, [schedule] * PARTS, seeds))
             result[name] = {
                 "schedules": sum(part.schedules for part in parts),
                 "proved": sum(part.checked for part in parts),
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -48,7 +48,7 @@
 
 
 async def main(seconds: float, seed: int, protocol: str) -> None:
-    """Play the scenario, and write the result."""
+    """Run the scenario, and write the result."""
     faults = controller_faults(SeededRandom(seed), seconds) + host_faults(seconds)
     script = example_document("bad-day.json")
     script.update(seconds=seconds, seed=seed, troubles=faults)
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -33,7 +33,7 @@
     document = {
         "what": "schedules of takeovers, 60 s of simulated time each",
         "machine": machine(),
-        "schedules": sum(played for played, _, _ in results),
+        "schedules": sum(schedules for schedules, _, _ in results),
         "takeovers": sum(takeovers for _, takeovers, _ in results),
         "schedules_a_second": round(count / elapsed, 1),
         "broken": [problem for _, _, problem in results if problem],
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,6 +1,6 @@
 """Size of versions, time of rollbacks: python benchmarks/versions.py [RELAYS] [ROLLBACKS].
 
-Size: the bad day is played with a store; bytes and lines of the stored versions are compared with
+Size: the bad day is run with a store; bytes and lines of the stored versions are compared with
 those of whole snapshots. Time: from the operator's command until a relay holds the version. There,
 a planner in its own process has 48 hosts and relays with the client library in this process, half
 of them over each protocol; rollbacks alternate between two versions.
--- a/indigodeck/cli/scenario.py
+++ b/indigodeck/cli/scenario.py
@@ -1,4 +1,4 @@
-"""The command `day`, which plays a scripted scenario on loopback."""
+"""The command `day`, which runs a scripted scenario on loopback."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
     "baselines",
     multiple=True,
     type=click.Choice(["equal", "frozen"]),
-    help="Also play the scenario under this baseline policy, at the same time.",
+    help="Also run the scenario under this baseline policy, at the same time.",
 )
 @click.option(
     "--keep",
@@ -39,7 +39,7 @@
     output_format: str,
     bench_faults_path: str | None,
 ) -> None:
-    """Play a scripted scenario on loopback, and check the rules on its traffic."""
+    """Run a scripted scenario on loopback, and check the rules on its traffic."""
     from ..testbed import scenario, scenario_script
     from ..testbed.scenario_result import printed
 
