--- a/benchmarks/amid.py
+++ b/benchmarks/amid.py
@@ -1,8 +1,8 @@
-"""A change of leader amid a release, and one back: python benchmarks/amid.py [RELAYS] [SASP|XDS].
+"""A takeover during a release, and one back: python benchmarks/amid.py [RELAYS] [SASP|XDS].
 
-Three controllers (lease 0.6 s), 48 hosts, 303 relays unless said, 120 requests a second; a release
-replaces 84% of the hosts over 36 s. The same scenario is played without a change of leader in the
-same run. Then what controllers cost that have nobody to serve: 3, 5 and 9 of them.
+Three controllers (lease 0.6 s), 48 hosts, 303 relays by default and 120 requests a second; a
+release replaces 84% of the hosts over 36 s. For comparison the same scenario is run without a
+change of leader. Then the cost of idle controllers is measured, in groups of 3, 5 and 9.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 import tempfile
 from typing import Any
 
-from common import argument, example, machine, write_result
+from common import command_line_argument, example_document, machine, write_result
 
 from indigodeck.clock import SECOND
 from indigodeck.testbed.controller_fleet import ControllerFleet
@@ -34,20 +34,20 @@
 
 def scenario_script(relays: int, protocol: str, with_leader_changes: bool) -> dict[str, Any]:
     """Return the script of one scenario."""
-    script = example("bad-day.json")
+    script = example_document("bad-day.json")
     faults = [RELEASE, *LEADER_CHANGES] if with_leader_changes else [RELEASE]
     script.update(seconds=60, seed=11, troubles=faults)
     script["hosts"].update(many=HOSTS, processes=3)
     script["relays"].update(rate=REQUESTS_PER_SECOND, wire=protocol, many=relays, processes=3)
     script["charter"]["fronts"]["sasp"]["interval_s"] = 2
     script["charter"]["relays"]["rate"] = REQUESTS_PER_SECOND / relays
-    # The rest of the channel is as for 9 relays: 4,500 lines a second, 4,500 may wait.
+    # The other limits of the channel are those for 9 relays: 4,500 lines a second, 4,500 queued.
     script["charter"]["channel"].update(messages_most=60, answers_most=30)
     return script
 
 
-async def play(relays: int, protocol: str, with_leader_changes: bool) -> dict[str, Any]:
-    """Play one scenario; return its result with what new leaders wrote first."""
+async def run_scenario(relays: int, protocol: str, with_leader_changes: bool) -> dict[str, Any]:
+    """Run a scenario; return its result and the first tables that each new leader sent."""
     script = scenario_script(relays, protocol, with_leader_changes)
     with tempfile.TemporaryDirectory() as folder:
         runner = FleetScenarioRunner(script, folder)
@@ -70,9 +70,9 @@
 
 
 async def measure_idle(controllers: int) -> dict[str, Any]:
-    """Return what each controller costs while nobody is to be served."""
+    """Return the cost of each controller while there are no relays."""
     with tempfile.TemporaryDirectory() as folder:
-        settings = example("charter.json")
+        settings = example_document("charter.json")
         fleet = ControllerFleet(folder, settings, members=controllers, lease_ms=IDLE_LEASE_MS)
         try:
             for name in fleet.member_ports:
@@ -99,35 +99,35 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the CPU time that a process has used, in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return sum(map(int, fields[11:13])) / TICKS_PER_SECOND
 
 
 def resident_mb(pid: int) -> int:
-    """Return the memory that a process holds."""
+    """Return the resident memory of a process, in MB."""
     lines = pathlib.Path(f"/proc/{pid}/status").read_text().splitlines()
     line = next(line for line in lines if line.startswith("VmRSS"))
     return int(line.split()[1]) // 1024
 
 
 async def main(relays: int, protocol: str) -> None:
-    """Play both scenarios, then measure idle controllers; keep the result after each part."""
+    """Run both scenarios, then measure idle controllers; write the result after each part."""
     results = {}
     for name, with_leader_changes in (("taken_over", True), ("left_alone", False)):
-        results[name] = await play(relays, protocol, with_leader_changes)
+        results[name] = await run_scenario(relays, protocol, with_leader_changes)
         print(name, format_result(results[name]), json.dumps(results[name]["laid"]), flush=True)
-    kept = {
+    document = {
         "what": "a takeover amid a release and back",
         "relays": relays,
         "hosts": HOSTS,
         "machine": machine(),
         **results,
     }
-    write_result(f"amid-{protocol}", kept)
-    kept["at_rest"] = [await measure_idle(controllers) for controllers in (3, 5, 9)]
-    write_result(f"amid-{protocol}", kept)
+    write_result(f"amid-{protocol}", document)
+    document["at_rest"] = [await measure_idle(controllers) for controllers in (3, 5, 9)]
+    write_result(f"amid-{protocol}", document)
 
 
 if __name__ == "__main__":
-    asyncio.run(main(argument(1, 303), argument(2, "sasp", str)))
+    asyncio.run(main(command_line_argument(1, 303), command_line_argument(2, "sasp", str)))
--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -1,8 +1,8 @@
-"""Service in the scripted bad day beside two baselines, and bytes: python benchmarks/bad_day.py.
+"""Compares service in the bad day with two baselines: python benchmarks/bad_day.py.
 
-Baselines: equal weights over the whole list, and the weights of the start. Each has a fleet of its
-own; all three play at the same time on this machine. Bytes: all that relays were sent, against
-entries that changed alone.
+The baselines are equal weights over the whole list, and the weights at the start. Each policy has
+its own fleet; all three run at the same time on this machine. The result also compares the bytes of
+all messages to relays with those of the entries that changed.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 import tempfile
 from typing import Any
 
-from common import example, machine, rules_broken, write_result
+from common import broken_rules, example_document, machine, write_result
 
 from indigodeck.frontends.sasp import codec
 from indigodeck.testbed.recording_proxy import StreamEventType
@@ -21,7 +21,7 @@
 
 
 class ChangeCounter:
-    """Counts the bytes of weight entries that differ from what the relay was sent before."""
+    """Counts the bytes of all weight entries, and of those that changed since last sent."""
 
     def __init__(self) -> None:
         self.entry_bytes = 0
@@ -49,7 +49,7 @@
 
 
 def policy_result(result: dict[str, Any], own_service: float) -> dict[str, Any]:
-    """Return what is kept of one policy's result."""
+    """Return the part of one policy's result that is written."""
     service = result["service"]
     lost = 1 - service["whole"]
     return {
@@ -57,14 +57,14 @@
         "worst_10_s": service["worst_10_s"],
         "worst_class": service["worst_class"],
         "by_5_s": service["by_5_s"],
-        "rules_broken": rules_broken(result),
+        "rules_broken": broken_rules(result),
         "lost_over_ours": round(lost / max(1e-9, 1 - own_service), 2),
     }
 
 
 async def main() -> None:
-    """Play all three at once, and keep the results."""
-    script = example("bad-day.json")
+    """Run the three policies at the same time, and write the results."""
+    script = example_document("bad-day.json")
     with tempfile.TemporaryDirectory() as folder:
         runners = [
             ScenarioRunner(script, pathlib.Path(folder) / policy, policy) for policy in POLICIES
@@ -76,7 +76,7 @@
         if event.type == StreamEventType.MESSAGE:
             codec.dispatch(event.data, counter)
     own_service = results[0]["service"]["whole"]
-    kept = {
+    document = {
         "what": "the scripted bad day",
         "machine": machine(),
         "hosts": script["hosts"]["many"],
@@ -90,8 +90,8 @@
             "entries_over_changed": round(counter.entry_bytes / counter.changed_bytes, 2),
         },
     }
-    print(json.dumps(kept, indent=1))
-    write_result("bad-day", kept)
+    print(json.dumps(document, indent=1))
+    write_result("bad-day", document)
 
 
 if __name__ == "__main__":
--- a/benchmarks/cuts.py
+++ b/benchmarks/cuts.py
@@ -1,6 +1,8 @@
-"""The crash tests of the store at ten times the size that CI plays.
+"""The crash tests of the store, with ten times as many cases as in CI.
 
-Run `python benchmarks/cuts.py [TIMES]`; TIMES is 10 unless stated.
+    python benchmarks/cuts.py [TIMES]
+
+TIMES replaces the factor of ten.
 """
 
 import json
@@ -16,24 +18,24 @@
 ROOT = pathlib.Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from store.crash_scenarios import SMALL_LIMITS, CrashScenario  # noqa: E402 - needs the path set above
-from store.test_damage import DamagedFileTest  # noqa: E402 - needs the path set above
+from store.crash_scenarios import SMALL_LIMITS, CrashScenario  # noqa: E402 - path set above
+from store.test_damage import DamagedFileTest  # noqa: E402 - path set above
 
-from indigodeck.store import segments, write_ahead_log  # noqa: E402 - needs the path set above
-from indigodeck.store.segments import FileType  # noqa: E402 - needs the path set above
+from indigodeck.store import segments, write_ahead_log  # noqa: E402 - path set above
+from indigodeck.store.segments import FileType  # noqa: E402 - path set above
 
-PARTS = 8  # of the power cuts, played by the processes one after the other
+PARTS = 8  # into which the power cuts are divided for the pool of processes
 
 
-class CutsPlayed(NamedTuple):
-    """How many scenarios were played, and what was wrong in the first that failed, or None."""
+class PowerCutResults(NamedTuple):
+    """The number of scenarios run, and the problem of the first that failed, or None."""
 
-    played: int
+    scenario_count: int
     problem: str | None
 
 
-def play_power_cuts(part: int, times: int) -> CutsPlayed:
-    """Play one of `PARTS` parts of all scenarios, up to the first that fails."""
+def run_power_cuts(part: int, times: int) -> PowerCutResults:
+    """Run one of `PARTS` parts of the scenarios until one fails."""
     with unittest.mock.patch.multiple(write_ahead_log, **SMALL_LIMITS):
         operation_count = CrashScenario(seed=1).run().operation_count
         scenarios = [
@@ -46,17 +48,17 @@
             for cut_at in range(operation_count)
             for restart_cut_at in range(2 * times)
         ]
-        played = 0
+        scenario_count = 0
         for scenario in scenarios[part::PARTS]:
-            played += 1
+            scenario_count += 1
             problem = scenario.run().problem
             if problem:
-                return CutsPlayed(played, problem)
-        return CutsPlayed(played, None)
+                return PowerCutResults(scenario_count, problem)
+        return PowerCutResults(scenario_count, None)
 
 
 def damage_every_byte(seed: int) -> int:
-    """Cut and flip each file of one more store at every byte, and return how many times."""
+    """Cut each file of a new store at every byte and flip bits; return the number of cases."""
     test = DamagedFileTest("test_each_file_cut_at_every_byte")
     test.setUp()
     try:
@@ -70,18 +72,18 @@
 
 
 def main(times: int) -> None:
-    """Play everything, write the result to benchmarks/results/cuts.json and print it."""
-    began = time.monotonic()
+    """Run all scenarios, write the result to benchmarks/results/cuts.json and print it."""
+    started = time.monotonic()
     with ProcessPoolExecutor(4) as pool:
-        cuts = list(pool.map(play_power_cuts, range(PARTS), [times] * PARTS))
+        cuts = list(pool.map(run_power_cuts, range(PARTS), [times] * PARTS))
         damage = list(pool.map(damage_every_byte, range(5, 5 + times)))
     result = {
         "what": "crash tests of the store",
         "machine": f"{os.cpu_count()} cores, {platform.python_version()}",
-        "power_cuts": sum(part.played for part in cuts),
+        "power_cuts": sum(part.scenario_count for part in cuts),
         "broken": [part.problem for part in cuts if part.problem],
         "files_cut_or_flipped": sum(damage),
-        "seconds": round(time.monotonic() - began),
+        "seconds": round(time.monotonic() - started),
     }
     (ROOT / "benchmarks/results/cuts.json").write_text(json.dumps(result, indent=1) + "\n")
     print(json.dumps(result))
--- a/benchmarks/lossy.py
+++ b/benchmarks/lossy.py
@@ -1,6 +1,6 @@
-"""Schedules of lost, late and repeated messages: python benchmarks/lossy.py [COUNT].
+"""Random schedules of lost, late and repeated messages: python benchmarks/lossy.py [COUNT].
 
-Far more than CI plays.
+Runs the schedules of the tests in far larger numbers than CI.
 """
 
 import json
@@ -9,9 +9,9 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import NamedTuple
 
-from common import argument, machine, write_result
+from common import command_line_argument, machine, write_result
 
-# These follow the import above, which puts them on the path.
+# These need the import above, which puts them on the import path.
 from frontends import lossy_network  # isort: skip
 from versions import test_replication  # isort: skip
 
@@ -19,27 +19,27 @@
 PARTS = 16
 
 
-class Played(NamedTuple):
-    """How many schedules were played, what they proved, and the first problem, if any."""
+class ScheduleResults(NamedTuple):
+    """Counts of schedules and of the tables or versions checked in them, and the first problem."""
 
     schedules: int
-    proved: int
+    checked: int
     problem: str | None
 
 
-def play(schedule: Callable[[int], int], seeds: Sequence[int]) -> Played:
-    """Play schedules up to the first that fails."""
-    proved = 0
+def run_schedules(schedule: Callable[[int], int], seeds: Sequence[int]) -> ScheduleResults:
+    """Run schedules until one fails."""
+    checked = 0
     for index, seed in enumerate(seeds):
         try:
-            proved += schedule(seed)
+            checked += schedule(seed)
         except AssertionError as error:
-            return Played(index + 1, proved, str(error))
-    return Played(len(seeds), proved, None)
+            return ScheduleResults(index + 1, checked, str(error))
+    return ScheduleResults(len(seeds), checked, None)
 
 
 def main(count: int) -> None:
-    """Play schedules of relays, and a quarter as many of controllers; keep the result."""
+    """Run schedules for relays, and a quarter as many for controllers; write the result."""
     started = time.monotonic()
     result: dict[str, object] = {}
     with ProcessPoolExecutor(4) as pool:
@@ -50,10 +50,10 @@
             seeds = [
                 range(FIRST_SEED + part, FIRST_SEED + schedules, PARTS) for part in range(PARTS)
             ]
-            parts = list(pool.map(play, [schedule] * PARTS, seeds))
+            parts = list(pool.map(run_schedules, [schedule] * PARTS, seeds))
             result[name] = {
                 "schedules": sum(part.schedules for part in parts),
-                "proved": sum(part.proved for part in parts),
+                "proved": sum(part.checked for part in parts),
                 "broken": [part.problem for part in parts if part.problem],
             }
     result.update(machine=machine(), seconds=round(time.monotonic() - started))
@@ -62,4 +62,4 @@
 
 
 if __name__ == "__main__":
-    main(argument(1, 8000))
+    main(command_line_argument(1, 8000))
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -1,9 +1,10 @@
-"""From an order to the relay that applied it: python benchmarks/orders.py WIRE [RELAYS ..].
+"""Time from an order to its effect at relays: python benchmarks/orders.py WIRE [RELAYS ..].
 
-On loopback. WIRE: sasp or xds. One planner in this process, relays with the client library in four
-others, 105 hosts listed and none running. Hosts drain one by one. Applied: from the order to eject
-a host to each holder's table without it. Acknowledged: from an order to the acknowledgement that
-the assigner receives (SASP: the relay's TCP; xDS: its ACK).
+WIRE is sasp or xds. All runs on loopback: one planner in this process, and relays with the client
+library in four others. 105 hosts are listed and none is running; they drain one by one. Applied:
+the time from the order to eject a host until a relay that had it in its table has a table without
+it. Acknowledged: the time from an order until the assigner receives the acknowledgement (SASP: by
+the relay's TCP; xDS: its ACK).
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 from typing import Any
 
 import structlog
-from common import example, host_entries, machine, quantile, write_result
+from common import example_document, host_entries, machine, quantile, write_result
 
 from indigodeck.clock import now
 from indigodeck.planner.planner_settings import PlannerSettings
@@ -33,34 +34,34 @@
 
 
 class OrderTimes:
-    """Notes when a planner ejects servers, and how long acknowledgements take."""
+    """Records when a planner ejects servers, and how long acknowledgements take."""
 
     def __init__(self, service: Any) -> None:
         self.ejected_at: dict[int, int] = {}  # by port
         self.acknowledged_after: list[int] = []
         self._service = service
         host = service.planner_host
-        host.eject_server = self._noting(host.eject_server)
-        host.uneject_server = self._noting(host.uneject_server)
+        host.eject_server = self._recording(host.eject_server)
+        host.uneject_server = self._recording(host.uneject_server)
         self._on_ack = host.assigner.on_ack
-        host.assigner.on_ack = self._note_ack
+        host.assigner.on_ack = self._record_ack
 
-    def _noting(self, order: Callable[[int], None]) -> Callable[[int], None]:
-        def noted(server: int) -> None:
+    def _recording(self, order: Callable[[int], None]) -> Callable[[int], None]:
+        def record_and_forward(server: int) -> None:
             _, port = self._service.endpoints.address_of(server)
             self.ejected_at[port] = now()
             order(server)
 
-        return noted
+        return record_and_forward
 
-    def _note_ack(self, proxy: int, number: int, delay: int) -> None:
+    def _record_ack(self, proxy: int, number: int, delay: int) -> None:
         self.acknowledged_after.append(delay)
         self._on_ack(proxy, number, delay)
 
 
 def settings_document(protocol: str, relay_count: int) -> dict[str, Any]:
-    """Return the planner's settings: no reports, no limit on messages, a fast channel."""
-    document = example("charter.json")
+    """Return the planner's settings: no reports, no limit on messages, and a fast channel."""
+    document = example_document("charter.json")
     document["relays"] = {
         "most": relay_count,
         "halls": [{"prefix": hall + "/", "hall": hall} for hall in document["halls"]],
@@ -75,12 +76,14 @@
 async def start_relays(
     document: dict[str, Any], protocol: str, relay_count: int, port: int
 ) -> list[WorkerProcess]:
-    """Start relays without clients, spread over some processes."""
+    """Start relays without clients, distributed over `RELAY_PROCESSES`."""
     processes = [
         await WorkerProcess.start("standin", "relay", "--outcomes", os.devnull)
         for _ in range(RELAY_PROCESSES)
     ]
-    classes = [dict(stated, share=0.5, work_ms=200) for stated in document["classes"]]
+    classes = [
+        dict(class_document, share=0.5, work_ms=200) for class_document in document["classes"]
+    ]
     for index in range(relay_count):
         zone = document["halls"][index % 3]
         relay = {
@@ -146,18 +149,18 @@
 
 
 def resident_mb() -> float:
-    """Return the memory that this process holds."""
+    """Return the resident memory of this process, in MB."""
     pages = int(pathlib.Path("/proc/self/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGESIZE") / 1e6
 
 
 def drop_event(*_: Any) -> Any:
-    """Log nothing."""
+    """Drop a log event (a structlog processor)."""
     raise structlog.DropEvent
 
 
 async def main(protocol: str, relay_counts: list[int]) -> None:
-    """Measure each number of relays, and keep the results."""
+    """Measure orders for each number of relays, and write the results."""
     structlog.configure(processors=[drop_event])
     results: list[dict[str, Any]] = []
     for relay_count in relay_counts:
@@ -165,12 +168,12 @@
         results.append(result)
         result["p99_over_first"] = round(result["p99_ms"] / results[0]["p99_ms"], 2)
         print(json.dumps(result), flush=True)
-    kept = {
+    result_document = {
         "what": f"order to applied over {protocol}",
         "machine": machine(),
         "results": results,
     }
-    write_result(f"orders-{protocol}", kept)
+    write_result(f"orders-{protocol}", result_document)
 
 
 if __name__ == "__main__":
--- a/benchmarks/pauses.py
+++ b/benchmarks/pauses.py
@@ -1,31 +1,31 @@
-"""Controllers stop and go on at random: python benchmarks/pauses.py [SECONDS] [SEED] [SASP|XDS].
+"""Pauses of random controllers: python benchmarks/pauses.py [SECONDS] [SEED] [SASP|XDS].
 
-Audited from sockets. Three controllers with a lease of 0.6 s, 18 hosts, 9 relays, 120 requests a
-second. Every 2 to 7 s one of them, drawn at random, is stopped for 0.1 to 6 s, so that two may
-run as leader at once; now and then one hands over. Hosts are replaced, slow down and recover
-meanwhile.
+Three controllers with a lease of 0.6 s, 18 hosts, 9 relays, 120 requests a second. Every 2 to 7 s a
+random controller is stopped for 0.1 to 6 s, so that two may run as leader at once; in 12% of cases
+the leader hands over instead. Meanwhile hosts are replaced, slow down and recover. The rules are
+checked on the traffic of the sockets.
 """
 
 import asyncio
 import tempfile
 from typing import Any
 
-from common import argument, example, machine, write_result
+from common import command_line_argument, example_document, machine, write_result
 
 from indigodeck.assignment.seeded_random import SeededRandom
 from indigodeck.testbed.fleet_scenario import FleetScenarioRunner
 from indigodeck.testbed.scenario_result import format_result
 
 FIRST_FAULT_S = 5.0
-QUIET_END_S = 10
+FAULT_FREE_END_S = 10
 HANDOVER_PERCENT = 12
 
 
 def controller_faults(random: SeededRandom, seconds: float) -> list[dict[str, Any]]:
-    """Return stops and handovers, drawn over the whole time."""
+    """Return random stops and handovers over the whole run."""
     faults: list[dict[str, Any]] = []
     at = FIRST_FAULT_S
-    while at < seconds - QUIET_END_S:
+    while at < seconds - FAULT_FREE_END_S:
         if random.randbelow(100) < HANDOVER_PERCENT:
             faults.append({"at": at, "kind": "handover"})
         else:
@@ -36,7 +36,7 @@
 
 
 def host_faults(seconds: float) -> list[dict[str, Any]]:
-    """Return a release and slow hosts in each minute."""
+    """Return a release and a slowdown of hosts for each minute."""
     faults = []
     for minute in range(int(seconds // 60)):
         start = 60 * minute
@@ -48,9 +48,9 @@
 
 
 async def main(seconds: float, seed: int, protocol: str) -> None:
-    """Play the scenario, and keep the result."""
+    """Run the scenario, and write the result."""
     faults = controller_faults(SeededRandom(seed), seconds) + host_faults(seconds)
-    script = example("bad-day.json")
+    script = example_document("bad-day.json")
     script.update(seconds=seconds, seed=seed, troubles=faults)
     script["relays"].update(rate=120, wire=protocol)
     script["charter"]["fronts"]["sasp"]["interval_s"] = 1
@@ -62,7 +62,7 @@
     stops = sum(fault["kind"] == "stall" for fault in faults)
     print(format_result(result))
     print(f"  {len(acquisitions)} leases acquired, {stops} stops")
-    kept = {
+    document = {
         "what": "random stops of controllers, audited from sockets",
         "seed": seed,
         "seconds": seconds,
@@ -73,8 +73,14 @@
         "charges": len(acquisitions),
         **result,
     }
-    write_result(f"pauses-{protocol}", kept)
+    write_result(f"pauses-{protocol}", document)
 
 
 if __name__ == "__main__":
-    asyncio.run(main(argument(1, 600.0, float), argument(2, 1), argument(3, "sasp", str)))
+    asyncio.run(
+        main(
+            command_line_argument(1, 600.0, float),
+            command_line_argument(2, 1),
+            command_line_argument(3, "sasp", str),
+        )
+    )
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,8 +1,9 @@
-"""The cost of versions, the speed of rollbacks: python benchmarks/versions.py [RELAYS] [ROLLBACKS].
+"""Size of versions, time of rollbacks: python benchmarks/versions.py [RELAYS] [ROLLBACKS].
 
-A planner of its own, 48 hosts, relays half over each protocol with the client library in this
-process. Two versions are pinned by turns: from the operator's command to when a relay holds it.
-Then the bad day with a store: bytes and lines of what was kept, and of whole snapshots.
+Size: the bad day is run with a store; bytes and lines of the stored versions are compared with
+those of whole snapshots. Time: from the operator's command until a relay holds the version. There,
+a planner in its own process has 48 hosts and relays with the client library in this process, half
+of them over each protocol; rollbacks alternate between two versions.
 """
 
 import asyncio
@@ -15,7 +16,14 @@
 from collections.abc import AsyncIterator, Iterable
 from typing import Any, NamedTuple
 
-from common import argument, example, machine, quantiles, wait_until, write_result
+from common import (
+    command_line_argument,
+    example_document,
+    machine,
+    quantiles,
+    wait_until,
+    write_result,
+)
 
 from indigodeck.client import Tables
 from indigodeck.client.sasp import SaspClient
@@ -34,7 +42,7 @@
 
 KEY = b"a key for measurements, of sixteen bytes"
 HOSTS = 48
-DRAINED_HOSTS = frozenset(range(12))  # of which the two versions differ
+DRAINED_HOSTS = frozenset(range(12))  # ready in one of the two versions, draining in the other
 FIRST_HOST_PORT = 9000
 PROTOCOLS = ("sasp", "xds")
 TIMEOUT_S = 60
@@ -50,17 +58,17 @@
     client: SaspClient | XdsClient
 
     def has_drained_hosts(self) -> bool:
-        """Return whether its table for `reading` names any host that drains in one version."""
+        """Return whether its table for `reading` names any host of `DRAINED_HOSTS`."""
         ports = {port - FIRST_HOST_PORT for _, port in self.tables.lines["reading"]}
         return bool(ports & DRAINED_HOSTS)
 
     def has_tables(self) -> bool:
-        """Return whether a planner has given it a table."""
+        """Return whether it has received a table for `reading`."""
         return self.tables.updated_at["reading"] is not None
 
 
-class Bench:
-    """A planner in a process of its own, with its endpoint list, its operator and relays."""
+class PlannerBench:
+    """A planner in its own process, with its endpoint list, an operator and relays."""
 
     def __init__(self, folder: pathlib.Path, ports: list[int], relay_count: int) -> None:
         self.relays: list[Relay] = []
@@ -71,7 +79,7 @@
         self._endpoint_list = EndpointListFile(folder)
 
     def write_list(self, draining: Iterable[int] = ()) -> None:
-        """Write the list, in which these hosts drain."""
+        """Write the endpoint list, in which the hosts `draining` drain."""
         self._endpoint_list.write(
             [
                 {
@@ -87,9 +95,9 @@
         )
 
     def write_settings(self) -> None:
-        """Write the planner's settings file and its key."""
+        """Write the planner's settings file and key file."""
         (self._folder / "key").write_bytes(KEY)
-        settings = example("charter.json")
+        settings = example_document("charter.json")
         settings.update(
             roster={"file": "roster.json", "look_every_ms": 50},
             store={"folder": "store"},
@@ -108,7 +116,7 @@
 
     @contextlib.asynccontextmanager
     async def running_planner(self) -> AsyncIterator[None]:
-        """Run the planner within the context; relays are disconnected before it ends."""
+        """Run the planner during the context; disconnect the relays before it ends."""
         with (self._folder / "log").open("wb") as log:
             planner = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -130,7 +138,7 @@
                 await planner.wait()
 
     async def connect_relays(self) -> None:
-        """Connect all relays, over both protocols by turns, and wait for their tables."""
+        """Connect all relays, with alternating protocols, and wait for their tables."""
         for index in range(self._relay_count):
             protocol = PROTOCOLS[index % 2]
             tables = Tables(["reading", "setpoint"], now)
@@ -141,64 +149,70 @@
             self.relays.append(Relay(protocol, tables, client))
             asyncio.get_running_loop().create_task(client.run())
         await wait_until(
-            lambda: all(relay.has_tables() for relay in self.relays), "tables", TIMEOUT_S, 0.005
+            lambda: all(relay.has_tables() for relay in self.relays),
+            "tables at all relays",
+            TIMEOUT_S,
+            0.005,
         )
 
     async def request(self, **fields: Any) -> dict[str, Any]:
-        """Send an operator's request about versions; return its answer."""
+        """Send an operator's request about versions; return the answer."""
         return await send_operator_request(
             ("127.0.0.1", self._operator_port), KEY, "versions", wish=fields
         )
 
     async def newest_version(self) -> str:
-        """Return the newest version, once all has settled."""
+        """Wait until the tables have settled; return the newest version."""
         await asyncio.sleep(SETTLING_SECONDS)
         return (await self.request(what="list"))["newest"]
 
 
-class Rollbacks:
-    """Rolls back to one version and to another by turns, and measures when relays hold it."""
+class RollbackMeasurement:
+    """Rolls back alternately to two versions, and measures when relays hold them."""
 
-    def __init__(self, bench: Bench, telling_relays: list[Relay]) -> None:
+    def __init__(self, bench: PlannerBench, affected_relays: list[Relay]) -> None:
         self.last_relay_s: list[float] = []
         self.each_relay_s: dict[str, list[float]] = {protocol: [] for protocol in PROTOCOLS}
         self._bench = bench
-        self._telling_relays = telling_relays
+        self._affected_relays = affected_relays
 
     async def measure(self, version: str, has_drained_hosts: bool, reason: str) -> None:
-        """Roll back once, to a version with or without the hosts that drain."""
+        """Roll back once, to the version with or without the hosts of `DRAINED_HOSTS`."""
         started = time.monotonic()
         answer = await self._bench.request(
             what="rollback", number=version, author="bench", reason=reason
         )
         if "done" not in answer:
             raise RuntimeError(answer)
-        waiting = list(self._telling_relays)
+        waiting = list(self._affected_relays)
         while waiting:
             for relay in list(waiting):
                 if relay.has_drained_hosts() == has_drained_hosts:
                     self.each_relay_s[relay.protocol].append(time.monotonic() - started)
                     waiting.remove(relay)
             if time.monotonic() - started > ROLLBACK_TIMEOUT_S:
-                count = len(self._telling_relays)
-                raise RuntimeError(f"{len(waiting)} of {count} relays did not follow")
+                count = len(self._affected_relays)
+                raise RuntimeError(
+                    f"{len(waiting)} of {count} relays do not hold version {version} after "
+                    f"{ROLLBACK_TIMEOUT_S} s"
+                )
             await asyncio.sleep(0.002)
         self.last_relay_s.append(time.monotonic() - started)
         await asyncio.sleep(0.5)
 
 
 class StoredVersions:
-    """A store, opened to be read, as a version log sees it."""
+    """Read access to a store, in the form that `VersionLog` expects."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.records = WriteAheadLog(StoreFolder(folder)).read_all()
 
     def load(self, key: str) -> Any:
-        """Return a record."""
+        """Return the record at a key."""
         return self.records[key]
 
     def wall_clock(self) -> int:
-        """Return no time: nothing is written."""
+        """Return 0: nothing is written, so no time is needed."""
         return 0
 
 
@@ -208,19 +222,19 @@
 
 
 async def measure_rollbacks(relay_count: int, rollbacks: int) -> dict[str, Any]:
-    """Return how long relays take to follow a rollback."""
+    """Return how long relays take to hold the version of a rollback."""
     with (
         tempfile.TemporaryDirectory() as folder,
         contextlib.closing(ReservedPorts(3)) as ports,
     ):
-        bench = Bench(pathlib.Path(folder), ports.numbers, relay_count)
+        bench = PlannerBench(pathlib.Path(folder), ports.numbers, relay_count)
         bench.write_list()
         bench.write_settings()
         async with bench.running_planner():
             await bench.connect_relays()
-            full = await bench.newest_version()
-            # Only relays whose table holds one of them can tell the two versions apart.
-            telling = [relay for relay in bench.relays if relay.has_drained_hosts()]
+            all_hosts_version = await bench.newest_version()
+            # The two versions differ only for relays whose table names one of `DRAINED_HOSTS`.
+            affected = [relay for relay in bench.relays if relay.has_drained_hosts()]
             bench.write_list(draining=DRAINED_HOSTS)
             await wait_until(
                 lambda: not any(relay.has_drained_hosts() for relay in bench.relays),
@@ -228,27 +242,29 @@
                 TIMEOUT_S,
                 0.005,
             )
-            fewer = await bench.newest_version()
+            drained_version = await bench.newest_version()
             bench.write_list()
             await asyncio.sleep(SETTLING_SECONDS)
-            measured = Rollbacks(bench, telling)
+            measured = RollbackMeasurement(bench, affected)
             for index in range(rollbacks):
-                version, has_drained = ((full, True), (fewer, False))[index % 2]
+                version, has_drained = ((all_hosts_version, True), (drained_version, False))[
+                    index % 2
+                ]
                 await measured.measure(version, has_drained, str(index))
-            of_relays = await bench.request(what="relays")
+            relay_versions = await bench.request(what="relays")
     return {
         "relays": relay_count,
-        "that_tell_them_apart": len(telling),
+        "that_tell_them_apart": len(affected),
         "rollbacks": rollbacks,
         "last_relay_s": quantiles(measured.last_relay_s),
         **{f"{protocol}_s": quantiles(times) for protocol, times in measured.each_relay_s.items()},
-        "told_of_first": of_relays["relays"][:2],
+        "told_of_first": relay_versions["relays"][:2],
     }
 
 
 async def measure_bad_day() -> dict[str, Any]:
-    """Return what versions of the bad day take in a store."""
-    script = example("bad-day.json")
+    """Return the size of the versions of the bad day in a store."""
+    script = example_document("bad-day.json")
     script["charter"]["store"] = {"folder": "store"}
     with tempfile.TemporaryDirectory() as folder:
         result = await ScenarioRunner(script, folder).run()
@@ -278,14 +294,14 @@
 
 
 async def main(relay_count: int, rollbacks: int) -> None:
-    """Measure both, and keep the results."""
-    kept: dict[str, Any] = {"what": "versions", "machine": machine()}
-    kept["bad_day"] = await measure_bad_day()
-    print(json.dumps(kept["bad_day"]))
-    kept["back"] = await measure_rollbacks(relay_count, rollbacks)
-    print(json.dumps(kept["back"]))
-    write_result("versions", kept)
+    """Measure size and rollbacks, and write the results."""
+    document: dict[str, Any] = {"what": "versions", "machine": machine()}
+    document["bad_day"] = await measure_bad_day()
+    print(json.dumps(document["bad_day"]))
+    document["back"] = await measure_rollbacks(relay_count, rollbacks)
+    print(json.dumps(document["back"]))
+    write_result("versions", document)
 
 
 if __name__ == "__main__":
-    asyncio.run(main(argument(1, 303), argument(2, 60)))
+    asyncio.run(main(command_line_argument(1, 303), command_line_argument(2, 60)))
--- a/benchmarks/wire_bytes.py
+++ b/benchmarks/wire_bytes.py
@@ -1,8 +1,8 @@
 """Bytes to one relay when 10% and 84% of 105 hosts are replaced: python benchmarks/wire_bytes.py.
 
-The same planner and tables, three forms: xDS whole, xDS incremental, SASP with changed entries
-alone. Responses are made and measured as they would be written, without sockets; ratios are to
-the whole form.
+The same planner sends the same tables in three forms: whole xDS responses, incremental xDS
+responses, and SASP messages with only the changed entries. Messages are encoded and measured
+without sockets; ratios are relative to whole xDS responses.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 from typing import Any
 
 import structlog
-from common import example, host_entries, machine, write_result
+from common import example_document, host_entries, machine, write_result
 from envoy.config.core.v3 import base_pb2
 
 from indigodeck.frontends.sasp.conversation import Conversation
@@ -28,28 +28,28 @@
 WAVES = 5
 
 
-class Meter:
-    """A relay's end that counts what it is sent."""
+class ByteCounter:
+    """Counts the bytes and messages that are sent to a relay."""
 
     def __init__(self) -> None:
         self.bytes = 0
         self.messages = 0
 
     def reset(self) -> None:
-        """Count from now on."""
+        """Restart the count from zero."""
         self.bytes = 0
         self.messages = 0
 
     def request_write(self) -> None:
-        """Ignore that something waits: it is pulled at intervals."""
+        """Ignore the notification: messages are pulled at intervals."""
 
     def pull(self) -> None:
-        """Take what waits for the relay."""
+        """Receive the messages that wait for the relay."""
         raise NotImplementedError
 
 
-class XdsMeter(Meter):
-    """A relay over xDS, incremental or not, that acknowledges everything."""
+class XdsByteCounter(ByteCounter):
+    """A relay over xDS, incremental or not, that acknowledges all responses."""
 
     def __init__(self, frontend: Any, uid: str, incremental: bool, class_names: list[str]) -> None:
         super().__init__()
@@ -75,18 +75,18 @@
     ) -> None:
         """Count a response (called by the stream)."""
         if self._incremental:
-            made = codec.delta_response(resource_type, version, nonce, resources, removed)
+            response = codec.delta_response(resource_type, version, nonce, resources, removed)
         else:
-            made = codec.full_response(resource_type, version, nonce, resources)
-        self.bytes += made.ByteSize()
+            response = codec.full_response(resource_type, version, nonce, resources)
+        self.bytes += response.ByteSize()
         self.messages += 1
         self._last_response = resource_type, nonce
 
     def call_after(self, after: int, call: Callable[..., None], *arguments: Any) -> None:
-        """Ignore a time limit on an answer: each response is acknowledged at once."""
+        """Ignore the timeout of an acknowledgement: each response is acknowledged at once."""
 
     def pull(self) -> None:
-        """Take all responses that are due, and acknowledge each."""
+        """Receive all responses that are due, and acknowledge each."""
         self._proxy.take_updates()
         while self._stream.send_next():
             assert self._last_response is not None
@@ -97,7 +97,7 @@
                 self._stream.on_full_request(resource_type, self._class_names, nonce, None)
 
 
-class SaspMeter(Meter):
+class SaspByteCounter(ByteCounter):
     """A relay over SASP."""
 
     def __init__(self, frontend: Any, class_names: list[str]) -> None:
@@ -113,11 +113,11 @@
         self.bytes += len(data)
 
     def close(self, reason: str) -> None:
-        """Fail: a conversation that ends cannot be measured."""
+        """Fail, as a closed conversation cannot be measured."""
         raise RuntimeError(reason)
 
     def pull(self) -> None:
-        """Take the message that is due, if any."""
+        """Receive the message that is due, if any."""
         self._conversation.planner_host.take_updates(self._conversation.proxy)
         data = self._conversation.next_message()
         if data:
@@ -127,7 +127,7 @@
 
 def settings_document() -> dict[str, Any]:
     """Return the planner's settings: no reports and no limit on messages."""
-    document = example("charter.json")
+    document = example_document("charter.json")
     document.update(
         fronts={"xds": {"port": 0}, "sasp": {"port": 0}},
         roster={"file": "roster.json", "look_every_ms": 10},
@@ -138,75 +138,77 @@
 
 
 def replace_wave(hosts: list[dict[str, Any]], leaving: list[dict[str, Any]]) -> None:
-    """Have some hosts drain, and add a cold successor of each."""
+    """Let some hosts drain, and add a cold successor for each."""
     for host in leaving:
         host["state"] = "draining"
         successor = {"id": host["id"] + "-new", "port": host["port"] + 1000, "state": "ready"}
         hosts.append({**host, **successor})
 
 
-async def settle(meters: Iterable[Meter], seconds: float) -> None:
-    """Let all relays take what they are sent, for some time."""
+async def settle(counters: Iterable[ByteCounter], seconds: float) -> None:
+    """Let all relays receive messages for a number of seconds."""
     for _ in range(round(seconds / 0.05)):
         await asyncio.sleep(0.05)
-        for meter in meters:
-            meter.pull()
+        for counter in counters:
+            counter.pull()
 
 
 async def measure(share: float) -> dict[str, Any]:
-    """Replace a share of the hosts in waves, as a release does; return what relays were sent."""
+    """Replace a share of the hosts in waves, as a release does; return what was sent."""
     document = settings_document()
     hosts = host_entries(HOSTS, document["halls"], FIRST_HOST_PORT)
-    class_names = [stated["name"] for stated in document["classes"]]
+    class_names = [class_document["name"] for class_document in document["classes"]]
     with tempfile.TemporaryDirectory() as folder:
         endpoint_list = EndpointListFile(folder)
         endpoint_list.write(hosts)
         service = start_planner_service(PlannerSettings(document, pathlib.Path(folder)))
         xds_frontend, sasp_frontend = service.frontends
-        meters = {
-            "whole": XdsMeter(xds_frontend, "hall-a/whole", False, class_names),
-            "incremental": XdsMeter(xds_frontend, "hall-a/delta", True, class_names),
-            "sasp": SaspMeter(sasp_frontend, class_names),
+        counters = {
+            "whole": XdsByteCounter(xds_frontend, "hall-a/whole", False, class_names),
+            "incremental": XdsByteCounter(xds_frontend, "hall-a/delta", True, class_names),
+            "sasp": SaspByteCounter(sasp_frontend, class_names),
         }
-        await settle(meters.values(), 2)
-        first_bytes = {name: meter.bytes for name, meter in meters.items()}
-        for meter in meters.values():
-            meter.reset()
+        await settle(counters.values(), 2)
+        first_bytes = {name: counter.bytes for name, counter in counters.items()}
+        for counter in counters.values():
+            counter.reset()
         replaced = hosts[: round(share * HOSTS)]
         for wave in range(WAVES):
             replace_wave(hosts, replaced[wave::WAVES])
             endpoint_list.write(hosts)
-            await settle(meters.values(), 3)
+            await settle(counters.values(), 3)
         service.close()
         await asyncio.sleep(0.1)
-    whole_bytes = meters["whole"].bytes
+    whole_bytes = counters["whole"].bytes
     return {
         "replaced": share,
         "first_laying": first_bytes,
-        "bytes": {name: meter.bytes for name, meter in meters.items()},
-        "messages": {name: meter.messages for name, meter in meters.items()},
-        "over_whole": {name: round(meter.bytes / whole_bytes, 3) for name, meter in meters.items()},
+        "bytes": {name: counter.bytes for name, counter in counters.items()},
+        "messages": {name: counter.messages for name, counter in counters.items()},
+        "over_whole": {
+            name: round(counter.bytes / whole_bytes, 3) for name, counter in counters.items()
+        },
     }
 
 
 def drop_event(*_: Any) -> Any:
-    """Log nothing."""
+    """Drop a log event (a structlog processor)."""
     raise structlog.DropEvent
 
 
 async def main() -> None:
-    """Measure a small and a large release, and keep the results."""
+    """Measure a small and a large release, and write the results."""
     structlog.configure(processors=[drop_event])
     results = [await measure(share) for share in (0.1, 0.84)]
     for result in results:
         print(json.dumps(result))
-    kept = {
+    result_document = {
         "what": "bytes to one relay",
         "machine": machine(),
         "hosts": HOSTS,
         "results": results,
     }
-    write_result("wire-bytes", kept)
+    write_result("wire-bytes", result_document)
 
 
 if __name__ == "__main__":
--- a/indigodeck/cli/controller_group.py
+++ b/indigodeck/cli/controller_group.py
@@ -1,7 +1,8 @@
-"""Which controllers a settings file names, and requests to all of them.
+"""The controllers that a settings file names, and requests to all of them.
 
-Requests and answers are the maps of `leadership/transport.py`; their keys are its words. A
-controller that cannot be reached is stated as {"unreached": why}.
+Requests and answers are JSON objects with the keys of `leadership/transport.py` and
+`leadership/message_codec.py`. {"unreached": reason} stands for the answer of a controller that
+cannot be reached.
 """
 
 import asyncio
@@ -18,56 +19,58 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorTargets:
-    """The programs that answer operators' requests, by name, and the key that they share."""
+    """The addresses, by name, of processes that answer operator requests, and their shared key."""
 
     addresses: Mapping[str, Address]
     key: bytes
 
-    def ask(self, request: str, only: str | None = None, **fields: Any) -> dict[str, Answer]:
-        """Return each one's answer to a request; `only` names a single one to be asked."""
-        addresses = self.addresses if only is None else {only: self.addresses[only]}
-        return asyncio.run(ask_all(addresses, self.key, request, **fields))
+    def send_request(
+        self, request: str, target: str | None = None, **fields: Any
+    ) -> dict[str, Answer]:
+        """Send a request to all processes, or only to `target`; return the answers by name."""
+        addresses = self.addresses if target is None else {target: self.addresses[target]}
+        return asyncio.run(send_request_to_all(addresses, self.key, request, **fields))
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerGroup(OperatorTargets):
-    """All controllers, and what each of them says of the group."""
+    """All controllers, and the state of the group as each of them reports it."""
 
     states: dict[str, Answer]
 
 
-def is_reached(answer: Answer) -> bool:
-    """Return whether a controller has answered."""
+def has_answered(answer: Answer) -> bool:
+    """Return whether an answer came from a controller that was reached."""
     return "unreached" not in answer
 
 
-def any_reached(answers: dict[str, Answer]) -> bool:
-    """Return whether one controller at least has answered."""
-    return any(is_reached(answer) for answer in answers.values())
+def any_answered(answers: dict[str, Answer]) -> bool:
+    """Return whether at least one controller has answered."""
+    return any(has_answered(answer) for answer in answers.values())
 
 
-async def ask_all(
+async def send_request_to_all(
     addresses: Mapping[str, Address], key: bytes, request: str, **fields: Any
 ) -> dict[str, Answer]:
-    """Send one request to several controllers at once; return the answer of each."""
+    """Send a request to several controllers concurrently; return the answers by name."""
     from tornado.iostream import StreamClosedError
     from tornado.util import TimeoutError as DeadlineExceededError
 
     from ..leadership.message_codec import MessageRejectedError
     from ..leadership.operator_client import send_operator_request
 
-    async def ask_one(address: Address) -> Answer:
+    async def send_to_one(address: Address) -> Answer:
         try:
             return await send_operator_request(address, key, request, **fields)
         except (OSError, StreamClosedError, DeadlineExceededError, MessageRejectedError) as error:
             return {"unreached": str(error) or type(error).__name__}
 
-    answers = await asyncio.gather(*(ask_one(address) for address in addresses.values()))
+    answers = await asyncio.gather(*(send_to_one(address) for address in addresses.values()))
     return dict(zip(addresses, answers, strict=True))
 
 
 def read_controller_group(settings_path: str) -> ControllerGroup:
-    """Ask the controllers of a settings file, and those that were added since, for their state."""
+    """Query the state of the controllers in a settings file and of those added to them since."""
     from ..leadership.addresses import parse_address
     from ..planner.planner_settings import read_settings
     from ..serve import read_key
@@ -75,25 +78,25 @@
     try:
         settings = read_settings(settings_path)
         if not settings.leadership:
-            fail(f"{settings_path}: controllers share nothing here: no section takeover")
+            fail(f"{settings_path}: no section takeover, so this planner has no other controllers")
         members = settings.leadership.members
         addresses = {name: parse_address(text) for name, text in members.items()}
         key = read_key(settings, settings.leadership.key_file)
     except (InvalidDocumentError, OSError) as error:
         fail(str(error))
-    states = asyncio.run(ask_all(addresses, key, "fleet"))
-    added_since = {
+    states = asyncio.run(send_request_to_all(addresses, key, "fleet"))
+    added_members = {
         name: parse_address(member["place"])
         for state in states.values()
         for name, member in state.get("members", {}).items()
         if isinstance(member, dict) and name not in addresses
     }
-    states_of_added = asyncio.run(ask_all(added_since, key, "fleet"))
-    return ControllerGroup({**addresses, **added_since}, key, {**states, **states_of_added})
+    added_states = asyncio.run(send_request_to_all(added_members, key, "fleet"))
+    return ControllerGroup({**addresses, **added_members}, key, {**states, **added_states})
 
 
 def read_operator_targets(settings_path: str) -> OperatorTargets:
-    """Return the programs of a settings file that answer requests about versions."""
+    """Return the processes, named in a settings file, that answer requests about versions."""
     from ..planner.planner_settings import read_settings
     from ..serve import read_key
 
@@ -103,8 +106,8 @@
             return read_controller_group(settings_path)
         if not settings.operators:
             fail(
-                f"{settings_path}: neither a section operators nor takeover: "
-                "this planner hears no operators"
+                f"{settings_path}: neither a section operators nor takeover, "
+                "so this planner accepts no operator requests"
             )
         operators = settings.operators
         address = (operators.address, operators.port)
--- a/indigodeck/cli/documents.py
+++ b/indigodeck/cli/documents.py
@@ -1,4 +1,4 @@
-"""The command `check`, which checks documents against their schemas."""
+"""The command `check`, which validates documents against their schemas."""
 
 import json
 import sys
@@ -14,32 +14,34 @@
 @click.command()
 @click.argument("paths", nargs=-1, required=True, type=click.Path(dir_okay=False))
 def check(paths: tuple[str, ...]) -> None:
-    """Check charters, scripts and rosters against their schemas."""
-    found = False
+    """Validate charters, scripts of scenarios and rosters against their schemas."""
+    errors_found = False
     for path in paths:
-        document_type, mistakes = _check_document(path)
-        found = found or bool(mistakes)
-        if mistakes:
-            click.echo("\n".join(f"{path}: {mistake}" for mistake in mistakes))
+        document_type, errors = _check_document(path)
+        errors_found = errors_found or bool(errors)
+        if errors:
+            click.echo("\n".join(f"{path}: {message}" for message in errors))
         else:
-            click.echo(f"{path}: a {document_type}, nothing wrong")
-    sys.exit(ExitCode.FOUND if found else ExitCode.DONE)
+            click.echo(f"{path}: valid {document_type}")
+    sys.exit(ExitCode.PROBLEM_FOUND if errors_found else ExitCode.SUCCESS)
 
 
 def _check_document(path: str) -> tuple[str, list[str]]:
-    """Return the type of the document in a file, and what is wrong with it, by place."""
+    """Return the type of the document in a file, and its errors, each with its position."""
     from ..planner import endpoint_list, planner_settings
     from ..testbed import scenario_script
 
     document = read_document(path)
     if "hosts" in document and isinstance(document["hosts"], list):
-        return "roster", _mistakes(lambda: endpoint_list.parse_endpoint_list(json.dumps(document)))
+        return "roster", _errors_from(
+            lambda: endpoint_list.parse_endpoint_list(json.dumps(document))
+        )
     if "relays" in document and "seconds" in document:
         return "script", scenario_script.check(document)
-    return "charter", _mistakes(lambda: planner_settings.read_settings(path))
+    return "charter", _errors_from(lambda: planner_settings.read_settings(path))
 
 
-def _mistakes(read: Callable[[], Any]) -> list[str]:
+def _errors_from(read: Callable[[], Any]) -> list[str]:
     try:
         read()
     except InvalidDocumentError as error:
--- a/indigodeck/cli/output.py
+++ b/indigodeck/cli/output.py
@@ -1,4 +1,4 @@
-"""What all commands share: exit codes, failing with a message, options, and reading documents."""
+"""Shared by all commands: exit codes, error exits, common options, and reading documents."""
 
 import json
 import pathlib
@@ -9,34 +9,34 @@
 
 import click
 
-FORMATS = ("people", "json")
+OUTPUT_FORMATS = ("people", "json")
 
 
 class ExitCode(IntEnum):
     """Exit codes of all commands."""
 
-    DONE = 0
-    FOUND = 1  # something was found wrong: a rule broken, a document with faults, a rejection
-    WRONG_CALL = 2  # called wrongly, or a document that cannot be read
-    UNREACHED = 3  # nothing could be reached
+    SUCCESS = 0
+    PROBLEM_FOUND = 1  # such as a broken rule, an invalid document or a rejected request
+    USAGE_ERROR = 2  # invalid arguments, or a document that cannot be read
+    UNREACHABLE = 3  # no process could be reached; for `serve`, an I/O error
 
 
 settings_option = click.option(
     "--charter", "settings_path", required=True, type=click.Path(dir_okay=False)
 )
 format_option = click.option(
-    "--format", "output_format", default="people", type=click.Choice(FORMATS)
+    "--format", "output_format", default="people", type=click.Choice(OUTPUT_FORMATS)
 )
 
 
-def fail(message: str, code: ExitCode = ExitCode.WRONG_CALL) -> NoReturn:
-    """Print a message on standard error and end the program with an exit code."""
+def fail(message: str, code: ExitCode = ExitCode.USAGE_ERROR) -> NoReturn:
+    """Print a message on standard error, and exit with a code."""
     click.echo(message, err=True)
     sys.exit(code)
 
 
 def print_answer(output_format: str, answer: Any, lines: Iterable[str]) -> None:
-    """Print an answer as JSON, or as lines for people."""
+    """Print an answer as JSON, or as readable lines."""
     if output_format == "json":
         click.echo(json.dumps(answer))
     else:
@@ -44,7 +44,7 @@
 
 
 def read_document(path: str | pathlib.Path) -> Any:
-    """Return the JSON document in a file; one that cannot be read ends the program."""
+    """Return the JSON document in a file; exit if it cannot be read."""
     try:
         return json.loads(pathlib.Path(path).read_text())
     except (OSError, ValueError) as error:
--- a/indigodeck/cli/scenario.py
+++ b/indigodeck/cli/scenario.py
@@ -1,4 +1,4 @@
-"""The command `day`, which plays a scripted scenario on loopback."""
+"""The command `day`, which runs a scripted scenario on loopback."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 
 import click
 
-from .output import FORMATS, ExitCode, fail, read_document
+from .output import OUTPUT_FORMATS, ExitCode, fail, read_document
 
 
 @click.command()
@@ -17,7 +17,7 @@
     "baselines",
     multiple=True,
     type=click.Choice(["equal", "frozen"]),
-    help="Play a baseline beside it.",
+    help="Also run the scenario under this baseline policy, at the same time.",
 )
 @click.option(
     "--keep",
@@ -25,12 +25,12 @@
     type=click.Path(file_okay=False),
     help="Keep receipts, outcomes and logs in this folder.",
 )
-@click.option("--format", "output_format", default="people", type=click.Choice(FORMATS))
+@click.option("--format", "output_format", default="people", type=click.Choice(OUTPUT_FORMATS))
 @click.option(
     "--bench-troubles",
     "bench_faults_path",
     type=click.Path(dir_okay=False),
-    help="Troubles as found in a bench day, in place of the script's own.",
+    help="Use the faults in this file, in the format of bench days, instead of the script's.",
 )
 def day(
     path: str,
@@ -39,29 +39,34 @@
     output_format: str,
     bench_faults_path: str | None,
 ) -> None:
-    """Play a scripted day on loopback and judge it by its sockets."""
+    """Run a scripted scenario on loopback, and check the rules on its traffic."""
     from ..testbed import scenario, scenario_script
     from ..testbed.scenario_result import format_result
 
     script = read_document(path)
     if bench_faults_path:
-        script["troubles"], without_counterpart = scenario_script.convert_bench_faults(
+        script["troubles"], unsupported_types = scenario_script.convert_bench_faults(
             read_document(bench_faults_path)
         )
-        if without_counterpart:
-            click.echo(f"no counterpart on sockets: {', '.join(without_counterpart)}", err=True)
-    mistakes = scenario_script.check(script)
-    if mistakes:
-        fail("\n".join(f"{path}: {mistake}" for mistake in mistakes))
+        if unsupported_types:
+            click.echo(
+                f"ignored faults that scenarios do not support: {', '.join(unsupported_types)}",
+                err=True,
+            )
+    errors = scenario_script.check(script)
+    if errors:
+        fail("\n".join(f"{path}: {error}" for error in errors))
     started = time.monotonic()
 
-    def report(text: str) -> None:
+    def print_progress(text: str) -> None:
         click.echo(f"{time.monotonic() - started:6.1f} s  {text}", err=True)
 
-    results = asyncio.run(scenario.run(script, ("indigodeck", *baselines), kept_folder, report))
+    results = asyncio.run(
+        scenario.run(script, ("indigodeck", *baselines), kept_folder, print_progress)
+    )
     if output_format == "json":
         click.echo(json.dumps(results))
     else:
         click.echo("\n".join(format_result(result) for result in results))
     if not all(rule["kept"] for rule in results[0]["rules"]):
-        sys.exit(ExitCode.FOUND)
+        sys.exit(ExitCode.PROBLEM_FOUND)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, and what commands print."""
+"""Tests of the command line: exit codes and output of commands."""
 
 import json
 import pathlib
@@ -11,22 +11,22 @@
 from support import EXAMPLE_SCRIPT, ROOT
 
 
-class Commands(unittest.TestCase):
-    """Commands that run as processes of their own."""
+class CommandsTest(unittest.TestCase):
+    """Each command runs as its own process."""
 
-    def run_command(self, *words, **more):
-        """Run one command to its end."""
+    def run_command(self, *arguments, **options):
+        """Run a command until it ends."""
         return subprocess.run(
-            [sys.executable, "-m", "indigodeck", *words],
+            [sys.executable, "-m", "indigodeck", *arguments],
             capture_output=True,
             text=True,
             timeout=60,
             cwd=ROOT,
-            **more,
+            **options,
         )
 
-    def test_check_names_mistakes_by_place_and_sets_exit_codes(self):
-        """`check` names what is wrong by place, and its exit codes hold."""
+    def test_check_reports_errors_with_positions_and_sets_exit_codes(self):
+        """`check` reports each error with its position, and sets the documented exit codes."""
         self.assertEqual(
             self.run_command(
                 "check", "examples/charter.json", "examples/roster.json", "examples/bad-day.json"
@@ -38,15 +38,15 @@
             path.write_text(
                 json.dumps(dict(EXAMPLE_SCRIPT, troubles=[{"at": 1, "kind": "flood"}], colour=1))
             )
-            done = self.run_command("check", str(path))
-            self.assertEqual(done.returncode, 1)
-            self.assertIn("troubles/0/kind: 'flood' is not one of", done.stdout)
-            self.assertIn("'colour' was unexpected", done.stdout)
+            completed = self.run_command("check", str(path))
+            self.assertEqual(completed.returncode, 1)
+            self.assertIn("troubles/0/kind: 'flood' is not one of", completed.stdout)
+            self.assertIn("'colour' was unexpected", completed.stdout)
             path.write_text("{")
             self.assertEqual(self.run_command("serve", "--charter", str(path)).returncode, 2)
 
-    def test_serve_logs_its_port_weights_polls_it_and_sigterm_ends_it(self):
-        """`serve` logs its port, `weights` polls it, SIGTERM ends it."""
+    def test_weights_reads_tables_from_serve_until_sigterm_ends_it(self):
+        """`serve` logs its port, where `weights` reads a table; SIGTERM ends it with code 0."""
         with tempfile.TemporaryDirectory() as folder:
             charter = json.loads((ROOT / "examples/charter.json").read_text())
             charter["fronts"]["sasp"]["port"] = 0
@@ -69,12 +69,19 @@
             )
             try:
                 lines = iter(serve.stdout.readline, "")
-                told = next(line for line in map(json.loads, lines) if line["event"] == "listening")
-                self.assertEqual(told["frontend"], "sasp")
-                asked = self.run_command(
-                    "weights", f"127.0.0.1:{told['port']}", "--class", "reading", "--format", "json"
+                listening = next(
+                    line for line in map(json.loads, lines) if line["event"] == "listening"
                 )
-                shares = json.loads(asked.stdout)["reading"]
+                self.assertEqual(listening["frontend"], "sasp")
+                polled = self.run_command(
+                    "weights",
+                    f"127.0.0.1:{listening['port']}",
+                    "--class",
+                    "reading",
+                    "--format",
+                    "json",
+                )
+                shares = json.loads(polled.stdout)["reading"]
                 self.assertGreaterEqual(len(shares), 4)
                 self.assertAlmostEqual(sum(shares.values()), 1, places=3)
                 serve.send_signal(signal.SIGTERM)
@@ -85,7 +92,7 @@
                 serve.wait()
             self.assertEqual(
                 self.run_command(
-                    "weights", f"127.0.0.1:{told['port']}", "--class", "reading"
+                    "weights", f"127.0.0.1:{listening['port']}", "--class", "reading"
                 ).returncode,
                 3,
             )
