--- a/indigodeck/edge/health_checks.py
+++ b/indigodeck/edge/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of servers from this planner; the answer's body is the server's load report."""
+"""Health checks of servers by this planner; the response body is the server's load report."""
 
 from collections import deque
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from ..clock import SECOND
 from ..errors import MalformedMessageError
 from ..planner.host_client import HttpHostClient
-from .assigner_host import CheckedServer
+from .assigner_host import HealthCheckTarget
 from .codec import MessageCodec
 from .json_fields import read_object
 from .messages import Address
@@ -18,28 +18,28 @@
 PATH = "/_load"
 TIMEOUT = SECOND // 2  # microseconds
 MAX_CONCURRENT = 16
-MAX_WAITING = 256
+MAX_QUEUED = 256
 
 Load = dict[str, float]
-OnHealthCheck = Callable[[CheckedServer, HealthCheckOutcome, int, Load | None], None]
+HealthCheckCallback = Callable[[HealthCheckTarget, HealthCheckOutcome, int, Load | None], None]
 
 
-class WaitingCheck(NamedTuple):
-    """A health check that has not begun."""
+class QueuedCheck(NamedTuple):
+    """A health check that has not started."""
 
-    checked: CheckedServer
+    target: HealthCheckTarget
     address: Address
 
 
-class EdgeHttpHealthCheck(HttpHostClient):
-    """A health check as the platform's servers answer it."""
+class HealthCheckClient(HttpHostClient):
+    """An HTTP client for the health checks of the platform's servers."""
 
     def __init__(self, codec: MessageCodec) -> None:
         super().__init__(PATH)
         self._codec = codec
 
     def read_report(self, answer: Any) -> Load | None:
-        """Return the load report that an answer carries, or None."""
+        """Return the load report in a response, or None if it is missing or invalid."""
         if answer.code != 200 or not answer.body:
             return None
         try:
@@ -49,44 +49,44 @@
 
 
 class HealthChecker:
-    """Runs health checks, some at once; `on_health_check` is called once for each.
+    """Runs at most `MAX_CONCURRENT` health checks at once; `on_health_check` is called for each.
 
-    One too many is reported as never answered.
+    If more than `MAX_QUEUED` are waiting, the oldest is dropped and reported as unanswered.
     """
 
     def __init__(
-        self, codec: MessageCodec, now: Callable[[], int], on_health_check: OnHealthCheck
+        self, codec: MessageCodec, now: Callable[[], int], on_health_check: HealthCheckCallback
     ) -> None:
-        self._http = EdgeHttpHealthCheck(codec)
+        self._http = HealthCheckClient(codec)
         self._now = now
         self._on_health_check = on_health_check
-        self._waiting: deque[WaitingCheck] = deque()
+        self._queue: deque[QueuedCheck] = deque()
         self._running = 0
 
-    def check(self, checked: CheckedServer, address: Address) -> None:
-        """Check a server as soon as there is room."""
-        if len(self._waiting) >= MAX_WAITING:
-            dropped = self._waiting.popleft()
+    def check(self, target: HealthCheckTarget, address: Address) -> None:
+        """Queue a health check; it is sent when fewer than `MAX_CONCURRENT` are running."""
+        if len(self._queue) >= MAX_QUEUED:
+            dropped = self._queue.popleft()
             IOLoop.current().add_callback(
-                self._on_health_check, dropped.checked, HealthCheckOutcome.TIMED_OUT, TIMEOUT, None
+                self._on_health_check, dropped.target, HealthCheckOutcome.TIMED_OUT, TIMEOUT, None
             )
-        self._waiting.append(WaitingCheck(checked, address))
+        self._queue.append(QueuedCheck(target, address))
         if self._running < MAX_CONCURRENT:
             self._running += 1
             IOLoop.current().add_callback(self._run)
 
     async def _run(self) -> None:
         try:
-            while self._waiting:
-                checked, address = self._waiting.popleft()
-                began = self._now()
+            while self._queue:
+                target, address = self._queue.popleft()
+                start_time = self._now()
                 outcome: HealthCheckOutcome
                 load: Load | None
                 try:
                     outcome, load = await self._http.check(address, TIMEOUT / SECOND)
-                except Exception:  # a check that is never reported would be the server's last
+                except Exception:  # the assigner never repeats a check that was not reported
                     outcome = HealthCheckOutcome.ERROR
                     load = None
-                self._on_health_check(checked, outcome, self._now() - began, load)
+                self._on_health_check(target, outcome, self._now() - start_time, load)
         finally:
             self._running -= 1
--- a/tests/assignment/scenarios.py
+++ b/tests/assignment/scenarios.py
@@ -1,4 +1,4 @@
-"""Fleets and deployments that several tests of the assigner start from."""
+"""Fleets and deployments that several tests of the assigner use."""
 
 import dataclasses
 
@@ -8,13 +8,16 @@
 from indigodeck.clock import SECOND
 
 
-def fleet(count=12, **stated):
-    """Return ready servers, from index 0 on."""
-    return [server(index, **stated) for index in range(count)]
+def fleet(count=12, **fields):
+    """Return `count` ready servers with indices from 0."""
+    return [server(index, **fields) for index in range(count)]
 
 
 def zone_bound_host():
-    """Return two zones, the second class zone-bound; odd servers and proxy 1 are in zone 1."""
+    """Return a host with two zones whose second class is zone-bound.
+
+    The servers with odd indices and proxy 1 are in zone 1.
+    """
     read, write = deployment_settings().classes
     host = RecordingHost(
         deployment_settings(
@@ -25,15 +28,15 @@
     return host
 
 
-def large_deployment(joined=270, **stated):
-    """Return many proxies and servers in three zones, where groups of proxies have tables."""
+def large_deployment(joined=270, **settings):
+    """Return a host with many proxies and servers in three zones, and tables for proxy groups."""
     host = RecordingHost(
         deployment_settings(
             zone_count=3,
             proxy_count=270,
             lines_per_second=4500,
             max_waiting_lines=6800,
-            **stated,
+            **settings,
         )
     )
     host.assigner.on_endpoint_update(
--- a/tests/leadership/test_stored_leases.py
+++ b/tests/leadership/test_stored_leases.py
@@ -45,10 +45,12 @@
     def test_leases_and_rejections_are_read_from_the_store(self):
         """Both are read from their keys, and written back unchanged."""
         reader = self.open_store()
-        leases = StoredRecord(reader.store, reader.held, "charge", RecordFile(self.folder / "none"))
+        leases = StoredRecord(
+            reader.store, reader.values, "charge", RecordFile(self.folder / "none")
+        )
         rejections = StoredRecord(
             reader.store,
-            reader.held,
+            reader.values,
             "refused",
             RecordFile(self.folder / "none"),
             list,
@@ -57,7 +59,7 @@
         self.assertEqual((leases.read(), rejections.read()), (LEASES, REJECTIONS))
         self.assertTrue(leases.save(LEASES) and rejections.save(REJECTIONS))
         reader.reopen()
-        self.assertEqual(reader.held, STORE_CONTENT["records"])
+        self.assertEqual(reader.values, STORE_CONTENT["records"])
 
     def test_leases_and_rejections_are_read_from_files_and_written_back_unchanged(self):
         """Each file is decoded to the expected record, which is written as the same bytes."""
