--- a/tests/leadership/controllers.py
+++ b/tests/leadership/controllers.py
@@ -6,12 +6,13 @@
 import tempfile
 import unittest
 
+# gRPC reads this variable when it is imported.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
-from support import ROOT, until  # noqa: E402 - after the variable
+from support import ROOT, until  # noqa: E402
 
-from indigodeck.leadership.operator_client import send_operator_request  # noqa: E402 - after the variable
-from indigodeck.testbed.controller_fleet import ControllerFleet  # noqa: E402 - after the variable
+from indigodeck.leadership.operator_client import send_operator_request  # noqa: E402
+from indigodeck.testbed.controller_fleet import ControllerFleet  # noqa: E402
 
 
 class ControllersTestCase(unittest.IsolatedAsyncioTestCase):
--- a/tests/leadership/test_controllers.py
+++ b/tests/leadership/test_controllers.py
@@ -9,18 +9,19 @@
 import unittest
 import unittest.mock
 
+# gRPC reads this variable when it is imported.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
-from support import ROOT, start_stock_client, until  # noqa: E402 - after the variable
+from support import ROOT, start_stock_client, until  # noqa: E402
 
-from indigodeck.client import Tables  # noqa: E402 - after the variable
-from indigodeck.client.xds import XdsClient  # noqa: E402 - after the variable
-from indigodeck.client.xds_session import XdsSession  # noqa: E402 - after the variable
-from indigodeck.clock import now  # noqa: E402 - after the variable
-from indigodeck.testbed.faulty_link import FaultyLink  # noqa: E402 - after the variable
-from indigodeck.testbed.fleet_scenario import FleetScenarioRunner  # noqa: E402 - after the variable
-from indigodeck.testbed.grpc_host import GrpcHost  # noqa: E402 - after the variable
-from leadership.controllers import ControllersTestCase  # noqa: E402 - after the variable
+from indigodeck.client import Tables  # noqa: E402
+from indigodeck.client.xds import XdsClient  # noqa: E402
+from indigodeck.client.xds_session import XdsSession  # noqa: E402
+from indigodeck.clock import now  # noqa: E402
+from indigodeck.testbed.faulty_link import FaultyLink  # noqa: E402
+from indigodeck.testbed.fleet_scenario import FleetScenarioRunner  # noqa: E402
+from indigodeck.testbed.grpc_host import GrpcHost  # noqa: E402
+from leadership.controllers import ControllersTestCase  # noqa: E402
 
 
 class ControllerProcesses(ControllersTestCase):
--- a/tests/leadership/test_relay_client.py
+++ b/tests/leadership/test_relay_client.py
@@ -3,14 +3,15 @@
 import os
 import unittest
 
+# gRPC reads this variable when it is imported.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
-from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402 - after the variable
-from indigodeck.client import Tables  # noqa: E402 - after the variable
-from indigodeck.client.reconnecting import ReconnectBackoff  # noqa: E402 - after the variable
-from indigodeck.client.tables import RequestRejectedError  # noqa: E402 - after the variable
-from indigodeck.client.xds_session import XdsSession  # noqa: E402 - after the variable
-from indigodeck.frontends.xds import codec  # noqa: E402 - after the variable
+from indigodeck.assignment.seeded_random import SeededRandom  # noqa: E402
+from indigodeck.client import Tables  # noqa: E402
+from indigodeck.client.reconnecting import ReconnectBackoff  # noqa: E402
+from indigodeck.client.tables import RequestRejectedError  # noqa: E402
+from indigodeck.client.xds_session import XdsSession  # noqa: E402
+from indigodeck.frontends.xds import codec  # noqa: E402
 
 
 class RelayClient(unittest.TestCase):
