--- a/indigodeck/frontends/sasp/codec/constants.py
+++ b/indigodeck/frontends/sasp/codec/constants.py
@@ -1,4 +1,4 @@
-"""The numbers of the Server/Application State Protocol: types, return codes, flags, sizes."""
+"""The constants of the Server/Application State Protocol: types, return codes, flags, sizes."""
 
 import struct
 
@@ -7,7 +7,7 @@
 HEADER_TYPE = 0x2010
 COMPONENT_HEADER = struct.Struct("!HH")  # type, length
 
-# Types of messages.
+# Message types.
 REGISTER = 0x1010
 REGISTERED = 0x1015
 DEREGISTER = 0x1020
@@ -20,7 +20,7 @@
 SET_MEMBERS = 0x1060
 MEMBERS_SET = 0x1065
 
-# Types of components.
+# Component types.
 MEMBER = 0x3010
 GROUP = 0x3011
 WEIGHT_ENTRY = 0x3012
@@ -30,7 +30,7 @@
 GROUP_OF_STATES = 0x4012
 
 # Return codes.
-DONE = 0x00
+SUCCESSFUL = 0x00
 NOT_UNDERSTOOD = 0x10
 NOT_ACCEPTED = 0x11
 ALREADY_REGISTERED = 0x40
@@ -43,8 +43,8 @@
 GROUP_NAME_SIZE = 0x50
 BALANCER_SIZE = 0x51
 BALANCER_ABSENT = 0x61
-MEANINGS = {
-    DONE: "successful",
+RETURN_CODE_MEANINGS = {
+    SUCCESSFUL: "successful",
     NOT_UNDERSTOOD: "message not understood",
     NOT_ACCEPTED: "the manager will not accept this message from the sender",
     ALREADY_REGISTERED: "member already registered",
@@ -59,16 +59,16 @@
     BALANCER_ABSENT: "the load balancer of this member has not yet contacted the manager",
 }
 
-# Flags are read from the most significant bit down, as RFCs number bits (docs/sasp.md).
+# Flags. The RFC numbers bits from the most significant one down (docs/sasp.md).
 PUSH = 0x80
 TRUST = 0x40
 NO_CHANGE = 0x20
-CONTACT = 0x80
+CONTACT_SUCCESS = 0x80
 QUIESCED = 0x40
 BY_BALANCER = 0x20
 CONFIDENT = 0x10
 FROM_BALANCER = 0x80
 QUIESCE = 0x80
 
-LONGEST_COMPONENT = 0xFFFF
-LONGEST_TEXT = 0xFF
+MAX_COMPONENT_BYTES = 0xFFFF
+MAX_TEXT_BYTES = 0xFF
