--- a/tests/leadership/test_stored_leases.py
+++ b/tests/leadership/test_stored_leases.py
@@ -43,7 +43,7 @@
     """Lease records and rejected tables, in a store and in files."""
 
     def test_leases_and_rejections_are_read_from_the_store(self):
-        """Both are found under their keys, and written back alike."""
+        """Both are read from their keys, and written back unchanged."""
         reader = self.open_store()
         leases = StoredRecord(
             reader.store, reader.values, "charge", RecordFile(self.folder / "none")
