--- a/tests/planner/stored_planner.py
+++ b/tests/planner/stored_planner.py
@@ -47,24 +47,24 @@
     client: Any
     task: asyncio.Task
 
-    def ports(self) -> set[int]:
+    def host_numbers(self) -> set[int]:
         """Return the numbers of the hosts in the table of the class `reading`."""
         return host_numbers(self.tables)
 
-    async def until_ports(self, numbers: set[int]) -> None:
+    async def until_hosts(self, numbers: set[int]) -> None:
         """Wait until the table holds exactly these hosts."""
-        await until(lambda: self.ports() == numbers)
+        await until(lambda: self.host_numbers() == numbers)
 
     async def until_without(self, *numbers: int) -> None:
         """Wait until the table holds none of these hosts."""
-        await until(lambda: not self.ports() & set(numbers))
+        await until(lambda: not self.host_numbers() & set(numbers))
 
 
 @contextlib.asynccontextmanager
 async def connected_client(planner: Planner) -> AsyncIterator[ConnectedClient]:
     """Connect a client, wait for its first table, and stop it at the end."""
     connected = ConnectedClient(*planner.client())
-    await until(connected.ports)
+    await until(connected.host_numbers)
     yield connected
     connected.client.stop()
     await asyncio.wait([connected.task], timeout=CLIENT_STOP_SECONDS)
--- a/tests/planner/test_restart.py
+++ b/tests/planner/test_restart.py
@@ -25,7 +25,7 @@
                 planner.set_host_states(host_0="draining", host_1="draining")
                 await client.until_without(0, 1)
                 planner.set_host_states(host_0="ready", host_1="ready")
-                await client.until_ports(set(range(6)))
+                await client.until_hosts(set(range(6)))
                 answer = await planner.service.versions.on_operator_request(
                     {
                         "what": "rollback",
@@ -71,7 +71,7 @@
             (folder_of(planner) / "roster.json").unlink()
             async with restarted(planner), connected_client(planner) as client:
                 service = planner.service
-                self.assertEqual(client.ports(), {0, 1, 2, 4, 5})
+                self.assertEqual(client.host_numbers(), {0, 1, 2, 4, 5})
                 index_of = service.endpoints.server_ids.index_of
                 self.assertEqual(
                     sorted(service.planner_host.assigner.state.tables[0].members),
@@ -84,7 +84,7 @@
                 planner.version = 0
                 planner.set_host_states(host_4="draining")
                 await until(lambda: planner.log_events("endpoint_list_stale"))
-                self.assertIn(4, client.ports())
+                self.assertIn(4, client.host_numbers())
                 planner.version = 5
                 planner.set_host_states(host_4="draining")
                 await client.until_without(4)
--- a/tests/versions/test_versions_command.py
+++ b/tests/versions/test_versions_command.py
@@ -53,7 +53,7 @@
             planner.set_host_states(host_0="draining")
             await client.until_without(0)
             planner.set_host_states(host_0="ready")
-            await until(lambda: 0 in client.ports())
+            await until(lambda: 0 in client.host_numbers())
             numbers = [str(number) for number in sorted(publisher.version_log.versions)]
             _, output = await self.run_versions("diff", numbers[0], numbers[1])
             self.assertIn("host-0                   4.0 -> -", output)
@@ -75,7 +75,7 @@
             await client.until_without(5)
             code, _ = await self.run_versions("release", "--reason", "mended")
             self.assertEqual(code, 0)
-            await client.until_ports({0, 1, 2, 3, 4})
+            await client.until_hosts({0, 1, 2, 3, 4})
             code, _ = await self.run_versions("pin", numbers[0])
             self.assertEqual(code, 0)
             _, output = await self.run_versions("list")
