--- a/indigodeck/edge/codec.py
+++ b/indigodeck/edge/codec.py
@@ -192,8 +192,8 @@
             return {"do": "eject" if ejected else "uneject", "server": server}
         case ClearTable(table):
             return {"do": "wipe", "group": table}
-        case RequestAck(number, everyone):
-            return {"do": "fence", "nonce_out": number, "on": int(everyone)}
+        case RequestAck(number, all_proxies):
+            return {"do": "fence", "nonce_out": number, "on": int(all_proxies)}
 
 
 def _name_of(entry: Any) -> str:
--- a/indigodeck/edge/messages.py
+++ b/indigodeck/edge/messages.py
@@ -125,7 +125,7 @@
     """Request an `Ack` from the proxies that earlier orders of the same call reach, or from all."""
 
     number: int
-    everyone: bool
+    all_proxies: bool
 
 
 Order: TypeAlias = SetWeight | ClearTable | AssignTable | SetEjected | SetAdmission | RequestAck
