--- a/indigodeck/edge/assigner_host.py
+++ b/indigodeck/edge/assigner_host.py
@@ -113,8 +113,6 @@
         self.ignored_messages = 0
         self.assigner = make_assigner(self, settings, seed)
 
-    # Events from the platform.
-
     def on_endpoint_list(self, endpoint_list: EndpointList, cached: bool = False) -> None:
         """Handle an answer of discovery, or the list `cached` before this planner started."""
         # Leaves out servers that were gone before they were known: no order or report names them,
--- a/indigodeck/edge/service.py
+++ b/indigodeck/edge/service.py
@@ -108,8 +108,6 @@
             fields = [order_fields(order) for order in details] if is_orders else details
             print(json.dumps([self.now(), event, fields], default=repr), file=sys.stderr)
 
-    # Start, reload and stop.
-
     def start(self) -> None:
         """Apply the cached endpoint list, then open all connections."""
         bootstrap = self._bootstrap
--- a/indigodeck/frontends/sasp/connection.py
+++ b/indigodeck/frontends/sasp/connection.py
@@ -71,8 +71,6 @@
             )
             self.stream.close()
 
-    # Reading.
-
     async def run(self) -> None:
         """Serve the peer until either side closes the connection."""
         writer = asyncio.get_running_loop().create_task(self._write_updates())
@@ -133,8 +131,6 @@
             # The peer has left while waiting, and all tables would be sent to it in vain.
             raise StreamClosedError
 
-    # Writing.
-
     async def _write_updates(self) -> None:
         try:
             while True:
--- a/indigodeck/frontends/sasp/conversation.py
+++ b/indigodeck/frontends/sasp/conversation.py
@@ -220,8 +220,6 @@
             return_code = error.return_code
         self.connection.send(codec.answer(message_id, reply_type, return_code))
 
-    # Pushed weights.
-
     def next_message(self) -> bytes | None:
         """Return the message that brings the load balancer up to date.
 
@@ -270,8 +268,6 @@
             known.update(self.registry.environment.address_of(server) for server in table)
         return known
 
-    # The end of the connection.
-
     def on_replaced(self) -> None:
         """Close the connection, as its proxy is now served elsewhere, and keep the proxy joined.
 
--- a/indigodeck/frontends/xds/codec.py
+++ b/indigodeck/frontends/xds/codec.py
@@ -207,9 +207,6 @@
     return wrapped
 
 
-# Responses.
-
-
 def full_response(
     type_url: str, version: str, nonce: str, resources: Iterable[NamedResource]
 ) -> discovery_pb2.DiscoveryResponse:
@@ -247,9 +244,6 @@
     )
 
 
-# Messages from proxies.
-
-
 def node_identity(node: base_pb2.Node, zone_names: Collection[str]) -> NodeIdentity:
     """Return the identity that a proxy states in its node message."""
     zone = node.locality.zone
--- a/indigodeck/frontends/xds/server.py
+++ b/indigodeck/frontends/xds/server.py
@@ -145,7 +145,7 @@
         if self._server is not None:
             asyncio.get_running_loop().create_task(self._server.stop(0))
 
-    # Discovery. The names of these methods are given by the xDS services.
+    # The names of these methods are given by the xDS services.
 
     async def StreamAggregatedResources(self, requests: Any, context: Any) -> None:  # noqa: N802 as in xDS
         """Serve one state-of-the-world stream."""
@@ -198,8 +198,6 @@
             del self._proxies_by_id[proxy.proxy_id]
             self.service.proxies.on_proxy_left(self, proxy.index)
 
-    # Load reports.
-
     async def StreamLoadStats(self, requests: Any, context: Any) -> None:  # noqa: N802 as in xDS
         """Receive the load reports of a proxy.
 
--- a/indigodeck/frontends/xds/streams.py
+++ b/indigodeck/frontends/xds/streams.py
@@ -73,8 +73,6 @@
         proxy.streams.append(stream)
         return stream
 
-    # Requests.
-
     def on_full_request(
         self, type_url: str, names: Collection[str], nonce: str, error: str | None
     ) -> None:
@@ -211,8 +209,6 @@
         subscription.on_uncertain(response)
         return response.updates
 
-    # Responses.
-
     def send_next(self, only: Collection[str] = RESOURCE_TYPES) -> str | None:
         """Send the next response that is due among these types, and return its type, if any.
 
--- a/indigodeck/leadership/candidacy.py
+++ b/indigodeck/leadership/candidacy.py
@@ -52,8 +52,6 @@
         self._cooldown_until: dict[str, int] = {}  # by relay group
         self._rounds = state.settings.incarnation << COUNTER_BITS
 
-    # Which relay groups to campaign for.
-
     def preference_order(self, relay_group: str) -> list[str]:
         """Return the members by their priority as leaders of a relay group, highest first.
 
@@ -90,8 +88,6 @@
     def _in_cooldown(self, relay_group: str) -> bool:
         return self._state.host.now() < self._cooldown_until.get(relay_group, 0)
 
-    # Requesting leases.
-
     def on_timer(self, relay_group: str, now: int, planner_works: bool) -> None:
         """End leadership whose lease has expired, renew the lease, or campaign for the group."""
         state = self._state
@@ -226,8 +222,6 @@
             jitter = self._random.randbelow(state.settings.tick)
             candidacy.retry_at = max(candidacy.retry_at, state.host.now() + pause + jitter)
 
-    # Leading.
-
     def may_write(self, relay_group: str, epoch: int) -> bool:
         """Return whether an order under this epoch may be sent now.
 
--- a/indigodeck/leadership/election.py
+++ b/indigodeck/leadership/election.py
@@ -98,8 +98,6 @@
         """The number of the newest membership known here; -1 before this member first joins."""
         return self.state.membership_number
 
-    # Events.
-
     def on_message(self, member: str, message: ElectionMessage) -> None:
         """Handle a message from another member."""
         self._handlers[type(message)](member, message)  # type: ignore[operator]
@@ -142,8 +140,6 @@
         if message.membership_number < self.state.membership_number:
             self.membership.inform(member)
 
-    # Leading.
-
     def may_write(self, relay_group: str, epoch: int) -> bool:
         """Return whether an order under this epoch may be sent; call it as bytes are written."""
         return self.candidate.may_write(relay_group, epoch)
@@ -152,8 +148,6 @@
         """Return the epoch under which this member leads a relay group now, or None."""
         return self.candidate.leading_epoch(relay_group)
 
-    # Operators' requests.
-
     def transfer_leadership(self, relay_group: str) -> bool:
         """Release a relay group for another member to lead; False if it is not led here."""
         return self.candidate.transfer(relay_group)
--- a/indigodeck/leadership/membership.py
+++ b/indigodeck/leadership/membership.py
@@ -34,8 +34,6 @@
         self.requested: Members | None = None  # an operator's request that is not decided yet
         self._informed_at: dict[str, int] = {}
 
-    # Operators' requests.
-
     def change(self, members: Members) -> str | None:
         """Start to add or remove one member; complete once the membership has the next number.
 
@@ -94,7 +92,7 @@
             self.inform(member)
         return None
 
-    # Proposals, made by the leader of the first relay group.
+    # Proposals are made by the leader of the first relay group.
 
     def unfinished_proposal(self) -> Proposal | None:
         """Return a proposal that must be completed before any other, or None.
@@ -171,8 +169,6 @@
                 self._informed_at.pop(name, None)
                 self.inform(name)
 
-    # Acceptance.
-
     def on_proposal(self, member: str, message: ProposeMembers) -> None:
         """Accept a leader's proposal, or inform the leader of a newer membership."""
         state = self._state
@@ -209,8 +205,6 @@
             return True
         return state.save(state.record._replace(proposal=proposal))
 
-    # Decided memberships.
-
     def inform(self, member: str) -> None:
         """Send a member the membership, at most once per tick: it may request many groups."""
         state = self._state
--- a/indigodeck/leadership/message_checks.py
+++ b/indigodeck/leadership/message_checks.py
@@ -48,9 +48,6 @@
     return is_number and 0 <= value < WEIGHT_LIMIT
 
 
-# Election and membership.
-
-
 def _is_known_epoch(value: Any) -> bool:
     return (
         _is_list_of(value, 2) and is_integer(value[0]) and (value[1] is None or is_text(value[1]))
@@ -103,9 +100,6 @@
 }
 
 
-# Versions of tables and operators' requests.
-
-
 def _are_operator_requests(value: Any) -> bool:
     return (
         isinstance(value, dict)
--- a/indigodeck/leadership/model.py
+++ b/indigodeck/leadership/model.py
@@ -116,8 +116,6 @@
             delay = 1000 + self.random.randbelow(3 * LEASE if is_slow else 50_000)
             self.schedule(self.clock + delay, lambda: member.deliver(source, message))
 
-    # Faults.
-
     def cause_fault(self) -> None:
         """Inject one fault and schedule the next; once faults end, repair everything."""
         if not self.has_faults():
@@ -273,8 +271,6 @@
             return election.membership_number == newest and election.recovery.is_recovered()
         return election.membership_number >= self._removed_by.get(member.name, -1)
 
-    # Invariants.
-
     def check(self) -> list[tuple[str, int]]:
         """Return the members that may write now, at most one, with their epochs.
 
--- a/indigodeck/leadership/transport.py
+++ b/indigodeck/leadership/transport.py
@@ -202,8 +202,6 @@
         for name in self._peers:
             self.send(name, notice)
 
-    # Connections.
-
     async def _send_queue(self, peer: PeerQueue) -> None:
         """Send a peer its queued messages, and reconnect with backoff after failures."""
         backoff = MIN_RECONNECT_BACKOFF
@@ -279,8 +277,6 @@
         elif isinstance(message, messages.ReplicationMessage):
             self._service.on_replication_message(member, message.kind, message.fields)
 
-    # Operators' requests.
-
     async def _answer(self, kind: str, message: messages.Message) -> Any:
         match message:
             case messages.StatusQuery():
--- a/indigodeck/planner/endpoint_directory.py
+++ b/indigodeck/planner/endpoint_directory.py
@@ -207,8 +207,6 @@
         finally:
             self._is_from_source = True
 
-    # Storage of the list.
-
     def _schedule_save(self) -> None:
         if self._service.versions.store is not None and not self._is_save_scheduled:
             self._is_save_scheduled = True
--- a/indigodeck/planner/health_inference.py
+++ b/indigodeck/planner/health_inference.py
@@ -84,8 +84,6 @@
         self._last_polled_at = sink.now()
         self._stall_ended_at = -(1 << 60)  # when the planner last resumed after a stall
 
-    # Hosts and proxies joining and leaving.
-
     def on_endpoint_update(self, servers: Iterable[Server]) -> None:
         """Add or remove servers according to their state in the list."""
         for server in servers:
@@ -106,8 +104,6 @@
         """Remove a proxy from those that demand is split over."""
         self._proxies = [other for other in self._proxies if other != proxy]
 
-    # Results of checks and report fetches.
-
     def on_host_report(self, server: int, report: HostReport, at: int) -> None:
         """Record a load report, which describes the state of the host at time `at`."""
         host = self.hosts.get(server)
@@ -133,8 +129,6 @@
         succeeded = outcome == HealthCheckOutcome.OK
         host.add_check(at, succeeded, latency)
 
-    # Schedule of checks.
-
     def take_due_checks(self, now: int) -> list[int]:
         """Return the hosts to check now, within the rate and concurrency limits.
 
@@ -188,8 +182,6 @@
             :CONTROL_COUNT
         ]
 
-    # Reports to the assigner.
-
     def recent_latency(self, server: int) -> int:
         """Return the mean latency of recent requests at a host, or 0 if it is unknown."""
         host = self.hosts.get(server)
--- a/indigodeck/planner/pending_updates.py
+++ b/indigodeck/planner/pending_updates.py
@@ -81,8 +81,6 @@
         self._changed_proxies: set[int] = set()  # since the last flush
         self._requested_acks: list[int] = []
 
-    # Proxies and their assigned tables.
-
     def on_proxy_joined(self, proxy: int) -> None:
         """Add a proxy, assigned to no table and with no pending update."""
         self.by_proxy[proxy] = PendingUpdates()
@@ -108,8 +106,6 @@
                 if bound == table:
                     yield proxy, pending, class_index
 
-    # Adding to the queue.
-
     def add(self, proxy: int, class_index: int, servers: Iterable[int]) -> None:
         """Queue these servers' lines of a class for a joined proxy."""
         self.by_proxy[proxy].add(self._now(), class_index, servers)
@@ -143,8 +139,6 @@
             self.peak_waiting_lines = max(self.peak_waiting_lines, self.waiting_lines())
         return changed_proxies
 
-    # Reading the queue.
-
     def waiting_lines(self) -> float:
         """Return the number of queued lines for all proxies, including message overhead."""
         return sum(
--- a/indigodeck/planner/planner_host.py
+++ b/indigodeck/planner/planner_host.py
@@ -88,8 +88,6 @@
         self.assigner = make_assigner(self, settings, seed)
         self.flush_orders("start")
 
-    # Events.
-
     def on_endpoint_update(self, kind: UpdateKind, servers: Sequence[Server]) -> None:
         """Process a full or incremental update of the endpoint list."""
         self.endpoints.update((server.index, server) for server in servers)
@@ -175,8 +173,6 @@
         self.assigner.on_timer(token)
         self.flush_orders("a turn")
 
-    # State for frontends.
-
     def waiting_lines(self) -> float:
         """Return the number of queued lines for all proxies, including message overhead."""
         return self.updates.waiting_lines()
--- a/indigodeck/planner/service.py
+++ b/indigodeck/planner/service.py
@@ -111,8 +111,6 @@
         """Return the wall-clock time in microseconds since 1970."""
         return now() + self.wall_clock_offset
 
-    # Life cycle.
-
     def start(self) -> None:
         """Start to read the endpoint list and to check hosts; called once, on the event loop."""
         self.endpoints.start(self.versions.stored_list())
--- a/indigodeck/planner/version_hooks.py
+++ b/indigodeck/planner/version_hooks.py
@@ -114,8 +114,6 @@
         if self.store is not None:
             self.store.close()
 
-    # Events from the planner.
-
     def resume_tables(self) -> None:
         """Continue with the tables published before a restart, once their servers are known."""
         if self.publisher is not None:
@@ -144,8 +142,6 @@
         """Write an event to the log."""
         self._service.log_event(event, **fields)
 
-    # Operator requests.
-
     async def on_operator_request(self, request: Any) -> dict[str, Any]:
         """Execute an operator request (`operator_request.schema.json`).
 
@@ -185,7 +181,7 @@
             "list": self._service.endpoints.endpoint_list.version,
         }
 
-    # Start counts: without other controllers they take the place of epochs in version numbers.
+    # Without other controllers, start counts take the place of epochs in version numbers.
 
     def _store_start_count(self, count: int) -> None:
         """Store the start count, with retries; versions are numbered only after that."""
@@ -204,8 +200,6 @@
 
         IOLoop.current().add_future(self.store.put([(START_COUNT_KEY, count)]), on_stored)
 
-    # Events from the publisher.
-
     def _on_version_published(self, version: Version, delta: SnapshotDelta) -> None:
         if self.replicator is not None:
             self.replicator.send_version(version, delta)
--- a/indigodeck/store/write_ahead_log.py
+++ b/indigodeck/store/write_ahead_log.py
@@ -74,8 +74,6 @@
         self._compaction: Compaction | None = None
         self._begin_segment()
 
-    # Reading.
-
     def keys(self) -> list[str]:
         """Return the keys that have a value, sorted."""
         return sorted(self.index)
@@ -110,8 +108,6 @@
     def _report_damage(self, name: str, offset: int, reason: str) -> None:
         self.damage.append(Damage(name, offset, reason))
 
-    # Writing.
-
     def commit(self, batches: Iterable[Changes]) -> None:
         """Write each batch of changes as one record, then sync once.
 
@@ -195,7 +191,7 @@
         self._compaction = None
         return reason
 
-    # Compaction, in small steps between commits.
+    # Compaction is done in small steps between commits.
 
     def compaction_due(self) -> bool:
         """Whether a compaction is in progress or is worth its cost."""
--- a/indigodeck/testbed/faulty_disk.py
+++ b/indigodeck/testbed/faulty_disk.py
@@ -179,8 +179,6 @@
             raise OSError(self.errors[number], "simulated disk error")
         apply()
 
-    # The disk as the next process finds it.
-
     def after_power_cut(
         self, cut_at: int | None = None, errors: Mapping[int, int] | None = None
     ) -> "FaultyDisk":
--- a/tests/frontends/lossy_network.py
+++ b/tests/frontends/lossy_network.py
@@ -73,8 +73,6 @@
         self.proxies = [SimulatedProxy(self, number) for number in range(4)]
         self.restart_planner()
 
-    # The planner.
-
     def restart_planner(self):
         """Start a new planner with the stored data of the last one, under the next epoch."""
         self.epoch += 1
@@ -188,8 +186,6 @@
         """Return no rejected versions."""
         return {}
 
-    # The network.
-
     def deliver(self, proxy, incarnation, call, *arguments):
         """Deliver a message by a call: possibly never, twice or late, and only while connected."""
         if self.random.randbelow(100) < self.loss_percent:
@@ -294,8 +290,6 @@
         self.network.deliver(self, self.incarnation, self.receive, data)
         self.request_write()
 
-    # The proxy.
-
     def receive(self, data):
         """Apply a response, and answer it over the network."""
         try:
