--- a/tests/assignment/test_channel_account.py
+++ b/tests/assignment/test_channel_account.py
@@ -43,7 +43,7 @@
         self.assertEqual(channel.queued_lines(6 * SECOND), 0)
         self.assertEqual((channel.throughput_ratio, channel.lateness(6 * SECOND)), (1.0, 0))
 
-    def test_unanswered_requests_are_given_up(self):
+    def test_unanswered_requests_expire(self):
         """Proxies that have left do not hold up the channel forever."""
         channel = self.new_account()
         self.record_order(channel, 300, 0)
--- a/tests/assignment/test_delivery.py
+++ b/tests/assignment/test_delivery.py
@@ -49,7 +49,7 @@
         self.assert_matches_trace("drains-after-joins", host)
         self.assertEqual(host.assigner.state.ejected, {4, 7, 9})
 
-    def test_proxy_at_its_limit_holds_back_its_own_ejections_alone(self):
+    def test_proxy_at_its_limit_delays_only_its_own_ejections(self):
         """Ejections that do not concern its tables are sent."""
         host = RecordingHost(deployment_settings(max_messages=20, proxy_count=40))
         host.start(fleet(30), proxies=40)
@@ -84,7 +84,7 @@
 class DepartedServerTest(unittest.TestCase):
     """The state of servers that are gone."""
 
-    def test_server_long_gone_is_forgotten(self):
+    def test_state_of_a_server_long_gone_is_deleted(self):
         """After a while no state is kept about it."""
         host = RecordingHost()
         host.start(fleet())
--- a/tests/assignment/test_key_ranges.py
+++ b/tests/assignment/test_key_ranges.py
@@ -12,7 +12,7 @@
 class KeyRangeTest(unittest.TestCase):
     """Key ranges move only when their server drains or is gone."""
 
-    def test_key_ranges_keep_their_server_until_it_goes(self):
+    def test_key_ranges_keep_their_server_until_it_drains_or_is_gone(self):
         """Load and failures do not move a key range."""
         host = RecordingHost(deployment_settings(key_range_count=8))
         host.assigner.on_endpoint_update(UpdateKind.INCREMENTAL, fleet(4))
