--- a/indigodeck/frontends/sasp/conversation.py
+++ b/indigodeck/frontends/sasp/conversation.py
@@ -121,7 +121,7 @@
         if proxy is None:
             self._reject_proxy(load_balancer_id, "another controller leads it, or too many relays")
         if not self.registry.claim(load_balancer_id, self):
-            self._reject_proxy(load_balancer_id, "its id is taken over by turns")
+            self._reject_proxy(load_balancer_id, "different connections took over its id too often")
         self.load_balancer_id = load_balancer_id
         self.proxy = proxy
         environment.on_proxy_joined(proxy, load_balancer_id)
@@ -199,7 +199,9 @@
 
     def answered(self, message_id: int, reply_type: int, return_code: int) -> None:
         """Reject a reply, as the planner sends no requests."""
-        raise MalformedSaspMessageError(f"a reply ({reply_type:#06x}) to nothing that was asked")
+        raise MalformedSaspMessageError(
+            f"unexpected reply of type {reply_type:#06x}: no request was sent"
+        )
 
     def weights(
         self, message_id: int, return_code: int, interval: int, groups: Sequence[WeightGroup]
@@ -274,7 +276,7 @@
         Another connection has taken over the load balancer's id, or another planner serves it.
         """
         self.proxy = None
-        self.connection.close("its relay is spoken to elsewhere now")
+        self.connection.close("another connection or planner serves this relay now")
 
     def on_closed(self) -> None:
         """Handle the end of the connection: the proxy leaves, unless it is served elsewhere."""
