--- a/tests/frontends/test_sasp_conversation.py
+++ b/tests/frontends/test_sasp_conversation.py
@@ -164,7 +164,7 @@
         connection.push()
         planner.run(12)
         connection.push()
-        planner.log_event("the relay asks")
+        planner.log_event("the load balancer polls the weights of group write")
         connection.receive(codec.get_weights(7, [(b"r1", b"write")]))
         self.assert_matches_trace("sasp-relay", planner)
 
@@ -228,18 +228,18 @@
         """Members that are not in the list get weights without confidence."""
         planner = SaspPlanner(servers=0)
         connection, untrusting = RecordedConnection(planner), RecordedConnection(planner)
-        planner.log_event("no list yet: no opinion")
+        planner.log_event("no endpoint list yet: weights are sent without confidence")
         connection.receive(
             *opening_messages(members=(0, 20)), codec.get_weights(3, [(b"r1", b"read")])
         )
         untrusting.receive(*opening_messages(proxy_id=b"r2", trust=False, members=(20, 21)))
         planner.run(1)
-        planner.log_event("a list that names neither relay's members but one")
+        planner.log_event("a list with only one of the registered members, server 0 of r1")
         planner.change_list(*[server(index) for index in range(5)])
         planner.run(1)
         connection.push()
         untrusting.push()
-        planner.log_event("members that are listed come in place of no opinion")
+        planner.log_event("servers 20 and 21 are listed: their weights are sent with confidence")
         planner.change_list(server(20), server(21))
         planner.run(12)
         connection.push()
@@ -271,7 +271,9 @@
             planner.run(0.5)
         self.assertEqual(sum(connection.closed is None for connection in connections), 3)
         self.assertEqual(len(planner.planner_host.updates.by_proxy), 1)
-        planner.log_event("what a replaced connection still asks is not answered for the relay")
+        planner.log_event(
+            "a replaced connection polls weights and is answered as an unknown load balancer"
+        )
         connections[0].receive(codec.get_weights(9, [(b"r1", b"read")]))
         planner.run(11)
         late = RecordedConnection(planner)
--- a/tests/frontends/test_xds_streams.py
+++ b/tests/frontends/test_xds_streams.py
@@ -130,17 +130,19 @@
         client.drain()
         for kind in SHORT_NAMES.values():
             client.answer(kind)
-        planner.log_event("three states go out before the first is answered; a fourth waits")
+        planner.log_event(
+            "three versions are sent before the first is acknowledged; the fourth is held back"
+        )
         for version in ("4", "5", "6", "7"):
             planner.set(version)
             planner.updates.append(version)
             planner.proxy.take_updates()
             client.drain()
-        planner.log_event("the one before the newest is acknowledged, then the newest")
+        planner.log_event("the second newest response is acknowledged, then the newest")
         client.answer("endpoints", -2)
         client.drain()
         client.answer("endpoints")
-        planner.log_event("it refuses 8, which is not sent again, and takes 9")
+        planner.log_event("version 8 is rejected and not sent again; version 9 is acknowledged")
         planner.set("8")
         client.drain()
         client.answer("endpoints", error="no such host")
@@ -150,7 +152,7 @@
         client.drain()
         client.answer("endpoints")
         planner.log_event(
-            "a subscription that grows and shrinks; a nonce of long ago asks for nothing"
+            "a name is unsubscribed and subscribed again; a request with an old nonce has no effect"
         )
         client.request("endpoints", "read", nonce=client.nonces[ENDPOINTS][-1])
         planner.set("2", name="write")
@@ -170,7 +172,7 @@
         client.drain()
         for kind in SHORT_NAMES.values():
             client.answer(kind)
-        planner.log_event("write is renamed to store while its endpoints change")
+        planner.log_event("write is replaced by store while the endpoints of write change")
         planner.set("2", name="write")
         client.drain()
         planner.drop("write")
@@ -178,7 +180,7 @@
             planner.resources[TYPE_URLS[kind], "store"] = "1"
             client.request_delta(kind, ("store",), ())
         client.drain()
-        planner.log_event("its route and listener are acknowledged")
+        planner.log_event("the listener and route responses are acknowledged")
         client.answer("listener")
         client.answer("route")
         client.drain()
@@ -195,7 +197,7 @@
         )
         client.drain()
         other = RecordedStream(planner, delta=True)
-        planner.log_event("a wildcard of clusters, on a second stream")
+        planner.log_event("a wildcard subscription to clusters on a second stream")
         other.request_delta("cluster")
         other.drain()
         planner.drop("store")
--- a/tests/planner/test_cached_endpoint_list.py
+++ b/tests/planner/test_cached_endpoint_list.py
@@ -56,7 +56,7 @@
         """Record the entries in use by host id."""
         self.used = {**({} if is_first else self.used), **{host["id"]: host for host in hosts}}
         self.log_event(
-            "goes by" if is_first else "and",
+            "entries in use:" if is_first else "entries added:",
             hosts=",".join(
                 f"{host['id']}{'' if host['state'] == 'ready' else ' ' + host['state']}"
                 for host in hosts
