--- a/indigodeck/assignment/endpoints.py
+++ b/indigodeck/assignment/endpoints.py
@@ -71,7 +71,7 @@
     """The subscription to the endpoint list, renewed after failures.
 
     Retry delays grow and are randomized, so that many planners do not overload a slow service.
-    Without `on_request` the host delivers the list unasked, and nothing is requested at the start.
+    Without `on_request` the host delivers the list on its own, and no request is sent at the start.
     """
 
     def __init__(
--- a/indigodeck/assignment/server_health.py
+++ b/indigodeck/assignment/server_health.py
@@ -52,7 +52,7 @@
     fully_ejected
         Whether it serves no class at all.
     suspect
-        Whether the endpoint list calls it gone, perhaps wrongly.
+        Whether the endpoint list shows it as gone, perhaps wrongly.
     health_check_pending
         Whether a health check has been sent and has not ended.
     """
--- a/indigodeck/leadership/election.py
+++ b/indigodeck/leadership/election.py
@@ -40,7 +40,7 @@
 class LeaderElection:
     """One member of the election; `record` is its lease record as read from disk, or None.
 
-    `recovery` restores what a restarted member may have forgotten, `grantor` grants leases,
+    `recovery` restores the state that a restarted member may lack, `grantor` grants leases,
     `candidate` requests and holds them, and `membership` changes the set of members. They share one
     `MemberState`.
     """
--- a/indigodeck/leadership/member_thread.py
+++ b/indigodeck/leadership/member_thread.py
@@ -4,8 +4,8 @@
 resulting orders for as long again. On an otherwise idle machine, leases of 0.6 s expired during a
 release; for seconds no leader was elected, as all planners were equally busy, and drains came too
 late (docs/leadership.md). Renewal takes milliseconds, so it runs on a loop of its own. A planner
-that hangs for good must not keep its leases that way: this module monitors the planner's loop, and
-the election renews nothing while the planner is unresponsive.
+that hangs permanently must not keep its leases that way: this module monitors the planner's loop,
+and the election renews nothing while the planner is unresponsive.
 
 The planner reads `LeaderElection.leading_epoch` from its own thread as it writes bytes. The member
 updates a candidacy in an order that never shows it leading with the epoch or expiry of another
--- a/indigodeck/leadership/messages.py
+++ b/indigodeck/leadership/messages.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryQuery:
-    """A restarted member asks its peers for what it may have forgotten."""
+    """A restarted member requests state from its peers that its own record may lack."""
 
     nonce: int
     membership_number: int
--- a/indigodeck/leadership/model.py
+++ b/indigodeck/leadership/model.py
@@ -332,9 +332,9 @@
 class AdjacentMemberships(World):
     """A schedule that random faults rarely produce.
 
-    Two of five members are cut off and removed without learning of it. Then a third member is cut
-    off together with them. These three are a majority of the old membership, and the other two are
-    a majority of the new one.
+    Two of five members are cut off and removed without being informed of it. Then a third member is
+    cut off together with them. These three are a majority of the old membership, and the other two
+    are a majority of the new one.
     """
 
     def __init__(
--- a/indigodeck/leadership/mutants.py
+++ b/indigodeck/leadership/mutants.py
@@ -50,7 +50,7 @@
 
 
 class SavesNothing(LeaderElection):
-    """Reports its record as saved without saving it, and trusts its disk after a restart."""
+    """Reports its record as saved without saving it, and recovers only from its own disk."""
 
     state_class = _UnsavedState
     recovery_class = _DiskTrustingRecovery
@@ -62,7 +62,7 @@
 
 
 class GrantsAtOnce(LeaderElection):
-    """Grants immediately after a restart, as if it remembered its earlier grants."""
+    """Grants immediately after a restart, as if all its earlier grants were known."""
 
     recovery_class = _ImmediateGrantRecovery
 
--- a/indigodeck/leadership/recovery.py
+++ b/indigodeck/leadership/recovery.py
@@ -35,7 +35,7 @@
             state.host.send(member, RecoveryQuery(self.nonce, max(0, state.membership_number)))
 
     def is_recovered(self) -> bool:
-        """Return whether this member has learned what it may have forgotten.
+        """Return whether this member has received the state that its record may lack.
 
         Enough of the other members must answer to include one of every majority that this member
         was ever part of. Once true, the result stays true for this incarnation, so that a new
--- a/indigodeck/planner/demand_aggregation.py
+++ b/indigodeck/planner/demand_aggregation.py
@@ -45,7 +45,7 @@
 class ProxyReport(NamedTuple):
     """One proxy's report on one class over `span`.
 
-    `rejected` counts the requests that the proxy itself turned away. `stream` identifies the
+    `rejected` counts the requests that the proxy itself did not admit. `stream` identifies the
     connection that the report came over.
     """
 
--- a/indigodeck/versions/model.py
+++ b/indigodeck/versions/model.py
@@ -37,7 +37,9 @@
         """
         epoch, dot, serial = text.partition(".")
         if not (dot and _is_decimal(epoch) and _is_decimal(serial)):
-            raise InvalidVersionNumberError(f"{text!r} is no version number: expected EPOCH.SERIAL")
+            raise InvalidVersionNumberError(
+                f"{text!r} is not a version number: expected EPOCH.SERIAL"
+            )
         return cls(int(epoch), int(serial))
 
 
--- a/indigodeck/versions/rollback_pins.py
+++ b/indigodeck/versions/rollback_pins.py
@@ -3,8 +3,8 @@
 The old table of a class is its table in the version that the class is pinned to. A rollback
 overrides the assigner's decisions, but not the safety rules. While a class is pinned:
 
-- A server that is draining, removed, or not listed as ready gets no weight, whatever the old table
-  says.
+- A server that is draining, removed, or not listed as ready gets no weight, even if the old table
+  has weight for it.
 - A cold server gets no larger share of a table than the assigner currently gives it, since the
   assigner limits the load of cold servers over all tables.
 - If less than half of the old table's weight remains, or no warm server, the assigned table is
--- a/tests/assignment/test_admission.py
+++ b/tests/assignment/test_admission.py
@@ -36,7 +36,7 @@
         self.assertLess(host.assigner.admission.fleet.admitted_share, 1.0)
 
     def test_overload_without_any_answer_cuts_admission(self):
-        """If no request completes, this counts as the deepest overload."""
+        """If no request completes, this counts as the most severe overload."""
         host = RecordingHost()
         host.start(fleet())
         host.run(8, lambda host: host.report(failed=lambda index: 40, tries=40))
--- a/tests/assignment/test_channel_account.py
+++ b/tests/assignment/test_channel_account.py
@@ -44,7 +44,7 @@
         self.assertEqual((channel.throughput_ratio, channel.lateness(6 * SECOND)), (1.0, 0))
 
     def test_unanswered_requests_expire(self):
-        """Proxies that have left do not hold up the channel forever."""
+        """Lines for proxies that have left count as queued only until their request expires."""
         channel = self.new_account()
         self.record_order(channel, 300, 0)
         self.assertEqual(channel.queued_lines(10 * SECOND), 300)
--- a/tests/assignment/test_outlier_detection.py
+++ b/tests/assignment/test_outlier_detection.py
@@ -25,7 +25,7 @@
         )
 
     def test_slow_server_is_replaced_in_one_shard(self):
-        """Another server takes its place, and it stays in its other shards."""
+        """Another server replaces it in that shard; it stays in its other shards."""
         host = RecordingHost()
         host.start(fleet())
         host.run(8, lambda host: host.report(demand=(45, 5)))
--- a/tests/leadership/test_controllers.py
+++ b/tests/leadership/test_controllers.py
@@ -159,7 +159,7 @@
         self.assertIn(self.fleet.leader(), ("c0", "c1"))
 
     async def test_an_added_controller_replaces_two_that_are_lost(self):
-        """A controller is added, others are removed or killed, and the last one is forced."""
+        """One controller is added, others are lost, and the last one is forced as only member."""
         await self.set_up(spare=1)
         self.assertEqual(self.fleet.lease_changes("c3"), [])
         code, output = await self.fleet.command(
--- a/tests/leadership/test_messages.py
+++ b/tests/leadership/test_messages.py
@@ -119,7 +119,7 @@
             message_codec.remaining_bytes((1 << 30).to_bytes(4, "big"))
 
     def test_messages_in_older_versions_are_packed_and_unpacked(self):
-        """Version 1 omits fields that it lacks, and a peer's version follows its messages."""
+        """Version 1 omits fields that it lacks; the version detected for a peer only grows."""
         fields = dict(
             hello=1, epochs={"fleet": [7, "c2"]}, serial=0, number=0, members=ADDRESSES, plan=None
         )
--- a/tests/planner/test_endpoint_list.py
+++ b/tests/planner/test_endpoint_list.py
@@ -74,7 +74,7 @@
         )
 
     def test_a_quiesced_host_drains_until_it_reports_otherwise(self):
-        """The host's own statement overrides a list that calls it ready."""
+        """The host's own report overrides a list in which it is ready."""
         self.endpoint_list.apply_full(self.document(1, ("x", "ready")))
         self.assertTrue(self.endpoint_list.set_quiesced("127.0.0.1", 9000, True))
         self.endpoint_list.apply_full(self.document(2, ("x", "ready")))
--- a/tests/planner/test_join_admission.py
+++ b/tests/planner/test_join_admission.py
@@ -62,7 +62,7 @@
         self.assertEqual((self.admitted, self.queued_lines), (list(range(6)), 1000))
 
     def test_candidates_over_the_limit_are_rejected(self):
-        """Two candidates too many are rejected at once."""
+        """Two candidates over the limit are rejected immediately."""
         self.queued_lines = 1000
         for proxy in range(MAX_WAITING_PROXIES + 2):
             self.join_admission.on_arrival(proxy)
--- a/tests/versions/test_replication.py
+++ b/tests/versions/test_replication.py
@@ -199,7 +199,7 @@
 
 
 class ReplicationTest(unittest.TestCase):
-    """The state that all controllers converge to, whatever the network does."""
+    """The state that all controllers converge to, despite faults of the network."""
 
     def test_controllers_converge_despite_lost_late_and_duplicate_messages(self):
         """In 600 schedules, each number has one content and all controllers converge."""
