--- a/indigodeck/edge/json_fields.py
+++ b/indigodeck/edge/json_fields.py
@@ -31,9 +31,9 @@
     try:
         value = json.loads(str(data, "utf-8"), parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:  # RecursionError: nested too deeply
-        raise MalformedMessageError(f"no JSON: {type(error).__name__}") from error
+        raise MalformedMessageError(f"not valid JSON: {type(error).__name__}") from error
     if not isinstance(value, dict):
-        raise MalformedMessageError("no JSON object")
+        raise MalformedMessageError(f"not a JSON object: got {type(value).__name__}")
     return value
 
 
@@ -88,7 +88,10 @@
     """Return the entry of `choices` that a field names."""
     value = read_field(fields, name)
     if not isinstance(value, str) or value not in choices:
-        raise MalformedMessageError(f"{name} names nothing that exists")
+        found = (
+            repr(value[:MAX_NAME_CHARACTERS]) if isinstance(value, str) else type(value).__name__
+        )
+        raise MalformedMessageError(f"{name} is not one of the known names: got {found}")
     return choices[value]
 
 
--- a/indigodeck/json_documents.py
+++ b/indigodeck/json_documents.py
@@ -38,7 +38,7 @@
     try:
         document = json.loads(text)
     except ValueError as error:
-        raise InvalidDocumentError(f"{name}: no JSON document: {error}") from error
+        raise InvalidDocumentError(f"{name}: not valid JSON: {error}") from error
     errors = schema_errors(document, schema)
     if errors:
         raise InvalidDocumentError(
--- a/tests/planner/test_endpoint_list.py
+++ b/tests/planner/test_endpoint_list.py
@@ -88,7 +88,7 @@
         """An error names the entry and the key."""
         for text, expected in (
             ('{"version": 1}', "roster: 'hosts' is a required property"),
-            ("{", "roster: no JSON"),
+            ("{", "roster: not valid JSON: "),
             (json.dumps(self.document(1, ("x", "ready"), ("x", "ready"))), "hosts/1/id"),
             (json.dumps(self.document(1, ("x", "up"))), "hosts/0/state"),
             (json.dumps(dict(self.document(1), colour=1)), "'colour' was unexpected"),
